--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -5,9 +5,22 @@
 """
 
 from hillchute.catalog import NS, translate, up
-from hillchute.decision.interface import Decision, Listing
-
-RESULTS = {"completed": "finished"}  # the wire's endings in our words
+from hillchute.decision.interface import (
+    AttemptResult,
+    Cancel,
+    Decision,
+    EndpointState,
+    Fail,
+    HealthCheck,
+    Listing,
+    Reject,
+    SetPriority,
+    Submit,
+    Wake,
+    WatchEndpoints,
+)
+
+RESULTS = {"completed": AttemptResult.SERVED}  # the wire's results that are not spelled as the enum's values
 
 
 class Malformed(Exception):
@@ -72,7 +85,7 @@
         cell = self.integer("bay", 0)
         started = up(self.integer("last_start_ns", 0))
         zone = self.integer("locality", 0)
-        state = self.text("availability") or "Ready"
+        state = EndpointState(self.text("availability") or EndpointState.READY)
         nominal = self.real("nominal", 1.0)
         engine = self.needed(self.integer("engine"), "engine")
         return Listing(engine, kind, cell, zone, started, state, nominal)
@@ -100,27 +113,39 @@
     return value
 
 
+def attempt_result(value: str) -> AttemptResult:
+    """The result of an attempt, from the wire's spelling."""
+    try:
+        return RESULTS.get(value) or AttemptResult(value)
+    except ValueError:
+        raise Malformed(f"no such result: {value[:40]}") from None
+
+
+def health_check_result(value: str) -> AttemptResult:
+    """The result of a health check; the wire page doesn't list the reasons of those that fail, and one that
+    is not known says nothing of the engine."""
+    try:
+        return attempt_result(value)
+    except Malformed:
+        return AttemptResult.NOT_SENT
+
+
 def encode(decision: Decision) -> str:
-    verb, *values = decision
-    match verb:
-        case "submit":
-            query, engine, within = values
-            return f"PASS_ON {query} {engine} {within * NS}"
-        case "defer":
-            query, after, _ = values
-            return f"PUSH_BACK {query} {after * NS}"
-        case "kill":
-            return f"FINISH_ERROR {values[0]}"
-        case "cancel":
-            return f"RETRACT {values[0]} {values[1]}"
-        case "terms":
-            query, megabytes, priority = values
-            return f"SET_TERMS {query} {megabytes:g} {priority}"
-        case "probe":
-            return f"ASK_LOAD {values[0]}"
-        case "watch":
+    match decision:
+        case Submit(query, engine, time_limit):
+            return f"PASS_ON {query} {engine} {time_limit * NS}"
+        case Reject(query, retry_after):
+            return f"PUSH_BACK {query} {retry_after * NS}"
+        case Fail(query):
+            return f"FINISH_ERROR {query}"
+        case Cancel(query, attempt):
+            return f"RETRACT {query} {attempt}"
+        case SetPriority(query, priority):
+            return f"SET_TERMS {query} 0 {priority}"  # 0 megabytes: the engine's own figure stands
+        case HealthCheck(engine):
+            return f"ASK_LOAD {engine}"
+        case WatchEndpoints():
             return "OBSERVE 1"
-        case "wake":
-            at, name = values
+        case Wake(at, name):
             return f"WAKE_ME {at * NS} {name}"
-    raise ValueError(f"no wire form for decision {verb}")
+    raise ValueError(f"no wire form for decision {decision}")
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -4,16 +4,16 @@
 from typing import TextIO
 
 from hillchute.accord.subsets import Sight
-from hillchute.benchlink.codec import RESULTS, Fields, Malformed, encode
+from hillchute.benchlink.codec import Fields, Malformed, attempt_result, encode, health_check_result
 from hillchute.catalog import down, up
-from hillchute.decision.interface import Router
-from hillchute.decision.teamwork import Teamwork
+from hillchute.decision.interface import AttemptEnded, ListMode, NewQuery, Scheduler
+from hillchute.decision.scheduler import QueryScheduler
 
 
 class Host:
     def __init__(self, answers: TextIO) -> None:
         self.answers = answers
-        self.routers: dict[int, Router] = {}
+        self.routers: dict[int, Scheduler] = {}
         self.sights: dict[int, Sight] = {}
         self.censuses: dict[int, list] = {}
         self.who: int | None = None
@@ -56,7 +56,7 @@
                 continue
             said = []
             try:
-                while (decision := router.decide(self.now)) is not None:
+                while (decision := router.next_decision(self.now)) is not None:
                     said.append(encode(decision))
             except Exception as fault:  # the bench wants a failed decision named, not a dead process
                 said.append(f"BUG {type(fault).__name__}: {fault}".replace("\n", " "))
@@ -66,7 +66,7 @@
         lines.append(f"FINISHED {batch}\n")
         return "\n".join(lines)
 
-    def router(self, fields: Fields) -> Router:
+    def router(self, fields: Fields) -> Scheduler:
         if self.who not in self.routers:
             raise fields.fault(f"instance {self.who} has not started")
         return self.routers[self.who]
@@ -79,7 +79,7 @@
             raise fields.fault("no SWITCH_TO before it")
         seed = fields.needed(fields.integer("init_seed"), "init_seed")
         catalog = fields.catalog()
-        self.routers[self.who] = Teamwork(seed, catalog, self.now)
+        self.routers[self.who] = QueryScheduler(seed, catalog, self.now)
         self.sights[self.who] = Sight(catalog.get("me", 0), catalog.get("n_instances", 1))
 
     def on_exit(self, fields: Fields) -> None:
@@ -95,19 +95,19 @@
         self.censuses[buffer] = entries
 
     def on_membership(self, fields: Fields) -> None:
-        mode = fields.needed(fields.text("mode"), "mode")
+        mode = ListMode(fields.needed(fields.text("mode"), "mode"))
         fields.integer("index")
         buffer = fields.integer("buffer")
-        if mode == "Error":
+        if mode == ListMode.ERROR:
             entries = []
         elif buffer in self.censuses:
             entries = self.censuses[buffer]
         else:
             raise fields.fault(f"no CENSUS {buffer} before it")
         router = self.router(fields)
-        router.roster(self.now, mode, entries)
+        router.on_endpoint_list(self.now, mode, entries)
         ready = [engine for engine, known in router.engines.items() if known.ready]
-        router.nearby(self.now, self.sights[self.who].near(ready))
+        router.on_subset(self.now, self.sights[self.who].near(ready))
 
     def on_ask(self, fields: Fields) -> None:
         query = fields.needed(fields.text("call"), "call")
@@ -121,44 +121,45 @@
         key = fields.text("table")
         tables = fields.integer("table_group")
         cost = up(cost) if cost else None
-        self.router(fields).take(self.now, query, group, due, tables, tenant, cost, memory, key)
+        arrival = NewQuery(query, group, due, tables, tenant, cost, memory, key)
+        self.router(fields).on_query(self.now, arrival)
 
     def on_completed(self, fields: Fields) -> None:
         query = fields.needed(fields.text("call"), "call")
         final = fields.integer("final", 0) == 1
-        result = fields.needed(fields.text("result"), "result")
+        result = attempt_result(fields.needed(fields.text("result"), "result"))
         used = fields.integer("used_up", 0)
         fields.text("engine")
         elapsed = up(fields.integer("spent_ns", 0))
-        leg = fields.integer("leg", 0)
+        attempt = fields.integer("leg", 0)
         report = fields.report("feedback")
         cost = used // 4096 * 10 if used else None
-        result = RESULTS.get(result, result)
-        self.router(fields).outcome(self.now, query, leg, result, final, elapsed, cost, report)
+        ended = AttemptEnded(query, attempt, result, final, elapsed, cost, report)
+        self.router(fields).on_attempt_ended(self.now, ended)
 
     def on_check_result(self, fields: Fields) -> None:
-        result = fields.needed(fields.text("result"), "result")
+        result = health_check_result(fields.needed(fields.text("result"), "result"))
         fields.text("spent_ns")
         engine = fields.needed(fields.integer("engine"), "engine")
         report = fields.report("feedback")
-        self.router(fields).probed(self.now, engine, RESULTS.get(result, result), report)
+        self.router(fields).on_health_check(self.now, engine, result, report)
 
     def on_change(self, fields: Fields) -> None:
         query = fields.needed(fields.text("call"), "call")
         figure = fields.real("x", 0.0)
         fields.text("engine")
         topic = fields.integer("topic", 0)
-        leg = fields.integer("leg", 0)
-        self.router(fields).progress(self.now, query, leg, topic, figure)
+        attempt = fields.integer("leg", 0)
+        self.router(fields).on_progress(self.now, query, attempt, topic, figure)
 
     def on_started(self, fields: Fields) -> None:
-        self.router(fields).streaming(self.now, fields.needed(fields.text("call"), "call"))
+        self.router(fields).on_stream_started(self.now, fields.needed(fields.text("call"), "call"))
 
     def on_expired(self, fields: Fields) -> None:
-        self.router(fields).left(self.now, fields.needed(fields.text("call"), "call"))
+        self.router(fields).on_client_left(self.now, fields.needed(fields.text("call"), "call"))
 
     def on_timeout_fired(self, fields: Fields) -> None:
-        self.router(fields).woken(self.now, fields.text("nonce") or "")
+        self.router(fields).on_timer(self.now, fields.text("nonce") or "")
 
     def on_memo(self, fields: Fields) -> None:
         self.router(fields)  # routers share nothing: word from a peer changes nothing
--- a/hillchute/decision/__init__.py
+++ b/hillchute/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one router: teamwork.py decides, state.py holds what is known, interface.py the calls."""
+"""The decisions of one router: scheduler.py is the facade, interface.py its inputs and decisions."""
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -1,95 +1,225 @@
-"""The door between a front (bench link, later the socket front) and the decision module. Types only.
+"""The decision module's interface: what has happened goes in, typed decisions come out. Types only.
 
-Times are whole tenths of a millisecond on the front's clock; ids are kept as the front gives them.
+Times are whole tenths of a millisecond on the caller's clock; ids are kept as the caller gives them.
 """
 
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple, Protocol, TypeAlias
 
 Time: TypeAlias = int
 QueryId: TypeAlias = str
 EngineId: TypeAlias = int
-Report: TypeAlias = Mapping[str, float]
+Report: TypeAlias = Mapping[str, float]  # a load report: column names to figures
 Catalog: TypeAlias = Mapping[str, object]  # settings: dotted names to plain values
 
-# A decision is a verb and its values:
-#   ("submit", query, engine, within)      ("terms", query, megabytes, priority)
-#   ("defer", query, come_back_after, why) ("kill", query, why)      why: which check, for the log
-#   ("cancel", query, leg)                 ("probe", engine)
-#   ("watch",)  follow the roster          ("wake", at, name)
-Decision: TypeAlias = tuple
+SECOND: Time = 10_000
+MILLISECOND: Time = 10
+
+
+class EndpointState(StrEnum):
+    """State of an engine in the endpoint list; the values are the event bus's spelling."""
+
+    READY = "Ready"
+    DRAINING = "Terminating"
+    GONE = "Gone"
+
+
+class ListMode(StrEnum):
+    """How an endpoint list relates to the one before; the values are the event bus's spelling."""
+
+    COMPLETE = "Complete"  # engines that it does not name are gone
+    PARTIAL = "Partial"  # engines that it does not name are as they were
+    PERSISTED = "Persisted"  # the complete list as this router kept it last, possibly out of date
+    ERROR = "Error"  # the list could not be read: the earlier one stands
+
+
+class AttemptResult(StrEnum):
+    """How an attempt to run a query on an engine, or a health check, ended.
+
+    The values are the spelling that the simulator's wire and the log have.
+    """
+
+    SERVED = "finished"  # a result, or the answer to a health check
+    OVERLOADED = "saturated"  # the engine rejected it because it is full
+    CONNECTION_REFUSED = "refused_conn"  # no process listens there
+    UNREACHABLE = "unreached"  # no connection came up in time, or there is no route
+    NOT_SENT = "superseded"  # no byte left this router
+    TIMED_OUT = "overdue"  # no answer within the time limit
+    CONNECTION_LOST = "severed"  # the connection broke with the answer outstanding
+    CANCELLED = "recalled"  # this router gave it up
+    FAILED = "errored"  # the engine answered with an error
+
+
+NEVER_RAN = (
+    AttemptResult.OVERLOADED,
+    AttemptResult.CONNECTION_REFUSED,
+    AttemptResult.UNREACHABLE,
+    AttemptResult.NOT_SENT,
+)  # results that prove that the engine did not run the query
+MAY_STILL_RUN = (
+    AttemptResult.TIMED_OUT,
+    AttemptResult.CONNECTION_LOST,
+    AttemptResult.CANCELLED,
+)  # results after which the engine may still run the query
+
+# ---- inputs ---------------------------------------------------------------------------------------
 
 
 class Listing(NamedTuple):
-    """One engine as the roster shows it; state is Ready, Terminating or Gone."""
+    """One engine of the endpoint list."""
 
     engine: EngineId
     kind: int
     cell: int
     zone: int
     started: Time
-    state: str
+    state: EndpointState
     nominal: float
 
 
-class Router(Protocol):
-    """Calls that tell what happened only update what is known; decide() is pulled until it gives None."""
+class NewQuery(NamedTuple):
+    """A query that a client has sent and that was admitted."""
+
+    id: QueryId
+    group: int  # number of its resource group in the settings
+    deadline: Time  # the client gives up then
+    table_group: int | None = None
+    tenant: int = 0
+    cost: Time | None = None  # estimated core time; None where there is no estimate
+    memory_mb: float = 0.0
+    ordering_key: str | None = None  # queries of a key run one after another, if the group keeps order
+
+
+class AttemptEnded(NamedTuple):
+    """The end of an attempt."""
+
+    query: QueryId
+    attempt: int  # its number among the query's attempts, from 0
+    result: AttemptResult
+    final: bool  # whether the client has its answer with this
+    elapsed: Time  # since the attempt was sent
+    cost: Time | None = None  # core time that the engine says it used
+    report: Report | None = None  # the load report that came with the answer
+
+
+# ---- decisions ------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True, slots=True)
+class Submit:
+    """Start an attempt: send the query to this engine, which may take so long for it."""
+
+    query: QueryId
+    engine: EngineId
+    time_limit: Time
+
+
+@dataclass(frozen=True, slots=True)
+class SetPriority:
+    """Give the query this priority in the engines' queues; higher runs first."""
+
+    query: QueryId
+    priority: int
+
 
-    def __init__(self, seed: int, catalog: Catalog, now: Time) -> None: ...
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Answer the client that nothing ran and trying again is harmless, after a wait (0: none is named)."""
 
-    def roster(self, now: Time, mode: str, listings: Iterable[Listing]) -> None: ...
+    query: QueryId
+    retry_after: Time
+    reason: str  # which check rejected it, for the log
 
-    def nearby(
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Answer the client with an error: the query may have run."""
+
+    query: QueryId
+    reason: str  # which check failed it, for the log
+
+
+@dataclass(frozen=True, slots=True)
+class Cancel:
+    """Give up an attempt."""
+
+    query: QueryId
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheck:
+    """Ask an engine for its load."""
+
+    engine: EngineId
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEndpoints:
+    """Start to follow the endpoint list."""
+
+
+@dataclass(frozen=True, slots=True)
+class Wake:
+    """Call `on_timer` at this time with this name."""
+
+    at: Time
+    name: str
+
+
+Decision: TypeAlias = Submit | SetPriority | Reject | Fail | Cancel | HealthCheck | WatchEndpoints | Wake
+
+
+class Scheduler(Protocol):
+    """The inputs (`on_...`) only update what is known; `next_decision` is called until it returns None."""
+
+    def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
+        """The endpoint list, or a change of it, has come."""
+
+    def on_subset(
         self,
         now: Time,
         engines: frozenset[EngineId],
         routers: int | None = None,
-        parts: Mapping[str | EngineId, float] | None = None,
-    ) -> (
-        None
-    ): ...  # to be looked at first: accord/subsets.py; routers that live, parts of limits: accord/company.py
+        shares: Mapping[str | EngineId, float] | None = None,
+    ) -> None:
+        """The engines to prefer have changed (subsetting), the number of live routers, or this router's
+        shares of the limits that routers have in common; None leaves the earlier value."""
 
-    def welcome(
-        self, now: Time, group: int, late: float
-    ) -> bool: ...  # late: even the luckiest query is taken so late
+    def admits(self, now: Time, group: int, lateness: float) -> bool:
+        """Whether a query of this group is admitted while the event loop runs so late (tenths of a
+        millisecond). Called before the query is read."""
 
-    def take(
-        self,
-        now: Time,
-        query: QueryId,
-        group: int,
-        due: Time,
-        tables: int | None = None,
-        tenant: int = 0,
-        cost: Time | None = None,
-        memory: float = 0.0,
-        key: str | None = None,
-    ) -> None: ...
-
-    def outcome(
-        self,
-        now: Time,
-        query: QueryId,
-        leg: int,
-        result: str,
-        final: bool,
-        elapsed: Time,
-        cost: Time | None = None,
-        report: Report | None = None,
-    ) -> None: ...
+    def on_query(self, now: Time, query: NewQuery) -> None:
+        """A query was admitted."""
+
+    def on_attempt_ended(self, now: Time, ended: AttemptEnded) -> None:
+        """An attempt has ended; one that is not known, or has ended before, is ignored."""
+
+    def on_health_check(
+        self, now: Time, engine: EngineId, result: AttemptResult, report: Report | None
+    ) -> None:
+        """A health check of this router has ended."""
 
-    def probed(
-        self, now: Time, engine: EngineId, result: str, report: Report | None, age: Time = 0
-    ) -> None: ...  # age: of a report that another router had
+    def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
+        """Another router passed on a load report, which is so old; an older one than is known is ignored."""
 
-    def progress(self, now: Time, query: QueryId, leg: int, topic: int, figure: float) -> None: ...
+    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
+        """An engine reports how far an attempt has come."""
 
-    def streaming(self, now: Time, query: QueryId) -> None: ...
+    def on_stream_started(self, now: Time, query: QueryId) -> None:
+        """The first part of a streamed result has come: the query is not retried or rejected from here on."""
 
-    def left(self, now: Time, query: QueryId) -> None: ...
+    def on_client_left(self, now: Time, query: QueryId) -> None:
+        """Nobody waits for the query any more."""
 
-    def closing(self, now: Time, end: Time) -> None: ...  # the router ends: all is answered by then
+    def on_shutdown(self, now: Time, deadline: Time) -> None:
+        """This router ends: every query is answered by then."""
 
-    def woken(self, now: Time, name: str) -> None: ...
+    def on_timer(self, now: Time, name: str) -> None:
+        """The time of a `Wake` has come."""
 
-    def decide(self, now: Time) -> Decision | None: ...
+    def next_decision(self, now: Time) -> Decision | None:
+        """The next decision, or None if there is nothing to do at this time."""
--- a/hillchute/decision/teamwork.py
+++ b/hillchute/decision/scheduler.py
@@ -1,7 +1,7 @@
-"""Query Teamwork: every decision of one router, in one module. One instance is one router.
+"""Query QueryScheduler: every decision of one router, in one module. One instance is one router.
 
 A front calls the inputs (roster, take, outcome, ...), which only update what is known, and pulls decide()
-until it gives None: see interface.py, and state.py for the state. Times are whole tenths of a millisecond.
+until it gives None: see interface.py. Times are whole tenths of a millisecond.
 docs/design.md tells what departs from the design and when; docs/oncall.md what will be seen at night."""
 
 from bisect import bisect
@@ -10,21 +10,26 @@
 from itertools import accumulate
 from zlib import crc32
 
-from hillchute.decision.slow_start import SlowStart
-from hillchute.decision.state import (
-    Engine,
-    Lane,
-    Light,
-    Order,
-    Query,
-    ResourceGroup,
-    Sample,
-    Submission,
-    Traffic,
+from hillchute.decision.engine_state import EngineOrder, EngineState
+from hillchute.decision.interface import (
+    MAY_STILL_RUN,
+    MILLISECOND,
+    NEVER_RAN,
+    SECOND,
+    AttemptResult,
+    Cancel,
+    Fail,
+    HealthCheck,
+    ListMode,
+    Reject,
+    SetPriority,
+    Submit,
+    Wake,
+    WatchEndpoints,
 )
-
-SECOND = 10_000
-MILLISECOND = 10
+from hillchute.decision.query_state import Attempt, Lane, QueryState, ResourceGroup
+from hillchute.decision.slow_start import SlowStart
+from hillchute.decision.statistics import TRAFFIC_SPAN, LightTraffic, PaceSample, TrafficWindow
 
 # Every constant: its unit, and why it has this size.
 FACTOR = 2.0  # threads a core, all routers together: the design's starting bound
@@ -41,7 +46,6 @@
 LONGEST_REST = 5 * SECOND  # an engine that is back is found at the latest after this
 PATIENCE = 2.5  # times the expected run until a submission is taken as hung, badly planned or its answer lost
 LINE_PATIENCE = 6.0  # the same where engines queue for memory: a wait holds nothing, a cut loses the place
-TRAFFIC_SPAN = 10 * SECOND  # over which customers' traffic is counted: longer than a short fault
 FADE = 1 * SECOND  # a report's half life: most queries that it counted have ended two or three of them later
 FEW = 4.0  # threads: a few short queries; with less out, a router's part of an engine is mostly chance
 PROBE_EVERY = 400 * MILLISECOND  # per engine; reports are rarely fresher than that
@@ -67,12 +71,15 @@
 STEEP = 3  # at half that pressure eight times the mean still gets in, at twice an eighth of it
 
 WAITING = ("lane", "queue", "dash", "behind")  # places of a query that stands in a line here
-NEVER_RAN = ("saturated", "refused_conn", "unreached", "superseded")  # endings that prove it
-MAY_STILL_RUN = ("overdue", "severed", "recalled")  # endings after which a key rests
-BROKEN = ("refused_conn", "unreached", "severed", "errored")  # endings that speak against the engine
+BROKEN = (
+    AttemptResult.CONNECTION_REFUSED,
+    AttemptResult.UNREACHABLE,
+    AttemptResult.CONNECTION_LOST,
+    AttemptResult.FAILED,
+)  # endings that speak against the engine
 
 
-class Teamwork:
+class QueryScheduler:
     def __init__(self, seed, catalog, now):
         self.seed, self.catalog, self.now = seed, catalog, now
         self.drawn, self.wake_at = 0, None
@@ -83,45 +90,45 @@
         cold_from, span, multiple = (catalog.get(f"guarantees.{x}", 0) for x in names)
         cores = catalog.get("domain.kind_cores", 1)
         tips = multiple * cold_from * span * (min(cores) if isinstance(cores, list) else cores)
-        self.light = Light(tips / COLD_GRAINS, now)
+        self.light = LightTraffic(tips / COLD_GRAINS, now)
         self.slow_start = SlowStart(span, self.chance)
         shortest = min((g.target for g in self.groups if not g.is_load), default=0)
         self.dashboards = {g.number for g in self.groups if g.target == shortest and not g.is_load}
-        self.queries: dict[str, Query] = {}
-        self.engines: dict[int, Engine] = {}
+        self.queries: dict[str, QueryState] = {}
+        self.engines: dict[int, EngineState] = {}
         self.lanes, self.stirred = defaultdict(Lane), {}  # and the keys whose lanes may have moved
         self.queue, self.dash = deque(), deque()  # waiting: teams to be, and dashboards with no engine
         self.behind = defaultdict(deque)  # table group: loads that wait for a load of it to end
-        self.places = Order()  # of the engines, by chance, that all routers have alike
+        self.places = EngineOrder()  # of the engines, by chance, that all routers have alike
         self.leaving, self.starting = {}, {}  # engines that are gone with something out; that may be cold
         self.home = {}  # table group: the engine that last ran it
         self.looks = []  # heap of (time, order, query id): look at this query again
-        self.taken, self.extras, self.planned = Traffic(), deque(), deque()
-        self.near, self.parts = frozenset(), {}  # engines looked at first; its parts of what routers share
+        self.traffic, self.extras, self.planned = TrafficWindow(), deque(), deque()
+        self.near, self.shares = frozenset(), {}  # engines looked at first; its parts of what routers share
         self.probe_credit, self.probe_at = len(self.groups), 0
         self.probes = catalog.get("report.via") == "probe" and catalog.get("limits.probes", False)
         # Means: work for a value of one, as asked; time that it took; value of a query, as asked
         self.price = self.dear = self.worth = 0.0
         self.work = self.span = 0.0  # core time of all submissions, and their time alone
         self.held, self.mine = None, 0.0  # mean threads: a core's as reported, our own on an engine then
-        self.recent = Sample()  # submissions of late
+        self.recent = PaceSample()  # submissions of late
         self.counted = "inflight" in catalog.get("report.columns", ())  # whether reports count queries held
         self.watch = catalog.get("discovery") == "on_request"
 
     # ---- what has happened: bookkeeping only -------------------------------------------------------
 
-    def roster(self, now, mode, listings):
+    def on_endpoint_list(self, now, mode, listings):
         self.now = now
-        self.watch |= mode == "Error" and self.catalog.get("discovery") == "on_request"
-        if mode == "Error":
+        self.watch |= mode == ListMode.ERROR and self.catalog.get("discovery") == "on_request"
+        if mode == ListMode.ERROR:
             return  # the earlier list stands
         listed = {}
         for entry in listings:
-            listed[entry.engine] = e = self.engines.setdefault(entry.engine, Engine(entry.engine))
+            listed[entry.engine] = e = self.engines.setdefault(entry.engine, EngineState(entry.engine))
             e.listed(entry, self.catalog)
             if entry.started > e.started:
-                e.started, e.fails, e.rest_until, e.reported = entry.started, 0, now, None
-        for e in [e for e in self.engines.values() if mode != "Partial" and e.id not in listed]:
+                e.started, e.failures, e.ejected_until, e.reported_threads = entry.started, 0, now, None
+        for e in [e for e in self.engines.values() if mode != ListMode.PARTIAL and e.id not in listed]:
             e.ready, e.gone = False, True
             listed[e.id] = e
         self.relist(listed)
@@ -134,39 +141,43 @@
             else:
                 self.leaving.pop(e.id, None)
                 self.places.add(e.id)
-            if e.cold(self.now):
+            if e.is_warming_up(self.now):
                 self.starting[e.id] = e
-        for e in [e for e in self.leaving.values() if not e.out]:  # new ids come all day
+        for e in [e for e in self.leaving.values() if not e.open_attempts]:  # new ids come all day
             for known in (self.engines, self.leaving, self.starting):
                 known.pop(e.id, None)
             self.places.discard(e.id)
             self.slow_start.forget(e.id)
 
-    def nearby(self, now, engines, routers=None, parts=None):
+    def on_subset(self, now, engines, routers=None, shares=None):
         self.now, self.near = now, engines
-        self.routers, self.parts = routers or self.routers, parts or self.parts
+        self.routers, self.shares = routers or self.routers, shares or self.shares
 
-    def welcome(self, now, group, late):
+    def admits(self, now, group, lateness):
         """Guards the loop of this router: what it does late when its core is full can't be taken back. Every
-        query costs it alike, so those of least value go first, unread. A pause that is over is not `late`."""
+        query costs it alike, so those of least value go first, unread. A pause that is over doesn't count."""
         value = self.groups[group].value
         self.worth += SMOOTH * (value - self.worth) if self.worth else value
-        return late < MOST_LATE * min(1.0, value / self.worth)
+        return lateness < MOST_LATE * min(1.0, value / self.worth)
 
-    def take(self, now, query, group, due, tables=None, tenant=0, cost=None, memory=0.0, key=None):
+    def on_query(self, now, query):
         self.now = now
+        tenant, deadline = query.tenant, query.deadline
         start = now - max(TRAFFIC_SPAN, self.catalog.get("guarantees.look_back") or 0) - 2
         while self.extras and self.extras[0] < start:
             self.extras.popleft()
-        self.taken.add(now, tenant, start)
-        g = self.groups[group]
-        cost = max(1, cost or g.usual or g.target * g.width // 2)
+        self.traffic.add(now, tenant, start)
+        g = self.groups[query.group]
+        cost = max(1, query.cost or g.usual or g.target * g.width // 2)
         g.usual += SMOOTH * (cost - g.usual) if g.usual else cost
-        q = self.queries[query] = Query(query, g, now, due, tables, tenant, cost, memory, key)
+        key = query.ordering_key
+        q = self.queries[query.id] = QueryState(
+            query.id, g, now, deadline, query.table_group, tenant, cost, query.memory_mb, key
+        )
         self.price = (1 - SMOOTH) * (self.price or cost / g.value) + SMOOTH * cost / g.value
         credit = PROBE_SHARE / (self.catalog.get("costs.probe") or PROBE_SHARE)
-        self.probe_credit += min(credit, self.parts.get("probes", 1), len(self.engines) - self.probe_credit)
-        self.look(q, due - self.margin)
+        self.probe_credit += min(credit, self.shares.get("probes", 1), len(self.engines) - self.probe_credit)
+        self.look(q, deadline - self.margin)
         if g.in_order and key is not None:
             q.place, q.line = "lane", self.lanes[key].turn
             q.line.append(q)
@@ -186,102 +197,113 @@
         self.drawn += 1
         heappush(self.looks, (at, self.drawn, q.id))
 
-    def outcome(self, now, query, leg, result, final, elapsed, cost=None, report=None):
+    def on_attempt_ended(self, now, ended):
         self.now = now
-        q = self.queries.get(query)
-        if q is None or leg >= len(q.legs) or not q.legs[leg].open:
+        _, number, result, final, elapsed, cost, report = ended
+        q = self.queries.get(ended.query)
+        if q is None or number >= len(q.attempts) or not q.attempts[number].open:
             return
-        sub, e = q.legs[leg], self.engines[q.legs[leg].engine]
-        e.ended(q, sub)
-        if q.group.is_load and self.behind.get(q.tables):
-            self.line_up(self.behind[q.tables].popleft(), front=True)
+        sub, e = q.attempts[number], self.engines[q.attempts[number].engine]
+        sub.open = False
+        e.attempt_ended(q.group.width, q.memory, q.group.is_load, q.table_group)
+        if q.group.is_load and self.behind.get(q.table_group):
+            self.line_up(self.behind[q.table_group].popleft(), front=True)
         if report:
             self.read_report(e, report)
-        elif result == "saturated":
-            e.reported, e.reported_at = FULL * e.cores, now
+        elif result == AttemptResult.OVERLOADED:
+            e.reported_threads, e.reported_at = FULL * e.cores, now
         if result not in NEVER_RAN and q.ran is None:
             q.ran = sub
         if result in MAY_STILL_RUN and q.key is not None and q.group.in_order:
-            self.lanes[q.key].rest_until = now + self.catalog.get("guarantees.order_pause", 0) + 1
+            self.lanes[q.key].paused_until = now + self.catalog.get("guarantees.order_pause", 0) + 1
         self.judge(e, q, sub, result, elapsed, cost)
         if final or q.place == "ended":
             self.end(q)
-        elif not q.out:
+        elif not q.open_attempts:
             q.place = "again"
             self.look(q, now)
 
     def judge(self, e, q, sub, result, elapsed, cost):
         """An engine's health, from how one submission ended."""
-        if result in ("finished", "overdue"):
+        if result in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
             sub.ratio = max(GRAIN, elapsed) / max(GRAIN, cost / q.group.width if cost else sub.alone)
-        if sub.ratio > SLOW or result == "saturated":
+        if sub.ratio > SLOW or result == AttemptResult.OVERLOADED:
             e.pressed_until = self.now + PRESSED
-        if result == "finished":
-            e.fails = 0
+        if result == AttemptResult.SERVED:
+            e.failures = 0
             if q.blamed not in (None, e):
                 self.blame(q.blamed)
             q.group.took += SMOOTH * (elapsed - q.group.took)
             self.dear += SMOOTH * (elapsed / q.group.value - self.dear)
             if cost:
                 q.group.scale += SMOOTH * (min(5.0, max(0.2, cost / q.cost)) - q.group.scale)
-        elif result == "errored" and self.may_run_again(q):
+        elif result == AttemptResult.FAILED and self.may_run_again(q):
             # Guards against queries that no engine can run: the engine is at fault once another ran it.
             q.errors, q.blamed = q.errors + 1, q.blamed or e
         elif result in BROKEN:
             self.blame(e)
-            if result == "refused_conn":
+            if result == AttemptResult.CONNECTION_REFUSED:
                 e.started = max(e.started, self.now)  # it may come back cold before the roster says so
                 self.starting[e.id] = e
 
     def blame(self, e):
         """Guards against an engine that is down, or draws all by fast errors. A lone failure is free."""
         if e.failed(self.now) > 1:
-            e.rest_until = self.now + min(LONGEST_REST, REST << min(e.fails, 10))
+            e.ejected_until = self.now + min(LONGEST_REST, REST << min(e.failures, 10))
 
     def read_report(self, e, report, age=0):
         if "inflight" in report:
-            e.reported = report["inflight"] * self.work / self.span if self.span else report["inflight"]
+            e.reported_threads = (
+                report["inflight"] * self.work / self.span if self.span else report["inflight"]
+            )
         elif "util" in report:
-            e.reported = report["util"] * e.cores
+            e.reported_threads = report["util"] * e.cores
         self.mine += SMOOTH * (e.threads - self.mine)
         meant = {self.catalog.get(f"domain.report_{x}"): report.get(x) for x in ("x0", "x1")}
-        e.granted = meant.get("share_of_memory_granted")
-        if e.reported is not None:
-            e.reported = max(e.reported, (e.granted or 0) * FACTOR * e.cores)
-            mean = min(2 * CROWD * FACTOR, e.reported / e.cores)  # one jammed engine is not a crowd on all
+        e.memory_granted = meant.get("share_of_memory_granted")
+        if e.reported_threads is not None:
+            e.reported_threads = max(e.reported_threads, (e.memory_granted or 0) * FACTOR * e.cores)
+            mean = min(
+                2 * CROWD * FACTOR, e.reported_threads / e.cores
+            )  # one jammed engine is not a crowd on all
             self.held = mean if self.held is None else self.held + SMOOTH * (mean - self.held)
         e.reported_at = self.now - age
-        shares = report.get("util"), e.granted, meant.get("share_of_disks_busy")
+        shares = report.get("util"), e.memory_granted, meant.get("share_of_disks_busy")
         busy = max(share or 0 for share in shares) >= BUSY or report.get("queue", 0) >= 1
         e.pressed_until = self.now + (PRESSED if busy else 0)
 
-    def probed(self, now, engine, result, report, age=0):
+    def on_health_check(self, now, engine, result, report):
+        self.now, e = now, self.engines.get(engine)
+        if e and report and now >= e.reported_at:
+            self.read_report(e, report)
+        elif e and result in (AttemptResult.TIMED_OUT, *BROKEN):
+            self.blame(e)
+
+    def on_load_report(self, now, engine, report, age):
         self.now, e = now, self.engines.get(engine)
         if e and report and now - age >= e.reported_at:
             self.read_report(e, report, age)
-        elif e and result in ("overdue", *BROKEN):
-            self.blame(e)
 
-    def progress(self, now, query, leg, topic, figure):
+    def on_progress(self, now, query, attempt, topic, figure):
         self.now = now  # notes tell of one submission, what is out tells of the engine sooner
 
-    def streaming(self, now, query):
+    def on_stream_started(self, now, query):
         self.now = now
         if query in self.queries:
             self.queries[query].streaming = True
 
-    def left(self, now, query):
+    def on_client_left(self, now, query):
         self.now = now
         if query in self.queries:
             self.end(self.queries[query])
 
-    def closing(self, now, end):
+    def on_shutdown(self, now, deadline):
         self.now = now
         for q in self.queries.values():
-            q.due = min(q.due, end)
-            self.look(q, q.due - self.margin)
+            q.deadline = min(q.deadline, deadline)
+            self.look(q, q.deadline - self.margin)
 
-    def woken(self, now, name):
+    def on_timer(self, now, name):
         self.now, self.wake_at = now, None
 
     def end(self, q):
@@ -289,22 +311,26 @@
         if q.place in WAITING:
             q.line.remove(q)
         q.place = "ended"
-        if not q.out:
+        if not q.open_attempts:
             self.queries.pop(q.id, None)
         if q.key in self.lanes:
             self.stirred[q.key] = True
 
+    def light_query_rate(self, now):
+        """Cores that the queries of late that are light enough for an engine that warms up have used."""
+        return self.light.work / max(1, min(TRAFFIC_SPAN, now - self.light.began))
+
     # ---- the rules ----------------------------------------------------------------------------------
 
     def may_run_again(self, q):
         """Rules 1, 2 and 7 and the limit of tries: may it be submitted now, as far as it alone goes?"""
-        if q.place == "ended" or q.errors > 1 or len(q.legs) >= self.catalog.get("limits.most_tries", 1):
+        if q.place == "ended" or q.errors > 1 or len(q.attempts) >= self.catalog.get("limits.most_tries", 1):
             return False
-        if q.out or (q.ran and q.group.effect == "mutating"):
+        if q.open_attempts or (q.ran and q.group.effect == "mutating"):
             return False  # never two at once, also where that is allowed: it would feed an overload
         if q.ran and q.group.effect == "tokened" and self.now + 1 >= q.ran.sent + q.group.window:
             return False
-        return not q.legs or self.ration_left()
+        return not q.attempts or self.ration_left()
 
     def ration_left(self):
         """Rule 7. Beyond it retries are held by too_heavy() alone, so that they do not feed an overload."""
@@ -314,16 +340,16 @@
         least, share = (self.catalog.get(f"guarantees.{x}", 0) for x in ("min_extra", "extra_share"))
         # The clock is rounded: count a little more of what was used, a little less of what was taken.
         used = sum(t >= self.now - span - 2 for t in self.extras)
-        return used + 1 <= least + share * sum(t >= self.now - span + 2 for t, _ in self.taken.line)
+        return used + 1 <= least + share * sum(t >= self.now - span + 2 for t, _ in self.traffic.line)
 
     def may_defer(self, q):
         """Rule 2: a deferral tells the client that trying again is harmless."""
-        safe = q.group.effect == "read-only" or (q.ran is None and not q.out)
+        safe = q.group.effect == "read-only" or (q.ran is None and not q.open_attempts)
         return safe or (q.group.effect == "tokened" and q.group.repeats == "all")
 
     def allowed(self, e, q):
         """Rules 2, 3, 4, 6 and 7: may this query go to this engine now, whatever the load?"""
-        return (not q.legs or self.may_run_again(q)) and self.fits(e, q)
+        return (not q.attempts or self.may_run_again(q)) and self.fits(e, q)
 
     def fits(self, e, q):
         g = q.group
@@ -334,10 +360,10 @@
             first = self.engines.get(q.ran.engine)
             if first is None or e.zone != first.zone or (g.repeats == "cell" and e.cell != first.cell):
                 return False
-        return not e.cold(self.now) or (q.lot == e.id and self.slow_start.stands(self.now, q.lot_at))
+        return not e.is_warming_up(self.now) or (q.lot == e.id and self.slow_start.stands(self.now, q.lot_at))
 
     def calm(self, e):
-        return self.crowd(e) <= KNEE * e.able(self.now)
+        return self.crowd(e) <= KNEE * e.usable_cores(self.now)
 
     def draw_lot(self, q):
         """Rule 4: the one recovering engine, if any, that is open to a query, drawn each time it lines up.
@@ -349,10 +375,10 @@
             return
         self.light.add(self.now, q.work, TRAFFIC_SPAN)
         self.slow_start.seen(q.work)
-        for e in [e for e in self.starting.values() if not e.cold(self.now)]:
+        for e in [e for e in self.starting.values() if not e.is_warming_up(self.now)]:
             del self.starting[e.id]
-        cold = [e for e in self.starting.values() if e.ready and self.parts.get(e.id, 1)]
-        q.lot = self.slow_start.draw(self.now, cold, q.work, self.parts.get("cold", 1 / self.routers))
+        cold = [e for e in self.starting.values() if e.ready and self.shares.get(e.id, 1)]
+        q.lot = self.slow_start.draw(self.now, cold, q.work, self.shares.get("cold", 1 / self.routers))
 
     def since(self, e):
         return e.since(max(e.reported_at - LAG, self.now - PRESSED))
@@ -364,12 +390,12 @@
     def told(self, e):
         """Threads of all routers there by its last report, which goes over into the average as it ages."""
         # One that is cold starts empty and gets what lots give: others' average says nothing of it.
-        mean = 0 if e.cold(self.now) else self.held * e.cores
-        return mean if e.reported is None else mean + (e.reported - mean) * self.known(e)
+        mean = 0 if e.is_warming_up(self.now) else self.held * e.cores
+        return mean if e.reported_threads is None else mean + (e.reported_threads - mean) * self.known(e)
 
     def known(self, e):
         """How much of the last report still holds: what waits on a crowded engine stays so much longer."""
-        return 0.5 ** ((self.now - e.reported_at) / (FADE * max(1.0, e.reported / e.cores)))
+        return 0.5 ** ((self.now - e.reported_at) / (FADE * max(1.0, e.reported_threads / e.cores)))
 
     def crowd(self, e):
         """Threads of all routers there: as reported or, if it stalls between two reports, by what is out."""
@@ -379,18 +405,18 @@
 
     def room(self, e, q, more=1):
         """How many queries like this one the engine has slots and room for."""
-        width, bound, least = q.group.width, more * FACTOR * e.able(self.now), 1
+        width, bound, least = q.group.width, more * FACTOR * e.usable_cores(self.now), 1
         free = bound - self.crowd(e)
         if self.now < e.pressed_until:
-            share = bound / self.parts.get("pool", self.routers)  # partners: by agreed shares of it
+            share = bound / self.shares.get("pool", self.routers)  # partners: by agreed shares of it
             # Guards against many routers whose bound is under one query: each then has one by chance only.
             least = int(crc32(f"{q.id}:{e.id}".encode()) / 2**32 < share / width)
             free = min(free, max(width, share) - e.threads) * least
         slots = int(free // width)
         if q.memory and e.ram:
-            given = 0 if e.granted is None else e.granted * e.ram + self.since(e)[1]
+            given = 0 if e.memory_granted is None else e.memory_granted * e.ram + self.since(e)[1]
             slots = min(slots, int((e.ram - max(e.memory, given)) // q.memory))
-        return max(0, slots, least * int(not e.out))
+        return max(0, slots, least * int(not e.open_attempts))
 
     def draw(self, engines):
         """Chance, weighted against load; None of none."""
@@ -466,7 +492,7 @@
 
     def ask(self, e):
         e.probed_at, self.probe_credit = self.now, self.probe_credit - 1
-        self.planned.append(("probe", e.id))
+        self.planned.append(HealthCheck(e.id))
 
     def chance(self):
         self.drawn += 1
@@ -488,12 +514,12 @@
         Guards against a jam of all engines, whatever makes it. Does harm where estimates are worthless."""
         # Reports that count what engines hold tell a crowd from a slowdown; elsewhere only the pace does.
         pace = self.pace() / (2 if self.counted else 1)
-        line = q.group.is_load and self.behind.get(q.tables) or self.queue
+        line = q.group.is_load and self.behind.get(q.table_group) or self.queue
         # The crowd where it may go: a mean over all engines hides that the warm are full and the cold empty.
         near = map(self.engines.get, (q.lot,) if q.lot in self.engines else self.near)
         near = [e for e in near if e and self.held is not None and self.fits(e, q)]
         # As told: what is ours since is there too if ours has ended, and counts twice where routers are few.
-        crowds = [max(e.threads, self.told(e)) / e.able(self.now) for e in near]
+        crowds = [max(e.threads, self.told(e)) / e.usable_cores(self.now) for e in near]
         held = sum(crowds) / len(crowds) if crowds else self.held or 0
         pressure = max(pace, held, BACKLOG * self.waited(line[0]) if line else 0)
         pressure *= OVER if self.over_share(q.tenant) else 1
@@ -510,9 +536,9 @@
     def over_share(self, tenant):
         """Is the customer well over its share of late, by fraction and by rate?"""
         fraction, rate = (self.catalog.get(f"parties.{tenant}.{x}") for x in ("fraction", "quota_per_s"))
-        line, n = self.taken.line, self.taken.of[tenant]
-        part = self.parts.get(f"parties.{tenant}", 1 / self.routers)
-        over_rate = rate and n * SECOND > rate * part * max(SECOND, self.now - line[0][0])
+        line, n = self.traffic.line, self.traffic.by_tenant[tenant]
+        part = self.shares.get(f"parties.{tenant}", 1 / self.routers)
+        over_rate = rate and n * SECOND > rate * part * self.traffic.span(self.now)
         return over_rate and n > OVER * fraction * len(line)
 
     def latest_start(self, q):
@@ -521,12 +547,12 @@
 
     # ---- deciding -----------------------------------------------------------------------------------
 
-    def decide(self, now):
+    def next_decision(self, now):
         self.now = now
         if not self.planned:
             if self.watch:
                 self.watch = False
-                return ("watch",)
+                return WatchEndpoints()
             # Lanes first: one whose turn comes too late is then answered, not sent, and the next may start.
             stages = (self.lanes_move, self.settle, self.send_dashboards, self.send_team, self.probe)
             for stage in (*stages, self.set_alarm):
@@ -541,10 +567,10 @@
             q = self.queries.get(heappop(self.looks)[2])
             if q is None or q.place == "ended" or q.streaming:
                 continue
-            if self.now >= q.due - self.margin:
+            if self.now >= q.deadline - self.margin:
                 self.give_up(q, "its end")
             elif q.place == "again":
-                again = self.may_run_again(q) and self.now + self.expected(q) < q.due
+                again = self.may_run_again(q) and self.now + self.expected(q) < q.deadline
                 self.line_up(q, front=True) if again else self.give_up(q, "tried")
             elif q.place in WAITING and self.now >= self.latest_start(q):
                 self.give_up(q, "too late")
@@ -553,15 +579,15 @@
 
     def give_up(self, q, why):
         """Answers it without a result; `why` is for the log alone."""
-        if q.out and self.catalog.get("limits.cancel", False):
-            self.planned.append(("cancel", q.id, len(q.legs) - 1))
+        if q.open_attempts and self.catalog.get("limits.cancel", False):
+            self.planned.append(Cancel(q.id, len(q.attempts) - 1))
         after = self.catalog.get("limits.retry_after") and self.catalog.get("limits.max_retry_after") or 0
-        self.planned.append(("defer", q.id, after, why) if self.may_defer(q) else ("kill", q.id, why))
+        self.planned.append(Reject(q.id, after, why) if self.may_defer(q) else Fail(q.id, why))
         self.end(q)
 
     def lanes_move(self):
         """Rule 5: the next query of a key lines up when all earlier ones are over and the key has rested."""
-        for key in [key for key in self.stirred if self.now >= self.lanes[key].rest_until]:
+        for key in [key for key in self.stirred if self.now >= self.lanes[key].paused_until]:
             del self.stirred[key]
             first = self.lanes[key].first()
             if first is None:
@@ -584,7 +610,7 @@
 
     def uncrowded(self, e):
         """Guards against a jam kept up by clients' retries. Does harm where reports lag a load that went."""
-        return self.crowd(e) < CROWD * FACTOR * e.able(self.now)
+        return self.crowd(e) < CROWD * FACTOR * e.usable_cores(self.now)
 
     def may_go(self, q):
         """Whether any engine may take it and is fit."""
@@ -592,13 +618,13 @@
 
     def suits_best(self, e, q):
         """Whether an engine is what engines_for() wants where it need not make do with less."""
-        if (q.legs and not self.may_run_again(q)) or self.now < e.rest_until or not self.fits(e, q):
+        if (q.attempts and not self.may_run_again(q)) or self.now < e.ejected_until or not self.fits(e, q):
             return False
-        if q.legs and q.legs[-1].engine == e.id:
+        if q.attempts and q.attempts[-1].engine == e.id:
             return False
         if not (q.group.waits or q.group.is_load):
             return True
-        return q.tables not in e.holds and self.on_side(e, q) and self.own_load_place(e, q)
+        return q.table_group not in e.running_loads and self.on_side(e, q) and self.own_load_place(e, q)
 
     def own_load_place(self, e, q):
         half = (len(self.places) + 1) // 2
@@ -609,22 +635,26 @@
 
     def engines_for(self, q):
         """Engines that may take it and are fit; a query that waits for loads keeps off their tables."""
-        if q.legs and not self.may_run_again(q):
+        if q.attempts and not self.may_run_again(q):
             return []
         if q.lot is not None and not self.slow_start.stands(self.now, q.lot_at):
             self.draw_lot(q)
-        engines = [e for e in self.engines.values() if self.now >= e.rest_until and self.fits(e, q)]
+        engines = [e for e in self.engines.values() if self.now >= e.ejected_until and self.fits(e, q)]
         if q.group.waits or q.group.is_load:
             engines = self.side(engines, q)
-            engines = [e for e in engines if q.tables not in e.holds] or engines * (not q.group.is_load)
-        if q.legs:
-            engines = [e for e in engines if e.id != q.legs[-1].engine] or engines
+            engines = [e for e in engines if q.table_group not in e.running_loads] or engines * (
+                not q.group.is_load
+            )
+        if q.attempts:
+            engines = [e for e in engines if e.id != q.attempts[-1].engine] or engines
         return engines
 
     def suits(self, e, q):
         """Whether a query may join a team on this engine: it is one that it might have drawn itself."""
-        alone = q.group.is_load or q.group.waits and (q.tables in e.holds or not self.on_side(e, q))
-        return self.allowed(e, q) and not alone and not (q.legs and q.legs[-1].engine == e.id)
+        alone = (
+            q.group.is_load or q.group.waits and (q.table_group in e.running_loads or not self.on_side(e, q))
+        )
+        return self.allowed(e, q) and not alone and not (q.attempts and q.attempts[-1].engine == e.id)
 
     def side(self, engines, q):
         """Loads of a table group keep to one half of the engines, queries that wait for loads to the other.
@@ -651,11 +681,11 @@
         if not q.group.is_load:
             return []
         engines = self.side([e for e in self.engines.values() if self.fits(e, q)], q)
-        return engines if all(q.tables in e.holds for e in engines) else []
+        return engines if all(q.table_group in e.running_loads for e in engines) else []
 
     def send_team(self):
         while self.queue and (engines := self.stands(self.queue[0])):
-            q, line = self.queue[0], self.behind[self.queue[0].tables]
+            q, line = self.queue[0], self.behind[self.queue[0].table_group]
             # Guards against waiting for what can't come: a client that waits holds a session all the while.
             if self.now + sum(map(self.expected, line)) / len(engines) > self.latest_start(q):
                 return self.give_up(q, "line of loads")
@@ -666,13 +696,13 @@
         leader = self.queue[0]
         # Guards against starving behind dashboards, which may fill an engine past its bound.
         more = CROWD if self.waited(leader) > 0.5 else 1
-        home = self.engines.get(self.home.get(leader.tables))
+        home = self.engines.get(self.home.get(leader.table_group))
         e = self.choose(leader, lambda e: self.room(e, leader, more), home)
         if e is None:
             return  # the leader waits for word of an engine, or for the next outcome
         team = [leader]
         if not leader.group.is_load:
-            mates = [q for q in self.queue if q.tables == leader.tables and self.suits(e, q)]
+            mates = [q for q in self.queue if q.table_group == leader.table_group and self.suits(e, q)]
             team += [q for q in mates if q is not leader][: self.room(e, leader, more) - 1]
         for q in team:
             if q is leader or self.allowed(e, q):
@@ -680,30 +710,31 @@
                 self.submit(q, e)
 
     def submit(self, q, e):
-        if q.legs:
+        if q.attempts:
             self.extras.append(self.now)
-        within = q.due - self.margin - self.now
+        within = q.deadline - self.margin - self.now
         if self.catalog.get("limits.cancel", False) and q.group.effect == "read-only":
             # Guards against a hung member, a bad plan and a lost answer where a time-out frees the engine.
             patience = LINE_PATIENCE if self.catalog.get("domain.on_shortage") == "line_up" else PATIENCE
             within = min(within, int(max(q.group.target / 2, patience * self.expected(q))))
         self.set_terms(q)
-        self.planned.append(("submit", q.id, e.id, max(1, within)))
-        sub = Submission(e.id, self.now, q.cost * q.group.scale, max(GRAIN, self.alone(q)))
+        self.planned.append(Submit(q.id, e.id, max(1, within)))
+        sub = Attempt(e.id, self.now, q.cost * q.group.scale, max(GRAIN, self.alone(q)))
         self.work, self.span = self.work + sub.work, self.span + sub.alone
-        if crc32(q.id.encode()) % (1 + len(self.taken.line) // SAMPLE) == 0:
+        if crc32(q.id.encode()) % (1 + len(self.traffic.line) // SAMPLE) == 0:
             self.recent.add(self.now, sub)
         q.place = "out"
-        e.began(self.now, q, sub)
-        self.home[q.tables] = e.id
+        q.attempts.append(sub)
+        e.attempt_started(self.now, q.group.width, q.memory, q.group.is_load, q.table_group)
+        self.home[q.table_group] = e.id
 
     def set_terms(self, q):
         """Short and light work first, where engines heed priorities."""
-        if not self.catalog.get("domain.ranks_heeded", False) or q.legs:
+        if not self.catalog.get("domain.ranks_heeded", False) or q.attempts:
             return
         light = 2 if q.cost <= q.group.usual else 1 if q.cost <= 3 * q.group.usual else 0
         first = q.group.number in self.dashboards or q.group.is_load
-        self.planned.append(("terms", q.id, 0, 3 if first else light))
+        self.planned.append(SetPriority(q.id, 3 if first else light))
 
     def probe(self):
         """Where reports come by probes alone: that in sight known longest ago, paced by the queries taken."""
@@ -711,7 +742,7 @@
             return
         near = filter(None, map(self.engines.get, self.near or self.engines))
         known = [
-            (max(e.probed_at, e.reported_at), e.id) for e in near if e.ready and e.rest_until <= self.now
+            (max(e.probed_at, e.reported_at), e.id) for e in near if e.ready and e.ejected_until <= self.now
         ]
         at, longest = min(known, default=(0, None))
         if known and self.now - at >= PROBE_EVERY:
@@ -725,4 +756,4 @@
         times = [at for at, _, _ in self.looks[:1]] + [self.now + SWEEP] * held
         if times and (self.wake_at is None or min(times) < self.wake_at):
             self.wake_at = max(min(times), self.now + 1)
-            self.planned.append(("wake", self.wake_at, "look"))
+            self.planned.append(Wake(self.wake_at, "look"))
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from math import ceil
 
+from hillchute.decision.engine_state import EngineState
 from hillchute.decision.interface import EngineId, Time
-from hillchute.decision.state import Engine
 
 COLD_SHARE = 0.7  # of what a recovering engine can do, sent by all routers: what a warm one bears well
 SMOOTH = 0.1  # share of the newest query in the mean work
@@ -46,7 +46,7 @@
         """A query that may use a permit has lined up."""
         self.mean += SMOOTH * (work - self.mean) if self.mean else work
 
-    def draw(self, now: Time, engines: Iterable[Engine], work: float, part: float) -> EngineId | None:
+    def draw(self, now: Time, engines: Iterable[EngineState], work: float, part: float) -> EngineId | None:
         """Uses a permit for this query, that of the engine with the most credit, if there is one; `part`
         of the budget is this router's."""
         found, most = None, 0.0
@@ -58,14 +58,14 @@
             self.credits[found].work -= work
         return found
 
-    def credit(self, now: Time, engine: Engine, part: float) -> Credit:
+    def credit(self, now: Time, engine: EngineState, part: float) -> Credit:
         """As of now; a permit that nobody used in time is gone."""
         credit = self.credits.get(engine.id)
         if credit is None or credit.started != engine.started:
             # The first permit comes at a moment by chance: a router with a part of less than one query has
             # one in so many windows, and all together have their sum.
             credit = self.credits[engine.id] = Credit(engine.started, now, -self.chance() * self.mean)
-        rate = COLD_SHARE * engine.able(now) * part
+        rate = COLD_SHARE * engine.usable_cores(now) * part
         credit.work += rate * (now - credit.at)
         credit.at = now
         over = credit.work - rate * UNUSED * self.window
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -23,9 +23,21 @@
 from hillchute.accord import subsets
 from hillchute.accord.company import WHOLE, Company
 from hillchute.accord.subsets import Sight
-from hillchute.decision.interface import Listing, Time
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    AttemptResult,
+    EndpointState,
+    HealthCheck,
+    Listing,
+    ListMode,
+    NewQuery,
+    Reject,
+    Submit,
+    Time,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.decision.slow_start import COLD_SHARE
-from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
 from hillchute.peers.node import Node
 from hillchute.peers.roster import ALIVE
 
@@ -342,7 +354,7 @@
         self.moved: list[float] = []  # at each change of the list: pairs moved over all pairs
         self.sights: list[Sight] = []
         self.near: list[frozenset[int]] = []
-        self.routers: list[Teamwork] = []
+        self.routers: list[QueryScheduler] = []
         self.nodes: list[Node] = []
         self.companies: list[Company] = []
         self.post: list[tuple[int, str, bytes]] = []  # datagrams on their way: from whom, to whom
@@ -365,7 +377,7 @@
 
     def start(self, n: int) -> None:
         """A router's module that knows the list and nothing else."""
-        router = Teamwork(self.chance.getrandbits(60), self.catalog | {"me": n}, self.now)
+        router = QueryScheduler(self.chance.getrandbits(60), self.catalog | {"me": n}, self.now)
         sight = Sight(n, self.catalog["n_instances"])
         if n == len(self.routers):
             self.routers.append(router)
@@ -390,10 +402,10 @@
 
     def tell(self, n: int) -> None:
         router = self.routers[n]
-        router.roster(self.now, "Complete", self.listings())
+        router.on_endpoint_list(self.now, ListMode.COMPLETE, self.listings())
         if self.form == "subset":
             self.near[n] = self.sights[n].near([e.id for e in self.engines.values() if not e.draining])
-            router.nearby(self.now, self.near[n])
+            router.on_subset(self.now, self.near[n])
         elif self.form == "shared":
             ready = [e.id for e in self.engines.values() if not e.draining]
             closed = [e.id for e in self.engines.values() if e.draining]
@@ -404,11 +416,11 @@
         """What a router's module is told of the others."""
         living = self.nodes[n].living()
         router, span = self.routers[n], CATALOG["guarantees.fall"]
-        warming = [e for e in router.engines.values() if e.ready and e.cold(self.now)]
-        tips = {e.id: CATALOG["guarantees.tip_multiple"] * span * e.able(self.now) for e in warming}
+        warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
+        tips = {e.id: CATALOG["guarantees.tip_multiple"] * span * e.usable_cores(self.now) for e in warming}
         standing = self.companies[n].standing(EPOCH + self.now, living, tips, span)
         self.near[n] = standing.near
-        self.routers[n].nearby(self.now, standing.near, standing.routers, standing.parts)
+        self.routers[n].on_subset(self.now, standing.near, standing.routers, standing.parts)
 
     def talk(self) -> None:
         """Datagrams come a step after they went, but for those that are lost or cut off."""
@@ -428,13 +440,13 @@
                 said = company.tick(now, node.living())
                 self.says(n, [datagram for to, load in said for datagram in node.say(to, load)])
             for engine, report, age in company.news():
-                self.routers[n].probed(self.now, engine, "heard", report, age)
+                self.routers[n].on_load_report(self.now, engine, report, age)
 
     def wants_cold(self, n: int) -> None:
         router = self.routers[n]
-        able = sum(e.able(self.now) for e in router.engines.values() if e.ready and e.cold(self.now))
-        span = max(1, min(TRAFFIC_SPAN, self.now - router.light.began))
-        rate = router.light.work / span if able else 0
+        warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
+        able = sum(e.usable_cores(self.now) for e in warming)
+        rate = router.light_query_rate(self.now) if able else 0
         self.companies[n].quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
 
     def says(self, n: int, said: list[tuple[str, bytes]]) -> None:
@@ -468,70 +480,86 @@
 
     def listings(self) -> list[Listing]:
         return [
-            Listing(e.id, 0, 0, e.id % ZONES, e.started, "Terminating" if e.draining else "Ready", 1.0)
+            Listing(
+                e.id,
+                0,
+                0,
+                e.id % ZONES,
+                e.started,
+                EndpointState.DRAINING if e.draining else EndpointState.READY,
+                1.0,
+            )
             for e in self.engines.values()
         ]
 
     def taken(self, q: Query) -> None:
         router = self.routers[q.router]
-        if router.welcome(self.now, q.group, 0.0):
+        if router.admits(self.now, q.group, 0.0):
             due = self.now + int(PATIENCE * self.slow)
-            router.take(self.now, q.id, q.group, due, tables=q.tables, cost=q.cost)
+            router.on_query(self.now, NewQuery(q.id, q.group, due, table_group=q.tables, cost=q.cost))
 
     def ended(self, run: Run, engine: Engine) -> None:
         if self.parted(run.query.router, engine.id):
             return  # its answer never comes
         super().ended(run, engine)
-        self.tells(run.query, run.leg, "finished", True, self.now - run.sent, cost=run.query.work)
+        self.tells(run.query, run.leg, AttemptResult.SERVED, True, self.now - run.sent, cost=run.query.work)
 
-    def tells(self, q: Query, leg: int, result: str, final: bool, took: Time, **known: object) -> None:
+    def tells(
+        self,
+        q: Query,
+        leg: int,
+        result: AttemptResult,
+        final: bool,
+        took: Time,
+        cost: Time | None = None,
+    ) -> None:
         router = self.routers[q.router]
-        legs = router.queries[q.id].legs if q.id in router.queries else []
-        router.outcome(self.now, q.id, leg, result, final, took, **known)
-        if leg < len(legs) and result == "severed":
-            self.failed(q.router, router, legs[leg].engine)
+        attempts = router.queries[q.id].attempts if q.id in router.queries else []
+        router.on_attempt_ended(self.now, AttemptEnded(q.id, leg, result, final, took, cost))
+        if leg < len(attempts) and result == AttemptResult.CONNECTION_LOST:
+            self.failed(q.router, router, attempts[leg].engine)
 
     def decided(self) -> None:
         if self.form == "shared":
             self.talk()
         for n, router in enumerate(self.routers):
-            while (said := router.decide(self.now)) is not None:
+            while (said := router.next_decision(self.now)) is not None:
                 match said:
-                    case ("submit", id, engine, _):
+                    case Submit(id, engine):
                         self.submit(router, self.queries[id], self.engines[engine])
-                    case ("probe", engine):
+                    case HealthCheck(engine):
                         self.probe(n, router, self.engines[engine])
-                    case ("defer", id, _, why):
+                    case Reject(id, _, why):
                         self.deferred[self.queries[id].group, why] += 1
 
-    def probe(self, n: int, router: Teamwork, engine: Engine) -> None:
+    def probe(self, n: int, router: QueryScheduler, engine: Engine) -> None:
         self.probes += 1
         if self.parted(n, engine.id):
             self.at(UNHEARD, lambda: self.unheard(n, router, engine))
             return
         report = engine.report()
-        router.probed(self.now, engine.id, "finished", report)
+        router.on_health_check(self.now, engine.id, AttemptResult.SERVED, report)
         if n < len(self.companies):
             self.companies[n].reported(EPOCH + self.now, engine.id, report)
 
-    def unheard(self, n: int, router: Teamwork, engine: Engine) -> None:
-        router.probed(self.now, engine.id, "overdue", None)
+    def unheard(self, n: int, router: QueryScheduler, engine: Engine) -> None:
+        router.on_health_check(self.now, engine.id, AttemptResult.TIMED_OUT, None)
         self.failed(n, router, engine.id)
 
-    def failed(self, n: int, router: Teamwork, engine: int) -> None:
-        if n < len(self.companies) and engine in router.engines and router.engines[engine].fails > 1:
+    def failed(self, n: int, router: QueryScheduler, engine: int) -> None:
+        if n < len(self.companies) and engine in router.engines and router.engines[engine].failures > 1:
             self.companies[n].failed(EPOCH + self.now, engine)
 
-    def submit(self, router: Teamwork, q: Query, engine: Engine) -> None:
-        leg = len(router.queries[q.id].legs) - 1
+    def submit(self, router: QueryScheduler, q: Query, engine: Engine) -> None:
+        leg = len(router.queries[q.id].attempts) - 1
         self.ages.append(self.now - router.engines[engine.id].reported_at)
         if self.parted(q.router, engine.id):
-            self.at(SILENT, lambda: self.tells(q, leg, "severed", False, SILENT))
+            self.at(SILENT, lambda: self.tells(q, leg, AttemptResult.CONNECTION_LOST, False, SILENT))
         elif engine.draining or len(engine.runs) >= HOLDS * CORES:
-            self.tells(q, leg, "saturated", False, 0)
+            self.tells(q, leg, AttemptResult.OVERLOADED, False, 0)
         else:
             self.begin(engine, q, leg)
-            if q.router < len(self.companies) and router.engines[engine.id].cold(self.now):
+            if q.router < len(self.companies) and router.engines[engine.id].is_warming_up(self.now):
                 self.companies[q.router].sent_cold(EPOCH + self.now, engine.id, q.cost)
 
     def forget(self) -> None:
--- a/hillchute/lab/plays.py
+++ b/hillchute/lab/plays.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from statistics import mean
 
-from hillchute.decision.teamwork import SECOND
+from hillchute.decision.interface import SECOND
 from hillchute.lab.many import LOOKUP, REPORT, Many, Seeing, World
 
 NAMES = {LOOKUP: "lookup", REPORT: "report"}
--- a/hillchute/membership/event_bus.py
+++ b/hillchute/membership/event_bus.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import EndpointState, Listing
 from hillchute.errors import BusUnreadable
 
 LONGEST_FRAME = 27 * 100_000  # bytes; no fleet is larger, and an endless length must not fill the memory
 FRAME = struct.Struct(">IQB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
-STATES = ("Ready", "Terminating", "Gone")
+STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
 HEAD = FRAME.size - 4  # what the length counts beside the payload
 
 
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from hillchute.accord.subsets import Sight
-from hillchute.decision.interface import Router, Time
+from hillchute.decision.interface import AttemptResult, EndpointState, ListMode, Scheduler, Time
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.membership import event_bus
@@ -83,7 +83,7 @@
     def __init__(
         self,
         desk: Desk,
-        module: Router,
+        module: Scheduler,
         catalog: Mapping[str, object],
         most: int,
         send: Callable[[Leg, Line], None],
@@ -205,9 +205,9 @@
         if line is None:
             return
         self.forget(line)
-        result = fault.value
+        result = AttemptResult(fault.value)
         for tag in line.probes:
-            self.module.probed(self.desk.now, line.engine, result, None)
+            self.module.on_health_check(self.desk.now, line.engine, result, None)
             self.desk.note("probe", engine=event_bus.engine_name(line.engine), tag=tag, result=result)
         while line.waiting:
             self.over(line.waiting.popleft(), result)
@@ -220,10 +220,10 @@
         name = event_bus.engine_name(line.engine)
         self.desk.note("line_lost", engine=name, why=why, open=len(line.legs))
         for id, leg in list(line.legs.items()):
-            self.over(leg, "superseded" if id in never_left else "severed")
+            self.over(leg, AttemptResult.NOT_SENT if id in never_left else AttemptResult.CONNECTION_LOST)
         for tag in line.probes:
-            result = "superseded" if tag in never_left else "severed"
-            self.module.probed(self.desk.now, line.engine, result, None)
+            result = AttemptResult.NOT_SENT if tag in never_left else AttemptResult.CONNECTION_LOST
+            self.module.on_health_check(self.desk.now, line.engine, result, None)
 
     def forget(self, line: Line) -> None:
         self.lines.pop(line.number, None)
@@ -235,7 +235,7 @@
     def probe(self, engine: int) -> None:
         now, line = self.desk.now, self.line_for(self.peers[engine], None)
         if line is None:
-            self.module.probed(now, engine, "superseded", None)
+            self.module.on_health_check(now, engine, AttemptResult.NOT_SENT, None)
             return
         tag = f"p{self.desk.number()}"
         line.probes[tag] = now
@@ -250,12 +250,13 @@
             return
         self.desk.informed = True
         if self.desk.now - sent <= self.connect_wait:
-            self.module.probed(self.desk.now, line.engine, answer.result, answer.report)
+            result = AttemptResult(answer.result)
+            self.module.on_health_check(self.desk.now, line.engine, result, answer.report)
 
     def probe_over(self, line: Line, tag: str) -> None:
         """No answer in time. The tag stays known: it may still come, and a silent line is told by it."""
         if tag in line.probes and line.number in self.lines:
-            self.module.probed(self.desk.now, line.engine, "overdue", None)
+            self.module.on_health_check(self.desk.now, line.engine, AttemptResult.TIMED_OUT, None)
 
     # ---- the list of engines ----------------------------------------------------------------------
 
@@ -265,7 +266,7 @@
         self.told_to = news.number
         listed = {entry.listing.engine: entry for entry in news.entries}
         for engine, entry in listed.items():
-            ready = entry.listing.state == "Ready"
+            ready = entry.listing.state == EndpointState.READY
             peer = self.peers.get(engine)
             if peer is None:
                 self.peers[engine] = Peer(engine, entry.host, entry.port, ready, entry.listing.started)
@@ -279,9 +280,10 @@
         if news.mode == "Complete":
             for engine, peer in self.peers.items():
                 peer.ready = peer.ready and engine in listed
-        self.module.roster(self.desk.now, news.mode, [entry.listing for entry in news.entries])
+        listings = [entry.listing for entry in news.entries]
+        self.module.on_endpoint_list(self.desk.now, ListMode(news.mode), listings)
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
-        self.module.nearby(self.desk.now, self.sight.near(ready))
+        self.module.on_subset(self.desk.now, self.sight.near(ready))
         forgotten = len(self.peers) != len(self.module.engines)
         for engine, peer in list(self.peers.items()) if forgotten else ():
             if engine not in self.module.engines:  # gone, with nothing out
@@ -297,7 +299,7 @@
             if not line.up:
                 waiting, line.waiting = list(line.waiting), deque()
                 for leg in waiting:
-                    self.over(leg, "superseded")
+                    self.over(leg, AttemptResult.NOT_SENT)
             if not line.legs:
                 self.drop(line)
             else:
@@ -306,7 +308,7 @@
     def news_of(self, engine: int, since: Time) -> bool:
         """Whether something is out there, was heard of it since then, or it rests."""
         known = self.module.engines[engine]
-        return bool(known.out) or known.reported_at >= since or known.rest_until > self.desk.now
+        return bool(known.open_attempts) or known.reported_at >= since or known.ejected_until > self.desk.now
 
     def picture(self, peer: Peer) -> dict[str, object]:
         """What is believed of an engine, beside what is open on the connections to it."""
@@ -315,9 +317,9 @@
             "ready": peer.ready,
             "lines": len(peer.lines),
             "open": sum(len(line.legs) + len(line.waiting) for line in peer.lines.values()),
-            "out": known.out,
-            "reported": known.reported and round(known.reported, 1),
-            "granted": known.granted,
+            "out": known.open_attempts,
+            "reported": known.reported_threads and round(known.reported_threads, 1),
+            "granted": known.memory_granted,
             "age_ms": (now - known.reported_at) / 10,
-            "rests_ms": max(0, known.rest_until - now) / 10,
+            "rests_ms": max(0, known.ejected_until - now) / 10,
         }
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hillchute.accord.quotas import LENT, Quotas
-from hillchute.decision.interface import Listing, Time
+from hillchute.decision.interface import EndpointState, Listing, Time
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
 from hillchute.fronts.events import Asked, Left, Spoilt
@@ -201,7 +201,7 @@
         brings = {member["name"]: 0 for member in self.settings["members"]}
         for entry in listings:
             whose = next((m for m in self.settings["members"] if fits(m, entry, zones, kinds)), None)
-            if whose is not None and entry.state == "Ready" and entry.kind < len(cores):
+            if whose is not None and entry.state == EndpointState.READY and entry.kind < len(cores):
                 brings[whose["name"]] += cores[entry.kind]
         self.council.brings(self.clock(), brings)
 
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -10,7 +10,7 @@
 
 from hillchute.accord.company import Company
 from hillchute.decision.interface import Report
-from hillchute.decision.teamwork import Teamwork
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.errors import ClockBehind, ListsDiffer
 from hillchute.log import Log
 from hillchute.peers.codec import CLOCK_BEHIND
@@ -29,7 +29,7 @@
         self,
         operator: Mapping[str, object],
         station: Station,
-        module: Teamwork,
+        module: QueryScheduler,
         log: Log,
         moved: Callable[[], None],
         judged: Callable[..., None] = lambda *about: None,
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -9,8 +9,24 @@
 import sys
 from collections.abc import Callable, Mapping
 
-from hillchute.decision import teamwork as endings
-from hillchute.decision.interface import Report, Router, Time
+from hillchute.decision import interface
+from hillchute.decision.interface import (
+    AttemptEnded,
+    AttemptResult,
+    Cancel,
+    Decision,
+    Fail,
+    HealthCheck,
+    NewQuery,
+    Reject,
+    Report,
+    Scheduler,
+    SetPriority,
+    Submit,
+    Time,
+    Wake,
+    WatchEndpoints,
+)
 from hillchute.engines import words
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.membership import event_bus
@@ -48,13 +64,13 @@
 from hillchute.statements.request import Request
 
 COUNT_EVERY = 10_000  # tenths of a millisecond between two lines of the log that count the answers
-NEVER_RAN, MAY_STILL_RUN = frozenset(endings.NEVER_RAN), frozenset(endings.MAY_STILL_RUN)
+NEVER_RAN, MAY_STILL_RUN = frozenset(interface.NEVER_RAN), frozenset(interface.MAY_STILL_RUN)
 TABLES = "\0tables "  # before a table group, where a key would stand: no key of a client begins so
 AFTER_ALL: Time = 500  # 50 ms before a client's time is up a query gets an answer, whatever happens
 
 
 class Reducer:
-    def __init__(self, module: Router, catalog: Mapping[str, object], most_lines: int) -> None:
+    def __init__(self, module: Scheduler, catalog: Mapping[str, object], most_lines: int) -> None:
         self.module = module
         self.desk = Desk(max(1, catalog.get("tick", 1)))
         self.lines = Lines(self.desk, module, catalog, most_lines, self.send, self.leg_over)
@@ -117,37 +133,37 @@
     def pull(self) -> None:
         """Takes decisions until there is none."""
         try:
-            while (decision := self.module.decide(self.desk.now)) is not None:
+            while (decision := self.module.next_decision(self.desk.now)) is not None:
                 self.carry_out(decision)
         except Exception:
             self.desk.fault("decision")
 
-    def carry_out(self, decision: tuple) -> None:
+    def carry_out(self, decision: Decision) -> None:
         match decision:
-            case ("submit", id, engine, within):
+            case Submit(id, engine, within):
                 self.submit(self.queries[id], engine, within)
-            case ("terms", id, _, rank):
+            case SetPriority(id, rank):
                 self.set_rank(self.queries[id], rank)
-            case ("defer", id, after, why):
+            case Reject(id, after, why):
                 self.answer(self.queries[id], Defer(self.queries[id].session, after), "deferred", why)
-            case ("kill", id, why):
+            case Fail(id, why):
                 self.answer(self.queries[id], Kill(self.queries[id].session, "killed"), "killed", why)
-            case ("cancel", id, number):
+            case Cancel(id, number):
                 if id in self.queries:
-                    self.leg_over(self.queries[id].legs[number], "recalled", give_up=True)
-            case ("probe", engine):
+                    self.leg_over(self.queries[id].legs[number], AttemptResult.CANCELLED, give_up=True)
+            case HealthCheck(engine):
                 self.lines.probe(engine)
-            case ("wake", at, name):
+            case Wake(at, name):
                 self.desk.at(at, self.woken, name)
-            case ("watch",):
+            case WatchEndpoints():
                 pass  # the event bus is always followed
 
     def woken(self, name: str) -> None:
-        self.module.woken(self.desk.now, name)
+        self.module.on_timer(self.desk.now, name)
 
     def peered(self, news: list[tuple[int, Report, Time]]) -> None:
         for engine, report, age in news:
-            self.module.probed(self.desk.now, engine, "heard", report, age)
+            self.module.on_load_report(self.desk.now, engine, report, age)
         self.module.stand(self.desk.now)
 
     # ---- queries ----------------------------------------------------------------------------------
@@ -166,7 +182,7 @@
             self.desk.ask(Defer(session, 0))
             return
         group = self.groups[request.group]
-        if not self.module.welcome(now, group, self.lateness.standing):
+        if not self.module.admits(now, group, self.lateness.standing):
             self.desk.ask(Defer(session, 0))
             self.tally(request.group, "turned away", now - since)
             return
@@ -193,8 +209,16 @@
         """The module has it from now on."""
         request, group = q.request, self.groups[q.request.group]
         key = request.key if group in self.ordered else None
-        about = (request.tables, 0, request.cost, request.memory, key)
-        self.module.take(self.desk.now, request.id, group, q.due, *about)
+        arrival = NewQuery(
+            request.id,
+            group,
+            q.due,
+            table_group=request.tables,
+            cost=request.cost,
+            memory_mb=request.memory,
+            ordering_key=key,
+        )
+        self.module.on_query(self.desk.now, arrival)
 
     def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
         """The answer history's word on a query that waits for it."""
@@ -267,13 +291,13 @@
             stood = self.desk.now - max(q.due, q.taken + q.request.patience - AFTER_ALL)
             event = "late" if stood > AFTER_ALL else "fault"
             self.desk.note(event, what="unanswered at its end", query=q.request.id)
-            self.module.left(self.desk.now, q.request.id)
+            self.module.on_client_left(self.desk.now, q.request.id)
             self.answer(q, Kill(q.session, "no answer in time"), "unanswered")
 
     def left(self, session: int) -> None:
         q = self.asking.get(session)
         if q is not None:
-            self.module.left(self.desk.now, q.request.id)
+            self.module.on_client_left(self.desk.now, q.request.id)
             self.answer(q, None, "left")
 
     def answer(self, q: Query, effect: Effect | None, how: str, why: str = "") -> None:
@@ -289,10 +313,10 @@
             if leg.over:
                 continue
             if leg.stream is not None:  # nobody reads on: the run is given up
-                self.leg_over(leg, "overdue", give_up=True)
+                self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
             elif leg.ran is not None:  # its pages are wanted no more; the run itself is over
                 self.desk.ask(Send(leg.line.number, words.Unwanted(q.request.id)))
-                self.leg_over(leg, "finished")
+                self.leg_over(leg, AttemptResult.SERVED)
         now = self.desk.now
         self.tally(q.request.group, f"{how}: {why}" if why else how, now - q.taken)
         if how not in ("finished", "deferred"):
@@ -335,7 +359,7 @@
         if q.claim == "passed on":
             self.desk.ask(Recall(q.request.id, q.number))
         q.claim, results = "", {leg.result for leg in q.legs}
-        how = "freed" if results <= NEVER_RAN else "finished" if "finished" in results else "killed"
+        how = "freed" if results <= NEVER_RAN else "finished" if AttemptResult.SERVED in results else "killed"
         close = Close(q.request.id, q.number, how, q.rows)
         if results & MAY_STILL_RUN and how == "killed":  # the next of its key must not overtake it
             self.desk.at(self.desk.now + self.order_pause + 1, self.desk.ask, close)
@@ -344,7 +368,7 @@
 
     def closing(self, end: Time) -> None:
         self.end = end
-        self.module.closing(self.desk.now, end)
+        self.module.on_shutdown(self.desk.now, end)
         for q in list(self.asking.values()):
             q.due = min(q.due, end)
             self.desk.at(q.due + 2 * AFTER_ALL, self.overdue, q.request.id, q.number)
@@ -359,7 +383,7 @@
         self.desk.at(leg.until, self.time_out, q.request.id, q.number, leg.number)
         line = self.lines.line_for(self.lines.peers[engine], q)
         if line is None:
-            self.leg_over(leg, "superseded")  # never sent: the want of connections is ours
+            self.leg_over(leg, AttemptResult.NOT_SENT)  # never sent: the want of connections is ours
         elif line.up:
             self.send(leg, line)
         else:
@@ -370,7 +394,7 @@
         """The bytes go now, so that what may have changed since the decision is looked at again here."""
         q, now = leg.query, self.desk.now
         if q.answered or not self.lines.peers[leg.engine].ready or now >= leg.until:
-            self.leg_over(leg, "superseded")  # never sent
+            self.leg_over(leg, AttemptResult.NOT_SENT)  # never sent
             return
         leg.line, leg.written = line, True
         line.legs[q.request.id] = leg
@@ -385,7 +409,7 @@
         line = self.lines.lines.get(number)
         leg = line.legs.get(id) if line is not None else None
         if leg is not None:
-            self.leg_over(leg, "superseded")
+            self.leg_over(leg, AttemptResult.NOT_SENT)
 
     def wants(self, id: str) -> int | None:
         """The session that waits for the answer to a query; None where none does."""
@@ -404,12 +428,17 @@
             return
         leg = q.legs[number]
         if not leg.written:
-            self.leg_over(leg, "superseded")
+            self.leg_over(leg, AttemptResult.NOT_SENT)
         else:
-            self.leg_over(leg, "overdue", give_up=True)
+            self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
 
     def leg_over(
-        self, leg: Leg, result: str, give_up: bool = False, final: bool = False, end: words.Said = None
+        self,
+        leg: Leg,
+        result: AttemptResult,
+        give_up: bool = False,
+        final: bool = False,
+        end: words.Said = None,
     ) -> None:
         """A submission has its ending; the module is told. `end`: what the engine said with it."""
         if leg.over:
@@ -428,8 +457,7 @@
         if end is not None:
             cost, report = round((end.work or 0) * 10) or None, end.report
         now, begun = self.desk.now, leg.stream is not None
-        self.module.outcome(
-            now,
+        ended = AttemptEnded(
             q.request.id,
             leg.number,
             result,
@@ -438,11 +466,12 @@
             cost,
             report,
         )
-        if result not in ("finished", "overdue"):
+        self.module.on_attempt_ended(now, ended)
+        if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
             name = event_bus.engine_name(leg.engine)
             self.desk.note("submission", id=q.request.id, engine=name, result=result)
         leg.ran = None
-        if begun and result != "finished":
+        if begun and result != AttemptResult.SERVED:
             # What was begun can't be run again: the client may have seen some of it.
             leg.stream.close()
             self.answer(q, Cut(q.session, f"the result broke off: {result}"), "cut")
@@ -470,19 +499,19 @@
                 leg.ran = what
                 if leg.query.answered:
                     self.desk.ask(Send(number, words.Unwanted(id)))
-                    self.leg_over(leg, "finished")
+                    self.leg_over(leg, AttemptResult.SERVED)
             case words.Began(_, stream):
                 self.began(leg, stream)
             case words.Noted(id, topic, value):
-                self.module.progress(self.desk.now, id, leg.number, topic, value)
+                self.module.on_progress(self.desk.now, id, leg.number, topic, value)
             case words.Ended(_, result):
-                self.leg_over(leg, result, end=what)
+                self.leg_over(leg, AttemptResult(result), end=what)
 
     def whole(self, leg: Leg, rows: words.Rows, end: words.Whole) -> None:
         q = leg.query
         if q.claim:
             q.rows = rows
-        self.leg_over(leg, "finished", final=True, end=end)
+        self.leg_over(leg, AttemptResult.SERVED, final=True, end=end)
         self.answer(q, Finish(q.session, rows), "finished")
 
     def began(self, leg: Leg, stream: words.Stream) -> None:
@@ -490,9 +519,9 @@
         q = leg.query
         leg.stream = stream
         if q.answered:
-            self.leg_over(leg, "overdue", give_up=True)
+            self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
             return
-        self.module.streaming(self.desk.now, q.request.id)
+        self.module.on_stream_started(self.desk.now, q.request.id)
         self.desk.at(q.due, self.stream_over, q.request.id, q.number)
         self.desk.ask(Stream(q.session, stream))
 
@@ -508,8 +537,8 @@
             return
         for leg in q.legs:
             if leg.stream is not None and not leg.over:
-                self.leg_over(leg, "severed", give_up=True)
-        self.module.left(self.desk.now, q.request.id)
+                self.leg_over(leg, AttemptResult.CONNECTION_LOST, give_up=True)
+        self.module.on_client_left(self.desk.now, q.request.id)
         self.answer(q, Cut(session, f"the result can't be read: {why}"), "cut")
 
     def stream_over(self, id: str, number: int) -> None:
@@ -517,7 +546,7 @@
         q = self.named(id, number)
         if q is None or q.answered or not any(leg.stream is not None for leg in q.legs):
             return
-        self.module.left(self.desk.now, id)
+        self.module.on_client_left(self.desk.now, id)
         for leg in q.legs:
             if leg.stream is not None:
                 leg.stream.close()
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -19,7 +19,7 @@
 
 from hillchute.accord import turns
 from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import Teamwork
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.line.links import Link, Links
 from hillchute.errors import BadConfiguration, HillchuteError, UnknownKind
@@ -79,7 +79,7 @@
         self.rounds = Rounds()
         self.trace = Trace()
         operator = operator or {}
-        module = Teamwork(station.seed, station.catalog, clock())
+        module = QueryScheduler(station.seed, station.catalog, clock())
         self.peering = None
         if operator.get("peers"):
             from hillchute.router.peering import Peering
--- a/hillchute/router/telling.py
+++ b/hillchute/router/telling.py
@@ -8,10 +8,27 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from hillchute.accord.company import WHOLE, Company
-from hillchute.decision.interface import Decision, EngineId, Listing, QueryId, Report, Time
+from hillchute.decision.engine_state import EngineState
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    AttemptResult,
+    Decision,
+    EndpointState,
+    EngineId,
+    Fail,
+    Listing,
+    ListMode,
+    NewQuery,
+    QueryId,
+    Reject,
+    Report,
+    Submit,
+    Time,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.decision.slow_start import COLD_SHARE
-from hillchute.decision.state import Engine, Light
-from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
+from hillchute.decision.statistics import TRAFFIC_SPAN, LightTraffic
 
 
 class Telling:
@@ -19,7 +36,7 @@
 
     def __init__(
         self,
-        module: Teamwork,
+        module: QueryScheduler,
         company: Company,
         catalog: Mapping[str, object],
         clock: Callable[[], Time],
@@ -36,7 +53,7 @@
         self.reached: Callable[[], int] = lambda: 0  # the event that the list has reached
         self.until: Time = 0
         self.partnering = None  # where there are partners
-        self.work = Light(1 << 62, 0)  # of late, all of it: what this router wants of the pool
+        self.work = LightTraffic(1 << 62, 0)  # of late, all of it: what this router wants of the pool
         self.asking: dict[QueryId, int] = {}  # the resource group of each query that is not answered
 
     def __getattr__(self, name: str) -> object:
@@ -44,83 +61,76 @@
 
     # ---- from the router to the module, and to the company --------------------------------------------
 
-    def roster(self, now: Time, mode: str, listings: Iterable[Listing]) -> None:
+    def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
         listings = list(listings)
-        self.module.roster(now, mode, listings)
-        if mode != "Error":
-            known = {} if mode == "Complete" else self.listings
+        self.module.on_endpoint_list(now, mode, listings)
+        if mode != ListMode.ERROR:
+            known = {} if mode == ListMode.COMPLETE else self.listings
             self.listings = known | {entry.engine: entry for entry in listings}
 
-    def nearby(self, now: Time, engines: frozenset[EngineId]) -> None:
+    def on_subset(self, now: Time, engines: frozenset[EngineId]) -> None:
         """The list has changed: sights and circles follow from the names of the peers, not from settings."""
-        ready = {e for e, entry in self.listings.items() if entry.state == "Ready"}
+        ready = {e for e, entry in self.listings.items() if entry.state == EndpointState.READY}
         self.company.listed(self.clock(), self.reached(), ready, self.listings.keys() - ready)
         if self.partnering is not None:
             self.partnering.listed(self.listings.values())
         self.stand(now)
 
-    def take(self, now: Time, query: QueryId, group: int, *about: object) -> None:
-        self.company.counted(group, False)
-        self.asking[query] = group
-        self.module.take(now, query, group, *about)
-        if self.partnering is not None and query in self.module.queries:
-            self.work.add(now, self.module.queries[query].work, TRAFFIC_SPAN)
+    def on_query(self, now: Time, query: NewQuery) -> None:
+        self.company.counted(query.group, False)
+        self.asking[query.id] = query.group
+        self.module.on_query(now, query)
+        if self.partnering is not None and query.id in self.module.queries:
+            self.work.add(now, self.module.queries[query.id].work, TRAFFIC_SPAN)
 
-    def left(self, now: Time, query: QueryId) -> None:
+    def on_client_left(self, now: Time, query: QueryId) -> None:
         self.asking.pop(query, None)
-        self.module.left(now, query)
-
-    def outcome(
-        self,
-        now: Time,
-        query: QueryId,
-        leg: int,
-        result: str,
-        final: bool,
-        elapsed: Time,
-        cost: Time | None = None,
-        report: Report | None = None,
-    ) -> None:
-        q = self.module.queries.get(query)
-        engine = q.legs[leg].engine if q is not None and leg < len(q.legs) else None
-        self.module.outcome(now, query, leg, result, final, elapsed, cost, report)
-        if final:
-            self.asking.pop(query, None)
+        self.module.on_client_left(now, query)
+
+    def on_attempt_ended(self, now: Time, ended: AttemptEnded) -> None:
+        query = self.module.queries.get(ended.query)
+        engine = None
+        if query is not None and ended.attempt < len(query.attempts):
+            engine = query.attempts[ended.attempt].engine
+        self.module.on_attempt_ended(now, ended)
+        if ended.final:
+            self.asking.pop(ended.query, None)
         if engine is not None:
-            self.saw(engine, result, report)
+            self.saw(engine, ended.result, ended.report)
 
-    def probed(self, now: Time, engine: EngineId, result: str, report: Report | None, age: Time = 0) -> None:
-        self.module.probed(now, engine, result, report, age)
-        if result != "heard":
-            self.saw(engine, result, report)
+    def on_health_check(
+        self, now: Time, engine: EngineId, result: AttemptResult, report: Report | None
+    ) -> None:
+        self.module.on_health_check(now, engine, result, report)
+        self.saw(engine, result, report)
 
-    def saw(self, engine: EngineId, result: str, report: Report | None) -> None:
+    def saw(self, engine: EngineId, result: AttemptResult, report: Report | None) -> None:
         known, now = self.module.engines.get(engine), self.clock()
         if report:
             self.company.reported(now, engine, report)
             self.soon()
-        elif result == "finished":
+        elif result == AttemptResult.SERVED:
             self.company.ran(now, engine)
-        elif known is not None and known.fails > 1:
+        elif known is not None and known.failures > 1:
             self.company.failed(now, engine)
 
     # ---- from the module to the router ----------------------------------------------------------------
 
-    def decide(self, now: Time) -> Decision | None:
+    def next_decision(self, now: Time) -> Decision | None:
         # Guards against a process that stood still: what it was lent is looked at before it decides again.
         if self.clock() >= self.until:
             self.stand(now)
-        decision = self.module.decide(now)
+        decision = self.module.next_decision(now)
         match decision:
-            case ("submit", query, engine, _):
+            case Submit(query, engine):
                 self.submitted(now, query, engine)
-            case ("defer" | "kill", query, *_):
+            case Reject(query) | Fail(query):
                 self.company.counted(self.asking.pop(query, 0), True)
         return decision
 
     def submitted(self, now: Time, query: QueryId, engine: EngineId) -> None:
         known = self.module.engines[engine]
-        if known.cold(now):
+        if known.is_warming_up(now):
             self.company.sent_cold(self.clock(), engine, int(self.module.queries[query].work))
 
     # ---- from the company to the module -----------------------------------------------------------------
@@ -128,17 +138,17 @@
     def stand(self, now: Time) -> None:
         """The module is told how things stand with the others, as of now."""
         self.wants(now)
-        tips = {e.id: self.multiple * self.span * e.able(now) for e in self.warming(now)}
+        tips = {e.id: self.multiple * self.span * e.usable_cores(now) for e in self.warming(now)}
         standing = self.company.standing(self.clock(), self.living(), tips, self.span)
         self.until = standing.until
-        self.module.nearby(now, standing.near, standing.routers, {**standing.parts, **self.pool()})
+        self.module.on_subset(now, standing.near, standing.routers, {**standing.parts, **self.pool()})
         engines, listings = self.module.engines, self.listings
         shut = [e for e in standing.closed if e in listings and e in engines and engines[e].ready]
-        changed = [listings[e]._replace(state="Terminating") for e in shut]
+        changed = [listings[e]._replace(state=EndpointState.DRAINING) for e in shut]
         changed += [listings[e] for e in self.closed - standing.closed if e in listings]
         self.closed = standing.closed
         if changed:
-            self.module.roster(now, "Partial", changed)
+            self.module.on_endpoint_list(now, ListMode.PARTIAL, changed)
 
     def pool(self) -> dict[str, float]:
         """With partners: how many routers of this one's size the pool would have, by its part of it."""
@@ -146,23 +156,23 @@
             return {}
         return {"pool": 1 / max(1 / WHOLE, self.company.quotas.part("pool", self.clock()))}
 
-    def warming(self, now: Time) -> list[Engine]:
-        return [e for e in self.module.engines.values() if e.ready and e.cold(now)]
+    def warming(self, now: Time) -> list[EngineState]:
+        return [e for e in self.module.engines.values() if e.ready and e.is_warming_up(now)]
 
     def wants(self, now: Time) -> None:
         """What this router's traffic would use of each shared limit now."""
         module, quotas = self.module, self.company.quotas
         if self.partnering is not None:
             self.partnering.pool(quotas)
-            cores = sum(e.able(now) for e in module.engines.values() if e.ready)
+            cores = sum(e.usable_cores(now) for e in module.engines.values() if e.ready)
             rate = self.work.rate(now, TRAFFIC_SPAN)
             quotas.asked("pool", int(WHOLE * min(1.0, rate / cores)) if cores else 0)
         if "cold" in quotas.limits:
-            able = sum(e.able(now) for e in self.warming(now))
-            rate = module.light.work / max(1, min(TRAFFIC_SPAN, now - module.light.began))
+            able = sum(e.usable_cores(now) for e in self.warming(now))
+            rate = module.light_query_rate(now)
             quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
-        for tenant, taken in module.taken.of.items():
+        for tenant, taken in module.traffic.by_tenant.items():
             rate = self.catalog.get(f"parties.{tenant}.quota_per_s")
             if rate and f"parties.{tenant}" in quotas.limits:
-                span = max(SECOND, now - module.taken.line[0][0]) if module.taken.line else SECOND
+                span = module.traffic.span(now)
                 quotas.asked(f"parties.{tenant}", int(WHOLE * taken * SECOND / span / rate))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,9 +2,16 @@
 
 import pytest
 
-from hillchute.decision.interface import Listing
-from hillchute.decision.state import Submission
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    EndpointState,
+    Listing,
+    ListMode,
+    NewQuery,
+)
+from hillchute.decision.query_state import Attempt
+from hillchute.decision.scheduler import QueryScheduler
 
 LOOKUP, REPORT, LOAD, WRITE = range(4)
 
@@ -46,17 +53,17 @@
 
     def __init__(self, **changed):
         catalog = CATALOG | {name.replace("__", "."): value for name, value in changed.items()}
-        self.router = Teamwork(7, catalog, 0)
+        self.router = QueryScheduler(7, catalog, 0)
         self.list(1, 2, 3)
         self.names = (f"q{n}" for n in count())
 
-    def list(self, *engines, mode="Complete", state="Ready", started=0):
+    def list(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
         listings = [Listing(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
-        self.router.roster(self.router.now, mode, listings)
+        self.router.on_endpoint_list(self.router.now, mode, listings)
 
-    def take(self, group, now=0, cost=1000, due=7 * SECOND, **known):
+    def take(self, group, now=0, cost=1000, deadline=7 * SECOND, **known):
         name = next(self.names)
-        self.router.take(now, name, group, due, cost=cost, **known)
+        self.router.on_query(now, NewQuery(name, group, deadline, cost=cost, **known))
         return self.router.queries[name]
 
     def tried(self, group, engine=1, sent=0, result=None, **known):
@@ -71,18 +78,18 @@
 
     def submit(self, q, engine, sent=0, result=None):
         """One more submission of a query, with its ending if there is one."""
-        q.legs.append(Submission(engine, sent, q.cost, q.cost / q.group.width))
+        q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.group.width))
         e = self.router.engines[engine]
-        e.out, e.threads = e.out + 1, e.threads + q.group.width
+        e.open_attempts, e.threads = e.open_attempts + 1, e.threads + q.group.width
         if q.group.is_load:
-            e.holds.append(q.tables)
+            e.running_loads.append(q.table_group)
         if result:
-            self.router.outcome(sent, q.id, len(q.legs) - 1, result, False, 0)
+            self.router.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
 
     def verbs(self, now=0):
         """All decisions at this time."""
         said = []
-        while (decision := self.router.decide(now)) is not None:
+        while (decision := self.router.next_decision(now)) is not None:
             said.append(decision)
         return said
 
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -8,7 +8,7 @@
 import time
 from contextlib import suppress
 
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import EndpointState, Listing
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
 from hillchute.log import Log
@@ -192,7 +192,7 @@
         self.serving = True
         self.list(1)
 
-    def list(self, number, state="Ready", started=0, engine=1, port=None):
+    def list(self, number, state=EndpointState.READY, started=0, engine=1, port=None):
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
         self.service.told(Update(number, "Partial", (Entry(listing, "127.0.0.1", port),)))
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -11,8 +11,16 @@
 
 from hillchute.accord import subsets, turns
 from hillchute.accord.subsets import Sight, pairs
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptResult,
+    EndpointState,
+    HealthCheck,
+    Listing,
+    ListMode,
+    Submit,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.membership import event_bus
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
@@ -182,12 +190,14 @@
 
 
 def test_engines_in_sight_follow_the_list_that_the_router_is_told():
-    entries = [event_bus.Entry(Listing(n, 0, 0, 0, 0, "Ready", 1.0), "10.0.0.1", 1) for n in range(80)]
-    reducer = Reducer(Teamwork(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
+    entries = [
+        event_bus.Entry(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
+    ]
+    reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
     reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
     assert reducer.module.near == Sight(7, 200).near(range(80)) != frozenset()
     gone = min(reducer.module.near)
-    listing = entries[gone].listing._replace(state="Terminating")
+    listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
     reducer.reduce(
         events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
@@ -205,37 +215,37 @@
 def drawn(desk, group=REPORT, **known):
     q = desk.take(group, **known)
     desk.verbs()
-    return q.drawn or (q.legs and q.legs[-1].engine)
+    return q.drawn or (q.attempts and q.attempts[-1].engine)
 
 
 def test_engines_in_sight_are_drawn_first(sighted):
-    sighted.router.nearby(0, frozenset({2}))
+    sighted.router.on_subset(0, frozenset({2}))
     assert {drawn(sighted, LOOKUP) for _ in range(12)} == {2}
 
 
 @pytest.mark.parametrize("state", ["crowded", "resting", "gone", "cold"])
 def test_sight_is_left_when_none_of_it_may_take_the_query(sighted, state):
     router = sighted.router
-    router.nearby(0, frozenset({2}))
+    router.on_subset(0, frozenset({2}))
     e = router.engines[2]
     if state == "crowded":
-        router.probed(
-            0, 2, "finished", {"inflight": 8 * 2}
+        router.on_health_check(
+            0, 2, AttemptResult.SERVED, {"inflight": 8 * 2}
         )  # past the knee, short of what keeps heavy queries out
         router.held = 1.0
     elif state == "resting":
-        e.rest_until = 10 * SECOND
+        e.ejected_until = 10 * SECOND
     elif state == "gone":
-        sighted.list(2, mode="Partial", state="Gone")
+        sighted.list(2, mode=ListMode.PARTIAL, state=EndpointState.GONE)
     else:
         e.started = 1
     assert drawn(sighted, cost=5 * SECOND) in (1, 3)  # too heavy for a lot
 
 
 def test_home_of_a_table_group_stays_home_outside_the_sight(sighted):
-    sighted.router.nearby(0, frozenset({2}))
+    sighted.router.on_subset(0, frozenset({2}))
     sighted.router.home[4] = 3
-    assert drawn(sighted, tables=4) == 3
+    assert drawn(sighted, table_group=4) == 3
 
 
 def test_query_looks_where_the_price_is_small_beside_its_own_value(make_desk):
@@ -244,8 +254,8 @@
         desk.router.worth, desk.router.probe_credit = 1.7, -9
         desk.take(group, cost=1)
         said = desk.verbs()
-        assert len([d for d in said if d[0] == "probe"]) == looks
-        assert len([d for d in said if d[0] == "submit"]) == 1 - looks
+        assert len([d for d in said if isinstance(d, HealthCheck)]) == looks
+        assert len([d for d in said if isinstance(d, Submit)]) == 1 - looks
 
 
 @pytest.mark.parametrize("price, most", [(0.0086, 60), (0.08, 8), (0.0, 60)])
@@ -256,6 +266,6 @@
         desk.router.now = n * SECOND
         for e in desk.router.engines.values():
             e.reported_at = n * SECOND - 4500  # too late for a look, time for a probe
-        desk.take(LOOKUP, now=n * SECOND, cost=1, due=(n + 7) * SECOND)
-        count += len([d for d in desk.verbs(n * SECOND) if d[0] == "probe"])
+        desk.take(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
+        count += len([d for d in desk.verbs(n * SECOND) if isinstance(d, HealthCheck)])
     assert most - 5 <= count <= most + 5
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -5,6 +5,7 @@
 import pytest
 from rounds_by_hand import LOGIN, PING, Rig, packet, query
 
+from hillchute.decision.interface import EndpointState
 from hillchute.fronts.mysql.packets import MOST_WAITING
 
 KEYED = {"route": "event-load", "entity": "ab", "patience": 8_000}
@@ -52,7 +53,7 @@
 
 @pytest.mark.parametrize("ahead", [b"", HALF, MUCH], ids=["nothing", "half a command", "much"])
 def test_query_without_an_engine_is_dropped_with_its_client_though_bytes_stand_unread(rig, ahead):
-    rig.list(2, state="Terminating")
+    rig.list(2, state=EndpointState.DRAINING)
     client = rig.client(LOGIN + query(1) + ahead)
     rig.until(lambda: rig.service.reducer.asking)
     client.close()
@@ -114,7 +115,7 @@
     """The engine's rest ends while the router stands still; its alarm is due before it has looked."""
     client = rig.connected()
     engine = rig.service.reducer.module.engines[1]
-    engine.rest_until = rig.clock() + 2_000
+    engine.ejected_until = rig.clock() + 2_000
     client.write(query(1))
     rig.until(lambda: rig.service.reducer.asking)
     assert rig.wants == []
@@ -127,7 +128,7 @@
 
 def test_client_that_stays_is_served_after_the_same_pause(rig):
     client = rig.connected()
-    rig.service.reducer.module.engines[1].rest_until = rig.clock() + 2_000
+    rig.service.reducer.module.engines[1].ejected_until = rig.clock() + 2_000
     client.write(query(1))
     rig.until(lambda: rig.service.reducer.asking)
     rig.pass_time(0.3)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 import pytest
 from rounds_by_hand import LOGIN, Kept, Rig, query
 
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import EndpointState, Listing
 from hillchute.membership import event_bus, follower
 from hillchute.membership.event_bus import FRAME, Entry, Update
 from hillchute.membership.follower import Follower
@@ -191,11 +191,11 @@
 
 
 def test_repeated_and_old_numbers_change_nothing_and_one_that_skips_counts(rig):
-    rig.list(7, state="Terminating")
+    rig.list(7, state=EndpointState.DRAINING)
     for number in (7, 3, 1):
-        rig.list(number, state="Ready")
+        rig.list(number, state=EndpointState.READY)
     assert not rig.service.reducer.module.engines[1].ready
-    rig.list(40, state="Ready")
+    rig.list(40, state=EndpointState.READY)
     assert rig.service.reducer.module.engines[1].ready and rig.service.reducer.lines.told_to == 40
 
 
@@ -245,7 +245,7 @@
 def test_drain_in_the_same_round_as_the_query_is_kept(rig):
     client = rig.connected()
     client.write(query(1))
-    rig.list(2, state="Terminating")
+    rig.list(2, state=EndpointState.DRAINING)
     rig.turn(5)
     assert rig.wants == []
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
 from rounds_by_hand import Rig
 
 from hillchute import errors
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import EndpointState, Listing
 from hillchute.errors import HillchuteError
 from hillchute.history.disk import Disk
 from hillchute.lab import deployment
@@ -167,7 +167,8 @@
 def unknown_kind(log, tmp_path):
     rig = Rig()
     rig.service.log = log
-    rig.service.told(Update(2, "Partial", (Entry(Listing(1, 9, 0, 0, 0, "Ready", 1.0), "127.0.0.1", 1),)))
+    listing = Listing(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
+    rig.service.told(Update(2, "Partial", (Entry(listing, "127.0.0.1", 1),)))
     rig.close()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,8 +6,18 @@
 from conftest import CATALOG, LOOKUP, REPORT
 from test_router import TABLE
 
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptResult,
+    EndpointState,
+    HealthCheck,
+    Listing,
+    ListMode,
+    NewQuery,
+    Reject,
+    Submit,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.lab import many, plays
 from hillchute.lab.many import Many
 from hillchute.router import config, events
@@ -83,23 +93,23 @@
 
 
 def probes(said):
-    return [engine for verb, engine, *_ in said if verb == "probe"]
+    return [d.engine for d in said if isinstance(d, HealthCheck)]
 
 
 def test_query_looks_at_the_engine_it_has_drawn(probing):
     q = probing.take(LOOKUP)
     said = probing.verbs()
-    assert q.drawn in probes(said) and not [d for d in said if d[0] == "submit"]
+    assert q.drawn in probes(said) and not [d for d in said if isinstance(d, Submit)]
     drawn = q.drawn
-    probing.router.probed(5, drawn, "finished", {"inflight": 3})
-    assert ("submit", q.id, drawn) in [d[:3] for d in probing.verbs(5)]
+    probing.router.on_health_check(5, drawn, AttemptResult.SERVED, {"inflight": 3})
+    assert (q.id, drawn) in [(d.query, d.engine) for d in probing.verbs(5) if isinstance(d, Submit)]
 
 
 def test_crowded_engine_is_passed_over_and_looked_at_once(probing):
     q = probing.take(LOOKUP)
     probing.verbs()
     first = q.drawn
-    probing.router.probed(5, first, "finished", {"inflight": 8 * 2 + 1})
+    probing.router.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
     probing.verbs(5)
     assert q.drawn not in (None, first) and q.crowded == 1
 
@@ -108,7 +118,7 @@
     q = probing.take(LOOKUP)
     probing.verbs()
     first = q.drawn
-    assert not [d for d in probing.verbs(999) if d[0] == "submit"]
+    assert not [d for d in probing.verbs(999) if isinstance(d, Submit)]
     probing.verbs(1000)
     assert q.drawn not in (None, first)
 
@@ -116,33 +126,33 @@
 def test_dashboard_goes_nowhere_when_all_that_it_sees_is_full(probing):
     q = probing.take(LOOKUP)
     said, now = probing.verbs(), 0
-    while not [d for d in said if d[0] in ("submit", "defer")]:
+    while not [d for d in said if isinstance(d, Submit | Reject)]:
         now += 10
-        probing.router.probed(now, q.drawn, "finished", {"inflight": 60})
+        probing.router.on_health_check(now, q.drawn, AttemptResult.SERVED, {"inflight": 60})
         said = probing.verbs(now)
-    assert ("defer", q.id) in [d[:2] for d in said]
+    assert q.id in [d.query for d in said if isinstance(d, Reject)]
 
 
 def test_engine_known_of_late_needs_no_look(probing):
     for e in probing.router.engines.values():
-        probing.router.probed(0, e.id, "finished", {"inflight": 1})
+        probing.router.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
     q = probing.take(LOOKUP, now=100)
-    assert [d[1] for d in probing.verbs(100) if d[0] == "submit"] == [q.id]
+    assert [d.query for d in probing.verbs(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_crowd_is_remembered_for_as_long_as_it_stays(desk):
     crowded, idle, _ = desk.router.engines.values()
     desk.router.held, desk.router.now = 1.0, 2 * SECOND
-    crowded.reported, idle.reported = 8 * 8, 2
+    crowded.reported_threads, idle.reported_threads = 8 * 8, 2
     crowded.reported_at = idle.reported_at = 0
     assert desk.router.known(crowded) > 0.8 and desk.router.known(idle) == 0.25
 
 
 def test_unreached_engine_is_not_taken_for_one_that_starts(desk):
-    desk.tried(LOOKUP, engine=1, result="unreached")
-    desk.tried(LOOKUP, engine=2, sent=1, result="refused_conn")
+    desk.tried(LOOKUP, engine=1, result=AttemptResult.UNREACHABLE)
+    desk.tried(LOOKUP, engine=2, sent=1, result=AttemptResult.CONNECTION_REFUSED)
     desk.router.now = 2
-    assert [e.cold(desk.router.now) for e in desk.router.engines.values()] == [False, True, False]
+    assert [e.is_warming_up(desk.router.now) for e in desk.router.engines.values()] == [False, True, False]
 
 
 def calls(work):
@@ -165,17 +175,20 @@
 @pytest.mark.parametrize("change", [False, True])
 def test_work_for_a_query_grows_no_faster_than_the_engines(group, change):
     def cost(engines):
-        router = Teamwork(7, FLEET | {"domain.group_load": [False] * 4}, 0)
-        listings = [Listing(e, 0, 0, 0, 0, "Ready", 1.0) for e in range(engines)]
-        router.roster(0, "Complete", listings)
+        router = QueryScheduler(7, FLEET | {"domain.group_load": [False] * 4}, 0)
+        listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(engines)]
+        router.on_endpoint_list(0, ListMode.COMPLETE, listings)
 
         def query():
             if change:
-                news = [Listing(engines, 0, 0, 0, 1, "Ready", 1.0), listings[0]._replace(state="Gone")]
-                router.roster(1, "Partial", news)
+                news = [
+                    Listing(engines, 0, 0, 0, 1, EndpointState.READY, 1.0),
+                    listings[0]._replace(state=EndpointState.GONE),
+                ]
+                router.on_endpoint_list(1, ListMode.PARTIAL, news)
             for n in range(4):  # a team, where they lead
-                router.take(1, f"q{n}", group, 8 * SECOND, cost=100, tables=3)
-            while router.decide(1) is not None:
+                router.on_query(1, NewQuery(f"q{n}", group, 8 * SECOND, cost=100, table_group=3))
+            while router.next_decision(1) is not None:
                 pass
 
         return calls(query)
@@ -195,7 +208,7 @@
     settings = TABLE["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
     table = TABLE | {"known": known, "settings": settings}
     station = config.station(table, {})
-    reducer = Reducer(Teamwork(station.seed, station.catalog, 0), station.catalog, station.sockets // 3)
+    reducer = Reducer(QueryScheduler(station.seed, station.catalog, 0), station.catalog, station.sockets // 3)
     for news in station.known:
         reducer.reduce(events.Notified(news), 0)
     assert len(reducer.lines.peers) == 1024
@@ -210,7 +223,7 @@
     probing.verbs()
     probing.router.held = 3.1  # threads a core, over the bound and a half
     q = probing.take(LOOKUP, cost=1)
-    assert ("defer", q.id, 0, "crowd") in probing.verbs()
+    assert Reject(q.id, 0, "crowd") in probing.verbs()
     assert q.drawn is None
 
 
@@ -220,10 +233,10 @@
 @pytest.fixture
 def half_cold(probing):
     """Engine 1 warm and full, 2 and 3 cold and empty; all in sight."""
-    probing.list(2, 3, mode="Partial", started=10)
-    probing.router.nearby(20, frozenset({1, 2, 3}))
+    probing.list(2, 3, mode=ListMode.PARTIAL, started=10)
+    probing.router.on_subset(20, frozenset({1, 2, 3}))
     for engine, held in ((1, 28), (2, 0), (3, 0)):
-        probing.router.probed(20, engine, "finished", {"inflight": held})
+        probing.router.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": held})
     return probing
 
 
@@ -238,11 +251,11 @@
 
 
 def test_query_goes_to_the_cold_engine_of_its_lot_without_a_look(probing):
-    probing.list(2, mode="Partial", started=10)
+    probing.list(2, mode=ListMode.PARTIAL, started=10)
     q = probing.take(LOOKUP, now=20)
     q.lot = 2
     said = probing.verbs(20)
-    assert ("submit", q.id, 2) in [d[:3] for d in said]
+    assert (q.id, 2) in [(d.query, d.engine) for d in said if isinstance(d, Submit)]
     other = probing.take(LOOKUP, now=20)
     other.lot = None
     probing.verbs(20)
@@ -251,35 +264,35 @@
 
 def test_probes_go_to_the_engine_in_sight_that_was_heard_of_longest_ago(probing):
     router = probing.router
-    router.nearby(0, frozenset({1, 2}))
+    router.on_subset(0, frozenset({1, 2}))
     for engine, at in ((1, 9000), (2, 5000), (3, 0)):
-        router.probed(at, engine, "finished", {"inflight": 0})
+        router.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
     router.probe_credit, router.probe_at = 3, 0
     asked = probes(probing.verbs(10_000))
     assert asked == [2]  # 3 is out of sight, 1 was heard of just now
-    router.probed(13_500, 2, "heard", {"inflight": 0}, age=100)
+    router.on_load_report(13_500, 2, {"inflight": 0}, age=100)
     router.probe_credit, router.probe_at = 3, 0
     assert probes(probing.verbs(14_000)) == [1]
 
 
 def test_report_of_another_router_counts_by_its_age(probing):
     router, e = probing.router, probing.router.engines[1]
-    router.probed(5000, 1, "heard", {"inflight": 4}, age=1000)
-    assert (e.reported, e.reported_at) == (4, 4000)
-    router.probed(5000, 1, "heard", {"inflight": 9}, age=2000)
-    assert e.reported == 4
-    router.probed(5000, 1, "finished", {"inflight": 2})
-    assert (e.reported, e.reported_at) == (2, 5000)
-    router.probed(5001, 1, "heard", None, age=1)
-    assert e.reported_at == 5000 and not e.fails
+    router.on_load_report(5000, 1, {"inflight": 4}, age=1000)
+    assert (e.reported_threads, e.reported_at) == (4, 4000)
+    router.on_load_report(5000, 1, {"inflight": 9}, age=2000)
+    assert e.reported_threads == 4
+    router.on_health_check(5000, 1, AttemptResult.SERVED, {"inflight": 2})
+    assert (e.reported_threads, e.reported_at) == (2, 5000)
+    router.on_load_report(5001, 1, None, age=1)
+    assert e.reported_at == 5000 and not e.failures
 
 
 def test_fresh_report_of_another_router_spares_the_look(probing):
     for engine in (1, 2, 3):
-        probing.router.probed(100, engine, "heard", {"inflight": 1}, age=90)
-    probing.router.nearby(100, frozenset({1, 2, 3}), 2, {"probes": 0.0})
+        probing.router.on_load_report(100, engine, {"inflight": 1}, age=90)
+    probing.router.on_subset(100, frozenset({1, 2, 3}), 2, {"probes": 0.0})
     q = probing.take(LOOKUP, now=100)
-    assert [d[1] for d in probing.verbs(100) if d[0] == "submit"] == [q.id]
+    assert [d.query for d in probing.verbs(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_parts_of_limits_go_before_equal_ones(make_desk):
@@ -288,9 +301,9 @@
     for _ in range(3):
         desk.take(LOOKUP)
     assert router.over_share(0)  # three in a second, where one of four routers has one
-    router.nearby(0, frozenset(), 4, {"parties.0": 0.9, "cold": 0.25})
+    router.on_subset(0, frozenset(), 4, {"parties.0": 0.9, "cold": 0.25})
     assert not router.over_share(0)
-    router.nearby(0, frozenset(), 2, {"parties.0": 0.1})
+    router.on_subset(0, frozenset(), 2, {"parties.0": 0.1})
     assert router.over_share(0) and router.routers == 2
 
 
@@ -298,8 +311,8 @@
     drawn = []
     for part in (0.05, 0.5):
         desk = make_desk(n_instances=10)
-        desk.list(2, 3, mode="Partial", started=1)
-        desk.router.nearby(1, frozenset({1, 2, 3}), 10, {"cold": part})
+        desk.list(2, 3, mode=ListMode.PARTIAL, started=1)
+        desk.router.on_subset(1, frozenset({1, 2, 3}), 10, {"cold": part})
         taken = [desk.take(LOOKUP, now=1 + n * 400) for n in range(200)]
         drawn.append(sum(q.lot is not None for q in taken))
     assert drawn[0] * 4 < drawn[1]
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -14,7 +14,8 @@
 from adbc_driver_flightsql import dbapi as adbc
 from conftest import CATALOG
 
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import SECOND, EndpointState
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.flight import links
 from hillchute.fronts.flight import answers, catalog, identity, server, tickets
@@ -170,8 +171,8 @@
     def __init__(self):
         catalog = CATALOG | {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load"))}
         catalog |= {"limits.open_cap": 10, "limits.connect_timeout": 500, "limits.streams_per_conn": 8}
-        self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
-        listing = events.event_bus.Listing(1, 0, 0, 0, 0, "Ready", 1.0)
+        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        listing = events.event_bus.Listing(1, 0, 0, 0, 0, EndpointState.READY, 1.0)
         entry = events.event_bus.Entry(listing, "127.0.0.1", 1)
         self.do(events.Notified(events.event_bus.Update(1, "Complete", (entry,))))
         asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -5,7 +5,8 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT
 
-from hillchute.decision.teamwork import MOST_LATE, SECOND
+from hillchute.decision.interface import SECOND
+from hillchute.decision.scheduler import MOST_LATE
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
 from hillchute.net.system import SYSTEM
@@ -168,12 +169,12 @@
 
 def test_late_loop_turns_away_what_is_of_least_value_first(desk):
     for _ in range(20):
-        desk.router.welcome(0, LOOKUP, 0.0)
-        desk.router.welcome(0, REPORT, 0.0)
-    assert desk.router.welcome(0, LOOKUP, MOST_LATE / 10)
-    assert not desk.router.welcome(0, LOOKUP, MOST_LATE / 2)
-    assert desk.router.welcome(0, REPORT, MOST_LATE - 1) and desk.router.welcome(0, LOAD, MOST_LATE - 1)
-    assert not desk.router.welcome(0, REPORT, MOST_LATE)
+        desk.router.admits(0, LOOKUP, 0.0)
+        desk.router.admits(0, REPORT, 0.0)
+    assert desk.router.admits(0, LOOKUP, MOST_LATE / 10)
+    assert not desk.router.admits(0, LOOKUP, MOST_LATE / 2)
+    assert desk.router.admits(0, REPORT, MOST_LATE - 1) and desk.router.admits(0, LOAD, MOST_LATE - 1)
+    assert not desk.router.admits(0, REPORT, MOST_LATE)
 
 
 # ---- the end ----------------------------------------------------------------------------------------
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -7,8 +7,8 @@
 
 from hillchute.accord.quotas import LENT
 from hillchute.cli import commands
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.lab import partners
 from hillchute.lab.history_net import EPOCH
@@ -29,7 +29,7 @@
 
     def __init__(self):
         catalog = CATALOG | NAMES | {"limits.open_cap": 100}
-        self.module = Teamwork(7, catalog, 0)
+        self.module = QueryScheduler(7, catalog, 0)
         self.reducer = Reducer(self.module, catalog, 8)
         self.reducer.history = self.reducer.partners = True
         self.count = 0
@@ -232,11 +232,11 @@
 def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
     held, _, _ = partnering(tmp_path)
     listings = [
-        Listing(1, 0, 0, 1, 0, "Ready", 1.0),  # north: a's
-        Listing(2, 1, 0, 0, 0, "Ready", 1.0),  # large: b's
-        Listing(3, 1, 0, 1, 0, "Ready", 1.0),  # both: the first's
-        Listing(4, 0, 0, 0, 0, "Ready", 1.0),  # neither's
-        Listing(5, 0, 0, 1, 0, "Terminating", 1.0),
+        Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: a's
+        Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: b's
+        Listing(3, 1, 0, 1, 0, EndpointState.READY, 1.0),  # both: the first's
+        Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # neither's
+        Listing(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
     ]
     held.listed(listings)
     assert held.council.capacities == {"a": 40, "b": 32}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,8 +14,16 @@
 from hillchute.accord.company import Company
 from hillchute.accord.quotas import SPAN, Held
 from hillchute.accord.signals import Drain, News
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptResult,
+    EndpointState,
+    Listing,
+    ListMode,
+    NewQuery,
+    Reject,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.errors import HillchuteError
 from hillchute.lab import processes
 from hillchute.lab.partnership import over_quota, two_owners
@@ -217,7 +225,7 @@
     company = Company("r0", ["r0", "r1", "r2", "r3"], ["inflight"], ["cold"], 1, NOW)
     soon = []
     found = Telling(
-        Teamwork(1, catalog, 0),
+        QueryScheduler(1, catalog, 0),
         company,
         catalog,
         lambda: clock[0],
@@ -225,33 +233,34 @@
         lambda: soon.append(1),
     )
     found.clock_of, found.said = clock, soon
-    listings = [Listing(n, 0, 0, 0, 0, "Ready", 1.0) for n in (1, 2, 3)]
-    found.roster(0, "Complete", listings)
-    found.nearby(0, frozenset({1, 2, 3}))
+    listings = [Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0) for n in (1, 2, 3)]
+    found.on_endpoint_list(0, ListMode.COMPLETE, listings)
+    found.on_subset(0, frozenset({1, 2, 3}))
     return found
 
 
 def test_queries_taken_and_turned_away_are_counted_by_their_group(told):
     told.module.groups.append(replace(told.module.groups[0], number=1))
     for n, group in enumerate((0, 1, 1)):
-        told.take(10, f"q{n}", group, 90_000, 1, 0, 100, 0.0, None)
+        told.on_query(10, NewQuery(f"q{n}", group, 90_000, 1, 0, 100, 0.0, None))
     told.module.planned.clear()
     told.module.give_up(told.module.queries["q1"], "crowd")
-    assert told.decide(10)[:2] == ("defer", "q1")
-    told.left(10, "q0")
+    answer = told.next_decision(10)
+    assert isinstance(answer, Reject) and answer.query == "q1"
+    told.on_client_left(10, "q0")
     assert told.company.taken == {0: 1, 1: 2} and told.company.away == {1: 1}
     assert told.asking.keys() == {"q2"}
 
 
 def test_module_hears_how_many_routers_live_and_its_parts(told):
     assert told.module.routers == 3 and told.module.near == {1, 2, 3}
-    assert 0 < told.module.parts["cold"] <= 0.25
+    assert 0 < told.module.shares["cold"] <= 0.25
 
 
 def test_report_that_comes_here_is_told_and_one_heard_of_is_not(told):
-    told.probed(10, 1, "finished", {"inflight": 3})
+    told.on_health_check(10, 1, AttemptResult.SERVED, {"inflight": 3})
     assert told.said and told.company.reports.keys() == {1}
-    told.probed(10, 2, "heard", {"inflight": 3}, age=5)
+    told.on_load_report(10, 2, {"inflight": 3}, age=5)
     assert told.company.reports.keys() == {1} and told.module.engines[2].reported_at == 5
 
 
@@ -260,15 +269,15 @@
         told.company.signals.heard(NOW, witness, News(drains=(Drain(3, 9),)))
     told.stand(20)
     assert not told.module.engines[3].ready
-    told.roster(25, "Partial", [Listing(3, 0, 0, 0, 0, "Ready", 1.0)])
-    told.nearby(25, frozenset())  # an older word of the list does not open it
+    told.on_endpoint_list(25, ListMode.PARTIAL, [Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    told.on_subset(25, frozenset())  # an older word of the list does not open it
     assert not told.module.engines[3].ready
     told.reached = lambda: 8
-    told.roster(30, "Partial", [Listing(2, 0, 0, 0, 0, "Ready", 1.0)])
-    told.nearby(30, frozenset())
+    told.on_endpoint_list(30, ListMode.PARTIAL, [Listing(2, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    told.on_subset(30, frozenset())
     assert not told.module.engines[3].ready
     told.reached = lambda: 9  # the list has reached the event, and says nothing of the engine
-    told.nearby(40, frozenset())
+    told.on_subset(40, frozenset())
     assert told.module.engines[3].ready
 
 
@@ -276,14 +285,14 @@
     limit = told.company.quotas.limits["cold"]
     told.clock_of[0] += 10 * SECOND
     told.stand(100)
-    own = told.module.parts["cold"]
+    own = told.module.shares["cold"]
     now = told.clock_of[0]
     limit.held["r1"] = Held(1, now, 100_000, 100_000, now + SPAN)
     told.stand(100)
-    assert told.module.parts["cold"] > own
+    assert told.module.shares["cold"] > own
     told.clock_of[0] += SPAN  # the process stands still as long as the loan lasts, and wakes in a decision
-    told.decide(100)
-    assert told.module.parts["cold"] == own
+    told.next_decision(100)
+    assert told.module.shares["cold"] == own
 
 
 def test_switched_off_nothing_of_it_is_imported():
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -9,7 +9,8 @@
 import pytest
 from conftest import CATALOG
 
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import SECOND
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.errors import DatagramDropped, DiskNotUsable
 from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
@@ -42,7 +43,7 @@
     def __init__(self):
         names = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
         names["limits.open_cap"] = 100
-        self.module = Teamwork(7, CATALOG | names, 0)
+        self.module = QueryScheduler(7, CATALOG | names, 0)
         self.reducer = Reducer(self.module, CATALOG | names, 8)
         self.reducer.history = True
         self.group = "load"
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,8 +12,8 @@
 from rounds_by_hand import Signals
 
 from hillchute.benchlink.codec import Fields
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.engines.line import wire
@@ -286,8 +286,9 @@
     def __init__(self, **changed):
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
         self.exchanges = {}
-        self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
-        entries = [event_bus.Entry(Listing(e, 0, 0, 0, 0, "Ready", 1.0), "127.0.0.1", e) for e in range(1, 7)]
+        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
+        entries = [event_bus.Entry(listing, "127.0.0.1", listing.engine) for listing in listings]
         self.do(events.Notified(event_bus.Update(1, "Complete", tuple(entries))))
 
     def do(self, event, now=0, kind=None):
@@ -377,7 +378,7 @@
 
 
 def test_fault_in_one_event_leaves_the_effects_before_it(rig):
-    rig.reducer.module.take = lambda *_: 1 / 0
+    rig.reducer.module.on_query = lambda *_: 1 / 0
     (note,) = [e for e in rig.ask() if isinstance(e, events.Note)]
     assert note.event == "fault" and "ZeroDivisionError" in note.fields["trace"]
     assert [type(e) for e in rig.do(events.Tick(), 5 * SECOND, events.Kill)] == [events.Kill]
@@ -395,7 +396,7 @@
 def test_endings_are_told_apart(rig, event, result):
     line = rig.sent()
     told = []
-    rig.reducer.module.outcome = lambda now, id, leg, result, *rest: told.append(result)
+    rig.reducer.module.on_attempt_ended = lambda now, ended: told.append(ended.result)
     rig.do(event(line), 10)
     assert told == [result]
 
@@ -429,7 +430,7 @@
 def test_want_of_connections_is_no_verdict_on_the_engine(rig):
     rig.reducer.lines.most = 0
     assert [type(e) for e in rig.ask() if isinstance(e, events.Defer | events.Connect)] == [events.Defer]
-    assert not [e for e in rig.reducer.module.engines.values() if e.fails or e.started]
+    assert not [e for e in rig.reducer.module.engines.values() if e.failures or e.started]
 
 
 def test_second_submission_never_shares_the_connection_of_the_first(rig):
@@ -460,7 +461,7 @@
 def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
     (wait,) = [e for e in rig.ask() if isinstance(e, events.Connect)]
     engine = rig.reducer.lines.lines[wait.line].engine
-    entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, "Terminating", 1.0), "127.0.0.1", engine)
+    entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
     rig.do(events.Notified(event_bus.Update(2, "Partial", (entry,))), 5)
     sends = rig.do(events.Connected(wait.line), 10, events.Send)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
@@ -500,7 +501,7 @@
 
 
 def test_fault_in_the_decisions_leaves_no_query_unanswered(rig):
-    rig.reducer.module.decide = lambda now: 1 / 0
+    rig.reducer.module.next_decision = lambda now: 1 / 0
     notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, events.Note)]
     assert "ZeroDivisionError" in notes[0].fields["trace"]
     assert [type(e) for e in rig.do(events.Tick(), SECOND, events.Kill)] == [events.Kill]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,45 +3,56 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT, WRITE
 
-from hillchute.decision.teamwork import SECOND
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    AttemptResult,
+    EndpointState,
+    Fail,
+    ListMode,
+    Reject,
+    Submit,
+    Wake,
+)
 
 
 def submitted(said):
-    return [d[1] for d in said if d[0] == "submit"]
+    return [d.query for d in said if isinstance(d, Submit)]
 
 
 def test_every_query_is_answered_before_its_end(desk):
-    desk.list(1, 2, 3, state="Terminating")
-    q = desk.take(WRITE, due=2 * SECOND)
+    desk.list(1, 2, 3, state=EndpointState.DRAINING)
+    q = desk.take(WRITE, deadline=2 * SECOND)
     desk.verbs(0)
     at = 2 * SECOND - desk.router.margin
-    assert [d[:2] for d in desk.verbs(at) if d[0] != "wake"] == [("defer", q.id)]
+    answers = [d for d in desk.verbs(at) if not isinstance(d, Wake)]
+    assert [(type(d), d.query) for d in answers] == [(Reject, q.id)]
     assert q.id not in desk.router.queries
 
 
 def test_nothing_is_sent_after_the_client_left(desk):
     q = desk.take(REPORT)
-    desk.router.left(0, q.id)
+    desk.router.on_client_left(0, q.id)
     assert not submitted(desk.verbs())
 
 
 def test_late_outcome_of_an_ended_query_is_passed_over(desk):
     q = desk.tried(REPORT)
-    desk.router.left(0, q.id)
-    desk.router.outcome(5, q.id, 0, "finished", True, 5)
-    desk.router.outcome(6, q.id, 0, "finished", True, 5)
+    desk.router.on_client_left(0, q.id)
+    desk.router.on_attempt_ended(5, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 5))
+    desk.router.on_attempt_ended(6, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 5))
     assert q.id not in desk.router.queries
-    assert desk.router.engines[1].out == 0
+    assert desk.router.engines[1].open_attempts == 0
 
 
 @pytest.mark.parametrize(
     "group, result, again, defer",
     [
-        (LOOKUP, "overdue", True, True),
-        (WRITE, "overdue", False, False),
-        (WRITE, "errored", False, False),
-        (WRITE, "saturated", True, True),
-        (LOAD, "severed", True, True),
+        (LOOKUP, AttemptResult.TIMED_OUT, True, True),
+        (WRITE, AttemptResult.TIMED_OUT, False, False),
+        (WRITE, AttemptResult.FAILED, False, False),
+        (WRITE, AttemptResult.OVERLOADED, True, True),
+        (LOAD, AttemptResult.CONNECTION_LOST, True, True),
     ],
 )
 def test_no_effect_happens_twice(desk, group, result, again, defer):
@@ -51,7 +62,7 @@
 
 
 def test_tokened_query_rests_with_its_window(desk):
-    q = desk.tried(LOAD, result="overdue")
+    q = desk.tried(LOAD, result=AttemptResult.TIMED_OUT)
     desk.router.now = q.group.window - 1
     assert not desk.router.may_run_again(q)
 
@@ -59,7 +70,7 @@
 @pytest.mark.parametrize("group, allowed", [("zone", [1]), ("cell", [1])])
 def test_tokened_query_stays_where_repeats_are_dropped(make_desk, group, allowed):
     desk = make_desk(groups__2__repeats_dropped_by=group)
-    q = desk.tried(LOAD, result="overdue")
+    q = desk.tried(LOAD, result=AttemptResult.TIMED_OUT)
     assert [e.id for e in desk.router.engines.values() if desk.router.allowed(e, q)] == allowed
     assert not desk.router.may_defer(q)
 
@@ -69,10 +80,10 @@
     assert not desk.router.may_run_again(desk.tried(LOOKUP))
 
 
-@pytest.mark.parametrize("state", ["Terminating", "Gone"])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_drained_engine_gets_nothing_new(desk, state):
     e = desk.router.engines[1]
-    desk.list(1, mode="Partial", state=state)
+    desk.list(1, mode=ListMode.PARTIAL, state=state)
     assert not desk.router.allowed(e, desk.take(LOOKUP))
 
 
@@ -83,7 +94,7 @@
 
 
 def test_cold_engine_is_closed_without_a_lot(desk):
-    desk.list(1, mode="Partial", started=1)
+    desk.list(1, mode=ListMode.PARTIAL, started=1)
     e, q = desk.router.engines[1], desk.take(LOOKUP)
     assert not desk.router.allowed(e, q)
     q.lot = 1
@@ -93,20 +104,20 @@
 
 
 def test_key_order_waits_for_the_outcome_and_the_rest(desk):
-    first, second = desk.take(LOAD, key="k"), desk.take(LOAD, key="k")
+    first, second = desk.take(LOAD, ordering_key="k"), desk.take(LOAD, ordering_key="k")
     assert submitted(desk.verbs()) == [first.id]
-    desk.router.outcome(100, first.id, 0, "severed", False, 100)
-    desk.router.left(100, first.id)
+    desk.router.on_attempt_ended(100, AttemptEnded(first.id, 0, AttemptResult.CONNECTION_LOST, False, 100))
+    desk.router.on_client_left(100, first.id)
     assert not submitted(desk.verbs(3100))
     assert submitted(desk.verbs(3101)) == [second.id]
 
 
 def test_key_stays_taken_while_an_ended_query_has_a_submission_out(desk):
-    first, second = desk.take(LOAD, key="k"), desk.take(LOAD, key="k")
+    first, second = desk.take(LOAD, ordering_key="k"), desk.take(LOAD, ordering_key="k")
     desk.verbs()
-    desk.router.left(1, first.id)
+    desk.router.on_client_left(1, first.id)
     assert not submitted(desk.verbs(2))
-    desk.router.outcome(3, first.id, 0, "finished", True, 3)
+    desk.router.on_attempt_ended(3, AttemptEnded(first.id, 0, AttemptResult.SERVED, True, 3))
     assert submitted(desk.verbs(4)) == [second.id]
 
 
@@ -119,7 +130,7 @@
 def test_further_submissions_stay_in_the_stated_budget(make_desk):
     desk = make_desk(guarantees__look_back=SECOND, guarantees__min_extra=1, guarantees__extra_share=0.5)
     desk.take(LOOKUP)
-    desk.tried(LOOKUP, result="severed")
+    desk.tried(LOOKUP, result=AttemptResult.CONNECTION_LOST)
     desk.router.extras.append(0)
     assert desk.router.ration_left()
     desk.router.extras.append(0)
@@ -128,17 +139,22 @@
 
 def test_budget_is_checked_again_when_the_query_goes_out(make_desk):
     desk = make_desk(guarantees__look_back=SECOND, guarantees__min_extra=9, guarantees__extra_share=0.5)
-    q = desk.tried(LOOKUP, result="overdue")
+    q = desk.tried(LOOKUP, result=AttemptResult.TIMED_OUT)
     assert desk.router.allowed(desk.router.engines[2], q)
     desk.router.extras.extend([0] * 10)
     assert not desk.router.allowed(desk.router.engines[2], q)
 
 
 def test_query_whose_turn_comes_too_late_is_answered_and_the_next_one_starts(desk):
-    first, late = desk.take(LOAD, key="k", due=60 * SECOND), desk.take(LOAD, key="k", due=60 * SECOND)
+    first, late = (
+        desk.take(LOAD, ordering_key="k", deadline=60 * SECOND),
+        desk.take(LOAD, ordering_key="k", deadline=60 * SECOND),
+    )
     desk.verbs()
-    fresh = desk.take(LOAD, key="k", now=40 * SECOND, due=60 * SECOND)
-    desk.router.outcome(40 * SECOND, first.id, 0, "finished", True, 40 * SECOND)
+    fresh = desk.take(LOAD, ordering_key="k", now=40 * SECOND, deadline=60 * SECOND)
+    desk.router.on_attempt_ended(
+        40 * SECOND, AttemptEnded(first.id, 0, AttemptResult.SERVED, True, 40 * SECOND)
+    )
     said = desk.verbs(40 * SECOND)
-    assert [d[1] for d in said if d[0] in ("defer", "kill")] == [late.id]
-    assert [d[1] for d in said if d[0] == "submit"] == [fresh.id]
+    assert [d.query for d in said if isinstance(d, Reject | Fail)] == [late.id]
+    assert [d.query for d in said if isinstance(d, Submit)] == [fresh.id]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,8 +9,17 @@
 from rounds_by_hand import Rig
 
 from hillchute.accord.subsets import Sight
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    AttemptResult,
+    EndpointState,
+    Listing,
+    ListMode,
+    NewQuery,
+    Submit,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.lab import deployment
 from hillchute.membership.event_bus import Entry, Update
@@ -22,34 +31,35 @@
 EVERYWHERE = 2  # a query without a place among those in sight may look at all of them once or twice
 
 
-def listing(engine, state="Ready", started=0):
+def listing(engine, state=EndpointState.READY, started=0):
     return Listing(engine, 0, engine // 4, engine % 3, started, state, 1.0)
 
 
 def among(engines, routers=200, **changed):
-    router = Teamwork(1, CATALOG | {"n_instances": routers} | changed, 0)
-    router.roster(0, "Complete", [listing(n) for n in range(engines)])
-    router.nearby(0, Sight(7, routers).near(range(engines)))
+    router = QueryScheduler(1, CATALOG | {"n_instances": routers} | changed, 0)
+    router.on_endpoint_list(0, ListMode.COMPLETE, [listing(n) for n in range(engines)])
+    router.on_subset(0, Sight(7, routers).near(range(engines)))
     return router
 
 
 def looked_at(engines, monkeypatch):
     """Engines that are looked at for a query, in the mean of some hundreds that are served at once."""
     router, looks = among(engines), [0]
-    fits = Teamwork.fits
+    fits = QueryScheduler.fits
 
     def counted(self, e, q):
         looks[0] += 1
         return fits(self, e, q)
 
     with monkeypatch.context() as patch:
-        patch.setattr(Teamwork, "fits", counted)
+        patch.setattr(QueryScheduler, "fits", counted)
         for n in range(300):
             now = n * 500
-            router.take(now, f"q{n}", n % 2, now + 7 * SECOND, tables=n % 40, cost=2000)
-            while (decision := router.decide(now)) is not None:
-                if decision[0] == "submit":
-                    router.outcome(now, decision[1], 0, "finished", True, 100, cost=2000)
+            router.on_query(now, NewQuery(f"q{n}", n % 2, now + 7 * SECOND, table_group=n % 40, cost=2000))
+            while (decision := router.next_decision(now)) is not None:
+                if isinstance(decision, Submit):
+                    ended = AttemptEnded(decision.query, 0, AttemptResult.SERVED, True, 100, cost=2000)
+                    router.on_attempt_ended(now, ended)
     assert not router.queries
     return looks[0] / 300
 
@@ -69,10 +79,10 @@
     monkeypatch.setattr(type(router.places), "add", lambda self, e: placed.append(e) or add(self, e))
     ready = set(range(3_200))
     for n in range(1_000):
-        gone, come = listing(n, "Gone"), listing(10_000 + n)
-        router.roster(n, "Partial", [gone, come])
+        gone, come = listing(n, EndpointState.GONE), listing(10_000 + n)
+        router.on_endpoint_list(n, ListMode.PARTIAL, [gone, come])
         ready = ready - {n} | {10_000 + n}
-        router.nearby(n, sight.near(ready))
+        router.on_subset(n, sight.near(ready))
     assert len(placed) == 1_000 and len(router.engines) == len(router.places) == 3_200
     assert {router.places.of(e) for e in router.engines} == set(range(3_200))
 
@@ -80,7 +90,7 @@
 def connects(engines):
     """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
     station = config.station(deployment.table(routers=200, sockets=576), {})
-    reducer = Reducer(Teamwork(1, station.catalog, 0), station.catalog, station.sockets // 3)
+    reducer = Reducer(QueryScheduler(1, station.catalog, 0), station.catalog, station.sockets // 3)
     entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
     reducer.reduce(events.Notified(Update(1, "Complete", entries)), 1)
     made, waiting = 0, []
@@ -140,15 +150,17 @@
     router.now = 20 * SECOND
     router.held = chance.uniform(0, 2)
     for e in router.engines.values():
-        e.reported, e.reported_at = chance.uniform(0, 30), router.now - chance.randrange(3 * SECOND)
-        e.rest_until = router.now + 1 if chance.random() < 0.2 else 0
+        e.reported_threads, e.reported_at = chance.uniform(0, 30), router.now - chance.randrange(3 * SECOND)
+        e.ejected_until = router.now + 1 if chance.random() < 0.2 else 0
         e.started = router.now - SECOND if chance.random() < 0.2 else 0
         e.ready = chance.random() < 0.9
         e.threads = chance.randrange(20)
-        e.holds = [chance.randrange(3)] if chance.random() < 0.3 else []
+        e.running_loads = [chance.randrange(3)] if chance.random() < 0.3 else []
     for n in range(20):
         group = chance.choice([LOOKUP, REPORT, LOAD])
-        router.take(router.now, f"q{n}", group, router.now + 7 * SECOND, tables=chance.randrange(3), cost=500)
+        tables = chance.randrange(3)
+        arrival = NewQuery(f"q{n}", group, router.now + 7 * SECOND, table_group=tables, cost=500)
+        router.on_query(router.now, arrival)
         q = router.queries[f"q{n}"]
         if chance.random() < 0.3:
             q.lot, q.lot_at = chance.choice(list(router.engines)), router.now
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,9 +6,18 @@
 import pytest
 from conftest import CATALOG, LOOKUP
 
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import (
+    SECOND,
+    AttemptEnded,
+    AttemptResult,
+    EndpointState,
+    Listing,
+    ListMode,
+    NewQuery,
+    Submit,
+)
+from hillchute.decision.scheduler import COLD_GRAINS, QueryScheduler
 from hillchute.decision.slow_start import COLD_SHARE, DRAWN, UNUSED, SlowStart
-from hillchute.decision.teamwork import COLD_GRAINS, SECOND, Teamwork
 
 FALL = CATALOG["guarantees.fall"]
 MULTIPLE = CATALOG["guarantees.tip_multiple"]
@@ -78,9 +87,11 @@
 
     def start(self, number, now):
         catalog = CATALOG | {"n_instances": self.told, "me": number}
-        router = Teamwork(self.chance.randrange(2**32), catalog, now)
-        listings = [Listing(e, 0, 0, 0, self.at, "Ready", 1.0) for e in range(1, self.engines + 1)]
-        router.roster(now, "Complete", listings)
+        router = QueryScheduler(self.chance.randrange(2**32), catalog, now)
+        listings = [
+            Listing(e, 0, 0, 0, self.at, EndpointState.READY, 1.0) for e in range(1, self.engines + 1)
+        ]
+        router.on_endpoint_list(now, ListMode.COMPLETE, listings)
         return router
 
     def take(self, number, now):
@@ -88,14 +99,14 @@
         router = self.routers[number]
         self.queries += 1
         name = f"{number}-{self.queries}"
-        router.take(now, name, LOOKUP, now + 7 * SECOND, cost=self.work)
-        while (decision := router.decide(now)) is not None:
-            if decision[0] == "submit":
-                self.sent[decision[2]].append(now)
+        router.on_query(now, NewQuery(name, LOOKUP, now + 7 * SECOND, cost=self.work))
+        while (decision := router.next_decision(now)) is not None:
+            if isinstance(decision, Submit):
+                self.sent[decision.engine].append(now)
                 # It comes back at once, as from a full engine: a retry must count like a query.
-                router.outcome(
-                    now, decision[1], len(router.queries[decision[1]].legs) - 1, "saturated", False, 1
-                )
+                attempt = len(router.queries[decision.query].attempts) - 1
+                ended = AttemptEnded(decision.query, attempt, AttemptResult.OVERLOADED, False, 1)
+                router.on_attempt_ended(now, ended)
 
     def play(self, length, rate, restart=False):
         """`rate`: queries a second of one router."""
@@ -144,8 +155,10 @@
     desk = make_desk(n_instances=1)
     desk.list(1, 2, 3, started=1)
     for e in desk.router.engines.values():
-        e.rest_until = 4 * FALL
-    waiting = [desk.take(LOOKUP, now=1 + n * 100, cost=300, due=30 * SECOND) for n in range(4 * FALL // 100)]
+        e.ejected_until = 4 * FALL
+    waiting = [
+        desk.take(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND) for n in range(4 * FALL // 100)
+    ]
     desk.verbs(4 * FALL - 1)
     drawn = sum(q.lot is not None for q in waiting)
     may_go = [q for q in waiting if any(desk.router.fits(e, q) for e in desk.router.engines.values())]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -39,7 +39,7 @@
         # An engine that refuses a connection is taken to have restarted: it gets little at first.
         assert last.answers() == ["served"] or fault.error == "ECONNREFUSED" and last.answers() == [1040]
         assert rig.service.door.listener is not None and not rig.log.faults()
-        blamed = [e.fails for e in rig.service.reducer.module.engines.values()]
+        blamed = [e.failures for e in rig.service.reducer.module.engines.values()]
         return system, first.ended, first.answers(), blamed
     finally:
         rig.close()
--- a/tests/test_teamwork.py
+++ b/tests/test_teamwork.py
@@ -3,25 +3,25 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT, WRITE
 
-from hillchute.decision.teamwork import SECOND
+from hillchute.decision.interface import SECOND, AttemptEnded, AttemptResult, Reject, Submit
 
 
 def engines_of(said, *queries):
     names = [q.id for q in queries]
-    return [d[2] for d in said if d[0] == "submit" and d[1] in names]
+    return [d.engine for d in said if isinstance(d, Submit) and d.query in names]
 
 
 def test_affinity_set_joins_the_leader_and_loads_go_alone(desk):
-    leader, other = desk.take(REPORT, tables=4), desk.take(REPORT, tables=5)
-    mate, load = desk.take(REPORT, tables=4), desk.take(LOAD, tables=4)
+    leader, other = desk.take(REPORT, table_group=4), desk.take(REPORT, table_group=5)
+    mate, load = desk.take(REPORT, table_group=4), desk.take(LOAD, table_group=4)
     desk.router.send_team()
-    sent = [d[1] for d in desk.router.planned if d[0] == "submit"]
+    sent = [d.query for d in desk.router.planned if isinstance(d, Submit)]
     assert sent == [leader.id, mate.id]
     assert list(desk.router.queue) == [other, load]
 
 
 def test_leader_returns_to_the_engine_that_last_ran_its_group(desk):
-    q = desk.take(REPORT, tables=4)
+    q = desk.take(REPORT, table_group=4)
     desk.router.home[4] = 3
     desk.router.send_team()
     assert engines_of(desk.router.planned, q) == [3]
@@ -29,7 +29,7 @@
 
 def test_bound_binds_only_under_pressure(desk):
     e, q = desk.router.engines[1], desk.take(REPORT)
-    e.threads, e.out = 8, 2
+    e.threads, e.open_attempts = 8, 2
     desk.router.held, desk.router.mine, desk.router.counted = 1.0, 8.0, True
     assert desk.router.room(e, q) == 2
     desk.router.read_report(e, {"queue": 2.0})
@@ -39,14 +39,14 @@
 def test_leader_waits_when_no_engine_is_eligible(desk):
     q = desk.take(REPORT)
     for e in desk.router.engines.values():
-        e.threads, e.out = 16, 4
+        e.threads, e.open_attempts = 16, 4
     desk.router.send_team()
     assert list(desk.router.queue) == [q]
 
 
 def test_dashboard_skips_the_queue_and_the_bound(desk):
     for e in desk.router.engines.values():
-        e.threads, e.out = 8, 2
+        e.threads, e.open_attempts = 8, 2
     waiting, q = desk.take(REPORT), desk.take(LOOKUP)
     desk.router.send_dashboards()
     desk.router.send_team()
@@ -56,17 +56,18 @@
 
 def test_dashboard_is_deferred_when_every_engine_is_crowded(desk):
     for e in desk.router.engines.values():
-        e.threads, e.out = 16, 4
+        e.threads, e.open_attempts = 16, 4
     q = desk.take(LOOKUP)
     desk.router.send_dashboards()
-    assert desk.router.planned[0][:2] == ("defer", q.id)
+    answer = desk.router.planned[0]
+    assert isinstance(answer, Reject) and answer.query == q.id
 
 
 def test_loads_and_the_queries_that_wait_for_them_keep_apart(make_desk):
     for tables in range(9):
         sides = []
         for desk in (make_desk(), make_desk()):
-            load, lookup = desk.take(LOAD, tables=tables), desk.take(LOOKUP, tables=tables)
+            load, lookup = desk.take(LOAD, table_group=tables), desk.take(LOOKUP, table_group=tables)
             sides.append([{e.id for e in desk.router.engines_for(q)} for q in (load, lookup)])
         assert not sides[0][0] & sides[0][1]
         assert sides[0] == sides[1]
@@ -75,18 +76,18 @@
 def test_room_counts_the_memory_that_reports_show(make_desk):
     desk = make_desk(domain__report_x0="share_of_memory_granted", domain__ram_of_kind_mb=1000.0)
     e = desk.router.engines[1]
-    e.out = 1
+    e.open_attempts = 1
     desk.router.read_report(e, {"inflight": 0.0, "x0": 0.5})
-    assert desk.router.room(e, desk.take(REPORT, memory=250.0)) == 2
+    assert desk.router.room(e, desk.take(REPORT, memory_mb=250.0)) == 2
     desk.router.read_report(e, {"inflight": 0.0, "x0": 0.8})
-    assert desk.router.room(e, desk.take(REPORT, memory=250.0)) == 0
+    assert desk.router.room(e, desk.take(REPORT, memory_mb=250.0)) == 0
 
 
 def test_queries_held_count_as_the_mean_width_of_the_work(desk):
     for group, cost in ((LOOKUP, 1000), (REPORT, 4000)):
         desk.router.submit(desk.take(group, cost=cost), desk.router.engines[2])
     desk.router.read_report(desk.router.engines[1], {"inflight": 4.0})
-    assert desk.router.engines[1].reported == 10
+    assert desk.router.engines[1].reported_threads == 10
 
 
 def test_unheard_engine_counts_as_average(desk):
@@ -98,8 +99,8 @@
 
 def test_dashboard_keeps_off_the_tables_a_load_holds(desk):
     desk.list(1, 2, 3, 4, 5, 6)
-    first, second, third = desk.router.engines_for(q := desk.take(LOOKUP, tables=4))
-    first.holds = second.holds = [4]
+    first, second, third = desk.router.engines_for(q := desk.take(LOOKUP, table_group=4))
+    first.running_loads = second.running_loads = [4]
     assert desk.router.engines_for(q) == [third]
 
 
@@ -107,40 +108,42 @@
     e = desk.router.engines[1]
     rests = []
     for sent in range(3):
-        desk.tried(LOOKUP, sent=sent, result="refused_conn")
-        rests.append(e.rest_until)
-    assert rests == sorted(set(rests)) and e.rest_until > desk.router.now
+        desk.tried(LOOKUP, sent=sent, result=AttemptResult.CONNECTION_REFUSED)
+        rests.append(e.ejected_until)
+    assert rests == sorted(set(rests)) and e.ejected_until > desk.router.now
 
 
 def test_all_that_goes_down_with_one_connection_is_one_failure(desk):
     for q in [desk.tried(LOOKUP) for _ in range(5)]:
-        desk.router.outcome(10, q.id, 0, "severed", False, 10)
-    assert desk.router.engines[1].rest_until == 0
+        desk.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.CONNECTION_LOST, False, 10))
+    assert desk.router.engines[1].ejected_until == 0
 
 
 def test_query_that_no_engine_can_run_rests_none_and_is_not_tried_for_ever(desk):
     for n in range(6):
-        q = desk.tried(LOOKUP, sent=n, result="errored")
-        desk.submit(q, 2, n, "errored")
+        q = desk.tried(LOOKUP, sent=n, result=AttemptResult.FAILED)
+        desk.submit(q, 2, n, AttemptResult.FAILED)
         assert not desk.router.may_run_again(q)
-    assert not any(e.rest_until for e in desk.router.engines.values())
+    assert not any(e.ejected_until for e in desk.router.engines.values())
 
 
 def test_engine_whose_errors_another_engine_can_run_rests(desk):
     for n in range(2):
-        q = desk.tried(LOOKUP, sent=n, result="errored")
-        desk.submit(q, 2, n, "finished")
-    assert desk.router.engines[1].rest_until > desk.router.now and desk.router.engines[2].rest_until == 0
+        q = desk.tried(LOOKUP, sent=n, result=AttemptResult.FAILED)
+        desk.submit(q, 2, n, AttemptResult.SERVED)
+    assert (
+        desk.router.engines[1].ejected_until > desk.router.now and desk.router.engines[2].ejected_until == 0
+    )
 
 
 def test_what_was_sent_since_the_report_and_has_ended_is_no_load(desk):
-    desk.router.probed(0, 1, "finished", {"inflight": 4})
+    desk.router.on_health_check(0, 1, AttemptResult.SERVED, {"inflight": 4})
     for n in range(6):
         q = desk.tried(LOOKUP, sent=0)
         desk.router.engines[1].sent.append((0, 1, 0.0))
         desk.router.engines[1].fresh += 1
         if n:
-            desk.router.outcome(10, q.id, 0, "finished", True, 10)
+            desk.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 10))
     assert desk.router.engines[1].since(0) == (1, 0.0)
 
 
@@ -179,7 +182,7 @@
 def test_jam_shows_before_its_first_answer_and_keeps_heavy_queries_out(desk):
     for _ in range(4):
         desk.tried(LOOKUP)
-        desk.router.recent.add(0, desk.router.queries[f"q{_}"].legs[0])
+        desk.router.recent.add(0, desk.router.queries[f"q{_}"].attempts[0])
     light, heavy = desk.take(REPORT, now=4000, cost=90), desk.take(REPORT, now=4000, cost=9000)
     assert desk.router.pace() == 4
     assert [desk.router.too_heavy(q) for q in (light, heavy)] == [False, True]
@@ -188,17 +191,17 @@
 def test_few_lost_answers_leave_the_pace(desk):
     for n in range(7):
         q = desk.tried(LOOKUP)
-        desk.router.recent.add(0, q.legs[0])
+        desk.router.recent.add(0, q.attempts[0])
         if n > 2:
-            desk.router.outcome(1000, q.id, 0, "finished", True, 1000)
+            desk.router.on_attempt_ended(1000, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 1000))
     desk.router.now = 3 * SECOND
     assert desk.router.pace() == 1
 
 
 def test_lone_broken_connection_says_nothing_of_the_engine(desk):
-    desk.tried(LOOKUP, result="severed")
-    assert desk.router.engines[1].rest_until == 0
-    assert not desk.router.engines[1].cold(desk.router.now)
+    desk.tried(LOOKUP, result=AttemptResult.CONNECTION_LOST)
+    assert desk.router.engines[1].ejected_until == 0
+    assert not desk.router.engines[1].is_warming_up(desk.router.now)
 
 
 def test_customer_over_its_share_is_held_to_lighter_queries(make_desk):
@@ -221,8 +224,8 @@
     waits = []
     for shortage in ("cut", "line_up"):
         desk = make_desk(limits__cancel=True, domain__on_shortage=shortage)
-        desk.router.submit(desk.take(REPORT, cost=8 * SECOND, due=60 * SECOND), desk.router.engines[1])
-        waits.append(desk.router.planned[-1][3])
+        desk.router.submit(desk.take(REPORT, cost=8 * SECOND, deadline=60 * SECOND), desk.router.engines[1])
+        waits.append(desk.router.planned[-1].time_limit)
     assert waits == [5 * SECOND, 12 * SECOND]
 
 
@@ -235,7 +238,7 @@
 
 def test_few_slow_submissions_at_a_quiet_router_do_not_give_up_a_query(desk):
     for _ in range(3):
-        desk.router.recent.add(0, desk.tried(LOOKUP).legs[0])
+        desk.router.recent.add(0, desk.tried(LOOKUP).attempts[0])
     desk.router.now = SECOND
     q = desk.take(REPORT, now=SECOND, cost=8000)
     assert desk.router.pace() == 10
@@ -244,9 +247,13 @@
 
 def test_load_that_would_stand_still_waits_in_line_and_holds_up_nobody(desk):
     desk.list(1, 2, 3, 4)
-    first, second, report = desk.take(LOAD, tables=4), desk.take(LOAD, tables=4), desk.take(REPORT, tables=5)
+    first, second, report = (
+        desk.take(LOAD, table_group=4),
+        desk.take(LOAD, table_group=4),
+        desk.take(REPORT, table_group=5),
+    )
     for e in desk.router.side(list(desk.router.engines.values()), first):
-        e.holds.append(4)
+        e.running_loads.append(4)
     said = desk.verbs()
     assert engines_of(said, report) and not engines_of(said, first, second)
     assert list(desk.router.behind[4]) == [first, second]
@@ -254,17 +261,17 @@
 
 def test_load_starts_when_the_one_before_it_ends(desk):
     desk.list(1, 2, 3, 4)
-    loads = [desk.take(LOAD, tables=4) for _ in range(3)]
-    out = [q for q in loads if engines_of(desk.verbs(), q) or q.legs]
+    loads = [desk.take(LOAD, table_group=4) for _ in range(3)]
+    out = [q for q in loads if engines_of(desk.verbs(), q) or q.attempts]
     assert len(out) == 1 and len(desk.router.behind[4]) == 2
-    desk.router.outcome(100, out[0].id, 0, "finished", True, 100)
+    desk.router.on_attempt_ended(100, AttemptEnded(out[0].id, 0, AttemptResult.SERVED, True, 100))
     assert engines_of(desk.verbs(100), *loads)
 
 
 def test_load_that_can_not_start_in_time_behind_others_is_answered_at_once(desk):
     desk.list(1, 2, 3, 4)
-    loads = [desk.take(LOAD, tables=4, cost=2 * SECOND, due=60 * SECOND) for _ in range(9)]
-    deferred = [d[1] for d in desk.verbs() if d[0] == "defer"]
+    loads = [desk.take(LOAD, table_group=4, cost=2 * SECOND, deadline=60 * SECOND) for _ in range(9)]
+    deferred = [d.query for d in desk.verbs() if isinstance(d, Reject)]
     assert loads[-1].id in deferred and loads[0].id not in deferred
 
 
@@ -273,24 +280,26 @@
     for me in range(2):
         desk = make_desk(me=me)
         desk.list(1, 2, 3, 4)
-        (e,) = desk.router.side(list(desk.router.engines.values()), desk.take(LOAD, tables=4))
+        (e,) = desk.router.side(list(desk.router.engines.values()), desk.take(LOAD, table_group=4))
         homes.add(e.id)
     assert len(homes) == 2
 
 
 def test_load_whose_turn_by_key_comes_too_late_is_answered_before_its_end(desk):
-    desk.take(LOAD, key="k", due=60 * SECOND)
-    late = desk.take(LOAD, key="k", due=60 * SECOND)
+    desk.take(LOAD, ordering_key="k", deadline=60 * SECOND)
+    late = desk.take(LOAD, ordering_key="k", deadline=60 * SECOND)
     desk.verbs()
-    assert ("defer", late.id) in [d[:2] for d in desk.verbs(desk.router.latest_start(late) + 1)]
+    assert late.id in [
+        d.query for d in desk.verbs(desk.router.latest_start(late) + 1) if isinstance(d, Reject)
+    ]
     assert late not in desk.router.lanes["k"].turn
 
 
 def test_closing_brings_every_end_forward(desk):
-    q = desk.take(REPORT, due=60 * SECOND)
+    q = desk.take(REPORT, deadline=60 * SECOND)
     desk.verbs()
-    desk.router.closing(0, SECOND)
-    assert ("defer", q.id) in [d[:2] for d in desk.verbs(SECOND - desk.router.margin)]
+    desk.router.on_shutdown(0, SECOND)
+    assert q.id in [d.query for d in desk.verbs(SECOND - desk.router.margin) if isinstance(d, Reject)]
 
 
 def test_query_that_holds_a_session_long_for_its_value_is_kept_out_when_sessions_run_short(make_desk):
@@ -307,7 +316,7 @@
 def test_pressure_counts_a_routers_own_work_once(desk):
     """A report counts ours too; what of it has ended since is gone, what began since takes its place."""
     router = desk.router
-    router.nearby(0, frozenset(router.engines))
+    router.on_subset(0, frozenset(router.engines))
     for e in router.engines.values():
         router.read_report(e, {"util": 1.4})
     q = desk.take(REPORT, cost=3000)
@@ -321,7 +330,7 @@
 
 def test_pressure_is_at_least_what_is_ours(desk):
     router = desk.router
-    router.nearby(0, frozenset(router.engines))
+    router.on_subset(0, frozenset(router.engines))
     for e in router.engines.values():
         router.read_report(e, {"util": 0.5})
     q = desk.take(REPORT, cost=3000)
