--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -1,116 +1,185 @@
-"""What a router knows of one engine, and the order in which routers see them. Nothing here decides."""
+"""What a router knows of engines, and the order in which all routers see them. Nothing here decides."""
 
 from bisect import bisect_left, insort
 from collections import deque
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from hillchute.decision.interface import Catalog, EndpointState, EngineId, Listing, Time
+from hillchute.decision.interface import EndpointState, EngineId, Listing, ListMode, Time
+from hillchute.settings import Settings
 
+NEVER: Time = -(10**9)  # before every time
 
-@dataclass(slots=True)
+
+@dataclass(slots=True, eq=False)
 class EngineState:
+    """One engine, as the endpoint list, its load reports and this router's own attempts show it."""
+
     id: EngineId
     kind: int = 0
     cell: int = 0
     zone: int = 0
     cores: int = 1
-    cold_from: float = 0.0
-    cold_for: Time = 0
-    ram: float = 0.0
+    memory_mb: float = 0.0  # that it has; 0: not stated
+    warm_up_share: float = 0.0  # of its cores' work that it does as it starts
+    warm_up_duration: Time = 0
     ready: bool = False
     gone: bool = False
-    started: Time = 0  # as told, or as guessed from broken connections
-    threads: int = 0  # of this router's submissions that are out
-    memory: float = 0.0
+    started: Time = 0  # as the list says, or as refused connections suggest
+    threads: int = 0  # of this router's open attempts
+    attempts_memory_mb: float = 0.0  # of this router's open attempts
     open_attempts: int = 0
     running_loads: list[int | None] = field(default_factory=list)  # their table groups; of this router
-    sent: deque = field(default_factory=deque)  # (time, threads) not yet in a report
-    fresh: int = 0  # threads in sent
-    fresh_memory: float = 0.0
-    reported_threads: float | None = None  # threads in use at the last report
-    memory_granted: float | None = None  # share of its memory granted at the last report
-    reported_at: Time = -(10**9)
-    probed_at: Time = -(10**9)
-    pressed_until: Time = 0
+    unreported: deque[tuple[Time, int, float]] = field(default_factory=deque)  # sent: time, threads, memory
+    unreported_threads: int = 0  # the sums of it
+    unreported_memory_mb: float = 0.0
+    reported_threads: float | None = None  # in use at the last report
+    memory_granted: float | None = None  # share of its memory at the last report
+    reported_at: Time = NEVER
+    checked_at: Time = NEVER
+    under_pressure_until: Time = 0
     failures: int = 0  # moments of failure in a row
     failed_at: Time = -1
     ejected_until: Time = 0
 
     def is_warming_up(self, now: Time) -> bool:
-        return self.started > 0 and now < self.started + self.cold_for
+        """Whether it has started of late."""
+        return self.started > 0 and now < self.started + self.warm_up_duration
 
     def usable_cores(self, now: Time) -> float:
-        """Cores that it is worth: how it warms is not told; evenly, at the slowest that is stated."""
+        """Cores that it is worth. How it warms up is not known: evenly, at the slowest that is stated."""
         if not self.is_warming_up(now):
             return self.cores
-        return self.cores * (self.cold_from + (1 - self.cold_from) * (now - self.started) / self.cold_for)
-
-    def listed(self, entry: Listing, catalog: Catalog) -> None:
-        def per_kind(name: str, default: float) -> float:
-            values = catalog.get(name, default)
-            return values[entry.kind] if isinstance(values, list) else values
-
-        self.kind, self.cell, self.zone = entry.kind, entry.cell, entry.zone
-        self.cores = per_kind("domain.kind_cores", 1)
-        self.cold_from, self.cold_for = (catalog.get(f"guarantees.{x}", 0) for x in ("cold_from", "cold"))
-        self.ram = per_kind("domain.ram_of_kind_mb", 0.0)
-        self.ready, self.gone = entry.state == EndpointState.READY, entry.state == EndpointState.GONE
-
-    def attempt_started(
-        self, now: Time, threads: int, memory: float, is_load: bool, table_group: int | None
-    ) -> None:
-        """An attempt that takes so many threads and megabytes goes out."""
+        warmed = (1 - self.warm_up_share) * (now - self.started) / self.warm_up_duration
+        return self.cores * (self.warm_up_share + warmed)
+
+    def update(self, listing: Listing, settings: Settings) -> None:
+        """The endpoint list names it."""
+        self.kind = listing.kind
+        self.cell = listing.cell
+        self.zone = listing.zone
+        kind = settings.engine_kind(listing.kind)
+        self.cores = kind.cores
+        self.memory_mb = kind.memory_mb
+        self.warm_up_share = settings.warm_up.initial_share
+        self.warm_up_duration = settings.warm_up.duration
+        self.ready = listing.state == EndpointState.READY
+        self.gone = listing.state == EndpointState.GONE
+
+    def attempt_started(self, now: Time, threads: int, memory_mb: float) -> None:
+        """An attempt of this router that takes so much goes out."""
         self.open_attempts += 1
         self.threads += threads
-        self.memory += memory
-        self.sent.append((now, threads, memory))
-        self.fresh += threads
-        self.fresh_memory += memory
-        if is_load:
-            self.running_loads.append(table_group)
-
-    def attempt_ended(self, threads: int, memory: float, is_load: bool, table_group: int | None) -> None:
-        """An attempt that took so many threads and megabytes is over."""
+        self.attempts_memory_mb += memory_mb
+        self.unreported.append((now, threads, memory_mb))
+        self.unreported_threads += threads
+        self.unreported_memory_mb += memory_mb
+
+    def attempt_ended(self, threads: int, memory_mb: float) -> None:
+        """An attempt of this router that took so much is over."""
         self.open_attempts -= 1
         self.threads -= threads
-        self.memory -= memory
-        if is_load:
-            self.running_loads.remove(table_group)
+        self.attempts_memory_mb -= memory_mb
 
-    def failed(self, now: Time) -> int:
-        """Counts a failure; those of one moment count once."""
-        self.failures, self.failed_at = self.failures + (now > self.failed_at), now
+    def count_failure(self, now: Time) -> int:
+        """Counts a failure; those of one moment count once. Failures in a row."""
+        self.failures += now > self.failed_at
+        self.failed_at = now
         return self.failures
 
-    def since(self, start: Time) -> tuple[int, float]:
-        """Threads and memory that this router has sent since then and that are still out."""
-        while self.sent and self.sent[0][0] < start:
-            _, threads, memory = self.sent.popleft()
-            self.fresh, self.fresh_memory = self.fresh - threads, self.fresh_memory - memory
-        return min(self.fresh, self.threads), min(self.fresh_memory, self.memory)
+    def sent_since(self, start: Time) -> tuple[int, float]:
+        """Threads and memory that this router has sent since then and that are still in use."""
+        while self.unreported and self.unreported[0][0] < start:
+            _, threads, memory_mb = self.unreported.popleft()
+            self.unreported_threads -= threads
+            self.unreported_memory_mb -= memory_mb
+        return (
+            min(self.unreported_threads, self.threads),
+            min(self.unreported_memory_mb, self.attempts_memory_mb),
+        )
 
 
 class EngineOrder:
-    """One order of engines by chance that all routers work out alike; a change moves no more than it must."""
+    """One order of engines by hash that all routers work out alike; a change moves no more than it must."""
+
+    __slots__ = ("_order", "_ranks")
 
     def __init__(self) -> None:
-        self.line: list[tuple[int, EngineId]] = []
-        self.marks: dict[EngineId, tuple[int, EngineId]] = {}
+        self._order: list[tuple[int, EngineId]] = []
+        self._ranks: dict[EngineId, tuple[int, EngineId]] = {}
 
     def __len__(self) -> int:
-        return len(self.line)
+        return len(self._order)
 
     def add(self, engine: EngineId) -> None:
-        if engine not in self.marks:
-            mark = self.marks[engine] = crc32(str(engine).encode()), engine
-            insort(self.line, mark)
+        """Adds an engine if it isn't there."""
+        if engine not in self._ranks:
+            rank = crc32(str(engine).encode()), engine
+            self._ranks[engine] = rank
+            insort(self._order, rank)
 
     def discard(self, engine: EngineId) -> None:
-        mark = self.marks.pop(engine, None)
-        if mark is not None:
-            del self.line[bisect_left(self.line, mark)]
-
-    def of(self, engine: EngineId) -> int:
-        """Its place, from 0."""
-        return bisect_left(self.line, self.marks[engine])
+        """Removes an engine if it is there."""
+        rank = self._ranks.pop(engine, None)
+        if rank is not None:
+            del self._order[bisect_left(self._order, rank)]
+
+    def position(self, engine: EngineId) -> int:
+        """The engine's position, from 0; KeyError if it isn't there."""
+        return bisect_left(self._order, self._ranks[engine])
+
+
+class EnginePool:
+    """The engines that this router knows, its subset of them, and its part of what routers share."""
+
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
+        self.engines: dict[EngineId, EngineState] = {}
+        self.order = EngineOrder()
+        self.warming_up: dict[EngineId, EngineState] = {}  # those that may be
+        self.leaving: dict[EngineId, EngineState] = {}  # gone with attempts open
+        self.subset: frozenset[EngineId] = frozenset()  # to be preferred
+        self.routers = settings.routers
+        self.shares: Mapping[str | EngineId, float] = {}  # of limits, by name or recovering engine
+
+    def update(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> list[EngineId]:
+        """Takes in the endpoint list or a change of it; the engines that are forgotten with it."""
+        changed: dict[EngineId, EngineState] = {}
+        for listing in listings:
+            engine = self.engines.setdefault(listing.engine, EngineState(listing.engine))
+            changed[listing.engine] = engine
+            engine.update(listing, self.settings)
+            if listing.started > engine.started:
+                engine.started = listing.started
+                engine.failures = 0
+                engine.ejected_until = now
+                engine.reported_threads = None
+        if mode != ListMode.PARTIAL:
+            for engine in self.engines.values():
+                if engine.id not in changed:
+                    engine.ready = False
+                    engine.gone = True
+                    changed[engine.id] = engine
+        return self._refile(now, changed.values())
+
+    def _refile(self, now: Time, changed: Iterable[EngineState]) -> list[EngineId]:
+        """What follows from the engines that have changed, without a look at all the others."""
+        for engine in changed:
+            if engine.gone:
+                self.leaving[engine.id] = engine
+            else:
+                self.leaving.pop(engine.id, None)
+                self.order.add(engine.id)
+            if engine.is_warming_up(now):
+                self.warming_up[engine.id] = engine
+        forgotten = [engine.id for engine in self.leaving.values() if not engine.open_attempts]
+        for engine_id in forgotten:  # new ids come all day
+            for engines in (self.engines, self.leaving, self.warming_up):
+                engines.pop(engine_id, None)
+            self.order.discard(engine_id)
+        return forgotten
+
+    def subset_engines(self) -> list[EngineState]:
+        """The engines of the subset that are known."""
+        return [engine for engine in map(self.engines.get, self.subset) if engine]
--- /dev/null
+++ b/hillchute/decision/reviews.py
@@ -0,0 +1,54 @@
+"""Reviews: queries whose time has come are answered if they can't be served any more, or tried again."""
+
+from hillchute.decision.admission import Admission
+from hillchute.decision.dispatch import Dispatcher
+from hillchute.decision.interface import Time
+from hillchute.decision.load_estimation import LoadEstimator
+from hillchute.decision.query_queues import QueryQueues
+from hillchute.decision.query_state import WAITING, QueryPlace, QueryState
+from hillchute.decision.retries import RetryPolicy
+
+
+class Reviews:
+    """Looks again at queries at their deadlines, after an attempt, and while they wait."""
+
+    def __init__(
+        self,
+        load: LoadEstimator,
+        retries: RetryPolicy,
+        admission: Admission,
+        queues: QueryQueues,
+        dispatcher: Dispatcher,
+    ) -> None:
+        self.load = load
+        self.retries = retries
+        self.admission = admission
+        self.queues = queues
+        self.dispatcher = dispatcher
+        self.planned = dispatcher.planned
+
+    def run(self, now: Time) -> None:
+        """Reviews what is due, until something is decided."""
+        reviews = self.queues.reviews
+        while reviews and reviews[0][0] <= now and not self.planned:
+            query = self.queues.next_review()
+            if query is not None:
+                self._review(now, query)
+
+    def _review(self, now: Time, query: QueryState) -> None:
+        if now >= query.deadline - self.dispatcher.answer_margin:
+            self.dispatcher.give_up(query, "its end")
+        elif query.place is QueryPlace.RETRYING:
+            if self._may_be_served_by_a_retry(now, query):
+                self.queues.enqueue(now, query, front=True)
+            else:
+                self.dispatcher.give_up(query, "tried")
+        elif query.place in WAITING and now >= self.load.latest_start(now, query):
+            self.dispatcher.give_up(query, "too late")
+        elif query.place in WAITING and self.admission.is_too_heavy(now, query):
+            self.dispatcher.give_up(query, "too heavy")
+
+    def _may_be_served_by_a_retry(self, now: Time, query: QueryState) -> bool:
+        if not self.retries.may_retry(now, query):
+            return False
+        return now + self.load.expected_runtime(now, query) < query.deadline
--- a/hillchute/router/telling.py
+++ b/hillchute/router/telling.py
@@ -28,7 +28,7 @@
 )
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.decision.slow_start import COLD_SHARE
-from hillchute.decision.statistics import TRAFFIC_SPAN, LightTraffic
+from hillchute.decision.statistics import TRAFFIC_SPAN, WorkWindow
 
 
 class Telling:
@@ -53,7 +53,7 @@
         self.reached: Callable[[], int] = lambda: 0  # the event that the list has reached
         self.until: Time = 0
         self.partnering = None  # where there are partners
-        self.work = LightTraffic(1 << 62, 0)  # of late, all of it: what this router wants of the pool
+        self.work = WorkWindow(0)  # of late, all of it: what this router wants of the pool
         self.asking: dict[QueryId, int] = {}  # the resource group of each query that is not answered
 
     def __getattr__(self, name: str) -> object:
--- /dev/null
+++ b/hillchute/settings.py
@@ -0,0 +1,232 @@
+"""The deployment's settings that decisions depend on, as one typed, frozen value.
+
+Built once by `Settings.from_catalog` from the plain map of dotted names that catalog.py makes. Durations
+are whole tenths of a millisecond. A setting that is absent has the default stated here and nowhere else.
+"""
+
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any
+
+Catalog = Mapping[str, object]
+
+TENANT_KEY = re.compile(r"parties\.(\d+)\.")
+UNLIMITED = 10**9  # sessions of a router for which no limit is stated
+
+
+class Effect(Enum):
+    """What a query does to the data, and so when it may be repeated; the values are the catalog's words."""
+
+    READ_ONLY = "read-only"
+    IDEMPOTENT = "tokened"  # with an idempotency key
+    NON_IDEMPOTENT = "mutating"
+
+
+class DeduplicationScope(Enum):
+    """Engines that drop a repeat of an idempotency key that one of them has seen."""
+
+    CELL = "cell"
+    ZONE = "zone"
+    ALL = "all"
+
+
+@dataclass(frozen=True, slots=True)
+class EngineKind:
+    """One kind of machine."""
+
+    cores: int = 1
+    memory_mb: float = 0.0  # 0: not stated
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TenantSettings:
+    """One customer's agreed part of the traffic."""
+
+    fraction: float | None = None  # of all queries
+    quota_per_s: float | None = None  # queries a second, over all routers
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ResourceGroupSettings:
+    """One resource group."""
+
+    number: int
+    target_runtime: int = 0  # latency objective: this, and the stretch times the time that it takes alone
+    target_stretch: float = 0.0
+    effect: Effect = Effect.NON_IDEMPOTENT
+    deduplication: DeduplicationScope = DeduplicationScope.CELL
+    deduplication_window: int = 0  # for which engines remember an idempotency key
+    threads: int = 1  # that a query of the group uses on its engine
+    weight: float = 1.0  # priority weight: what an answer in time is worth
+    is_load: bool = False  # loads of one table group stand still behind each other on an engine
+    waits_for_loads: bool = False  # stands still behind a load of its table group on the same engine
+    keeps_order: bool = False  # queries of one key run one after another
+    zones: frozenset[int] | None = None  # where it may run; None: everywhere
+    kinds: frozenset[int] | None = None
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class WarmUpSettings:
+    """How an engine recovers after a start."""
+
+    duration: int = 0
+    initial_share: float = 0  # of its cores' work that it does as it starts
+    budget_window: int = 0
+    budget_multiple: float = (
+        0  # work within a window, over what it can do, that overloads it while it warms up
+    )
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RetrySettings:
+    """Limits on further attempts."""
+
+    most_attempts: int = 1  # of one query
+    budget_window: int = 0  # over which retries are rationed; 0: they are not
+    budget_minimum: float = 0  # retries in a window that are always allowed
+    budget_share: float = 0  # retries allowed beyond them, as a share of the queries of the window
+    order_pause: int = 0  # a key rests so long after an attempt that may still run
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Settings:
+    """All settings that decisions depend on."""
+
+    router: int = 0  # this router's number
+    routers: int = 1
+    tick: int = 0  # of the caller's clock
+    sessions: int = UNLIMITED
+    groups: tuple[ResourceGroupSettings, ...] = ()
+    tenants: Mapping[int, TenantSettings]
+    engine_kinds: tuple[EngineKind, ...] = (EngineKind(),)
+    one_engine_kind: bool = True  # the first kind's figures hold for all kinds
+    warm_up: WarmUpSettings
+    retries: RetrySettings
+    health_checks: bool = False  # load reports come by health checks alone, and these may be sent
+    health_check_cost: float = 0  # over the value of a served query
+    report_columns: frozenset[str] = frozenset()
+    memory_column: str | None = None  # report column with the share of the memory granted
+    disk_column: str | None = None  # report column with the share of the disks busy
+    queues_for_memory: bool = False  # attempts wait on the engine for memory, none is cut short
+    priorities: bool = False  # engines heed priorities
+    cancels: bool = False  # an attempt that is given up frees its engine
+    retry_after: int = 0  # that rejected clients are told to wait; 0: nothing is told
+    watches_on_request: bool = False  # the endpoint list comes only when it is asked for
+
+    def engine_kind(self, kind: int) -> EngineKind:
+        """The kind of machine with a number; IndexError if there is none."""
+        return self.engine_kinds[0 if self.one_engine_kind else kind]
+
+    @property
+    def fewest_cores(self) -> int:
+        """Of any kind of machine."""
+        return min(kind.cores for kind in self.engine_kinds)
+
+    @classmethod
+    def from_catalog(cls, catalog: Catalog) -> "Settings":
+        """Reads the plain map of dotted names; ValueError for an effect or scope that is not known."""
+        values: Mapping[str, Any] = catalog
+        kinds, one_kind = _engine_kinds(values)
+        report_columns = values.get("report.columns", ())
+        if isinstance(report_columns, str):
+            report_columns = [report_columns]
+        columns = {
+            values.get(f"domain.report_{column}"): column
+            for column in ("x0", "x1")
+            if values.get(f"domain.report_{column}")
+        }
+        limit = values.get("limits.retry_after") and values.get("limits.max_retry_after")
+        return cls(
+            router=values.get("me", 0),
+            routers=max(1, values.get("n_instances", 1)),
+            tick=values.get("tick", 0),
+            sessions=values.get("sessions") or UNLIMITED,
+            groups=tuple(_resource_group(values, n) for n in range(values.get("groups.count", 0))),
+            tenants=_tenants(values),
+            engine_kinds=kinds,
+            one_engine_kind=one_kind,
+            warm_up=WarmUpSettings(
+                duration=values.get("guarantees.cold", 0),
+                initial_share=values.get("guarantees.cold_from", 0),
+                budget_window=values.get("guarantees.fall", 0),
+                budget_multiple=values.get("guarantees.tip_multiple", 0),
+            ),
+            retries=RetrySettings(
+                most_attempts=values.get("limits.most_tries", 1),
+                budget_window=values.get("guarantees.look_back") or 0,
+                budget_minimum=values.get("guarantees.min_extra", 0),
+                budget_share=values.get("guarantees.extra_share", 0),
+                order_pause=values.get("guarantees.order_pause", 0),
+            ),
+            health_checks=values.get("report.via") == "probe" and bool(values.get("limits.probes", False)),
+            health_check_cost=values.get("costs.probe", 0),
+            report_columns=frozenset(report_columns),
+            memory_column=columns.get("share_of_memory_granted"),
+            disk_column=columns.get("share_of_disks_busy"),
+            queues_for_memory=values.get("domain.on_shortage") == "line_up",
+            priorities=values.get("domain.ranks_heeded", False),
+            cancels=values.get("limits.cancel", False),
+            retry_after=limit or 0,
+            watches_on_request=values.get("discovery") == "on_request",
+        )
+
+
+def _engine_kinds(values: Mapping[str, Any]) -> tuple[tuple[EngineKind, ...], bool]:
+    """The kinds of machines, and whether one stands for all: each figure is one number or a list by kind."""
+    cores = values.get("domain.kind_cores", 1)
+    memory = values.get("domain.ram_of_kind_mb", 0.0)
+    lengths = [len(figure) for figure in (cores, memory) if isinstance(figure, list)]
+    kinds = tuple(
+        EngineKind(
+            cores[kind] if isinstance(cores, list) else cores,
+            memory[kind] if isinstance(memory, list) else memory,
+        )
+        for kind in range(min(lengths, default=1))
+    )
+    return kinds, not lengths
+
+
+def _tenants(values: Mapping[str, Any]) -> dict[int, TenantSettings]:
+    numbers = {int(found[1]) for found in map(TENANT_KEY.match, values) if found}
+    return {
+        number: TenantSettings(
+            fraction=values.get(f"parties.{number}.fraction"),
+            quota_per_s=values.get(f"parties.{number}.quota_per_s"),
+        )
+        for number in numbers
+    }
+
+
+def _resource_group(values: Mapping[str, Any], number: int) -> ResourceGroupSettings:
+    def own(name: str, default: Any) -> Any:
+        return values.get(f"groups.{number}.{name}", default)
+
+    def of_the_list(name: str, default: Any) -> Any:
+        """This group's entry of a list by group; a lone value is that of the first group."""
+        listed = values.get(name, default)
+        listed = listed if isinstance(listed, list) else [listed]
+        return listed[number] if number < len(listed) else default
+
+    def restricted_to(name: str) -> frozenset[int] | None:
+        allowed = own(name, None)
+        if allowed is None:
+            return None
+        return frozenset(allowed if isinstance(allowed, list) else [allowed])
+
+    return ResourceGroupSettings(
+        number=number,
+        target_runtime=own("target_runtime", 0),
+        target_stretch=own("target_stretch", 0.0),
+        effect=Effect(own("effect", "mutating")),
+        deduplication=DeduplicationScope(own("repeats_dropped_by", "cell")),
+        deduplication_window=own("window", 0),
+        threads=of_the_list("domain.width_by_group", 1),
+        weight=own("value", 1.0) or 1.0,
+        is_load=of_the_list("domain.group_load", False),
+        waits_for_loads=of_the_list("domain.yields_to_loads", False),
+        keeps_order=own("keep_order", False),
+        zones=restricted_to("runs_in"),
+        kinds=restricted_to("runs_on"),
+    )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
     ListMode,
     NewQuery,
 )
-from hillchute.decision.query_state import Attempt
+from hillchute.decision.query_state import Attempt, QueryPlace
 from hillchute.decision.scheduler import QueryScheduler
 
 LOOKUP, REPORT, LOAD, WRITE = range(4)
@@ -69,19 +69,19 @@
     def tried(self, group, engine=1, sent=0, result=None, **known):
         """A query with one submission behind it, in no line."""
         q = self.take(group, **known)
-        for line in (self.router.queue, self.router.dash):
+        for line in (self.router.queues.teams, self.router.queues.dashboards):
             if q in line:
                 line.remove(q)
-        q.place = "out"
+        q.place = QueryPlace.RUNNING
         self.submit(q, engine, sent, result)
         return q
 
     def submit(self, q, engine, sent=0, result=None):
         """One more submission of a query, with its ending if there is one."""
-        q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.group.width))
+        q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.threads))
         e = self.router.engines[engine]
-        e.open_attempts, e.threads = e.open_attempts + 1, e.threads + q.group.width
-        if q.group.is_load:
+        e.open_attempts, e.threads = e.open_attempts + 1, e.threads + q.threads
+        if q.group.settings.is_load:
             e.running_loads.append(q.table_group)
         if result:
             self.router.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -195,13 +195,13 @@
     ]
     reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
     reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
-    assert reducer.module.near == Sight(7, 200).near(range(80)) != frozenset()
-    gone = min(reducer.module.near)
+    assert reducer.module.pool.subset == Sight(7, 200).near(range(80)) != frozenset()
+    gone = min(reducer.module.pool.subset)
     listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
     reducer.reduce(
         events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
-    assert reducer.module.near == Sight(7, 200).near(n for n in range(80) if n != gone)
+    assert reducer.module.pool.subset == Sight(7, 200).near(n for n in range(80) if n != gone)
 
 
 # ---- their use in the module ------------------------------------------------------------------------
@@ -215,7 +215,7 @@
 def drawn(desk, group=REPORT, **known):
     q = desk.take(group, **known)
     desk.verbs()
-    return q.drawn or (q.attempts and q.attempts[-1].engine)
+    return q.checked_engine or (q.attempts and q.attempts[-1].engine)
 
 
 def test_engines_in_sight_are_drawn_first(sighted):
@@ -232,7 +232,7 @@
         router.on_health_check(
             0, 2, AttemptResult.SERVED, {"inflight": 8 * 2}
         )  # past the knee, short of what keeps heavy queries out
-        router.held = 1.0
+        router.load.mean_load = 1.0
     elif state == "resting":
         e.ejected_until = 10 * SECOND
     elif state == "gone":
@@ -244,14 +244,14 @@
 
 def test_home_of_a_table_group_stays_home_outside_the_sight(sighted):
     sighted.router.on_subset(0, frozenset({2}))
-    sighted.router.home[4] = 3
+    sighted.router.placement.affinity[4] = 3
     assert drawn(sighted, table_group=4) == 3
 
 
 def test_query_looks_where_the_price_is_small_beside_its_own_value(make_desk):
     for price, group, looks in [(0.0086, LOOKUP, 1), (0.08, LOOKUP, 0), (0.08, REPORT, 1)]:
         desk = make_desk(report__via="probe", limits__probes=True, costs__probe=price)
-        desk.router.worth, desk.router.probe_credit = 1.7, -9
+        desk.router.admission.mean_weight, desk.router.health_checks.credit = 1.7, -9
         desk.take(group, cost=1)
         said = desk.verbs()
         assert len([d for d in said if isinstance(d, HealthCheck)]) == looks
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -99,8 +99,8 @@
 def test_query_looks_at_the_engine_it_has_drawn(probing):
     q = probing.take(LOOKUP)
     said = probing.verbs()
-    assert q.drawn in probes(said) and not [d for d in said if isinstance(d, Submit)]
-    drawn = q.drawn
+    assert q.checked_engine in probes(said) and not [d for d in said if isinstance(d, Submit)]
+    drawn = q.checked_engine
     probing.router.on_health_check(5, drawn, AttemptResult.SERVED, {"inflight": 3})
     assert (q.id, drawn) in [(d.query, d.engine) for d in probing.verbs(5) if isinstance(d, Submit)]
 
@@ -108,19 +108,19 @@
 def test_crowded_engine_is_passed_over_and_looked_at_once(probing):
     q = probing.take(LOOKUP)
     probing.verbs()
-    first = q.drawn
+    first = q.checked_engine
     probing.router.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
     probing.verbs(5)
-    assert q.drawn not in (None, first) and q.crowded == 1
+    assert q.checked_engine not in (None, first) and q.crowded_checks == 1
 
 
 def test_engine_that_does_not_answer_the_look_is_left_alone(probing):
     q = probing.take(LOOKUP)
     probing.verbs()
-    first = q.drawn
+    first = q.checked_engine
     assert not [d for d in probing.verbs(999) if isinstance(d, Submit)]
     probing.verbs(1000)
-    assert q.drawn not in (None, first)
+    assert q.checked_engine not in (None, first)
 
 
 def test_dashboard_goes_nowhere_when_all_that_it_sees_is_full(probing):
@@ -128,7 +128,7 @@
     said, now = probing.verbs(), 0
     while not [d for d in said if isinstance(d, Submit | Reject)]:
         now += 10
-        probing.router.on_health_check(now, q.drawn, AttemptResult.SERVED, {"inflight": 60})
+        probing.router.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
         said = probing.verbs(now)
     assert q.id in [d.query for d in said if isinstance(d, Reject)]
 
@@ -142,10 +142,13 @@
 
 def test_crowd_is_remembered_for_as_long_as_it_stays(desk):
     crowded, idle, _ = desk.router.engines.values()
-    desk.router.held, desk.router.now = 1.0, 2 * SECOND
+    desk.router.load.mean_load, desk.router.now = 1.0, 2 * SECOND
     crowded.reported_threads, idle.reported_threads = 8 * 8, 2
     crowded.reported_at = idle.reported_at = 0
-    assert desk.router.known(crowded) > 0.8 and desk.router.known(idle) == 0.25
+    assert (
+        desk.router.load.report_weight(desk.router.now, crowded) > 0.8
+        and desk.router.load.report_weight(desk.router.now, idle) == 0.25
+    )
 
 
 def test_unreached_engine_is_not_taken_for_one_that_starts(desk):
@@ -221,10 +224,10 @@
     """A look would cost a probe and a tenth of a second, and find what the mean of the others says."""
     probing.take(LOOKUP)
     probing.verbs()
-    probing.router.held = 3.1  # threads a core, over the bound and a half
+    probing.router.load.mean_load = 3.1  # threads a core, over the bound and a half
     q = probing.take(LOOKUP, cost=1)
     assert Reject(q.id, 0, "crowd") in probing.verbs()
-    assert q.drawn is None
+    assert q.checked_engine is None
 
 
 # ---- what is known of the engines that a query may use --------------------------------------------
@@ -243,23 +246,25 @@
 def test_query_is_too_heavy_for_the_crowd_where_it_may_go_not_for_the_mean_of_all(half_cold):
     router = half_cold.router
     bound, lucky = half_cold.take(REPORT, now=20), half_cold.take(REPORT, now=20)
-    bound.lot, lucky.lot = None, 2
+    bound.permit_engine, lucky.permit_engine = None, 2
     for q in (bound, lucky):
-        q.cost = 1.2 * (q.group.usual * q.group.value * router.price) ** 0.5
-    router.held = 1.5  # the mean over all would let both in
-    assert [router.too_heavy(q) for q in (bound, lucky)] == [True, False]
+        q.cost = (
+            1.2 * (q.group.mean_cost * q.group.settings.weight * router.admission.mean_cost_per_weight) ** 0.5
+        )
+    router.load.mean_load = 1.5  # the mean over all would let both in
+    assert [router.admission.is_too_heavy(router.now, q) for q in (bound, lucky)] == [True, False]
 
 
 def test_query_goes_to_the_cold_engine_of_its_lot_without_a_look(probing):
     probing.list(2, mode=ListMode.PARTIAL, started=10)
     q = probing.take(LOOKUP, now=20)
-    q.lot = 2
+    q.permit_engine = 2
     said = probing.verbs(20)
     assert (q.id, 2) in [(d.query, d.engine) for d in said if isinstance(d, Submit)]
     other = probing.take(LOOKUP, now=20)
-    other.lot = None
+    other.permit_engine = None
     probing.verbs(20)
-    assert other.drawn in (1, 3)  # a warm one that was not heard of is looked at
+    assert other.checked_engine in (1, 3)  # a warm one that was not heard of is looked at
 
 
 def test_probes_go_to_the_engine_in_sight_that_was_heard_of_longest_ago(probing):
@@ -267,11 +272,11 @@
     router.on_subset(0, frozenset({1, 2}))
     for engine, at in ((1, 9000), (2, 5000), (3, 0)):
         router.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
-    router.probe_credit, router.probe_at = 3, 0
+    router.health_checks.credit, router.health_checks.next_check = 3, 0
     asked = probes(probing.verbs(10_000))
     assert asked == [2]  # 3 is out of sight, 1 was heard of just now
     router.on_load_report(13_500, 2, {"inflight": 0}, age=100)
-    router.probe_credit, router.probe_at = 3, 0
+    router.health_checks.credit, router.health_checks.next_check = 3, 0
     assert probes(probing.verbs(14_000)) == [1]
 
 
@@ -300,11 +305,13 @@
     router = desk.router
     for _ in range(3):
         desk.take(LOOKUP)
-    assert router.over_share(0)  # three in a second, where one of four routers has one
+    assert router.admission.is_over_share(
+        router.now, 0
+    )  # three in a second, where one of four routers has one
     router.on_subset(0, frozenset(), 4, {"parties.0": 0.9, "cold": 0.25})
-    assert not router.over_share(0)
+    assert not router.admission.is_over_share(router.now, 0)
     router.on_subset(0, frozenset(), 2, {"parties.0": 0.1})
-    assert router.over_share(0) and router.routers == 2
+    assert router.admission.is_over_share(router.now, 0) and router.pool.routers == 2
 
 
 def test_part_of_the_cold_budget_says_how_many_lots_are_drawn(make_desk):
@@ -314,5 +321,5 @@
         desk.list(2, 3, mode=ListMode.PARTIAL, started=1)
         desk.router.on_subset(1, frozenset({1, 2, 3}), 10, {"cold": part})
         taken = [desk.take(LOOKUP, now=1 + n * 400) for n in range(200)]
-        drawn.append(sum(q.lot is not None for q in taken))
+        drawn.append(sum(q.permit_engine is not None for q in taken))
     assert drawn[0] * 4 < drawn[1]
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -5,8 +5,8 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT
 
+from hillchute.decision.admission import MOST_LATE
 from hillchute.decision.interface import SECOND
-from hillchute.decision.scheduler import MOST_LATE
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
 from hillchute.net.system import SYSTEM
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -240,11 +240,12 @@
 
 
 def test_queries_taken_and_turned_away_are_counted_by_their_group(told):
-    told.module.groups.append(replace(told.module.groups[0], number=1))
+    group = told.module.groups[0]
+    told.module.groups.append(replace(group, settings=replace(group.settings, number=1)))
     for n, group in enumerate((0, 1, 1)):
         told.on_query(10, NewQuery(f"q{n}", group, 90_000, 1, 0, 100, 0.0, None))
     told.module.planned.clear()
-    told.module.give_up(told.module.queries["q1"], "crowd")
+    told.module.dispatcher.give_up(told.module.queries["q1"], "crowd")
     answer = told.next_decision(10)
     assert isinstance(answer, Reject) and answer.query == "q1"
     told.on_client_left(10, "q0")
@@ -253,8 +254,8 @@
 
 
 def test_module_hears_how_many_routers_live_and_its_parts(told):
-    assert told.module.routers == 3 and told.module.near == {1, 2, 3}
-    assert 0 < told.module.shares["cold"] <= 0.25
+    assert told.module.pool.routers == 3 and told.module.pool.subset == {1, 2, 3}
+    assert 0 < told.module.pool.shares["cold"] <= 0.25
 
 
 def test_report_that_comes_here_is_told_and_one_heard_of_is_not(told):
@@ -285,14 +286,14 @@
     limit = told.company.quotas.limits["cold"]
     told.clock_of[0] += 10 * SECOND
     told.stand(100)
-    own = told.module.shares["cold"]
+    own = told.module.pool.shares["cold"]
     now = told.clock_of[0]
     limit.held["r1"] = Held(1, now, 100_000, 100_000, now + SPAN)
     told.stand(100)
-    assert told.module.shares["cold"] > own
+    assert told.module.pool.shares["cold"] > own
     told.clock_of[0] += SPAN  # the process stands still as long as the loan lasts, and wakes in a decision
     told.next_decision(100)
-    assert told.module.shares["cold"] == own
+    assert told.module.pool.shares["cold"] == own
 
 
 def test_switched_off_nothing_of_it_is_imported():
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -452,7 +452,8 @@
 
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
     line = rig.sent(patience=SECOND)
-    effects = rig.do(events.Tick(), SECOND - lateness.Lateness().margin(SECOND) - rig.reducer.module.margin)
+    margin = lateness.Lateness().margin(SECOND) + rig.reducer.module.answer_margin
+    effects = rig.do(events.Tick(), SECOND - margin)
     assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, events.Send)]
     assert [type(e) for e in effects if isinstance(e, events.Defer | events.Kill)] == [events.Defer]
     assert not rig.say(line, "ACK", now=SECOND, kind=events.Finish)
@@ -517,7 +518,7 @@
 def test_closing_answers_everything_by_its_end(rig):
     rig.sent(patience=9 * SECOND)
     rig.do(events.Closing(2 * SECOND), SECOND)
-    done = rig.do(events.Tick(), 2 * SECOND - rig.reducer.module.margin, events.Defer)
+    done = rig.do(events.Tick(), 2 * SECOND - rig.reducer.module.answer_margin, events.Defer)
     assert [e.session for e in done] == [1]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
     desk.list(1, 2, 3, state=EndpointState.DRAINING)
     q = desk.take(WRITE, deadline=2 * SECOND)
     desk.verbs(0)
-    at = 2 * SECOND - desk.router.margin
+    at = 2 * SECOND - desk.router.answer_margin
     answers = [d for d in desk.verbs(at) if not isinstance(d, Wake)]
     assert [(type(d), d.query) for d in answers] == [(Reject, q.id)]
     assert q.id not in desk.router.queries
@@ -57,34 +57,36 @@
 )
 def test_no_effect_happens_twice(desk, group, result, again, defer):
     q = desk.tried(group, result=result)
-    assert desk.router.may_run_again(q) is again
-    assert desk.router.may_defer(q) is defer
+    assert desk.router.retries.may_retry(desk.router.now, q) is again
+    assert desk.router.retries.may_reject(q) is defer
 
 
 def test_tokened_query_rests_with_its_window(desk):
     q = desk.tried(LOAD, result=AttemptResult.TIMED_OUT)
-    desk.router.now = q.group.window - 1
-    assert not desk.router.may_run_again(q)
+    desk.router.now = q.group.settings.deduplication_window - 1
+    assert not desk.router.retries.may_retry(desk.router.now, q)
 
 
 @pytest.mark.parametrize("group, allowed", [("zone", [1]), ("cell", [1])])
 def test_tokened_query_stays_where_repeats_are_dropped(make_desk, group, allowed):
     desk = make_desk(groups__2__repeats_dropped_by=group)
     q = desk.tried(LOAD, result=AttemptResult.TIMED_OUT)
-    assert [e.id for e in desk.router.engines.values() if desk.router.allowed(e, q)] == allowed
-    assert not desk.router.may_defer(q)
+    assert [
+        e.id for e in desk.router.engines.values() if desk.router.placement.may_send(desk.router.now, e, q)
+    ] == allowed
+    assert not desk.router.retries.may_reject(q)
 
 
 def test_one_submission_at_a_time(make_desk):
     desk = make_desk(limits__may_duplicate=True)
-    assert not desk.router.may_run_again(desk.tried(LOOKUP))
+    assert not desk.router.retries.may_retry(desk.router.now, desk.tried(LOOKUP))
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_drained_engine_gets_nothing_new(desk, state):
     e = desk.router.engines[1]
     desk.list(1, mode=ListMode.PARTIAL, state=state)
-    assert not desk.router.allowed(e, desk.take(LOOKUP))
+    assert not desk.router.placement.may_send(desk.router.now, e, desk.take(LOOKUP))
 
 
 def test_engine_missing_from_a_complete_list_is_gone(desk):
@@ -96,11 +98,11 @@
 def test_cold_engine_is_closed_without_a_lot(desk):
     desk.list(1, mode=ListMode.PARTIAL, started=1)
     e, q = desk.router.engines[1], desk.take(LOOKUP)
-    assert not desk.router.allowed(e, q)
-    q.lot = 1
-    assert desk.router.allowed(e, q)
-    q.lot, desk.router.now = None, 10 * SECOND + 1
-    assert desk.router.allowed(e, q)
+    assert not desk.router.placement.may_send(desk.router.now, e, q)
+    q.permit_engine = 1
+    assert desk.router.placement.may_send(desk.router.now, e, q)
+    q.permit_engine, desk.router.now = None, 10 * SECOND + 1
+    assert desk.router.placement.may_send(desk.router.now, e, q)
 
 
 def test_key_order_waits_for_the_outcome_and_the_rest(desk):
@@ -124,25 +126,27 @@
 def test_bound_group_keeps_its_place(make_desk):
     desk = make_desk(groups__0__runs_in=[1], groups__0__runs_on=[0])
     q = desk.take(LOOKUP)
-    assert [e.id for e in desk.router.engines.values() if desk.router.allowed(e, q)] == [2]
+    assert [
+        e.id for e in desk.router.engines.values() if desk.router.placement.may_send(desk.router.now, e, q)
+    ] == [2]
 
 
 def test_further_submissions_stay_in_the_stated_budget(make_desk):
     desk = make_desk(guarantees__look_back=SECOND, guarantees__min_extra=1, guarantees__extra_share=0.5)
     desk.take(LOOKUP)
     desk.tried(LOOKUP, result=AttemptResult.CONNECTION_LOST)
-    desk.router.extras.append(0)
-    assert desk.router.ration_left()
-    desk.router.extras.append(0)
-    assert not desk.router.ration_left()
+    desk.router.retries.retries.append(0)
+    assert desk.router.retries.has_budget(desk.router.now)
+    desk.router.retries.retries.append(0)
+    assert not desk.router.retries.has_budget(desk.router.now)
 
 
 def test_budget_is_checked_again_when_the_query_goes_out(make_desk):
     desk = make_desk(guarantees__look_back=SECOND, guarantees__min_extra=9, guarantees__extra_share=0.5)
     q = desk.tried(LOOKUP, result=AttemptResult.TIMED_OUT)
-    assert desk.router.allowed(desk.router.engines[2], q)
-    desk.router.extras.extend([0] * 10)
-    assert not desk.router.allowed(desk.router.engines[2], q)
+    assert desk.router.placement.may_send(desk.router.now, desk.router.engines[2], q)
+    desk.router.retries.retries.extend([0] * 10)
+    assert not desk.router.placement.may_send(desk.router.now, desk.router.engines[2], q)
 
 
 def test_query_whose_turn_comes_too_late_is_answered_and_the_next_one_starts(desk):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,6 +19,7 @@
     NewQuery,
     Submit,
 )
+from hillchute.decision.placement import Placement
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.lab import deployment
@@ -45,14 +46,14 @@
 def looked_at(engines, monkeypatch):
     """Engines that are looked at for a query, in the mean of some hundreds that are served at once."""
     router, looks = among(engines), [0]
-    fits = QueryScheduler.fits
+    fits = Placement.is_eligible
 
-    def counted(self, e, q):
+    def counted(self, now, e, q):
         looks[0] += 1
-        return fits(self, e, q)
+        return fits(self, now, e, q)
 
     with monkeypatch.context() as patch:
-        patch.setattr(QueryScheduler, "fits", counted)
+        patch.setattr(Placement, "is_eligible", counted)
         for n in range(300):
             now = n * 500
             router.on_query(now, NewQuery(f"q{n}", n % 2, now + 7 * SECOND, table_group=n % 40, cost=2000))
@@ -75,16 +76,16 @@
     sight = Sight(7, 200)
     sight.near(range(3_200))
     placed = []
-    add = type(router.places).add
-    monkeypatch.setattr(type(router.places), "add", lambda self, e: placed.append(e) or add(self, e))
+    add = type(router.pool.order).add
+    monkeypatch.setattr(type(router.pool.order), "add", lambda self, e: placed.append(e) or add(self, e))
     ready = set(range(3_200))
     for n in range(1_000):
         gone, come = listing(n, EndpointState.GONE), listing(10_000 + n)
         router.on_endpoint_list(n, ListMode.PARTIAL, [gone, come])
         ready = ready - {n} | {10_000 + n}
         router.on_subset(n, sight.near(ready))
-    assert len(placed) == 1_000 and len(router.engines) == len(router.places) == 3_200
-    assert {router.places.of(e) for e in router.engines} == set(range(3_200))
+    assert len(placed) == 1_000 and len(router.engines) == len(router.pool.order) == 3_200
+    assert {router.pool.order.position(e) for e in router.engines} == set(range(3_200))
 
 
 def connects(engines):
@@ -135,10 +136,19 @@
 
 def plainly(router, q, free, home, silent):
     """The same choice as a rule over all engines, one after another."""
-    engines = [e for e in router.engines_for(q) if free(e)]
+    engines = [e for e in router.placement.eligible_engines(router.now, q) if free(e)]
     engines = [e for e in engines if e is not silent] or engines
-    wanted = {q.lot} if q.lot is not None else {*router.near, *([home.id] if home else [])}
-    near = [e for e in engines if e.id in wanted and (router.stale(e) or router.calm(e))]
+    wanted = (
+        {q.permit_engine}
+        if q.permit_engine is not None
+        else {*router.pool.subset, *([home.id] if home else [])}
+    )
+    near = [
+        e
+        for e in engines
+        if e.id in wanted
+        and (router.health_checks.is_stale(router.now, e) or router.load.is_calm(router.now, e))
+    ]
     return {e.id for e in near or engines}
 
 
@@ -148,7 +158,7 @@
     probes = {"report.via": "probe", "limits.probes": chance.random() < 0.5, "report.columns": ["inflight"]}
     router = among(chance.choice([3, 12, 60]), chance.choice([1, 4, 200]), **probes)
     router.now = 20 * SECOND
-    router.held = chance.uniform(0, 2)
+    router.load.mean_load = chance.uniform(0, 2)
     for e in router.engines.values():
         e.reported_threads, e.reported_at = chance.uniform(0, 30), router.now - chance.randrange(3 * SECOND)
         e.ejected_until = router.now + 1 if chance.random() < 0.2 else 0
@@ -163,9 +173,9 @@
         router.on_query(router.now, arrival)
         q = router.queries[f"q{n}"]
         if chance.random() < 0.3:
-            q.lot, q.lot_at = chance.choice(list(router.engines)), router.now
+            q.permit_engine, q.permit_at = chance.choice(list(router.engines)), router.now
         engines = list(router.engines.values())
         home, silent = (chance.choice([None, *engines]) for _ in range(2))
         spare = {e.id for e in engines if chance.random() < 0.7}
         about = q, lambda e, spare=spare: e.id in spare, home, silent
-        assert {e.id for e in router.choice(*about)} == plainly(router, *about)
+        assert {e.id for e in router.health_checks.candidates(router.now, *about)} == plainly(router, *about)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -16,8 +16,14 @@
     NewQuery,
     Submit,
 )
-from hillchute.decision.scheduler import COLD_GRAINS, QueryScheduler
-from hillchute.decision.slow_start import COLD_SHARE, DRAWN, UNUSED, SlowStart
+from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.slow_start import (
+    COLD_SHARE,
+    FEWEST_QUERIES,
+    PERMIT_WINDOWS,
+    UNUSED_WINDOWS,
+    PermitLedger,
+)
 
 FALL = CATALOG["guarantees.fall"]
 MULTIPLE = CATALOG["guarantees.tip_multiple"]
@@ -28,7 +34,7 @@
 # quiet time, when the permits that nobody has used yet go with those of the window.
 ON_AND_ON = [0.5, 1.0, 2.0]
 AFTER_QUIET = [0.5, 1.0, 1.25]
-FIRST_WINDOW = 1 + UNUSED + DRAWN
+FIRST_WINDOW = 1 + UNUSED_WINDOWS + PERMIT_WINDOWS
 ALLOWED = [1, 2, 3, 5, 8, 13, 21, 29, 30, 31, 50, 100, 300, 1_000, 10_000]
 
 
@@ -136,8 +142,8 @@
 @pytest.mark.parametrize("allowed", [16, 29, 30, 100])
 @pytest.mark.parametrize("restart", [False, True], ids=["steady", "restarting"])
 def test_no_fleet_breaks_the_budget_with_engines_that_start_at_once(routers, rate, allowed, restart):
-    """An engine that may get fewer than COLD_GRAINS queries gets none of them: see Light.most."""
-    assert allowed >= COLD_GRAINS
+    """An engine that may get fewer than FEWEST_QUERIES queries gets none of them: see Light.most."""
+    assert allowed >= FEWEST_QUERIES
     fleet = Fleet(routers, routers, 5, allowed, seed=routers * 1000 + allowed)
     fleet.play(4 * SECOND, rate, restart)
     assert 0 < fleet.most() <= budget(allowed)
@@ -160,20 +166,24 @@
         desk.take(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND) for n in range(4 * FALL // 100)
     ]
     desk.verbs(4 * FALL - 1)
-    drawn = sum(q.lot is not None for q in waiting)
-    may_go = [q for q in waiting if any(desk.router.fits(e, q) for e in desk.router.engines.values())]
+    drawn = sum(q.permit_engine is not None for q in waiting)
+    may_go = [
+        q
+        for q in waiting
+        if any(desk.router.placement.is_eligible(desk.router.now, e, q) for e in desk.router.engines.values())
+    ]
     assert drawn > 2 * len(may_go) > 0
 
 
 def test_queries_too_heavy_for_the_budget_are_not_sent_there_at_all():
-    for allowed in (1, 4, COLD_GRAINS - 1):
+    for allowed in (1, 4, FEWEST_QUERIES - 1):
         fleet = Fleet(3, 3, 2, allowed, seed=allowed)
         fleet.play(4 * SECOND, 40)
         assert fleet.most() == 0
 
 
 def test_simulation_finds_routers_that_do_not_part_the_budget(monkeypatch):
-    monkeypatch.setattr(SlowStart, "draw", lambda *about: 1)
+    monkeypatch.setattr(PermitLedger, "draw", lambda *about: 1)
     fleet = Fleet(40, 40, 5, 30, seed=1)
     fleet.play(4 * SECOND, 10)
     assert fleet.most() > ceil(budget(30))
