--- /dev/null
+++ b/tests/test_stored_files.py
@@ -0,0 +1,176 @@
+"""Files that an earlier version left on a disk, read and gone on with by this one.
+
+data/history-v1.sqlite and data/signatures-v1.txt were written once, by `write_files` below, with the code as
+it stood before it was renamed. They are what an upgraded router finds, and are never written anew.
+"""
+
+import json
+import shutil
+import sqlite3
+import sys
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from hillchute.history.disk import Disk
+from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Record
+from hillchute.partners.kept import MarksFile, key_in
+
+DATA = Path(__file__).parent / "data"
+HISTORY, SIGNATURES = "history-v1.sqlite", "signatures-v1.txt"
+
+
+def record(key: str, token: str, number: int, state: int, rows: bytes | None, title: int) -> Record:
+    return Record(
+        customer="customer-\u00e4",
+        key=key,
+        token=token,
+        taken=17_000_000_000_000 + number,
+        place=number + 1,
+        attempt=number + 2,
+        owner=f"router-{number}",
+        life=1_700_000_000_000 + number,
+        claim=number + 3,
+        patience=number + 4,
+        state=state,
+        rows=rows,
+        title=title,
+    )
+
+
+# By customer, key and token: the record, and the Unix time since when it is kept.
+RECORDS = {
+    ("customer-\u00e4", "key-1", "token-1"): (
+        record("key-1", "token-1", 10, OUT, None, 0),
+        17_000_000_000_101,
+    ),
+    ("customer-\u00e4", "key-1", "token-2"): (
+        record("key-1", "token-2", 20, FREED, None, 5),
+        17_000_000_000_102,
+    ),
+    ("customer-\u00e4", "key-2", "token-1"): (
+        record("key-2", "token-1", 30, FINISHED, b"\x00rows\xff\n", 6),
+        17_000_000_000_103,
+    ),
+    ("customer-\u00e4", "key-2", ""): (record("key-2", "", 40, FINISHED, None, 7), 17_000_000_000_104),
+    ("customer-\u00e4", "", "token-1"): (record("", "token-1", 50, KILLED, b"", 8), 17_000_000_000_105),
+}
+# By an agreement's number, the digest that was signed. That of 613 is the digest of a whole agreement.
+AGREEMENT = "partners/signed-digest of agreement"
+SIGNED = {
+    612: bytes(range(32)),
+    613: bytes.fromhex(json.loads((DATA / "recorded_bytes.json").read_text())[AGREEMENT]),
+    9_007_199_254_740_991: bytes(range(255, 223, -1)),
+}
+
+
+def write_files(folder: Path) -> None:
+    """How the files were made; nothing runs this but `python tests/test_stored_files.py FOLDER`."""
+    disk = Disk(folder / HISTORY)
+    for name, (written, since) in RECORDS.items():
+        assert disk.write({name: written}, {name: since})
+    disk.close()
+    signatures = MarksFile(folder / SIGNATURES)
+    for number, digest in SIGNED.items():
+        assert signatures.save(number, digest)
+
+
+@pytest.fixture
+def history(tmp_path):
+    return Path(shutil.copy(DATA / HISTORY, tmp_path))
+
+
+@pytest.fixture
+def signatures(tmp_path):
+    return Path(shutil.copy(DATA / SIGNATURES, tmp_path))
+
+
+def rows(path: Path) -> list[tuple]:
+    database = sqlite3.connect(path)
+    found = database.execute("SELECT customer, key, token, since, body FROM records").fetchall()
+    database.close()
+    return found
+
+
+def test_stored_history_is_whole_in_one_file():
+    assert sorted(path.name for path in DATA.glob(HISTORY + "*")) == [HISTORY]
+    assert (DATA / HISTORY).stat().st_size <= 16_384
+
+
+def test_stored_history_is_read(history):
+    disk = Disk(history)
+    found = {written.name: (written, since) for written, since in disk.read()}
+    assert found == RECORDS
+    assert disk.counts["unreadable"] == 0 and not disk.faults()
+    disk.close()
+
+
+def test_stored_history_is_gone_on_with(history):
+    disk = Disk(history)
+    first, second, *others = RECORDS
+    changed = msgspec.structs.replace(RECORDS[first][0], state=KILLED)
+    assert disk.write({first: changed, second: None}, {first: 17_000_000_000_999})
+    disk.close()
+    disk = Disk(history)
+    found = {written.name: (written, since) for written, since in disk.read()}
+    assert found == {
+        first: (changed, 17_000_000_000_999),
+        **{name: RECORDS[name] for name in others},
+    }
+    disk.close()
+
+
+def test_history_is_written_as_it_was(tmp_path, history):
+    """A router of the earlier version reads what this one writes, after a downgrade."""
+    disk = Disk(tmp_path / "new.sqlite")
+    assert disk.write(
+        {name: written for name, (written, _) in RECORDS.items()},
+        {name: since for name, (_, since) in RECORDS.items()},
+    )
+    disk.close()
+    assert rows(tmp_path / "new.sqlite") == rows(history)
+    schemas = []
+    for path in (tmp_path / "new.sqlite", history):
+        database = sqlite3.connect(path)
+        schemas.append(database.execute("SELECT type, name, tbl_name, sql FROM sqlite_master").fetchall())
+        assert database.execute("PRAGMA user_version").fetchone() == (1,)
+        database.close()
+    assert schemas[0] == schemas[1]
+
+
+def test_stored_signatures_are_read(signatures):
+    before = signatures.read_bytes()
+    assert MarksFile(signatures).marked == SIGNED
+    assert list(MarksFile(signatures).marked) == [612, 613, 9_007_199_254_740_991]
+    assert signatures.read_bytes() == before
+
+
+def test_stored_signatures_are_gone_on_with(signatures):
+    before = signatures.read_bytes()
+    assert MarksFile(signatures).save(614, b"\xab" * 32)
+    assert signatures.read_bytes() == before + b"614 " + b"ab" * 32 + b"\n"
+    assert MarksFile(signatures).marked == {**SIGNED, 614: b"\xab" * 32}
+
+
+def test_stored_signatures_with_a_torn_last_line_are_read_without_it(signatures):
+    before = signatures.read_bytes()
+    signatures.write_bytes(before + b"614 abab")
+    assert MarksFile(signatures).marked == SIGNED
+    assert signatures.read_bytes() == before
+
+
+def test_signatures_are_written_as_they_were(tmp_path, signatures):
+    file = MarksFile(tmp_path / "new")
+    for number, digest in SIGNED.items():
+        assert file.save(number, digest)
+    assert (tmp_path / "new").read_bytes() == signatures.read_bytes()
+
+
+def test_stored_signing_key_is_read(tmp_path):
+    (tmp_path / "key").write_text("000102030405060708090A0B0C0D0E0F101112131415161718191a1b1c1d1e1f\n")
+    assert key_in(tmp_path / "key") == bytes(range(32))
+
+
+if __name__ == "__main__":
+    write_files(Path(sys.argv[1]))
