--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -24,6 +24,8 @@
 
 
 class KnownRed(NamedTuple):
+    """One line of the file: a test's pytest id, why it fails, and the issue that is to mend it."""
+
     test: str
     cause: str
     issue: str
@@ -34,6 +36,7 @@
 
 
 def read(root: Path) -> list[KnownRed]:
+    """The tests that the file under `root` lists; raises KnownRedFileError where it can't be used."""
     path = root / FILE
     if not path.exists():
         return []
@@ -71,10 +74,11 @@
 
 
 def run(root: Path) -> int:
+    """Runs the listed tests, then all others; gives the exit code, 0 if only listed tests failed."""
     try:
         listed = read(root)
-    except KnownRedFileError as fault:
-        print(fault)
+    except KnownRedFileError as error:
+        print(error)
         return 2
     green = []
     for known in listed:
