--- a/hillchute/accord/company.py
+++ b/hillchute/accord/company.py
@@ -258,9 +258,9 @@
     # ---- what follows ---------------------------------------------------------------------------------
 
     def room(self, now: Time, engine: EngineId, tips: float, span: Time) -> float:
-        """Core time that may still go to an engine that warms, by what is known of all that has. Lots
-        (slow_start.draw_permit) keep the sum in the mean, also where nothing is heard; this closes what chance
-        has let past."""
+        """Core time that may still go to an engine that warms, by what is known of all that has. Permits
+        (slow_start.draw_permit) keep the sum in the mean, also where nothing is heard; this closes what
+        chance has let past."""
         sent = self.sent.get(engine, deque())
         while sent and sent[0][0] <= now - span:
             sent.popleft()
--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -14,7 +14,7 @@
     HealthCheck,
     Listing,
     Reject,
-    SetPriority,
+    SetTerms,
     Submit,
     Wake,
     WatchEndpoints,
@@ -140,8 +140,8 @@
             return f"FINISH_ERROR {query}"
         case Cancel(query, attempt):
             return f"RETRACT {query} {attempt}"
-        case SetPriority(query, priority):
-            return f"SET_TERMS {query} 0 {priority}"  # 0 megabytes: the engine's own figure stands
+        case SetTerms(query, memory_mb, priority):
+            return f"SET_TERMS {query} {memory_mb:g} {priority}"
         case HealthCheck(engine):
             return f"ASK_LOAD {engine}"
         case WatchEndpoints():
--- a/hillchute/decision/dispatch.py
+++ b/hillchute/decision/dispatch.py
@@ -9,7 +9,7 @@
     Decision,
     Fail,
     Reject,
-    SetPriority,
+    SetTerms,
     Submit,
     Time,
 )
@@ -86,7 +86,7 @@
             priority = HIGHEST_PRIORITY - 2
         else:
             priority = 0
-        self.planned.append(SetPriority(query.id, priority))
+        self.planned.append(SetTerms(query.id, 0, priority))
 
     def give_up(self, query: QueryState, reason: str) -> None:
         """Answers a query without a result; `reason` is for the log alone."""
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -117,10 +117,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetPriority:
-    """Give the query this priority in the engines' queues; higher runs first."""
+class SetTerms:
+    """On which terms engines take the query: how much memory, and its priority; higher runs first."""
 
     query: QueryId
+    memory_mb: float  # 0: the engine's own figure stands
     priority: int
 
 
@@ -169,7 +170,7 @@
     name: str
 
 
-Decision: TypeAlias = Submit | SetPriority | Reject | Fail | Cancel | HealthCheck | WatchEndpoints | Wake
+Decision: TypeAlias = Submit | SetTerms | Reject | Fail | Cancel | HealthCheck | WatchEndpoints | Wake
 
 
 class Scheduler(Protocol):
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -21,7 +21,7 @@
     Reject,
     Report,
     Scheduler,
-    SetPriority,
+    SetTerms,
     Submit,
     Time,
     Wake,
@@ -142,7 +142,7 @@
         match decision:
             case Submit(id, engine, within):
                 self.submit(self.queries[id], engine, within)
-            case SetPriority(id, rank):
+            case SetTerms(id, _, rank):
                 self.set_rank(self.queries[id], rank)
             case Reject(id, after, why):
                 self.answer(self.queries[id], Defer(self.queries[id].session, after), "deferred", why)
--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -23,7 +23,18 @@
 
 import pytest
 
-from hillchute.decision.teamwork import Teamwork
+from hillchute.decision.interface import (
+    Cancel,
+    Decision,
+    Fail,
+    HealthCheck,
+    Reject,
+    SetTerms,
+    Submit,
+    Wake,
+    WatchEndpoints,
+)
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.lab import plays, slowloop
 from hillchute.lab.many import Many
 
@@ -32,8 +43,8 @@
 # The position of a reason stands for it, so that it can be reworded: never reorder this.
 REASONS = ("its end", "tried", "too late", "too heavy", "crowd", "line of loads")
 
-# Settings under which the fleet also cancels, sets priorities, sends clients a time to come back after, asks for
-# the endpoints, has queries that must not run twice and limits its retries.
+# Settings under which the fleet also cancels, sets priorities, sends clients a time to come back after, asks
+# for the endpoints, has queries that must not run twice and limits its retries.
 STRICT = {
     "discovery": "on_request",
     "limits.cancel": True,
@@ -57,27 +68,27 @@
 ROUTERS, ENGINES, LOAD = 8, 6, 0.9
 
 
-def canonical(decision: tuple) -> str:
+def canonical(decision: Decision) -> str:
     """A decision's kind and values as text. The only function here that knows how a decision is represented.
 
     Left out are the name of a wake-up call and the wording of a reason.
     """
     match decision:
-        case ("submit", query, engine, timeout):
+        case Submit(query, engine, timeout):
             return f"submit {query} engine={engine} timeout={timeout}"
-        case ("defer", query, retry_after, reason):
+        case Reject(query, retry_after, reason):
             return f"reject {query} retry_after={retry_after} reason={REASONS.index(reason)}"
-        case ("kill", query, reason):
+        case Fail(query, reason):
             return f"fail {query} reason={REASONS.index(reason)}"
-        case ("cancel", query, attempt):
+        case Cancel(query, attempt):
             return f"cancel {query} attempt={attempt}"
-        case ("probe", engine):
+        case HealthCheck(engine):
             return f"health_check engine={engine}"
-        case ("watch",):
+        case WatchEndpoints():
             return "watch_endpoints"
-        case ("wake", at, _):
+        case Wake(at, _):
             return f"wake at={at}"
-        case ("terms", query, megabytes, priority):
+        case SetTerms(query, megabytes, priority):
             return f"set_priority {query} megabytes={megabytes} priority={priority}"
     raise AssertionError(f"no canonical text for {decision!r}")
 
@@ -90,19 +101,19 @@
     """
     trace: list[str] = []
     numbers: dict[int, int] = {}
-    seen: list[Teamwork] = []  # kept alive, so that no id() is used twice
-    decide = Teamwork.decide
+    seen: list[QueryScheduler] = []  # kept alive, so that no id() is used twice
+    next_decision = QueryScheduler.next_decision
 
-    def decide_and_record(scheduler: Teamwork, now: int) -> tuple | None:
+    def decide_and_record(scheduler: QueryScheduler, now: int) -> Decision | None:
         if id(scheduler) not in numbers:
             numbers[id(scheduler)] = len(seen)
             seen.append(scheduler)
-        decision = decide(scheduler, now)
+        decision = next_decision(scheduler, now)
         if decision is not None:
             trace.append(f"{now} {numbers[id(scheduler)]} {canonical(decision)}")
         return decision
 
-    with patch.object(Teamwork, "decide", decide_and_record):
+    with patch.object(QueryScheduler, "next_decision", decide_and_record):
         yield trace
 
 
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -23,7 +23,18 @@
 from hillchute.accord import codec as gossip
 from hillchute.accord import quotas, signals
 from hillchute.benchlink import codec as simulator
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import (
+    Cancel,
+    Decision,
+    Fail,
+    HealthCheck,
+    Listing,
+    Reject,
+    SetTerms,
+    Submit,
+    Wake,
+    WatchEndpoints,
+)
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
@@ -472,15 +483,15 @@
 
 def simulator_examples() -> Iterator[Example]:
     for name, decision in (
-        ("submit", ("submit", "query-1", 711, 712)),
-        ("reject", ("defer", "query-2", 713, "a reason")),
-        ("fail", ("kill", "query-3", "a reason")),
-        ("cancel", ("cancel", "query-4", 714)),
-        ("set-terms", ("terms", "query-5", 715.25, 716)),
-        ("set-terms, whole megabytes", ("terms", "query-5", 717.0, 0)),
-        ("health-check", ("probe", 718)),
-        ("watch", ("watch",)),
-        ("timer", ("wake", 719, "a-name")),
+        ("submit", Submit(query="query-1", engine=711, time_limit=712)),
+        ("reject", Reject(query="query-2", retry_after=713, reason="a reason")),
+        ("fail", Fail(query="query-3", reason="a reason")),
+        ("cancel", Cancel(query="query-4", attempt=714)),
+        ("set-terms", SetTerms(query="query-5", memory_mb=715.25, priority=716)),
+        ("set-terms, whole megabytes", SetTerms(query="query-5", memory_mb=717.0, priority=0)),
+        ("health-check", HealthCheck(engine=718)),
+        ("watch", WatchEndpoints()),
+        ("timer", Wake(at=719, name="a-name")),
     ):
         yield Example(f"simulator/{name}", decision, lambda value: simulator.encode(value).encode())
 
@@ -605,11 +616,11 @@
     return {reason: (code, reason) for code, reason in kinds if hasattr(code, "value")}
 
 
-def simulator_verbs() -> set[str]:
-    """The verbs that the codec has a line for."""
+def simulator_decisions() -> set[str]:
+    """The kinds of decisions that the codec has a line for."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(simulator.encode)))
-    values = (node.value for node in ast.walk(tree) if isinstance(node, ast.MatchValue))
-    return {value.value for value in values if isinstance(value, ast.Constant)}
+    classes = (node.cls for node in ast.walk(tree) if isinstance(node, ast.MatchClass))
+    return {found.id for found in classes if isinstance(found, ast.Name)}
 
 
 EXAMPLES += [
@@ -690,8 +701,9 @@
 
 
 def test_each_decision_on_the_simulator_s_wire_has_an_example():
-    assert {value[0] for value in example_values("simulator/")} == simulator_verbs()
-    assert len(simulator_verbs()) == 8
+    assert {type(value).__name__ for value in example_values("simulator/")} == simulator_decisions()
+    assert simulator_decisions() == {kind.__name__ for kind in get_args(Decision)}
+    assert len(simulator_decisions()) == 8
 
 
 def test_each_kind_of_error_to_clients_has_an_example():
