--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("allowed", [16, 29, 30, 100])
 @pytest.mark.parametrize("restart", [False, True], ids=["steady", "restarting"])
 def test_no_fleet_breaks_the_budget_with_engines_that_start_at_once(routers, rate, allowed, restart):
-    """An engine that may get fewer than FEWEST_QUERIES queries gets none of them: see Light.most."""
+    """An engine that may get fewer than FEWEST_QUERIES queries gets none of them: see SlowStart.heaviest."""
     assert allowed >= FEWEST_QUERIES
     fleet = Fleet(routers, routers, 5, allowed, seed=routers * 1000 + allowed)
     fleet.play(4 * SECOND, rate, restart)
