--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -32,8 +32,8 @@
 # The position of a reason stands for it, so that it can be reworded: never reorder this.
 REASONS = ("its end", "tried", "too late", "too heavy", "crowd", "line of loads")
 
-# Settings under which the fleet also cancels, sets priorities, sends clients a time to come back after, asks for
-# the endpoints, has queries that must not run twice and limits its retries.
+# Settings under which the fleet also cancels, sets priorities, sends clients a time to come back after, asks
+# for the endpoints, has queries that must not run twice and limits its retries.
 STRICT = {
     "discovery": "on_request",
     "limits.cancel": True,
