--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -110,6 +110,11 @@
     plays.run(Many(seed, ROUTERS, ENGINES, LOAD, form=form, **settings), play)
 
 
+def play_few_routers(play: str, seed: int) -> None:
+    """Fewer routers than half the engines, and too many queries: loads wait behind other loads."""
+    plays.run(Many(seed, 2, 4, 1.5, **LOADS), play)
+
+
 def fleet_cases() -> dict[str, Callable[[], object]]:
     cases = {}
     for seed, play in enumerate(plays.PLAYS, 1):
@@ -117,6 +122,7 @@
             cases[f"{form}-{play}-{seed}"] = partial(play_fleet, form, play, seed)
         cases[f"strict-{play}-{seed}"] = partial(play_fleet, "alone", play, seed, **STRICT)
         cases[f"loads-{play}-{seed}"] = partial(play_fleet, "subset", play, seed, **LOADS)
+        cases[f"few_routers-{play}-{seed}"] = partial(play_few_routers, play, seed)
     return cases
 
 
