--- a/hillchute/accord/codec.py
+++ b/hillchute/accord/codec.py
@@ -10,7 +10,7 @@
 
 from hillchute.accord.quotas import SPAN, Ask, Grant, Want, Word
 from hillchute.accord.signals import FIGURES, Drain, Ill, Load, News, Spent, Turned
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 MOST = {"loads": 64, "ills": 32, "drains": 32, "spent": 16, "turned": 16, "wants": 8, "asks": 8, "grants": 8}
 NAME = 64  # characters of a limit's name
@@ -54,15 +54,15 @@
 
 
 def decode(data: bytes, sender: str) -> Parcel:
-    """The parcel; raises DatagramDropped with the field that is out of its bounds."""
+    """The parcel; raises InvalidDatagramError with the field that is out of its bounds."""
     if not data:
         return Parcel()
     try:
         found = decoder.decode(data)
     except msgspec.DecodeError as fault:
-        raise DatagramDropped(f"load: {fault}", sender) from None
+        raise InvalidDatagramError(f"load: {fault}", sender) from None
     if fault := unfit(found):
-        raise DatagramDropped(f"load: {fault}", sender)
+        raise InvalidDatagramError(f"load: {fault}", sender)
     return found
 
 
--- a/hillchute/accord/company.py
+++ b/hillchute/accord/company.py
@@ -161,7 +161,7 @@
 
     def heard(self, now: Time, sender: str, data: bytes) -> None:
         """A parcel that its sender marked; what of it is news to the module waits in `fresh`. Raises
-        DatagramDropped for what can't be read, of which nothing counts."""
+        InvalidDatagramError for what can't be read, of which nothing counts."""
         parcel = codec.decode(data, sender)
         fresh = self.signals.heard(now, sender, parcel.news)
         (self.unlike.discard if parcel.edition == self.edition else self.unlike.add)(sender)
--- a/hillchute/cli/commands.py
+++ b/hillchute/cli/commands.py
@@ -54,11 +54,11 @@
         Also list every field with what it may be.
     """
     from hillchute.operator import reading
-    from hillchute.operator.records import BadRecord
+    from hillchute.operator.records import OperatorFileError
 
     try:
         settings = reading.read(file)
-    except BadRecord as fault:
+    except OperatorFileError as fault:
         if json:
             show({"file": str(file), "faults": str(fault).split("\n")})
         else:
--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -10,23 +10,29 @@
 
     remedy = ""
 
-    def __init__(self, what: str, where: str = "") -> None:
-        super().__init__(f"{where}: {what}" if where else what)
-        self.what, self.where = what, where
+    def __init__(self, detail: str, location: str = "") -> None:
+        super().__init__(f"{location}: {detail}" if location else detail)
+        self.detail = detail
+        self.location = location
 
     @property
-    def told(self) -> dict[str, str]:
-        """As the log has it."""
-        return {"error": type(self).__name__, "what": self.what, "where": self.where, "remedy": self.remedy}
+    def log_fields(self) -> dict[str, str]:
+        """The fields that the structured log has for this error."""
+        return {
+            "error": type(self).__name__,
+            "what": self.detail,
+            "where": self.location,
+            "remedy": self.remedy,
+        }
 
 
-class BadConfiguration(HillchuteError):
+class ConfigurationError(HillchuteError):
     """The platform's configuration can't be used; `where` is the key, by its full path."""
 
     remedy = "mend that key in the file that EDGE_CONFIG names, then start again or send SIGHUP"
 
 
-class AcceptPaused(HillchuteError):
+class AcceptPausedError(HillchuteError):
     """New connections can't be accepted for want of descriptors or memory; `where` is the address. They
     wait with the kernel, and are accepted once there is room again."""
 
@@ -36,7 +42,7 @@
     )
 
 
-class BadRecord(HillchuteError, ValueError):
+class OperatorFileError(HillchuteError, ValueError):
     """An operator file can't be used: all faults of it, one a line: file:line: path: expected ..., got ..."""
 
     remedy = (
@@ -45,7 +51,7 @@
     )
 
 
-class BusUnreadable(HillchuteError):
+class EventBusProtocolError(HillchuteError):
     """The event bus says what its protocol does not know."""
 
     remedy = (
@@ -54,7 +60,7 @@
     )
 
 
-class UnknownKind(HillchuteError):
+class UnknownEngineKindError(HillchuteError):
     """The event bus lists an engine of a kind that the settings do not name; `where` is the engine. It
     gets no queries."""
 
@@ -63,7 +69,7 @@
     )
 
 
-class DatagramDropped(HillchuteError):
+class InvalidDatagramError(HillchuteError):
     """A datagram between routers that can't be believed; `where` is the peer, if the mark was its own."""
 
     remedy = (
@@ -71,19 +77,19 @@
     )
 
 
-class PeersNotReachable(HillchuteError):
+class PeerListenError(HillchuteError):
     """The address for other routers can't be had; `where` is the address."""
 
     remedy = "give `peers.listen` an address of this machine that no other program holds, UDP and TCP"
 
 
-class ListsDiffer(HillchuteError):
+class PeerListMismatchError(HillchuteError):
     """Another router was named other routers than this one; `where` is its name."""
 
     remedy = "give all routers the same names under `peers`, then send SIGHUP; until then no parts are lent"
 
 
-class ClockBehind(HillchuteError):
+class ClockBehindError(HillchuteError):
     """Other routers know a later start of this one: its wall clock was set back before it started. They
     believe nothing of it, and it shares nothing with them; it serves as a router alone. `where` is its
     name."""
@@ -91,7 +97,7 @@
     remedy = "set this machine's clock right, then restart the router"
 
 
-class BookNotCurrent(HillchuteError):
+class StalePoliciesError(HillchuteError):
     """A holder of the answer history has not applied the last policies; `where` is its name."""
 
     remedy = (
@@ -100,13 +106,13 @@
     )
 
 
-class BookNotTaken(HillchuteError):
+class PoliciesRejectedError(HillchuteError):
     """Policies of the answer history that are not later than those which hold; `where` is the field."""
 
     remedy = "raise `history.number` above the number that holds, then send SIGHUP"
 
 
-class DiskNotUsable(HillchuteError):
+class HistoryStorageError(HillchuteError):
     """The answer history's disk can't be written or read; `where` is the file. Queries whose policy wants the
     disk are deferred; what it holds is answered from again once it is mended."""
 
@@ -116,7 +122,7 @@
     )
 
 
-class MarksNotKept(HillchuteError):
+class SignatureJournalError(HillchuteError):
     """The file of what a partner has marked can't be read or written; `where` is the file."""
 
     remedy = (
@@ -125,7 +131,7 @@
     )
 
 
-class PartnerBroke(HillchuteError):
+class PartnerEquivocationError(HillchuteError):
     """A partner has marked two texts for one number; `where` is its name. Its part goes to the others."""
 
     remedy = (
@@ -135,7 +141,7 @@
     )
 
 
-class TextNotTaken(HillchuteError):
+class InvalidAgreementError(HillchuteError):
     """A text between partners that can't be agreed to; `where` is the field or the partner."""
 
     remedy = "compare `partners.offer` of all partners; make a new offer with a higher turn, then send SIGHUP"
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -14,7 +14,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines import words
-from hillchute.errors import AcceptPaused
+from hillchute.errors import AcceptPausedError
 from hillchute.fronts.mysql import packets
 from hillchute.fronts.seats import Seats
 from hillchute.log import Log
@@ -148,7 +148,7 @@
         """This machine lacks descriptors or memory: connections wait with the kernel until the next sweep."""
         self.paused = True
         self.poller.remove(self.listener)
-        self.log.write("fault", **AcceptPaused(str(fault), str(self.listener.getsockname())).told)
+        self.log.write("fault", **AcceptPausedError(str(fault), str(self.listener.getsockname())).log_fields)
 
     def welcome(self, sock: socket.socket, room: bool) -> None:
         """A new session. What it wrote along with its login is read at once: it may be KILL QUERY."""
--- a/hillchute/history/disk.py
+++ b/hillchute/history/disk.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DiskNotUsable
+from hillchute.errors import HistoryStorageError
 from hillchute.history.codec import unfit_record
 from hillchute.history.records import Name, Record
 
@@ -26,7 +26,7 @@
 
 class Disk:
     def __init__(self, path: str | Path) -> None:
-        """Raises DiskNotUsable for one that can't be opened, is read-only, or is damaged."""
+        """Raises HistoryStorageError for one that can't be opened, is read-only, or is damaged."""
         self.path, self.counts = Path(path), Counter()
         self.told, self.last = 0, ""
         try:
@@ -47,7 +47,7 @@
             )
             self.db.execute(f"PRAGMA user_version = {LAYOUT}")
         except (sqlite3.Error, OSError) as fault:
-            raise DiskNotUsable(str(fault), str(self.path)) from None
+            raise HistoryStorageError(str(fault), str(self.path)) from None
 
     def read(self) -> Iterator[tuple[Record, Time]]:
         """All that is there, with the Unix time since when it is kept. What can't be read is passed over: a
@@ -106,12 +106,12 @@
         self.counts["faults"] += 1
         self.last = str(fault)
 
-    def faults(self) -> list[DiskNotUsable]:
+    def faults(self) -> list[HistoryStorageError]:
         """What has gone wrong since this was last asked."""
         if self.counts["faults"] == self.told:
             return []
         new, self.told = self.counts["faults"] - self.told, self.counts["faults"]
-        return [DiskNotUsable(f"{self.last}, {new} times", str(self.path))]
+        return [HistoryStorageError(f"{self.last}, {new} times", str(self.path))]
 
     def close(self) -> None:
         self.db.close()
--- a/hillchute/history/keeper.py
+++ b/hillchute/history/keeper.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import BookNotCurrent
+from hillchute.errors import StalePoliciesError
 from hillchute.history.codec import (
     Ask,
     BookIs,
@@ -842,13 +842,15 @@
         self.views = Views(self.me, self.life, named, now)
         self.views.view, self.views.highest = views.view, views.highest
 
-    def not_applied(self) -> list[BookNotCurrent]:
+    def not_applied(self) -> list[StalePoliciesError]:
         """As far as this router knows, if it speaks for all: who has not applied the last book."""
         if not self.views.proposed:
             return []
         last = self.book.number
         late = {n: self.views.books.get(n, 0) for n in self.living() if n != self.me}
-        return [BookNotCurrent(f"policies {have}, not {last}", n) for n, have in late.items() if have < last]
+        return [
+            StalePoliciesError(f"policies {have}, not {last}", n) for n, have in late.items() if have < last
+        ]
 
     def save(self, record: Record | None = None) -> bool:
         """What has changed goes to the disk, where policies want it; whether this record may be relied on."""
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.history.codec import KINDS, Message, encoder
 from hillchute.history.policy import Policy
 from hillchute.history.records import FREED
@@ -148,7 +148,7 @@
         """As the wiring does it: what can't be read is dropped, and nothing else may be raised."""
         try:
             super().arrive(sender, to, data)
-        except DatagramDropped:
+        except InvalidDatagramError:
             pass
         except Exception as fault:
             self.raised.append(f"{to} raised {fault!r}")
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -30,7 +30,7 @@
 from hillchute.accord.quotas import SPAN, Grant
 from hillchute.accord.signals import Drain, Ill, Load
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.lab import history_mutants, partners_mutants
 from hillchute.lab.workers import workers
 from hillchute.peers.codec import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
@@ -345,7 +345,7 @@
 def carried(datagram: Datagram, change: Callable[[words.Parcel], words.Parcel]) -> bytes:
     try:
         return words.encoder.encode(change(words.decode(datagram.load, datagram.sender)))
-    except DatagramDropped:
+    except InvalidDatagramError:
         return datagram.load
 
 
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped, TextNotTaken
+from hillchute.errors import InvalidAgreementError, InvalidDatagramError
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
@@ -118,7 +118,7 @@
     def said_offer(self, name: str, said: Offer) -> None:
         try:
             self.councils[name].offer(self.clock(name), said)
-        except TextNotTaken:
+        except InvalidAgreementError:
             self.hops["offers not taken"] += 1
 
     def agree(self, **wants: int) -> None:
@@ -148,7 +148,7 @@
             else:
                 self.passings[to].receive(now, sender, message)
         else:
-            raise DatagramDropped("of no kind", sender)
+            raise InvalidDatagramError("of no kind", sender)
         self.post(to)
 
     def tick(self, name: str) -> None:
--- a/hillchute/membership/event_bus.py
+++ b/hillchute/membership/event_bus.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from hillchute.decision.interface import Listing
-from hillchute.errors import BusUnreadable
+from hillchute.errors import EventBusProtocolError
 
 LONGEST_FRAME = 27 * 100_000  # bytes; no fleet is larger, and an endless length must not fill the memory
 FRAME = struct.Struct(">IQB")
@@ -56,7 +56,7 @@
         length, number, kind = FRAME.unpack_from(self.buffer)
         size = length - HEAD
         if not 0 <= size <= LONGEST_FRAME or kind > 2 or size % RECORD.size:
-            raise BusUnreadable(f"a frame of kind {kind} and length {length}")
+            raise EventBusProtocolError(f"a frame of kind {kind} and length {length}")
         if len(self.buffer) < FRAME.size + size:
             return None
         payload = bytes(self.buffer[FRAME.size : FRAME.size + size])
@@ -68,7 +68,7 @@
 def entry(fields: tuple) -> Entry:
     engine, host, port, state, zone, kind, cell, weight, started = fields
     if state >= len(STATES):
-        raise BusUnreadable(f"engine {engine_name(engine)} in state {state}")
+        raise EventBusProtocolError(f"engine {engine_name(engine)} in state {state}")
     listing = Listing(engine, kind, cell, zone, started * 10, STATES[state], weight / 1000)
     return Entry(listing, ".".join(str(part) for part in host), port)
 
--- a/hillchute/membership/follower.py
+++ b/hillchute/membership/follower.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.abc
 
-from hillchute.errors import BusUnreadable
+from hillchute.errors import EventBusProtocolError
 from hillchute.log import Log
 from hillchute.membership import event_bus
 
@@ -43,9 +43,9 @@
             while scope in self.scopes:
                 try:
                     await self.hear(address, scope)
-                except (*GONE, TimeoutError, BusUnreadable) as fault:
+                except (*GONE, TimeoutError, EventBusProtocolError) as fault:
                     why = str(fault) or type(fault).__name__
-                    told = fault.told if isinstance(fault, BusUnreadable) else {}
+                    told = fault.log_fields if isinstance(fault, EventBusProtocolError) else {}
                     self.log.write("bus_lost", why=why, last=self.last(), **told)
                 if scope is not self.scopes[-1]:  # the event bus has moved: nothing more is told here
                     if scope in self.scopes:  # else a newer connection has let this one go as it broke
--- a/hillchute/operator/records.py
+++ b/hillchute/operator/records.py
@@ -14,7 +14,7 @@
 import orjson
 from lark import Lark, Token, Tree, UnexpectedInput
 
-from hillchute.errors import BadRecord
+from hillchute.errors import OperatorFileError
 
 DEEPEST = 32  # records in records: a file that refers to itself ends here
 
@@ -109,16 +109,16 @@
 
 
 def parse(text: str, name: str) -> Document:
-    """A document out of its text; raises BadRecord with the line and what could have stood there."""
+    """A document out of its text; raises OperatorFileError with the line and what could have stood there."""
     try:
         tree = grammar().parse(text)
     except UnexpectedInput as fault:
         seen = text[fault.pos_in_stream :].split("\n")[0][:30] if fault.pos_in_stream is not None else ""
-        raise BadRecord(f"{name}:{fault.line}: can't be read at {seen!r}") from None
+        raise OperatorFileError(f"{name}:{fault.line}: can't be read at {seen!r}") from None
     try:
         return document(tree, docs(text), name)
-    except BadRecord as fault:
-        raise BadRecord(f"{name}:{fault}") from None
+    except OperatorFileError as fault:
+        raise OperatorFileError(f"{name}:{fault}") from None
 
 
 def document(tree: Tree, comments: dict[int, str], name: str) -> Document:
@@ -132,7 +132,7 @@
     document.record = Struct(tuple(fields), 1)
     twice = repeated(document.record)
     if twice is not None:
-        raise BadRecord(f"{twice.line}: {twice.name}: stands twice")
+        raise OperatorFileError(f"{twice.line}: {twice.name}: stands twice")
     return document
 
 
@@ -174,7 +174,7 @@
     try:
         return orjson.loads(str(token))
     except orjson.JSONDecodeError:
-        raise BadRecord(f"{token.line}: can't be read at {str(token)[:30]!r}") from None
+        raise OperatorFileError(f"{token.line}: can't be read at {str(token)[:30]!r}") from None
 
 
 def build(node: Tree, comments: dict[int, str]) -> Constraint:
@@ -271,10 +271,10 @@
         self.faults.append(f"{self.document.name}:{line}: {path or 'the file'}: {what}")
 
     def whole(self) -> dict[str, object]:
-        """The settings that hold after defaults; raises BadRecord."""
+        """The settings that hold after defaults; raises OperatorFileError."""
         value = self.hold(self.schema.record, self.document.record, "", 0)
         if self.faults:
-            raise BadRecord("\n".join(self.faults))
+            raise OperatorFileError("\n".join(self.faults))
         return value
 
     def hold(self, wanted: Constraint, given: Constraint, path: str, depth: int) -> object:
--- a/hillchute/partners/agreement.py
+++ b/hillchute/partners/agreement.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import TextNotTaken
+from hillchute.errors import InvalidAgreementError
 from hillchute.history.slots import SLOTS
 from hillchute.partners.split import Owners, split
 
@@ -130,20 +130,20 @@
 def settle(offers: Iterable[Offer], number: int, last: Text | None = None) -> Text:
     """The text that follows from all offers and the text before: each partner's share as it wants it, or as
     near as the others' bounds leave it, the slots with the fewest moves, of grace and notice the longest that
-    anybody wants. Everybody comes to the same one. Raises TextNotTaken with what can't be met."""
+    anybody wants. Everybody comes to the same one. Raises InvalidAgreementError with what can't be met."""
     offers = sorted(offers, key=lambda offer: offer.partner)
     if not offers:
-        raise TextNotTaken("nobody offers anything")
+        raise InvalidAgreementError("nobody offers anything")
     for offer in offers:
         if not 0 <= offer.least <= offer.want <= offer.most <= WHOLE:
-            raise TextNotTaken("expected least <= want <= most", offer.partner)
+            raise InvalidAgreementError("expected least <= want <= most", offer.partner)
     if sum(o.least for o in offers) > WHOLE:
-        raise TextNotTaken("all want more at the least than there is", "least")
+        raise InvalidAgreementError("all want more at the least than there is", "least")
     if sum(o.most for o in offers) < WHOLE:
-        raise TextNotTaken("all take less at the most than there is", "most")
+        raise InvalidAgreementError("all take less at the most than there is", "most")
     begins, ends = max(o.begins for o in offers), min(o.ends for o in offers)
     if begins >= ends:
-        raise TextNotTaken("the times offered have none in common", "begins")
+        raise InvalidAgreementError("the times offered have none in common", "begins")
     shares = fitted({o.partner: (o.least, o.want, o.most) for o in offers})
     held = last.owner_names() if last is not None else (None,) * SLOTS
     names, owners = sorted(shares), split(held, shares)
@@ -191,19 +191,21 @@
         self.me, self.sign, self.save, self.marked = me, sign, save, dict(marked)
 
     def mark(self, text: Text, own: Offer) -> Mark:
-        """Raises TextNotTaken for what it has not offered, or can't mark any more."""
+        """Raises InvalidAgreementError for what it has not offered, or can't mark any more."""
         if fault := unfit(text):
-            raise TextNotTaken("can't be honoured by anybody", fault)
+            raise InvalidAgreementError("can't be honoured by anybody", fault)
         share, capacity = text.shares.get(self.me), text.capacities.get(self.me)
         if own.partner != self.me or share is None or not own.least <= share <= own.most:
-            raise TextNotTaken(f"share {share}, {own.least} to {own.most} were offered", self.me)
+            raise InvalidAgreementError(f"share {share}, {own.least} to {own.most} were offered", self.me)
         if capacity != own.capacity or text.begins < own.begins or text.ends > own.ends:
-            raise TextNotTaken("capacity or times are not as offered", self.me)
+            raise InvalidAgreementError("capacity or times are not as offered", self.me)
         sealed, last = digest(text), max(self.marked, default=0)
         if text.number < last or self.marked.get(text.number, sealed) != sealed:
-            raise TextNotTaken(f"number {last} is marked already; a new text needs a higher one", self.me)
+            raise InvalidAgreementError(
+                f"number {last} is marked already; a new text needs a higher one", self.me
+            )
         if not self.save(text.number, sealed):
-            raise TextNotTaken("what is marked can't be kept, so it is not given", self.me)
+            raise InvalidAgreementError("what is marked can't be kept, so it is not given", self.me)
         self.marked[text.number] = sealed
         return self.signed(Text, text.number, sealed)
 
--- a/hillchute/partners/council.py
+++ b/hillchute/partners/council.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import TextNotTaken
+from hillchute.errors import InvalidAgreementError
 from hillchute.history.slots import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
@@ -52,7 +52,9 @@
         self.name_partners(partners)
         self.own: Offer | None = None  # as the operator file has it
         self.out: list[tuple[str, Have | Know]] = []
-        self.refused: dict[int, TextNotTaken] = {}  # texts that this partner does not mark, by number
+        self.refused: dict[
+            int, InvalidAgreementError
+        ] = {}  # texts that this partner does not mark, by number
         self.number = 0  # of the text that this router goes by
         self.named_last = 0  # as the last call has it
         self.revision = 1
@@ -80,7 +82,9 @@
         """This router's partner offers something; one of a lower turn than is known is none."""
         known = self.ledger.offers.get(offer.partner)
         if known is not None and offer != known[0] and offer.turn <= known[0].turn:
-            raise TextNotTaken(f"turn {offer.turn}; {known[0].turn} is known already", "partners.offer.turn")
+            raise InvalidAgreementError(
+                f"turn {offer.turn}; {known[0].turn} is known already", "partners.offer.turn"
+            )
         self.own = offer
         self.ledger.hear_offer(offer, self.marker.offer(offer))
         self.look(now)
@@ -176,7 +180,7 @@
         number = 1 + max([*known, *self.marker.marked, last.number if last is not None else 0])
         try:
             text = settle(offers, number, last)
-        except TextNotTaken as fault:
+        except InvalidAgreementError as fault:
             self.refused[0] = fault
             return
         self.refused.pop(0, None)
@@ -200,13 +204,15 @@
             try:
                 before = ledger.complete.get(text.before)
                 if text.before < (last.number if last is not None else 0) or (text.before and before is None):
-                    raise TextNotTaken(
+                    raise InvalidAgreementError(
                         f"text {text.number} goes on from {text.before}, not the last known here"
                     )
                 if text != settle(self.offers(), text.number, before):
-                    raise TextNotTaken(f"text {text.number} is not what follows from the offers known here")
+                    raise InvalidAgreementError(
+                        f"text {text.number} is not what follows from the offers known here"
+                    )
                 mark = self.marker.mark(text, self.own)
-            except TextNotTaken as fault:
+            except InvalidAgreementError as fault:
                 refused[text.number] = fault
             else:
                 ledger.hear_mark(mark)
--- a/hillchute/partners/kept.py
+++ b/hillchute/partners/kept.py
@@ -6,7 +6,7 @@
 import os
 from pathlib import Path
 
-from hillchute.errors import MarksNotKept
+from hillchute.errors import SignatureJournalError
 
 KEY = 32  # bytes of an Ed25519 key
 
@@ -21,10 +21,11 @@
 
 class MarksFile:
     def __init__(self, path: str | Path) -> None:
-        """Raises MarksNotKept for one that can't be read, or whose lines are not as they were written."""
+        """Raises SignatureJournalError for one that can't be read, or whose lines are not as they were
+        written."""
         self.path = Path(path)
         self.marked: dict[int, bytes] = {}
-        self.fault: MarksNotKept | None = None
+        self.fault: SignatureJournalError | None = None
         try:
             data = self.path.read_bytes() if self.path.exists() else b""
             # A line without its end was broken off by a crash: that mark was never given.
@@ -40,7 +41,7 @@
                 self.path.open("ab").close()
                 sync_folder(self.path.parent)
         except (OSError, ValueError) as fault:
-            raise MarksNotKept(str(fault), str(self.path)) from None
+            raise SignatureJournalError(str(fault), str(self.path)) from None
 
     def save(self, number: int, sealed: bytes) -> bool:
         """Whether it is there for good. After a fault the file is written anew: a line may have been
@@ -52,7 +53,7 @@
             else:
                 self.write_anew(kept)
         except OSError as fault:
-            self.fault = MarksNotKept(str(fault), str(self.path))
+            self.fault = SignatureJournalError(str(fault), str(self.path))
             return False
         self.marked[number] = sealed
         self.fault = None
--- a/hillchute/peers/codec.py
+++ b/hillchute/peers/codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 VERSION = 1
 MARK = 16  # bytes of the mark
@@ -68,27 +68,28 @@
 
 
 def decode(data: bytes, receiver: str, keys: Mapping[str, bytes], most: int = MOST) -> Datagram:
-    """The datagram, whose mark is that of its sender's pair with this receiver. Raises DatagramDropped."""
+    """The datagram, whose mark is that of its sender's pair with this receiver.
+    Raises InvalidDatagramError."""
     if len(data) > most:
-        raise DatagramDropped("too long")
+        raise InvalidDatagramError("too long")
     if len(data) <= 1 + MARK:
-        raise DatagramDropped("too short")
+        raise InvalidDatagramError("too short")
     if data[0] != VERSION:
-        raise DatagramDropped("version")
+        raise InvalidDatagramError("version")
     mark, body = data[1 : 1 + MARK], data[1 + MARK :]
     try:
         datagram = decoder.decode(body)
     except msgspec.DecodeError:  # of one that may well be nobody's: the reason helps no one
-        raise DatagramDropped("unreadable") from None
+        raise InvalidDatagramError("unreadable") from None
     key = keys.get(datagram.sender)
     if key is None:
-        raise DatagramDropped("unknown peer")
+        raise InvalidDatagramError("unknown peer")
     if not hmac.compare_digest(mark, marked(key, body)):
-        raise DatagramDropped("mark", datagram.sender)
+        raise InvalidDatagramError("mark", datagram.sender)
     if datagram.receiver != receiver:
-        raise DatagramDropped("another's", datagram.sender)
+        raise InvalidDatagramError("another's", datagram.sender)
     if fault := unfit(datagram):
-        raise DatagramDropped(f"field {fault}", datagram.sender)
+        raise InvalidDatagramError(f"field {fault}", datagram.sender)
     return datagram
 
 
@@ -135,21 +136,22 @@
 
     def take(self, datagram: Datagram, own: int) -> bool:
         """Whether it may be believed; if not, it is from one that has not heard of this life of ours, and
-        does once it is answered. Raises DatagramDropped for what an earlier life sent or got, or a repeat."""
+        does once it is answered. Raises InvalidDatagramError for what an earlier life sent or got, or
+        a repeat."""
         if datagram.heard != own:
             self.hint = max(self.hint, datagram.born)
             if datagram.heard > own:
-                raise DatagramDropped(CLOCK_BEHIND, datagram.sender)
+                raise InvalidDatagramError(CLOCK_BEHIND, datagram.sender)
             if datagram.heard:
-                raise DatagramDropped("to an earlier life", datagram.sender)
+                raise InvalidDatagramError("to an earlier life", datagram.sender)
             return False
         if datagram.born < self.born:
-            raise DatagramDropped("of an earlier life", datagram.sender)
+            raise InvalidDatagramError("of an earlier life", datagram.sender)
         if datagram.born > self.born:
             self.born, self.highest, self.seen = datagram.born, -1, 0
         behind = self.highest - datagram.sequence
         if behind >= self.SPAN or behind >= 0 and self.seen >> behind & 1:
-            raise DatagramDropped("repeat", datagram.sender)
+            raise InvalidDatagramError("repeat", datagram.sender)
         if behind < 0:
             self.seen = (self.seen << min(-behind, self.SPAN) | 1) & (1 << self.SPAN) - 1
             self.highest = datagram.sequence
--- a/hillchute/peers/link.py
+++ b/hillchute/peers/link.py
@@ -18,7 +18,7 @@
 
 from hillchute.catalog import up
 from hillchute.decision.interface import Time
-from hillchute.errors import PeersNotReachable
+from hillchute.errors import PeerListenError
 from hillchute.net.system import CONNECTION_FAILED, NOT_YET
 from hillchute.peers.codec import MOST, MOST_ON_STREAM
 from hillchute.peers.node import Node
@@ -83,7 +83,7 @@
         self.tasks: anyio.abc.TaskGroup | None = None
 
     def open(self) -> None:
-        """Raises PeersNotReachable where the address can't be had."""
+        """Raises PeerListenError where the address can't be had."""
         family = socket.AF_INET6 if ":" in self.listen.host else socket.AF_INET
         try:
             self.sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -94,7 +94,7 @@
             self.listener.setblocking(False)
         except OSError as fault:
             where = f"{self.listen.host}:{self.listen.port}"
-            raise PeersNotReachable(f"can't listen: {fault.strerror}", where) from None
+            raise PeerListenError(f"can't listen: {fault.strerror}", where) from None
 
     async def run(self) -> None:
         """Until cancelled."""
--- a/hillchute/peers/messages.py
+++ b/hillchute/peers/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 MOST = 8 << 20  # bytes of one message
 
@@ -28,13 +28,13 @@
         return data
 
     def decode(self, data: bytes, sender: str) -> object:
-        """Raises DatagramDropped with the field that is out of its bounds."""
+        """Raises InvalidDatagramError with the field that is out of its bounds."""
         if len(data) > MOST:
-            raise DatagramDropped(f"{self.whose}: too long", sender)
+            raise InvalidDatagramError(f"{self.whose}: too long", sender)
         try:
             message = self.decoder.decode(data)
         except (msgspec.DecodeError, RecursionError) as fault:
-            raise DatagramDropped(f"{self.whose}: {fault}", sender) from None
+            raise InvalidDatagramError(f"{self.whose}: {fault}", sender) from None
         if fault := self.unfit(message):
-            raise DatagramDropped(f"{self.whose}: {fault}", sender)
+            raise InvalidDatagramError(f"{self.whose}: {fault}", sender)
         return message
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.peers.codec import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
 from hillchute.peers.parts import LARGE, PIECE, cut
 from hillchute.peers.roster import ALIVE, ANSWERED, PING, Roster, Send
@@ -82,8 +82,8 @@
                     self.riders[datagram.kind].heard(now, datagram.sender, datagram.load)
             elif datagram.load:
                 self.passenger.heard(now, datagram.sender, datagram.load)
-        except DatagramDropped as fault:
-            self.dropped[fault.what.split(":")[0]] += 1
+        except InvalidDatagramError as fault:
+            self.dropped[fault.detail.split(":")[0]] += 1
             return []
         # Whatever is believed shows that its sender lives, in this life of it at the least; a farewell has a
         # higher incarnation. Guards against one that is heard by loads alone and taken for gone.
--- a/hillchute/peers/parts.py
+++ b/hillchute/peers/parts.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 PIECE = 900  # bytes that fit into a datagram, whatever the names of its sender and receiver
 LARGE = 60_000  # bytes of a piece on a stream
@@ -42,13 +42,13 @@
         self.open: dict[str, dict[int, tuple[Time, dict[int, bytes]]]] = {}
 
     def take(self, now: Time, sender: str, data: bytes) -> bytes | None:
-        """The message, once its last piece is there. Raises DatagramDropped for what is no piece."""
+        """The message, once its last piece is there. Raises InvalidDatagramError for what is no piece."""
         try:
             piece = decoder.decode(data)
         except msgspec.DecodeError:
-            raise DatagramDropped("piece: unreadable", sender) from None
+            raise InvalidDatagramError("piece: unreadable", sender) from None
         if not 0 <= piece.part < piece.parts <= MOST_PIECES or len(piece.data) > LARGE:
-            raise DatagramDropped("piece: out of bounds", sender)
+            raise InvalidDatagramError("piece: out of bounds", sender)
         if piece.parts == 1:
             return piece.data
         mine = self.open.setdefault(sender, {})
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -12,7 +12,7 @@
 import orjson
 
 from hillchute.catalog import flatten, translate
-from hillchute.errors import BadConfiguration, BusUnreadable
+from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.membership import event_bus
 from hillchute.router.settings import check
 
@@ -41,8 +41,8 @@
     closing: int  # how long after a planned end all must be answered
 
 
-def bad(path: str, what: str) -> BadConfiguration:
-    return BadConfiguration(what, path)
+def bad(path: str, what: str) -> ConfigurationError:
+    return ConfigurationError(what, path)
 
 
 def get(table: Mapping[str, object], path: str, kind: type | tuple[type, ...], default: object = None):
@@ -145,5 +145,5 @@
     kinds = get(table, "settings.kinds", list, [])
     try:
         return offset, tuple(event_bus.from_json(table["known"], zones, kinds))
-    except (BusUnreadable, KeyError, TypeError, ValueError, AttributeError) as fault:
+    except (EventBusProtocolError, KeyError, TypeError, ValueError, AttributeError) as fault:
         raise bad("known.batch", f"{type(fault).__name__}: {fault}") from None
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -12,7 +12,7 @@
 from hillchute.accord.quotas import LENT, Quotas
 from hillchute.decision.interface import Listing, Time
 from hillchute.engines.words import Rows, Stream
-from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
+from hillchute.errors import InvalidAgreementError, PartnerEquivocationError, SignatureJournalError
 from hillchute.fronts.events import Asked, Left, Spoilt
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import MS
@@ -74,8 +74,8 @@
             return None
         try:
             self.file = MarksFile(self.settings["marks_file"])
-        except MarksNotKept as fault:
-            self.log.write("partners", **fault.told)
+        except SignatureJournalError as fault:
+            self.log.write("partners", **fault.log_fields)
             return None
         sign = signer(key_in(self.settings["key_file"]))
         return Marker(self.settings["own"], sign, self.file.save, self.file.marked)
@@ -88,8 +88,8 @@
             said[name] = said.pop(f"{name}_ms") * MS
         try:
             self.council.offer(self.clock(), Offer(partner=self.settings["own"], **said))
-        except TextNotTaken as fault:
-            self.log.write("partners", **fault.told)
+        except InvalidAgreementError as fault:
+            self.log.write("partners", **fault.log_fields)
         if self.settings["leave"]:
             self.council.leave(self.clock())
 
@@ -238,13 +238,15 @@
             **dict(council.counts),
         )
         faults = list(council.refused.values())
-        faults += [PartnerBroke(f"texts of number {pair[0].number}", n) for n, pair in self.broke()]
+        faults += [
+            PartnerEquivocationError(f"texts of number {pair[0].number}", n) for n, pair in self.broke()
+        ]
         if self.file is not None and self.file.fault is not None:
             faults.append(self.file.fault)
         standing = {(type(fault).__name__, str(fault)) for fault in faults}
         for fault in faults:
             if (type(fault).__name__, str(fault)) not in self.told:
-                self.log.write("partners", **fault.told)
+                self.log.write("partners", **fault.log_fields)
         self.told = standing
 
     def broke(self) -> list[tuple[str, tuple]]:
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -11,7 +11,7 @@
 from hillchute.accord.company import Company
 from hillchute.decision.interface import Report
 from hillchute.decision.teamwork import Teamwork
-from hillchute.errors import ClockBehind, ListsDiffer
+from hillchute.errors import ClockBehindError, PeerListMismatchError
 from hillchute.log import Log
 from hillchute.peers.codec import CLOCK_BEHIND
 from hillchute.peers.link import Address, Link, Steady
@@ -130,11 +130,13 @@
             parts=parts,
         )
         for name in sorted(self.company.unlike):
-            self.log.write("peers_differ", **ListsDiffer("other names under `peers`", name).told)
+            self.log.write(
+                "peers_differ", **PeerListMismatchError("other names under `peers`", name).log_fields
+            )
 
         if behind := self.node.dropped[CLOCK_BEHIND]:
-            fault = ClockBehind(f"{behind} datagrams to a later start of this router", self.node.me)
-            self.log.write("peers_clock", **fault.told)
+            fault = ClockBehindError(f"{behind} datagrams to a later start of this router", self.node.me)
+            self.log.write("peers_clock", **fault.log_fields)
 
     def news(self) -> list[tuple[int, Report, int]]:
         return self.company.news()
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -11,7 +11,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
-from hillchute.errors import BookNotTaken, DiskNotUsable
+from hillchute.errors import HistoryStorageError, PoliciesRejectedError
 from hillchute.history import policy
 from hillchute.history.codec import Message, codec
 from hillchute.history.disk import Disk
@@ -47,8 +47,10 @@
         if settings.get("disk"):
             try:
                 self.disk = Disk(settings["disk"])
-            except DiskNotUsable as fault:  # the history goes on in memory: no record rests on this disk
-                log.write("history_disk", **fault.told)
+            except (
+                HistoryStorageError
+            ) as fault:  # the history goes on in memory: no record rests on this disk
+                log.write("history_disk", **fault.log_fields)
         self.keeper = Keeper(
             node.me, node.born, [node.me, *node.keys], book_of(settings), now, node.lives, self.disk, deeds
         )
@@ -134,10 +136,10 @@
             **dict(keeper.counts),
         )
         for fault in keeper.not_applied():
-            self.log.write("history_policies", **fault.told)
+            self.log.write("history_policies", **fault.log_fields)
         if self.disk is not None:
             for fault in self.disk.faults():
-                self.log.write("history_disk", **fault.told)
+                self.log.write("history_disk", **fault.log_fields)
 
     def renew(self, settings: Mapping[str, object]) -> None:
         """The operator file's history read again: a book with a higher number holds at once, here and soon
@@ -152,7 +154,7 @@
             self.log.write("history_policies", policies=book.number, changed=changed, forgets=new)
         else:
             what = f"policies {book.number}; {self.keeper.book.number} hold"
-            self.log.write("history_policies", **BookNotTaken(what, "history.number").told)
+            self.log.write("history_policies", **PoliciesRejectedError(what, "history.number").log_fields)
 
     def named(self) -> None:
         """The operator names other routers: half of them is another number, so all is asked anew."""
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -22,7 +22,7 @@
 from hillchute.decision.teamwork import Teamwork
 from hillchute.engines import words
 from hillchute.engines.line.links import Link, Links
-from hillchute.errors import BadConfiguration, HillchuteError, UnknownKind
+from hillchute.errors import ConfigurationError, HillchuteError, UnknownEngineKindError
 from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.log import Log
@@ -68,7 +68,7 @@
         read_operator: Callable[[], Mapping[str, object]] | None = None,
     ) -> None:
         """`operator`: what holds of the operator file; nothing of it is on without one. `read_operator` reads
-        it again, and raises BadRecord where it can't be used."""
+        it again, and raises OperatorFileError where it can't be used."""
         self.station = station
         self.log = log
         self.lifecycle = lifecycle
@@ -285,8 +285,8 @@
         if listing.kind < self.kinds:
             return listing
         name = event_bus.engine_name(listing.engine)
-        fault = UnknownKind(f"kind {listing.kind} of {self.kinds}", name)
-        self.log.write("listing", **fault.told)
+        fault = UnknownEngineKindError(f"kind {listing.kind} of {self.kinds}", name)
+        self.log.write("listing", **fault.log_fields)
         state = "Gone" if listing.state == "Gone" else "Terminating"
         return listing._replace(kind=0, state=state)
 
@@ -508,15 +508,15 @@
         """A new configuration under load. One that can't be read changes nothing."""
         try:
             station = config.read()
-        except BadConfiguration as fault:
-            self.log.write("reload", kept="the running configuration", why=str(fault), **fault.told)
+        except ConfigurationError as fault:
+            self.log.write("reload", kept="the running configuration", why=str(fault), **fault.log_fields)
             return
         restart = config.needs_restart(self.station, station)
         if self.read_operator is not None:
             try:
                 restart += self.renew(self.read_operator())
             except ValueError as fault:
-                told = fault.told if isinstance(fault, HillchuteError) else {}
+                told = fault.log_fields if isinstance(fault, HillchuteError) else {}
                 self.log.write("reload", kept="the running operator file", why=str(fault), **told)
         self.log.write("reload", bus=list(station.bus), needs_restart=restart)
         self.station = self.station._replace(bus=station.bus)
--- a/hillchute/router/settings.py
+++ b/hillchute/router/settings.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from hillchute.catalog import plain_text
-from hillchute.errors import BadConfiguration
+from hillchute.errors import ConfigurationError
 
 EFFECTS = ("repeatable", "by_key", "once")
 DROPPED_BY = ("all", "zone", "cell")
@@ -69,12 +69,12 @@
 OF_CLASSES = (Key("domain.width_by_class", 1),)
 
 
-def bad(path: str, what: str) -> BadConfiguration:
-    return BadConfiguration(what, path)
+def bad(path: str, what: str) -> ConfigurationError:
+    return ConfigurationError(what, path)
 
 
 def check(nested: Mapping[str, object], at: str = "settings") -> None:
-    """Raises BadConfiguration for the first fault."""
+    """Raises ConfigurationError for the first fault."""
     for key in FIGURES:
         check_figure(nested, key, at)
     classes = check_classes(nested, at)
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import DatagramDropped, MarksNotKept, TextNotTaken
+from hillchute.errors import InvalidAgreementError, InvalidDatagramError, SignatureJournalError
 from hillchute.history.slots import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
@@ -238,14 +238,14 @@
         council.ledger.hear_mark(kept.mark(text, offer(name, want=text.shares[name])))
     council.ledger.hear(text)
     council.look(fleet.now)
-    assert 2 not in council.ledger.accepted and council.refused[2].what
+    assert 2 not in council.ledger.accepted and council.refused[2].detail
 
 
 def test_lower_turn_than_is_known_is_refused_and_said():
     fleet = Round()
     fleet.agreed()
     fleet.offer("a", want=4000, turn=5)
-    with pytest.raises(TextNotTaken, match="turn 4; 5"):
+    with pytest.raises(InvalidAgreementError, match="turn 4; 5"):
         fleet.offer("a", want=500, turn=4)
 
 
@@ -357,7 +357,7 @@
 def test_whatever_comes_is_read_or_dropped(data):
     try:
         message = codec.decode(data, "x")
-    except DatagramDropped:
+    except InvalidDatagramError:
         return
     assert codec.decode(codec.encode(message), "x") == message
 
@@ -381,7 +381,7 @@
 def test_field_out_of_bounds_is_named(message, field):
     with pytest.raises(ValueError, match=field):
         codec.encode(message)
-    with pytest.raises(DatagramDropped, match=field):
+    with pytest.raises(InvalidDatagramError, match=field):
         codec.decode(codec.encoder.encode(message), "x")
 
 
@@ -442,14 +442,14 @@
 def test_file_that_was_changed_or_cannot_be_written_gives_no_mark(tmp_path):
     path = tmp_path / "marks"
     path.write_text("1 zz\n")
-    with pytest.raises(MarksNotKept, match="marks"):
+    with pytest.raises(SignatureJournalError, match="marks"):
         MarksFile(path)
     path.write_text("")
     file = MarksFile(path)
     file.path = tmp_path / "none" / "marks"
     assert not file.save(1, b"") and file.fault is not None
     marker = Marker("a", signer(private("a")), file.save, file.marked)
-    with pytest.raises(TextNotTaken, match="kept"):
+    with pytest.raises(InvalidAgreementError, match="kept"):
         marker.mark(settle([offer(n) for n in "abc"], 1), offer("a"))
 
 
@@ -484,7 +484,7 @@
     council.ledger.hear(other)
     council.look(fleet.now)
     assert sum("b" in m for m in council.ledger.marks.values() if any(x.number == 2 for x in m.values())) == 1
-    assert "b" not in council.ledger.two_texts and council.refused[2].what
+    assert "b" not in council.ledger.two_texts and council.refused[2].detail
 
 
 # ---- shares of the pool ----
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -255,7 +255,7 @@
     engines = rig.service.reducer.module.engines
     assert not engines[1].ready and not engines[3].ready
     (line,) = [fields for event, fields in rig.log.lines if event == "listing"]
-    assert line["error"] == "UnknownKind" and line["remedy"] and not rig.log.faults()
+    assert line["error"] == "UnknownEngineKindError" and line["remedy"] and not rig.log.faults()
 
 
 def test_routers_that_lose_it_in_one_instant_do_not_come_back_in_one_instant():
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -94,21 +94,21 @@
 @pytest.mark.parametrize(
     ("error", "path"),
     [
-        (errors.BadConfiguration, bad_configuration),
-        (errors.BadRecord, bad_record),
-        (errors.BusUnreadable, bus_unreadable),
-        (errors.DatagramDropped, datagram_dropped),
-        (errors.PeersNotReachable, peers_not_reachable),
-        (errors.DiskNotUsable, disk_not_usable),
-        (errors.TextNotTaken, text_not_taken),
-        (errors.MarksNotKept, marks_not_kept),
+        (errors.ConfigurationError, bad_configuration),
+        (errors.OperatorFileError, bad_record),
+        (errors.EventBusProtocolError, bus_unreadable),
+        (errors.InvalidDatagramError, datagram_dropped),
+        (errors.PeerListenError, peers_not_reachable),
+        (errors.HistoryStorageError, disk_not_usable),
+        (errors.InvalidAgreementError, text_not_taken),
+        (errors.SignatureJournalError, marks_not_kept),
     ],
 )
 def test_type_is_raised_by_a_path_and_says_what_where_and_what_to_do(tmp_path, error, path):
     with pytest.raises(error) as fault:
         path(tmp_path)
-    assert fault.value.what and fault.value.remedy == error.remedy
-    assert fault.value.told.keys() == {"error", "what", "where", "remedy"}
+    assert fault.value.detail and fault.value.remedy == error.remedy
+    assert fault.value.log_fields.keys() == {"error", "what", "where", "remedy"}
 
 
 def lists_differ(log, tmp_path):
@@ -187,14 +187,14 @@
 @pytest.mark.parametrize(
     ("error", "path"),
     [
-        (errors.ListsDiffer, lists_differ),
-        (errors.ClockBehind, clock_behind),
-        (errors.PartnerBroke, partner_broke),
-        (errors.BookNotTaken, book_not_taken),
-        (errors.BookNotCurrent, book_not_current),
-        (errors.DiskNotUsable, disk_in_the_log),
-        (errors.AcceptPaused, accept_paused),
-        (errors.UnknownKind, unknown_kind),
+        (errors.PeerListMismatchError, lists_differ),
+        (errors.ClockBehindError, clock_behind),
+        (errors.PartnerEquivocationError, partner_broke),
+        (errors.PoliciesRejectedError, book_not_taken),
+        (errors.StalePoliciesError, book_not_current),
+        (errors.HistoryStorageError, disk_in_the_log),
+        (errors.AcceptPausedError, accept_paused),
+        (errors.UnknownEngineKindError, unknown_kind),
     ],
 )
 def test_type_is_in_the_log_with_its_remedy(tmp_path, error, path):
@@ -244,4 +244,8 @@
     }
     command = [sys.executable, "-m", "hillchute.router"]
     done = subprocess.run(command, env=environ, capture_output=True, text=True, timeout=60, cwd=ROOT)
-    assert done.returncode == 2 and "o.cue:1: peers" in done.stderr and errors.BadRecord.remedy in done.stderr
+    assert (
+        done.returncode == 2
+        and "o.cue:1: peers" in done.stderr
+        and errors.OperatorFileError.remedy in done.stderr
+    )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.history import codec, slots
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import MS, Book, Forget, Policy, unfit
@@ -331,8 +331,8 @@
 def test_whatever_comes_is_read_or_dropped(data):
     try:
         codec.decode(data, "n1")
-    except DatagramDropped as fault:
-        assert fault.where == "n1"
+    except InvalidDatagramError as fault:
+        assert fault.location == "n1"
 
 
 @pytest.mark.parametrize(
@@ -352,7 +352,7 @@
 def test_field_out_of_bounds_is_named(message, field):
     with pytest.raises(ValueError, match=field):
         codec.encode(message)
-    with pytest.raises(DatagramDropped, match=field):
+    with pytest.raises(InvalidDatagramError, match=field):
         codec.decode(codec.encoder.encode(message), "n1")
 
 
@@ -586,7 +586,7 @@
     net.advance(5)
     assert asked(net, "n0", "t", key) == "DEFER"
     (late,) = net.keepers["n0"].not_applied()
-    assert late.where == "n2" and "policies 1, not 2" in str(late)
+    assert late.location == "n2" and "policies 1, not 2" in str(late)
 
 
 def test_paused_holder_does_not_answer_from_a_lease_that_is_over():
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 
 from hillchute.cli.commands import main
 from hillchute.operator import reading
-from hillchute.operator.records import BadRecord, parse, told
+from hillchute.operator.records import OperatorFileError, parse, told
 
 GOOD = """
 // Dashboards.
@@ -50,13 +50,13 @@
     ],
 )
 def test_fault_names_file_line_path_and_what_was_expected(text, said):
-    with pytest.raises(BadRecord) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         reading.hold(text, "f.cue")
     assert said in str(fault.value)
 
 
 def test_all_faults_are_told_at_once():
-    with pytest.raises(BadRecord) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         reading.hold('engines: {protocol: 1}\nlog: {alike: "x"}\nmore: 1')
     assert len(str(fault.value).split("\n")) == 3
 
@@ -86,7 +86,7 @@
 def test_any_text_is_read_or_refused_with_its_line(text):
     try:
         reading.hold(text, "f")
-    except BadRecord as fault:
+    except OperatorFileError as fault:
         assert str(fault).startswith("f:")
 
 
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -14,7 +14,7 @@
 from hillchute.lab.history_net import EPOCH
 from hillchute.lab.partners_net import private, public
 from hillchute.operator import reading
-from hillchute.operator.records import BadRecord
+from hillchute.operator.records import OperatorFileError
 from hillchute.peers.node import Node
 from hillchute.router import events
 from hillchute.router.partnering import Partnering
@@ -164,7 +164,7 @@
     ],
 )
 def test_faulty_partners_are_named_by_their_path(partners, more, said):
-    with pytest.raises(BadRecord) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         reading.hold(text(partners, **more), "o.cue")
     assert said in str(fault.value) and "o.cue" in str(fault.value)
 
@@ -172,7 +172,7 @@
 def test_key_that_is_none_is_said(tmp_path):
     (tmp_path / "k").write_text("00ff")
     own = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
-    with pytest.raises(BadRecord, match="64 hex digits"):
+    with pytest.raises(OperatorFileError, match="64 hex digits"):
         reading.hold(text(own))
 
 
@@ -216,7 +216,7 @@
     held.renew(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
     assert held.council.ledger.offers["a"][0].want == 6000
     held.renew(stated | {"offer": stated["offer"] | {"turn": 2}})
-    assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["TextNotTaken"]
+    assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["InvalidAgreementError"]
     assert held.renew(stated | {"own": "b"}) == ["partners.own"]
 
 
@@ -226,7 +226,7 @@
     (tmp_path / "m").write_text("what\n")
     held, log, _ = partnering(tmp_path)
     assert held.council.marker is None
-    assert [fields["error"] for _, fields in log.lines] == ["MarksNotKept"]
+    assert [fields["error"] for _, fields in log.lines] == ["SignatureJournalError"]
 
 
 def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import TextNotTaken
+from hillchute.errors import InvalidAgreementError
 from hillchute.history.slots import SLOTS
 from hillchute.lab.partners import least_moves
 from hillchute.partners.agreement import (
@@ -152,7 +152,7 @@
 def test_shares_add_up_and_keep_everybodys_bounds(bounds):
     offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
     if not sum(b[0] for b in bounds) <= WHOLE <= sum(b[2] for b in bounds):
-        with pytest.raises(TextNotTaken):
+        with pytest.raises(InvalidAgreementError):
             settle(offers, 1)
         return
     text = settle(offers, 1)
@@ -174,9 +174,9 @@
     ],
 )
 def test_offers_that_do_not_meet_say_where(offers, where):
-    with pytest.raises(TextNotTaken) as fault:
+    with pytest.raises(InvalidAgreementError) as fault:
         settle(offers, 1)
-    assert fault.value.where == where
+    assert fault.value.location == where
 
 
 def test_text_is_in_force_with_every_mark_from_its_time_to_its_end():
@@ -216,9 +216,9 @@
     first = marker("a", kept).mark(text, own)
     again = marker("a", kept)  # it has crashed, and read what it kept
     assert again.mark(text, own) == first
-    with pytest.raises(TextNotTaken, match="number 3"):
+    with pytest.raises(InvalidAgreementError, match="number 3"):
         again.mark(other, own)
-    with pytest.raises(TextNotTaken, match="number 3"):
+    with pytest.raises(InvalidAgreementError, match="number 3"):
         again.mark(settle([own, offer("b")], 2), own)
     assert again.mark(settle([own, offer("b", want=5000)], 4), own).number == 4
 
@@ -226,7 +226,7 @@
 def test_mark_that_cannot_be_kept_is_not_given():
     own = offer("a")
     hand = marker("a", save=False)
-    with pytest.raises(TextNotTaken, match="kept"):
+    with pytest.raises(InvalidAgreementError, match="kept"):
         hand.mark(settle([own, offer("b")], 1), own)
     assert not hand.marked
 
@@ -243,7 +243,7 @@
 )
 def test_partner_marks_nothing_that_it_did_not_offer(own):
     text = settle([offer("a"), offer("b", want=7000)], 1)
-    with pytest.raises(TextNotTaken):
+    with pytest.raises(InvalidAgreementError):
         marker("a").mark(text, own)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import DatagramDropped, HillchuteError
+from hillchute.errors import HillchuteError, InvalidDatagramError
 from hillchute.lab.peer_net import Net
 from hillchute.peers import codec
 from hillchute.peers.codec import Datagram, Rumour, Window, decode, encode
@@ -19,9 +19,9 @@
 
 
 def dropped(data, keys=None):
-    with pytest.raises(DatagramDropped) as told:
+    with pytest.raises(InvalidDatagramError) as told:
         decode(data, "n2", {"n1": KEY, "n3": OTHER} if keys is None else keys)
-    return told.value.what
+    return told.value.detail
 
 
 numbers = st.integers(0, codec.WHOLE - 1)
@@ -125,8 +125,8 @@
     for number in line:
         try:
             taken.append(number) if window.take(sent(number), 2000) else None
-        except DatagramDropped as fault:
-            assert fault.what == "repeat" and number in taken
+        except InvalidDatagramError as fault:
+            assert fault.detail == "repeat" and number in taken
     assert sorted(taken) == list(range(300))
 
 
@@ -134,7 +134,7 @@
     window = Window()
     assert window.take(sent(500), 2000)
     for number in (500, 500 - Window.SPAN, 0):
-        with pytest.raises(DatagramDropped, match="repeat"):
+        with pytest.raises(InvalidDatagramError, match="repeat"):
             window.take(sent(number), 2000)
     assert window.take(sent(500 - Window.SPAN + 1), 2000)
 
@@ -142,24 +142,24 @@
 def test_both_sides_of_a_restart_hear_of_each_other_and_nothing_old_is_believed():
     """n2 restarts. What n1 sent to its earlier life is not believed, whoever sends it again."""
     old, window = sent(41, heard=2000), Window()
-    with pytest.raises(DatagramDropped, match="to an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="to an earlier life"):
         window.take(old, 3000)
     assert window.heard == 1000  # goes back to n1, which then knows the new life
     assert window.take(sent(42, heard=3000), 3000)
     for again in (old, sent(41, born=900, heard=2000)):
-        with pytest.raises(DatagramDropped, match="earlier life"):
+        with pytest.raises(InvalidDatagramError, match="earlier life"):
             window.take(again, 3000)
     assert not window.take(sent(43, born=1500, heard=0), 3000)  # n1 starts anew and has heard of nobody
     assert window.heard == 1500
     assert window.take(sent(0, born=1500, heard=3000), 3000)
-    with pytest.raises(DatagramDropped, match="of an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="of an earlier life"):
         window.take(sent(44, heard=3000), 3000)
 
 
 def test_error_says_what_where_and_what_to_do():
-    assert issubclass(DatagramDropped, HillchuteError)
-    told = DatagramDropped("mark", "n1").told
-    assert told["error"] == "DatagramDropped" and told["where"] == "n1" and "peers" in told["remedy"]
+    assert issubclass(InvalidDatagramError, HillchuteError)
+    told = InvalidDatagramError("mark", "n1").log_fields
+    assert told["error"] == "InvalidDatagramError" and told["where"] == "n1" and "peers" in told["remedy"]
 
 
 # ---- who lives ------------------------------------------------------------------------------------------
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,7 +21,7 @@
 from hillchute.lab.partnership import over_quota, two_owners
 from hillchute.lab.world import Ran, World
 from hillchute.operator import reading
-from hillchute.operator.records import BadRecord
+from hillchute.operator.records import OperatorFileError
 from hillchute.peers import link as links
 from hillchute.peers.codec import MOST
 from hillchute.peers.node import Node
@@ -323,7 +323,7 @@
     ],
 )
 def test_fault_in_the_list_of_peers_names_its_place(others, said):
-    with pytest.raises(BadRecord) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         reading.hold(PEERS % others)
     assert said in str(fault.value)
 
@@ -341,7 +341,7 @@
         found = links.Link(address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print)
         with pytest.raises(HillchuteError) as fault:
             found.open()
-    assert fault.value.where == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
+    assert fault.value.location == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
 
 
 class Shut:
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -10,7 +10,7 @@
 from conftest import CATALOG
 
 from hillchute.decision.teamwork import SECOND, Teamwork
-from hillchute.errors import DatagramDropped, DiskNotUsable
+from hillchute.errors import HistoryStorageError, InvalidDatagramError
 from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import Book, Forget, Policy
@@ -18,7 +18,7 @@
 from hillchute.lab import processes
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
-from hillchute.operator.records import BadRecord
+from hillchute.operator.records import OperatorFileError
 from hillchute.peers import parts
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
@@ -166,7 +166,7 @@
 )
 def test_faulty_history_is_named_by_its_path(text, path):
     peers = '\npeers: {name: "a", listen: "127.0.0.1:1", others: []}' if "expected" not in path else ""
-    with pytest.raises(BadRecord, match=path):
+    with pytest.raises(OperatorFileError, match=path):
         reading.hold(text + peers)
 
 
@@ -191,7 +191,7 @@
     joiner.take(parts.OPEN_FOR + 1, "a", parts.encoder.encode(parts.Piece(999, 0, 2, b"x")))
     assert list(joiner.open["a"]) == [999]
     for bad in (parts.Piece(1, 2, 2, b""), parts.Piece(1, 0, parts.MOST_PIECES + 1, b"")):
-        with pytest.raises(DatagramDropped):
+        with pytest.raises(InvalidDatagramError):
             joiner.take(0, "a", parts.encoder.encode(bad))
 
 
@@ -302,10 +302,10 @@
     path = tmp_path / "h.db"
     Disk(path).close()
     path.write_bytes(b"no database at all" * 500)
-    with pytest.raises(DiskNotUsable) as fault:
+    with pytest.raises(HistoryStorageError) as fault:
         Disk(path)
     assert str(path) in str(fault.value)
-    with pytest.raises(DiskNotUsable):
+    with pytest.raises(HistoryStorageError):
         Disk(tmp_path / "no folder" / "h.db")
     other = tmp_path / "o.db"
     disk = Disk(other)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -19,7 +19,7 @@
 from hillchute.engines.line import wire
 from hillchute.engines.line.exchange import Exchange
 from hillchute.engines.line.wire import Answer
-from hillchute.errors import BadConfiguration, BusUnreadable
+from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.fronts import seats
 from hillchute.fronts.mysql import packets as mysql
 from hillchute.log import MOST_ALIKE, Log
@@ -203,7 +203,7 @@
 
 
 def test_unreadable_frame_is_said_to_be():
-    with pytest.raises(BusUnreadable):
+    with pytest.raises(EventBusProtocolError):
         list(event_bus.Decoder().feed(event_bus.FRAME.pack(9 + 5, 1, 2)))
 
 
@@ -265,7 +265,7 @@
     for name in parents:
         place = place[name]
     place[last] = value
-    with pytest.raises(BadConfiguration, match=path.replace(".", r"\.")):
+    with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
         config.station(table, {})
 
 
@@ -594,7 +594,9 @@
 def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
     async def run():
         buses = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        read_again = iter([BadConfiguration("missing", "bus"), station._replace(bus=buses[1].getsockname())])
+        read_again = iter(
+            [ConfigurationError("missing", "bus"), station._replace(bus=buses[1].getsockname())]
+        )
 
         def read():
             found = next(read_again)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from rounds_by_hand import LOGIN, Rig, query
 
-from hillchute.errors import BadConfiguration
+from hillchute.errors import ConfigurationError
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
 from hillchute.membership import event_bus
@@ -77,9 +77,9 @@
     ],
 )
 def test_absent_or_absurd_setting_is_named_by_its_path(path, value):
-    with pytest.raises(BadConfiguration) as fault:
+    with pytest.raises(ConfigurationError) as fault:
         config.station(changed(path, value), {})
-    assert fault.value.where.startswith(f"settings.{path}") and fault.value.remedy
+    assert fault.value.location.startswith(f"settings.{path}") and fault.value.remedy
 
 
 @pytest.mark.parametrize(
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -24,7 +24,7 @@
     Turned,
 )
 from hillchute.accord.subsets import pairs
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 NOW = 10**9
 NAMES = [f"n{n:02d}" for n in range(40)]
@@ -189,7 +189,7 @@
     data = codec.encode(parcel)
     assert codec.decode(data, "a") == parcel
     for end in range(1, len(data)):
-        with pytest.raises(DatagramDropped):
+        with pytest.raises(InvalidDatagramError):
             codec.decode(data[:end], "a")
 
 
@@ -218,9 +218,9 @@
     parcel = codec.Parcel(**{field: value})
     with pytest.raises(ValueError):
         codec.encode(parcel)
-    with pytest.raises(DatagramDropped) as fault:
+    with pytest.raises(InvalidDatagramError) as fault:
         codec.decode(codec.encoder.encode(parcel), "a")
-    assert fault.value.where == "a"
+    assert fault.value.location == "a"
 
 
 # ---- a router in company --------------------------------------------------------------------------
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -81,7 +81,7 @@
     rig.turn(50)
     assert system.calls["accept"] == 2
     told = [fields for event, fields in rig.log.lines if event == "fault"]
-    assert told[0]["error"] == "AcceptPaused" and told[0]["remedy"]
+    assert told[0]["error"] == "AcceptPausedError" and told[0]["remedy"]
     system.fault = None
     rig.until(lambda: client.answers())
     assert client.answers() == ["served"]
