--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -22,9 +22,9 @@
 from hillchute.engines.line import wire
 from hillchute.engines.line.exchange import Exchange
 from hillchute.log import Log
-from hillchute.net.pipe import Pipe
+from hillchute.net.buffered_socket import Pipe
 from hillchute.net.poller import Poller
-from hillchute.net.system import LOCAL_SHORTAGE
+from hillchute.net.system_calls import LOCAL_SHORTAGE
 
 READ = 65_536  # bytes read at once
 HELD = 262_144  # bytes waiting for an engine that does not read; then its connection is cut
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -18,9 +18,9 @@
 from hillchute.fronts.mysql import packets
 from hillchute.fronts.seats import Seats
 from hillchute.log import Log
-from hillchute.net.pipe import Pipe
+from hillchute.net.buffered_socket import Pipe
 from hillchute.net.poller import Poller
-from hillchute.net.system import CONNECTION_FAILED
+from hillchute.net.system_calls import CONNECTION_FAILED
 from hillchute.statements import request as statements
 
 READ = 16_384  # bytes read at once from a client: there are many
--- a/hillchute/lab/faulty_system.py
+++ b/hillchute/lab/faulty_system.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from hillchute.net.system import System
+from hillchute.net.system_calls import System
 
 ACCEPT = ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EINTR", "ENETDOWN")
 OPEN = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -23,7 +23,7 @@
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Ready
-from hillchute.net.system import System
+from hillchute.net.system_calls import System
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
--- a/hillchute/net/__init__.py
+++ b/hillchute/net/__init__.py
@@ -1,2 +1,5 @@
-"""Sockets and time below every protocol: system.py has the system calls, poller.py tells which sockets are
-ready, pipe.py reads and writes one, clock.py tells the time."""
+"""Sockets and clocks below every protocol.
+
+system_calls.py makes the system calls, poller.py finds the sockets that are ready, buffered_socket.py reads
+and writes one socket, clock.py is the clock that never goes back.
+"""
--- a/hillchute/net/pipe.py
+++ b/hillchute/net/buffered_socket.py
@@ -9,7 +9,7 @@
 import struct
 
 from hillchute.net.poller import Owner, Poller
-from hillchute.net.system import NO_MEMORY, NOT_YET
+from hillchute.net.system_calls import NO_MEMORY, NOT_YET
 
 INFO = struct.Struct("=44xI4xI")  # of Linux's tcp_info: tcpi_last_data_sent and tcpi_last_data_recv
 MILLISECOND = 10  # tenths of a millisecond
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from hillchute.net.system import NOT_YET, SYSTEM, System
+from hillchute.net.system_calls import NOT_YET, SYSTEM, System
 
 MOST = 4_096  # sockets in one look: more than any deployment allows descriptors, so a look is always whole
 ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
--- a/hillchute/peers/link.py
+++ b/hillchute/peers/link.py
@@ -19,7 +19,7 @@
 from hillchute.catalog import up
 from hillchute.decision.interface import Time
 from hillchute.errors import PeerListenError
-from hillchute.net.system import CONNECTION_FAILED, NOT_YET
+from hillchute.net.system_calls import CONNECTION_FAILED, NOT_YET
 from hillchute.peers.codec import MOST, MOST_ON_STREAM
 from hillchute.peers.node import Node
 from hillchute.peers.parts import PIECE
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -15,7 +15,7 @@
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller
-from hillchute.net.system import SYSTEM
+from hillchute.net.system_calls import SYSTEM
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -8,7 +8,7 @@
 from hillchute.decision.teamwork import MOST_LATE, SECOND
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
-from hillchute.net.system import SYSTEM
+from hillchute.net.system_calls import SYSTEM
 from hillchute.router import lateness, rounds, shutdown
 from hillchute.router.lateness import Lateness
 from hillchute.router.rounds import Rounds
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -24,8 +24,8 @@
 from hillchute.fronts.mysql import packets as mysql
 from hillchute.log import MOST_ALIKE, Log
 from hillchute.membership import event_bus
-from hillchute.net.pipe import Pipe
-from hillchute.net.system import SYSTEM
+from hillchute.net.buffered_socket import Pipe
+from hillchute.net.system_calls import SYSTEM
 from hillchute.router import config, events, lateness, service
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
