--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -4,8 +4,9 @@
 so that nothing waits too short and nothing is answered late.
 """
 
-from hillchute.catalog import NS, translate, up
+from hillchute.catalog import translate
 from hillchute.decision.interface import Decision, Listing
+from hillchute.net.clock import NANOSECONDS_PER_TIME_UNIT, round_up_to_time_units
 
 RESULTS = {"completed": "finished"}  # the wire's endings in our words
 
@@ -70,7 +71,7 @@
             raise self.fault("expected an ENGINE line of the CENSUS")
         kind = self.integer("kind", 0)
         cell = self.integer("bay", 0)
-        started = up(self.integer("last_start_ns", 0))
+        started = round_up_to_time_units(self.integer("last_start_ns", 0))
         zone = self.integer("locality", 0)
         state = self.text("availability") or "Ready"
         nominal = self.real("nominal", 1.0)
@@ -105,10 +106,10 @@
     match verb:
         case "submit":
             query, engine, within = values
-            return f"PASS_ON {query} {engine} {within * NS}"
+            return f"PASS_ON {query} {engine} {within * NANOSECONDS_PER_TIME_UNIT}"
         case "defer":
             query, after, _ = values
-            return f"PUSH_BACK {query} {after * NS}"
+            return f"PUSH_BACK {query} {after * NANOSECONDS_PER_TIME_UNIT}"
         case "kill":
             return f"FINISH_ERROR {values[0]}"
         case "cancel":
@@ -122,5 +123,5 @@
             return "OBSERVE 1"
         case "wake":
             at, name = values
-            return f"WAKE_ME {at * NS} {name}"
+            return f"WAKE_ME {at * NANOSECONDS_PER_TIME_UNIT} {name}"
     raise ValueError(f"no wire form for decision {verb}")
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -5,9 +5,10 @@
 
 from hillchute.accord.subsets import Sight
 from hillchute.benchlink.codec import RESULTS, Fields, Malformed, encode
-from hillchute.catalog import down, up
+from hillchute.catalog import down
 from hillchute.decision.interface import Router
 from hillchute.decision.teamwork import Teamwork
+from hillchute.net.clock import round_up_to_time_units
 
 
 class Host:
@@ -25,7 +26,7 @@
             head = Fields(line, number)
             if head.name != "SYNC":
                 raise head.fault("a batch begins with SYNC")
-            self.now = up(head.needed(head.integer("clock"), "clock"))
+            self.now = round_up_to_time_units(head.needed(head.integer("clock"), "clock"))
             batch = head.needed(head.integer("number"), "number")
             self.answers.write(self.batch(numbered, batch))
             self.answers.flush()
@@ -120,7 +121,7 @@
         due = down(fields.needed(fields.integer("drop_dead_ns"), "drop_dead_ns"))
         key = fields.text("table")
         tables = fields.integer("table_group")
-        cost = up(cost) if cost else None
+        cost = round_up_to_time_units(cost) if cost else None
         self.router(fields).take(self.now, query, group, due, tables, tenant, cost, memory, key)
 
     def on_completed(self, fields: Fields) -> None:
@@ -129,7 +130,7 @@
         result = fields.needed(fields.text("result"), "result")
         used = fields.integer("used_up", 0)
         fields.text("engine")
-        elapsed = up(fields.integer("spent_ns", 0))
+        elapsed = round_up_to_time_units(fields.integer("spent_ns", 0))
         leg = fields.integer("leg", 0)
         report = fields.report("feedback")
         cost = used // 4096 * 10 if used else None
--- a/hillchute/catalog.py
+++ b/hillchute/catalog.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from hillchute.net.clock import NS, up
+from hillchute.net.clock import NANOSECONDS_PER_TIME_UNIT, round_up_to_time_units
 
 # The platform's words for settings and endings, in ours.
 SETTING_WORDS = {
@@ -24,7 +24,7 @@
 
 
 def down(ns: int) -> int:
-    return ns // NS
+    return ns // NANOSECONDS_PER_TIME_UNIT
 
 
 def translate(pairs: Iterable[tuple[str, object]]) -> dict[str, object]:
@@ -32,7 +32,7 @@
     settings = {}
     for path, value in pairs:
         if path.endswith("_ns") and isinstance(value, int):
-            path, value = path[:-3], up(value)
+            path, value = path[:-3], round_up_to_time_units(value)
         parts = [SETTING_WORDS.get(part, part) for part in path.split(".")]
         if parts[-1] == "effect":
             value = EFFECTS.get(value, value)
--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -22,9 +22,9 @@
 from hillchute.engines.line import wire
 from hillchute.engines.line.exchange import Exchange
 from hillchute.log import Log
-from hillchute.net.buffered_socket import Pipe
+from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.poller import Poller
-from hillchute.net.system_calls import LOCAL_SHORTAGE
+from hillchute.net.system_calls import LOCAL_RESOURCE_ERRNOS
 
 READ = 65_536  # bytes read at once
 HELD = 262_144  # bytes waiting for an engine that does not read; then its connection is cut
@@ -46,7 +46,7 @@
     def __init__(self, number: int, sock: socket.socket | None = None) -> None:
         self.number = number
         self.sock = sock  # while it is coming up
-        self.pipe: Pipe | None = None
+        self.pipe: BufferedSocket | None = None
         self.exchange = Exchange()
         self.held: deque[Held] = deque()
         self.held_size = 0  # bytes of the statements among them
@@ -146,7 +146,7 @@
             self.not_connected(link, fault)
 
     def connected(self, link: Link) -> None:
-        link.pipe = Pipe(link.sock, self.poller, link, READ)
+        link.pipe = BufferedSocket(link.sock, self.poller, link, READ)
         link.sock = None
         self.handle(events.Connected(link.number))
 
@@ -170,35 +170,35 @@
         link = self.links.get(number)
         if link is None or link.pipe is None:
             return
-        if link.pipe.left:
+        if link.pipe.unsent:
             now = self.clock()
             for command in commands:
                 link.hold(command, now)
-        elif not link.exchange.open and link.pipe.ended():
+        elif not link.exchange.open and link.pipe.has_ended():
             # Guards a command against the end of a connection that was idle: nothing of it has left.
             self.lost(link, "closed by the engine while idle", asked_among(commands))
             return
         else:
             self.write(link, commands)
-        if len(link.pipe.left) + link.held_size > HELD:
+        if len(link.pipe.unsent) + link.held_size > HELD:
             self.lost(link, "not reading", link.unwritten())
 
     def write(self, link: Link, commands: list[words.Command]) -> None:
         """Commands of which the kernel took no byte are held, so that they can be taken back."""
         commands = [command for command in commands if self.still_wanted(link, command)]
         encoded = [link.exchange.encode(command) for command in commands]
-        taken = link.pipe.put(b"".join(encoded)) if encoded else 0
+        taken = link.pipe.write(b"".join(encoded)) if encoded else 0
         if link.pipe.broken:
             # One call writes all or fails whole: no byte of these has left.
             self.lost(link, "broken as it was written", [*asked_among(commands), *link.unwritten()])
             return
-        if not link.pipe.left:
+        if not link.pipe.unsent:
             return
         now, end = self.clock(), 0
         for command, data in zip(commands, encoded):
             begin, end = end, end + len(data)
             if begin >= taken:
-                link.pipe.take_back(len(data))
+                link.pipe.discard_unsent(len(data))
                 link.hold(command, now)
 
     def still_wanted(self, link: Link, command: words.Command) -> bool:
@@ -209,7 +209,7 @@
 
     def release(self, link: Link) -> None:
         """The engine reads again: what was held is written, as far as it is still wanted."""
-        while link.held and not link.pipe.left and link.number in self.links:
+        while link.held and not link.pipe.unsent and link.number in self.links:
             self.write(link, [link.release(self.clock())])
 
     # ---- answers ------------------------------------------------------------------------------------
@@ -235,7 +235,7 @@
             for said in link.exchange.feed(data):
                 self.handle(events.Said(link.number, said))
             if link.exchange.owed and not link.pipe.closed:
-                link.pipe.put(link.exchange.owed)
+                link.pipe.write(link.exchange.owed)
                 link.exchange.owed = b""
         except wire.Unreadable as fault:
             self.lost(link, f"unreadable: {fault}", link.unwritten())
@@ -270,4 +270,4 @@
 def connect_fault(fault: OSError) -> ConnectFault:
     if fault.errno == errno.ECONNREFUSED:
         return ConnectFault.REFUSED
-    return ConnectFault.LOCAL if fault.errno in LOCAL_SHORTAGE else ConnectFault.UNREACHED
+    return ConnectFault.LOCAL if fault.errno in LOCAL_RESOURCE_ERRNOS else ConnectFault.UNREACHED
--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -1,14 +1,19 @@
-"""Every type of error that an operator may meet, with what can be done about it. Imports nothing.
+"""Every type of error that an operator may meet, with what can be done about it.
 
-A fault of the program itself is no member of this family. `remedy` names a field, a file or a signal that
-exists; it goes to the log beside what happened.
+A fault of the program itself is no member of this family. Each class has a `remedy`, which names only fields,
+files and signals that exist; the log has it beside what happened.
 """
 
+from typing import ClassVar
+
 
 class HillchuteError(Exception):
-    """What happened, where, and what an operator can do."""
+    """Base of all: what happened (`detail`), where (`location`), and what an operator can do (`remedy`).
+
+    Each class says what its `location` is; an empty one means that there is none.
+    """
 
-    remedy = ""
+    remedy: ClassVar[str] = ""
 
     def __init__(self, detail: str, location: str = "") -> None:
         super().__init__(f"{location}: {detail}" if location else detail)
@@ -27,14 +32,16 @@
 
 
 class ConfigurationError(HillchuteError):
-    """The platform's configuration can't be used; `where` is the key, by its full path."""
+    """The platform's configuration can't be used; `location` is the key, by its full path."""
 
     remedy = "mend that key in the file that EDGE_CONFIG names, then start again or send SIGHUP"
 
 
 class AcceptPausedError(HillchuteError):
-    """New connections can't be accepted for want of descriptors or memory; `where` is the address. They
-    wait with the kernel, and are accepted once there is room again."""
+    """New connections can't be accepted for want of descriptors or memory; `location` is the address.
+
+    They wait in the kernel's backlog, and are accepted once descriptors or memory are free again.
+    """
 
     remedy = (
         "see which program of this machine holds the descriptors or the memory, or raise the limit that the"
@@ -43,7 +50,10 @@
 
 
 class OperatorFileError(HillchuteError, ValueError):
-    """An operator file can't be used: all faults of it, one a line: file:line: path: expected ..., got ..."""
+    """An operator file can't be used; `detail` has all its faults, one a line.
+
+    A line reads `file:line: path: expected ..., got ...`.
+    """
 
     remedy = (
         "mend the file that HILLCHUTE_OPERATOR names, see it through with `hillchute check`, then start again"
@@ -52,7 +62,7 @@
 
 
 class EventBusProtocolError(HillchuteError):
-    """The event bus says what its protocol does not know."""
+    """The event bus sent what its protocol does not allow."""
 
     remedy = (
         "see that `bus` in the file that EDGE_CONFIG names is the address of an event bus, and which version"
@@ -61,8 +71,10 @@
 
 
 class UnknownEngineKindError(HillchuteError):
-    """The event bus lists an engine of a kind that the settings do not name; `where` is the engine. It
-    gets no queries."""
+    """The event bus lists an engine of a kind that the settings do not name; `location` is the engine.
+
+    It gets no queries.
+    """
 
     remedy = (
         "name the kind under `settings.kinds` in the file that EDGE_CONFIG names, then start the router again"
@@ -70,7 +82,10 @@
 
 
 class InvalidDatagramError(HillchuteError):
-    """A datagram between routers that can't be believed; `where` is the peer, if the mark was its own."""
+    """A datagram between routers that is rejected, as malformed, forged or replayed.
+
+    `location` is the peer, if the authentication tag was its own.
+    """
 
     remedy = (
         "compare `peers` in the operator files of both routers: address and key; then send SIGHUP to both"
@@ -78,27 +93,29 @@
 
 
 class PeerListenError(HillchuteError):
-    """The address for other routers can't be had; `where` is the address."""
+    """The address for other routers can't be bound; `location` is the address."""
 
     remedy = "give `peers.listen` an address of this machine that no other program holds, UDP and TCP"
 
 
 class PeerListMismatchError(HillchuteError):
-    """Another router was named other routers than this one; `where` is its name."""
+    """Another router has a different list of routers than this one; `location` is its name."""
 
     remedy = "give all routers the same names under `peers`, then send SIGHUP; until then no parts are lent"
 
 
 class ClockBehindError(HillchuteError):
-    """Other routers know a later start of this one: its wall clock was set back before it started. They
-    believe nothing of it, and it shares nothing with them; it serves as a router alone. `where` is its
-    name."""
+    """Other routers know a later start of this one: its wall clock was set back before it started.
+
+    They reject all its datagrams, and it shares nothing with them; it serves as a router alone. `location`
+    is its name.
+    """
 
     remedy = "set this machine's clock right, then restart the router"
 
 
 class StalePoliciesError(HillchuteError):
-    """A holder of the answer history has not applied the last policies; `where` is its name."""
+    """A replica of the answer history has not applied the last policies; `location` is its name."""
 
     remedy = (
         "see that the router is reached by the others (`peers`); until it has applied them it answers"
@@ -107,14 +124,16 @@
 
 
 class PoliciesRejectedError(HillchuteError):
-    """Policies of the answer history that are not later than those which hold; `where` is the field."""
+    """Policies of the answer history that are not later than those in force; `location` is the field."""
 
     remedy = "raise `history.number` above the number that holds, then send SIGHUP"
 
 
 class HistoryStorageError(HillchuteError):
-    """The answer history's disk can't be written or read; `where` is the file. Queries whose policy wants the
-    disk are deferred; what it holds is answered from again once it is mended."""
+    """The answer history's file can't be written or read; `location` is the file.
+
+    Queries whose policy requires the disk are deferred; its records are served again once it is repaired.
+    """
 
     remedy = (
         "see that `history.disk` names a file in a folder that the router may write to, with room; move a"
@@ -123,7 +142,7 @@
 
 
 class SignatureJournalError(HillchuteError):
-    """The file of what a partner has marked can't be read or written; `where` is the file."""
+    """The journal of what a partner has signed can't be read or written; `location` is the file."""
 
     remedy = (
         "see that `partners.marks_file` names a file in a folder that the router may write to, with room, and"
@@ -132,7 +151,10 @@
 
 
 class PartnerEquivocationError(HillchuteError):
-    """A partner has marked two texts for one number; `where` is its name. Its part goes to the others."""
+    """A partner has signed two agreements of one number; `location` is its name.
+
+    Its share goes to the others.
+    """
 
     remedy = (
         "ask that partner whether two of its routers have its `partners.key_file`, or an old"
@@ -142,6 +164,6 @@
 
 
 class InvalidAgreementError(HillchuteError):
-    """A text between partners that can't be agreed to; `where` is the field or the partner."""
+    """An agreement between partners that this one can't sign; `location` is the field or the partner."""
 
     remedy = "compare `partners.offer` of all partners; make a new offer with a higher turn, then send SIGHUP"
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -18,9 +18,9 @@
 from hillchute.fronts.mysql import packets
 from hillchute.fronts.seats import Seats
 from hillchute.log import Log
-from hillchute.net.buffered_socket import Pipe
+from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.poller import Poller
-from hillchute.net.system_calls import CONNECTION_FAILED
+from hillchute.net.system_calls import ABORTED_CONNECTION_ERRNOS
 from hillchute.statements import request as statements
 
 READ = 16_384  # bytes read at once from a client: there are many
@@ -57,7 +57,7 @@
     def __init__(self, number: int, longest: int) -> None:
         self.number = number
         self.session = packets.Session(number, longest)
-        self.pipe: Pipe
+        self.pipe: BufferedSocket
         self.served = 0
         self.free = 0  # since when nothing of it is open
         self.knocked = 0  # when the kernel took the connection
@@ -67,11 +67,11 @@
         self.empty: anyio.Event | None = None  # set when the kernel has taken all
 
     def unread(self) -> bool:
-        return self.pipe.unread()
+        return self.pipe.has_unread()
 
     async def drained(self) -> None:
         """Until the kernel has taken all that was written, or the connection is gone."""
-        while self.pipe.left and not self.pipe.closed:
+        while self.pipe.unsent and not self.pipe.closed:
             self.empty = anyio.Event()
             await self.empty.wait()
 
@@ -136,7 +136,7 @@
             except OSError as fault:
                 if fault.errno == errno.EAGAIN:
                     return True
-                if fault.errno == errno.EINTR or fault.errno in CONNECTION_FAILED:
+                if fault.errno == errno.EINTR or fault.errno in ABORTED_CONNECTION_ERRNOS:
                     continue
                 self.pause(fault)
                 return False
@@ -159,18 +159,18 @@
             if not room and self.seats.overfull:
                 self.system.close(sock)
                 return
-            client.pipe = Pipe(sock, self.poller, client, READ)
+            client.pipe = BufferedSocket(sock, self.poller, client, READ)
         except OSError as fault:  # it has broken already, or the poller takes no more
             self.log.write("not_accepted", why=str(fault))
             with contextlib.suppress(OSError):
                 self.system.close(sock)
             return
-        client.knocked = client.pipe.began(self.clock())
+        client.knocked = client.pipe.connected_at(self.clock())
         self.clients[client.number] = client
         if room:
-            client.pipe.put(client.session.greeting())
+            client.pipe.write(client.session.greeting())
         else:
-            client.pipe.put(client.session.close(packets.REFUSED, "too many sessions"))
+            client.pipe.write(client.session.close(packets.REFUSED, "too many sessions"))
         self.stand(client)
         self.read(client)
 
@@ -182,7 +182,7 @@
             return True
         for number in giving:
             client = self.clients[number]
-            if not client.unread() and not (client.pipe.left and not client.session.over):
+            if not client.unread() and not (client.pipe.unsent and not client.session.over):
                 self.drop(client)
                 return True
         return False
@@ -196,7 +196,7 @@
             return
         if writable and not client.pipe.closed:
             client.pipe.flush()
-            if client.empty is not None and not client.pipe.left:
+            if client.empty is not None and not client.pipe.unsent:
                 client.empty.set()
             self.commands(client)
         if readable and not client.pipe.closed:
@@ -208,7 +208,7 @@
         Guards rule 1's bound on departed clients: a queue of commands ahead of the end must not hide it. What
         it wrote is still read where no query of its own is open, since that may be KILL QUERY for another."""
         for _ in range(LAST_READS):
-            if client.pipe.closed or client.session.busy or client.session.over or client.pipe.left:
+            if client.pipe.closed or client.session.busy or client.session.over or client.pipe.unsent:
                 break
             self.read(client)
         self.drop(client)
@@ -224,18 +224,18 @@
         self.rounds.heard = now
         if client.session.over:
             return  # read and thrown away, so that what was said last is not
-        client.session.feed(data, client.pipe.came(now))
+        client.session.feed(data, client.pipe.last_received_at(now))
         self.commands(client)
 
     def commands(self, client: Client) -> None:
         """Acts on the commands whose turn has come."""
         session = client.session
-        while not client.pipe.left:  # one answer at a time: the next command waits until this one is read
+        while not client.pipe.unsent:  # one answer at a time: the next command waits until this one is read
             command, out = session.command()
             if session.logged_in and not client.let_in:
                 client.let_in = self.clock()
             if out:
-                client.pipe.put(out)
+                client.pipe.write(out)
             match command:
                 case None:
                     break
@@ -246,9 +246,9 @@
                     if known:
                         self.left(number)
                     unknown = packets.NO_SUCH_THREAD, "no such session"
-                    client.pipe.put(session.ok() if known else session.failed(*unknown))
+                    client.pipe.write(session.ok() if known else session.failed(*unknown))
                 case packets.Ping():
-                    client.pipe.put(session.ok())
+                    client.pipe.write(session.ok())
         self.stand(client)
 
     def ask(self, client: Client, query: packets.Query) -> None:
@@ -256,7 +256,7 @@
             request = statements.read(query.text)
         except statements.Misread as fault:
             self.log.write("misread", session=client.number, why=str(fault))
-            client.pipe.put(client.session.failed(packets.BAD_STATEMENT, str(fault)))
+            client.pipe.write(client.session.failed(packets.BAD_STATEMENT, str(fault)))
             return
         since = self.sent(client, query.since)
         end = since + request.patience - self.margin(request.patience)
@@ -277,11 +277,11 @@
         if client.pipe.closed:
             return
         self.poller.watch_reading(client.pipe.sock, session.over or not session.full)
-        if session.over and not client.pipe.left:
-            client.pipe.shut_writing()
+        if session.over and not client.pipe.unsent:
+            client.pipe.shutdown_write()
         if session.busy and not session.over:
             self.seats.ask(number)
-        elif session.over or not session.logged_in or session.buffer or client.pipe.left:
+        elif session.over or not session.logged_in or session.buffer or client.pipe.unsent:
             self.seats.in_step(number, self.clock())
         else:
             self.seats.rest(number)
@@ -311,10 +311,10 @@
         now = self.clock()
         for number in self.seats.late(now):
             client = self.clients[number]
-            if client.session.over or client.pipe.left:
+            if client.session.over or client.pipe.unsent:
                 self.drop(client)
                 continue
-            client.pipe.put(client.session.close(packets.MALFORMED, "a packet was not complete in time"))
+            client.pipe.write(client.session.close(packets.MALFORMED, "a packet was not complete in time"))
             self.seats.leave(number)
             self.stand(client)
 
@@ -326,7 +326,7 @@
 
     def owed(self) -> int:
         """Sessions whose answer the kernel has not taken whole."""
-        return sum(1 for client in self.clients.values() if client.pipe.left)
+        return sum(1 for client in self.clients.values() if client.pipe.unsent)
 
     # ---- answers ----------------------------------------------------------------------------------
 
@@ -359,10 +359,10 @@
                 batch = reading.take(raw)
                 if not begun and reading.schema is not None:
                     begun = True
-                    client.pipe.put(client.session.begin(reading.schema.names))
+                    client.pipe.write(client.session.begin(reading.schema.names))
                 rows = list(arrow.to_rows(batch)) if batch is not None else []
                 for start in range(0, len(rows), ROWS):
-                    client.pipe.put(client.session.more(rows[start : start + ROWS]))
+                    client.pipe.write(client.session.more(rows[start : start + ROWS]))
                     await client.drained()
                     if client.pipe.closed or client.stream is not stream:
                         stream.close()
@@ -384,5 +384,5 @@
 
     def answered(self, client: Client, data: bytes) -> None:
         client.free = self.clock()
-        client.pipe.put(data)
+        client.pipe.write(data)
         self.commands(client)
--- a/hillchute/lab/faulty_system.py
+++ b/hillchute/lab/faulty_system.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents: one chosen call of a run, or all of one kind for a while.
+"""System calls that fail as Linux documents: chosen calls of a run, by name and number.
 
 Owns the list of errno that each call may give and the count of calls made. Must never change what a call does
 where it is not chosen.
@@ -6,122 +6,178 @@
 
 import errno
 import os
+import select
+import socket
 from collections import Counter
-from typing import NamedTuple
-
-from hillchute.net.system_calls import System
-
-ACCEPT = ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EINTR", "ENETDOWN")
-OPEN = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
-CONNECT = (
-    "EADDRNOTAVAIL",
-    "ENETUNREACH",
-    "EHOSTUNREACH",
-    "ETIMEDOUT",
-    "ECONNREFUSED",
-    "EINTR",
-    "ENOBUFS",
-)
-RECEIVE = ("EINTR", "EAGAIN", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOMEM")
-SEND = ("EINTR", "EAGAIN", "ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS", "ENOMEM")
-DOCUMENTED = {
-    "accept": ACCEPT,
+from dataclasses import dataclass
+
+from hillchute.net.system_calls import SystemCalls
+
+DOCUMENTED_ERRNOS = {
+    "accept": ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EINTR", "ENETDOWN"),
     "prepare": ("EINVAL", "ENOBUFS"),
-    "open_stream": OPEN,
-    "connect": CONNECT,
+    "open_stream": ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
+    "connect": (
+        "EADDRNOTAVAIL",
+        "ENETUNREACH",
+        "EHOSTUNREACH",
+        "ETIMEDOUT",
+        "ECONNREFUSED",
+        "EINTR",
+        "ENOBUFS",
+    ),
     "connect_error": ("ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET"),
-    "receive": RECEIVE,
-    "send": SEND,
-    "info": ("ENOBUFS",),
+    "receive": ("EINTR", "EAGAIN", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOMEM"),
+    "send": (
+        "EINTR",
+        "EAGAIN",
+        "ECONNRESET",
+        "EPIPE",
+        "ETIMEDOUT",
+        "EHOSTUNREACH",
+        "ENOBUFS",
+        "ENOMEM",
+    ),
+    "tcp_info": ("ENOBUFS",),
     "shut_down": ("ENOTCONN",),
     "close": ("EINTR", "EIO"),
     "epoll_add": ("ENOSPC", "ENOMEM"),
-    "epoll_change": ("ENOMEM",),
+    "epoll_modify": ("ENOMEM",),
     "epoll_remove": ("ENOENT",),
-    "epoll_look": ("EINTR",),
+    "epoll_wait": ("EINTR",),
 }
+"""By the name of SystemCalls' method: the names of the errno that its manual page lists."""
 
 
-class Fault(NamedTuple):
-    """The n-th call of a name, from 1, and the `count` - 1 that follow it, fail or are short."""
+@dataclass(frozen=True)
+class Fault:
+    """Successive calls of one name that fail, or that transfer fewer bytes than asked."""
 
     call: str
-    error: str = ""  # an errno by its name
-    number: int = 1
+    """A method of SystemCalls."""
+    errno_name: str = ""
+    first: int = 1
+    """Number of the first call that fails, counted from 1."""
     count: int = 1
-    short: int = 0  # bytes that a receive or a send takes at the most; instead of an error
+    """How many calls fail, from `first` on."""
+    max_bytes: int = 0
+    """The most bytes that a receive or a send transfers; 0 stands for an error instead."""
 
 
-class FaultySystem(System):
-    """`happened` tells whether the run came to the fault at all."""
+class FaultySystemCalls(SystemCalls):
+    """The kernel's calls, of which those that `fault` chooses fail; `fault` may be changed at any time."""
 
     def __init__(self, fault: Fault | None = None) -> None:
         self.fault = fault
         self.calls: Counter[str] = Counter()
-        self.happened = False
+        """Calls made, by name."""
+        self.triggered = False
+        """Whether the run came to the fault at all."""
+
+    def open_stream(self, family: int) -> socket.socket:
+        """Fail before any socket is opened."""
+        self._fail_if_chosen("open_stream")
+        return super().open_stream(family)
+
+    def accept(self, listener: socket.socket) -> socket.socket:
+        """Fail with the connection left in the backlog."""
+        self._fail_if_chosen("accept")
+        return super().accept(listener)
+
+    def prepare(self, sock: socket.socket) -> None:
+        """Fail before any option is set."""
+        self._fail_if_chosen("prepare")
+        super().prepare(sock)
+
+    def connect(self, sock: socket.socket, address: tuple[str, int]) -> None:
+        """Fail; a connect that is interrupted goes on, as connect(2) has it."""
+        fault = self._choose("connect")
+        if fault is not None and fault.errno_name != "EINTR":
+            raise os_error(fault)
+        super().connect(sock, address)
+        if fault is not None:
+            raise os_error(fault)
 
-    def chosen(self, call: str) -> Fault | None:
+    def connect_error(self, sock: socket.socket) -> int:
+        """Return the fault's errno in place of the socket's."""
+        error = super().connect_error(sock)
+        fault = self._choose("connect_error")
+        return error if fault is None else errno_number(fault)
+
+    def receive(self, sock: socket.socket, size: int, flags: int = 0) -> bytes:
+        """Fail, or receive no more than the fault allows."""
+        fault = self._choose("receive")
+        if fault is not None and not fault.max_bytes:
+            raise os_error(fault)
+        return super().receive(sock, min(size, fault.max_bytes) if fault else size, flags)
+
+    def send(self, sock: socket.socket, data: bytes | bytearray) -> int:
+        """Fail, or send no more than the fault allows."""
+        fault = self._choose("send")
+        if fault is not None and not fault.max_bytes:
+            raise os_error(fault)
+        return super().send(sock, data[: fault.max_bytes] if fault else data)
+
+    def tcp_info(self, sock: socket.socket) -> bytes:
+        """Fail."""
+        self._fail_if_chosen("tcp_info")
+        return super().tcp_info(sock)
+
+    def shut_down(self, sock: socket.socket, how: int) -> None:
+        """Fail with the connection left open."""
+        self._fail_if_chosen("shut_down")
+        super().shut_down(sock, how)
+
+    def close(self, sock: socket.socket) -> None:
+        """Fail after the close: Linux closes the descriptor also where close(2) gives an error."""
+        super().close(sock)
+        self._fail_if_chosen("close")
+
+    def epoll_add(self, epoll: select.epoll, descriptor: int, mask: int) -> None:
+        """Fail with the descriptor not registered."""
+        self._fail_if_chosen("epoll_add")
+        super().epoll_add(epoll, descriptor, mask)
+
+    def epoll_modify(self, epoll: select.epoll, descriptor: int, mask: int) -> None:
+        """Fail with the descriptor registered as before."""
+        self._fail_if_chosen("epoll_modify")
+        super().epoll_modify(epoll, descriptor, mask)
+
+    def epoll_remove(self, epoll: select.epoll, descriptor: int) -> None:
+        """Fail with the descriptor still registered."""
+        self._fail_if_chosen("epoll_remove")
+        super().epoll_remove(epoll, descriptor)
+
+    def epoll_wait(self, epoll: select.epoll, max_events: int) -> list[tuple[int, int]]:
+        """Fail without looking at any descriptor."""
+        self._fail_if_chosen("epoll_wait")
+        return super().epoll_wait(epoll, max_events)
+
+    def _choose(self, call: str) -> Fault | None:
+        """Count one call and return the fault if it is meant for this one."""
         self.calls[call] += 1
         fault = self.fault
         if fault is None or fault.call != call:
             return None
-        if not fault.number <= self.calls[call] < fault.number + fault.count:
+        if not fault.first <= self.calls[call] < fault.first + fault.count:
             return None
-        self.happened = True
+        self.triggered = True
         return fault
 
-    def receive(self, sock, size, flags=0):
-        fault = self.chosen("receive")
-        if fault is not None and not fault.short:
-            raise failure(fault)
-        return super().receive(sock, min(size, fault.short) if fault else size, flags)
-
-    def send(self, sock, data):
-        fault = self.chosen("send")
-        if fault is not None and not fault.short:
-            raise failure(fault)
-        return super().send(sock, data[: fault.short] if fault else data)
-
-    def close(self, sock):
-        """Linux closes the descriptor also where close(2) gives an error."""
-        super().close(sock)
-        fault = self.chosen("close")
+    def _fail_if_chosen(self, call: str) -> None:
+        """Count one call and raise the fault's error if it is meant for this one."""
+        fault = self._choose(call)
         if fault is not None:
-            raise failure(fault)
+            raise os_error(fault)
 
-    def connect(self, sock, address):
-        """Interrupted, the connect goes on: connect(2)."""
-        fault = self.chosen("connect")
-        if fault is not None and fault.error != "EINTR":
-            raise failure(fault)
-        super().connect(sock, address)
-        if fault is not None:
-            raise failure(fault)
 
-    def connect_error(self, sock):
-        error = super().connect_error(sock)
-        fault = self.chosen("connect_error")
-        return getattr(errno, fault.error) if fault else error
+def errno_number(fault: Fault) -> int:
+    """Return the number of the errno that a fault names."""
+    number: int = getattr(errno, fault.errno_name)
+    return number
 
 
-def failure(fault: Fault) -> OSError:
-    number = getattr(errno, fault.error)
+def os_error(fault: Fault) -> OSError:
+    """Make the error that Python raises for this errno: of the subclass that belongs to it."""
+    number = errno_number(fault)
     return OSError(number, os.strerror(number))
-
-
-def failing(name: str):
-    """A call that fails as chosen and else is the kernel's."""
-    call = getattr(System, name)
-
-    def checked(self, *about):
-        fault = self.chosen(name)
-        if fault is not None:
-            raise failure(fault)
-        return call(self, *about)
-
-    return checked
-
-
-for name in DOCUMENTED:
-    if name not in vars(FaultySystem):
-        setattr(FaultySystem, name, failing(name))
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -22,8 +22,8 @@
 from hillchute.lab import deployment
 from hillchute.log import Log
 from hillchute.net.clock import Clock
-from hillchute.net.poller import Ready
-from hillchute.net.system_calls import System
+from hillchute.net.poller import ReadySocket
+from hillchute.net.system_calls import SystemCalls
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
@@ -177,7 +177,7 @@
             sock.peer.reset(self.world.us)
 
 
-class Calls(System):
+class Calls(SystemCalls):
     """Connections to engines are up at once; everything else goes to the played sockets as it is."""
 
     def __init__(self, rig: "Rig") -> None:
@@ -213,12 +213,14 @@
     def remove(self, sock: Sock) -> None:
         self.owners.pop(sock.number, None)
 
-    def look(self) -> list[Ready]:
+    def poll(self) -> list[ReadySocket]:
         self.world.spend(CALL)
         self.world.pass_time()
         still = [s for s in self.world.ready if s.inbox or s.ended or getattr(s, "waiting", None)]
         self.world.ready = dict.fromkeys(still)
-        return [Ready(self.owners[s.number], True, False, s.ended) for s in still if s.number in self.owners]
+        return [
+            ReadySocket(self.owners[s.number], True, False, s.ended) for s in still if s.number in self.owners
+        ]
 
 
 @dataclass
--- a/hillchute/log.py
+++ b/hillchute/log.py
@@ -1,7 +1,7 @@
-"""The log: one JSON line an event on standard output.
+"""The structured log: one JSON object a line for each event, on standard output.
 
-Owns the descriptor and a bounded buffer. Must never block the loop nor fail its caller: what a full pipe
-does not take waits in the buffer, what the buffer does not hold is dropped and counted.
+Owns the descriptor and a bounded buffer. Must never block the event loop nor fail its caller: what a full
+pipe does not take waits in the buffer, what the buffer does not hold is dropped and counted.
 """
 
 import os
@@ -10,59 +10,100 @@
 
 import orjson
 
-MOST_ALIKE = 20  # lines of one event in a second; the rest is counted: a line costs what a query does
-BUFFER = 256 * 1024  # bytes held for a slow reader: some seconds of lines
+MAX_LINES_PER_EVENT = 20
+"""Lines of one event in a window; more are only counted: to write a line costs as much as a query."""
+
+WINDOW_NS = 1_000_000_000
+"""Length of the window in which lines of one event are counted: a second."""
+
+MAX_BUFFER_SIZE = 256 * 1024
+"""Bytes held for a slow reader: some seconds of lines."""
+
+FLUSH_SIZE = 4096
+"""Bytes of routine lines that are gathered before they are written in one call."""
+
+MAX_WRITE_SIZE = 65_536
+"""Bytes given to one write(2): the capacity of a Linux pipe."""
+
+ROUTINE_EVENTS = frozenset({"query"})
+"""Events so frequent that their lines may wait for others; all other lines are written at once."""
+
+CLOSED = -1
+"""In place of a descriptor that nobody reads any more."""
+
+TIMESTAMP_UNIT_NS = 100_000
+TIMESTAMP_UNITS_PER_SECOND = 10_000
 
 
 class Log:
-    def __init__(self, name: str, descriptor: int = 1, alike: int = MOST_ALIKE) -> None:
+    """The log of one router."""
+
+    def __init__(
+        self, name: str, descriptor: int = 1, max_lines_per_event: int = MAX_LINES_PER_EVENT
+    ) -> None:
+        """Log for the router `name` on `descriptor`, which is made non-blocking."""
         self.name = name
         self.descriptor = descriptor
-        self.alike = alike
+        self.max_lines_per_event = max_lines_per_event
         self.buffer = bytearray()
         self.dropped = 0
-        self.second, self.written = 0, Counter()  # lines of each event in this second
+        """Lines for which the buffer had no space, since the last line that said so."""
+        self.window_start = 0  # nanoseconds of the monotonic clock: a step of the wall clock changes nothing
+        self.lines_by_event: Counter[str] = Counter()  # in this window
         try:
             os.set_blocking(descriptor, False)
         except OSError:
-            self.descriptor = -1  # closed: there is nobody to read
+            self.descriptor = CLOSED
 
     def write(self, event: str, **fields: object) -> None:
-        now = time.monotonic_ns() // 100_000  # of the window: a step of the wall clock does not stretch it
-        if now - self.second >= 10_000:
-            alike = {name: n - self.alike for name, n in self.written.items() if n > self.alike}
-            self.second, self.written = now, Counter()
-            if alike:
-                self.write("log_alike", left_out=alike)
-        self.written[event] += 1
-        if self.written[event] > self.alike:
+        """Write one line, unless the event has had its share of lines in this window."""
+        now = time.monotonic_ns()
+        if now - self.window_start >= WINDOW_NS:
+            self._start_window(now)
+        self.lines_by_event[event] += 1
+        if self.lines_by_event[event] > self.max_lines_per_event:
             return
+        timestamp = time.time_ns() // TIMESTAMP_UNIT_NS / TIMESTAMP_UNITS_PER_SECOND
         line = orjson.dumps(
-            {"time": time.time_ns() // 100_000 / 10_000, "router": self.name, "event": event, **fields},
+            {"time": timestamp, "router": self.name, "event": event, **fields},
             default=str,
             option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS,
         )
-        if len(self.buffer) + len(line) > BUFFER:
+        if len(self.buffer) + len(line) > MAX_BUFFER_SIZE:
             self.flush()
-        if len(self.buffer) + len(line) > BUFFER:
+        if len(self.buffer) + len(line) > MAX_BUFFER_SIZE:
             self.dropped += 1
             return
         self.buffer += line
-        if len(self.buffer) > 4096 or event != "query":
+        if len(self.buffer) > FLUSH_SIZE or event not in ROUTINE_EVENTS:
             self.flush()
 
     def flush(self) -> None:
-        if self.dropped and len(self.buffer) < BUFFER // 2:
+        """Write as much of the buffer as the descriptor takes now."""
+        if self.dropped and len(self.buffer) < MAX_BUFFER_SIZE // 2:
             self.buffer += orjson.dumps(
                 {"event": "log_dropped", "router": self.name, "lines": self.dropped},
                 option=orjson.OPT_APPEND_NEWLINE,
             )
             self.dropped = 0
         try:
-            while self.buffer and self.descriptor >= 0:
-                del self.buffer[: os.write(self.descriptor, self.buffer[:65536])]
+            while self.buffer and self.descriptor != CLOSED:
+                written = os.write(self.descriptor, self.buffer[:MAX_WRITE_SIZE])
+                del self.buffer[:written]
         except BlockingIOError:
             pass
         except OSError:
-            self.descriptor = -1
+            self.descriptor = CLOSED
             self.buffer.clear()
+
+    def _start_window(self, now: int) -> None:
+        """Begin a new window, and log how many lines of which events were left out in the last."""
+        left_out = {
+            event: lines - self.max_lines_per_event
+            for event, lines in self.lines_by_event.items()
+            if lines > self.max_lines_per_event
+        }
+        self.window_start = now
+        self.lines_by_event = Counter()
+        if left_out:
+            self.write("log_alike", left_out=left_out)
--- a/hillchute/net/buffered_socket.py
+++ b/hillchute/net/buffered_socket.py
@@ -1,131 +1,161 @@
-"""One connection's socket: what has come, and the bytes that the kernel has not taken yet.
+"""One connection's non-blocking socket, with a buffer for bytes that the kernel has not taken yet.
 
-Owns the socket from the moment it is connected to its close. Must never wait, nor know a protocol: who
-reads too much at once or lets too much pile up is told by what read() and `left` say.
+Owns the socket from the moment it is connected to its close. Must never wait, nor know a protocol: limits on
+what is read at once or left unsent are the caller's.
 """
 
 import contextlib
 import socket
 import struct
+from typing import NamedTuple
 
-from hillchute.net.poller import Owner, Poller
-from hillchute.net.system_calls import NO_MEMORY, NOT_YET
+from hillchute.net.poller import Poller, SocketOwner
+from hillchute.net.system_calls import MEMORY_ERRNOS, TRANSIENT_ERRNOS
 
-INFO = struct.Struct("=44xI4xI")  # of Linux's tcp_info: tcpi_last_data_sent and tcpi_last_data_recv
-MILLISECOND = 10  # tenths of a millisecond
+TCP_INFO = struct.Struct("=44xI4xI")
+"""Of Linux's struct tcp_info: tcpi_last_data_sent and tcpi_last_data_recv, in milliseconds."""
 
+TIME_UNITS_PER_MILLISECOND = 10
 
-class Pipe:
-    """Writes go out at once where the socket takes them: a task for each would cost more than a query."""
 
-    def __init__(self, sock: socket.socket, poller: Poller, owner: Owner, size: int) -> None:
-        """Raises OSError where the poller takes no more; the socket is then the caller's to close."""
+class IdleTimes(NamedTuple):
+    """Milliseconds since the last bytes went out and came in; both count from the connection's start."""
+
+    sent: int
+    received: int
+
+
+class BufferedSocket:
+    """Writes are sent at once where the kernel takes them: a task for each would cost more than a query."""
+
+    def __init__(self, sock: socket.socket, poller: Poller, owner: SocketOwner, read_size: int) -> None:
+        """Register with the poller.
+
+        `read_size` is the most bytes that one read() returns. Raises OSError where the poller takes no
+        more; the socket is then the caller's to close.
+        """
         self.sock = sock
         self.poller = poller
         self.system = poller.system
-        self.size = size  # bytes read at once
-        self.left = bytearray()
+        self.read_size = read_size
+        self.unsent = bytearray()
+        """Written, and not yet taken by the kernel."""
         self.closed = False
-        self.shut = False
-        self.broken = False  # a write failed for good: read() gives the end
+        self.write_shut_down = False
+        self.broken = False
+        """A send failed for good: read() returns the end of the stream."""
         poller.add(sock, owner)
 
-    def put(self, data: bytes) -> int:
-        """Writes; what the kernel does not take is kept in `left`. Gives how many bytes it took now."""
+    def write(self, data: bytes) -> int:
+        """Send, and keep in `unsent` what the kernel does not take.
+
+        Returns how many bytes of `data` the kernel took now.
+        """
         if self.closed or self.broken:
             return 0
-        if self.left:
-            self.left += data
+        if self.unsent:
+            self.unsent += data
             return 0
-        sent = self.send(data)
+        sent = self._send(data)
         if sent < len(data) and not self.broken:
-            self.left += data[sent:]
+            self.unsent += data[sent:]
             self.poller.watch_writing(self.sock, True)
         return sent
 
     def flush(self) -> None:
-        """The socket takes bytes again."""
-        if self.left:
-            del self.left[: self.send(self.left)]
+        """Send more of `unsent`: the poller has reported the socket as writable."""
+        if self.unsent:
+            del self.unsent[: self._send(self.unsent)]
         if self.broken:
-            self.left.clear()
-        if not self.left and not self.closed:
+            self.unsent.clear()
+        if not self.unsent and not self.closed:
             self.poller.watch_writing(self.sock, False)
 
-    def take_back(self, size: int) -> None:
-        """The last `size` bytes that were put are not to be written; they must be among those left."""
-        del self.left[len(self.left) - size :]
-
-    def send(self, data: bytes | bytearray) -> int:
-        try:
-            return self.system.send(self.sock, data)
-        except OSError as fault:
-            if fault.errno in NO_MEMORY:
-                self.poller.pause(self.sock)
-            elif fault.errno not in NOT_YET:
-                self.fail()
-            return 0
-
-    def fail(self) -> None:
-        """No more can be written: the next look finds the end, and read() gives it."""
-        self.broken = True
-        with contextlib.suppress(OSError):
-            self.system.shut_down(self.sock, socket.SHUT_RDWR)
+    def discard_unsent(self, size: int) -> None:
+        """Drop the last `size` bytes that were written; all of them must still be in `unsent`."""
+        del self.unsent[len(self.unsent) - size :]
 
     def read(self) -> bytes | None:
-        """What has come; None where nothing has, empty once the other side has closed or it is broken."""
+        """Return what has come: None where nothing has, empty at the end of the stream or when broken."""
         if self.broken:
             return b""
         try:
-            return self.system.receive(self.sock, self.size)
-        except OSError as fault:
-            if fault.errno in NO_MEMORY:
+            return self.system.receive(self.sock, self.read_size)
+        except OSError as error:
+            if error.errno in MEMORY_ERRNOS:
                 self.poller.pause(self.sock)
                 return None
-            return None if fault.errno in NOT_YET else b""
+            return None if error.errno in TRANSIENT_ERRNOS else b""
 
-    def came(self, now: int) -> int:
-        """When the last bytes came, to some milliseconds: a busy loop reads them late."""
-        return now - MILLISECOND * self.ages()[1]
+    def last_received_at(self, now: int) -> int:
+        """When the last bytes came in, to some milliseconds: a busy loop reads them late.
 
-    def began(self, now: int) -> int:
-        """When the kernel took the connection, to some milliseconds; right until something was written."""
-        return now - MILLISECOND * self.ages()[0]
+        `now` and the result are in tenths of a millisecond.
+        """
+        return now - TIME_UNITS_PER_MILLISECOND * self._idle_times().received
 
-    def ages(self) -> tuple[int, int]:
-        """Milliseconds since the last bytes went out and since the last came; both count from the start."""
-        try:
-            return INFO.unpack_from(self.system.info(self.sock))
-        except OSError:
-            return 0, 0
+    def connected_at(self, now: int) -> int:
+        """When the kernel took the connection, to some milliseconds; right until something was sent.
 
-    def unread(self) -> bool:
-        """Whether something has come that was not read yet."""
-        return self.peek() not in (None, b"")
+        `now` and the result are in tenths of a millisecond.
+        """
+        return now - TIME_UNITS_PER_MILLISECOND * self._idle_times().sent
 
-    def ended(self) -> bool:
-        """Whether the other side has closed or reset it and nothing is left to read."""
-        return self.peek() == b""
+    def has_unread(self) -> bool:
+        """Whether bytes have come that were not read yet."""
+        return self._peek() not in (None, b"")
 
-    def peek(self) -> bytes | None:
-        """The next byte without taking it: None where there is none, empty at the end."""
-        if self.broken:
-            return b""
-        try:
-            return self.system.receive(self.sock, 1, socket.MSG_PEEK)
-        except OSError as fault:
-            return None if fault.errno in NOT_YET or fault.errno in NO_MEMORY else b""
+    def has_ended(self) -> bool:
+        """Whether the peer has closed or reset the connection and nothing is left to read."""
+        return self._peek() == b""
+
+    def shutdown_write(self) -> None:
+        """End the outgoing stream, so that the peer can still read the last answer.
 
-    def shut_writing(self) -> None:
-        """Lets the other side read the last answer: a close with bytes unread here would take it away."""
-        if not self.shut and not self.closed:
-            self.shut = True
+        A close with bytes unread here would reset the connection and destroy that answer.
+        """
+        if not self.write_shut_down and not self.closed:
+            self.write_shut_down = True
             with contextlib.suppress(OSError):
                 self.system.shut_down(self.sock, socket.SHUT_WR)
 
     def close(self) -> None:
+        """Leave the poller and close the socket; a second call does nothing."""
         if not self.closed:
             self.closed = True
             self.poller.remove(self.sock)
             with contextlib.suppress(OSError):
                 self.system.close(self.sock)
+
+    def _send(self, data: bytes | bytearray) -> int:
+        """Send once; returns 0 where the kernel takes nothing, also where the connection is lost."""
+        try:
+            return self.system.send(self.sock, data)
+        except OSError as error:
+            if error.errno in MEMORY_ERRNOS:
+                self.poller.pause(self.sock)
+            elif error.errno not in TRANSIENT_ERRNOS:
+                self._break()
+            return 0
+
+    def _break(self) -> None:
+        """Nothing more can be sent: the next poll reports the end, and read() returns it."""
+        self.broken = True
+        with contextlib.suppress(OSError):
+            self.system.shut_down(self.sock, socket.SHUT_RDWR)
+
+    def _idle_times(self) -> IdleTimes:
+        """Ask the kernel; zeros where it can't tell."""
+        try:
+            return IdleTimes._make(TCP_INFO.unpack_from(self.system.tcp_info(self.sock)))
+        except OSError:
+            return IdleTimes(0, 0)
+
+    def _peek(self) -> bytes | None:
+        """Return the next byte without taking it: None where there is none, empty at the end."""
+        if self.broken:
+            return b""
+        try:
+            return self.system.receive(self.sock, 1, socket.MSG_PEEK)
+        except OSError as error:
+            return None if error.errno in TRANSIENT_ERRNOS or error.errno in MEMORY_ERRNOS else b""
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -1,52 +1,59 @@
 """Which sockets are ready, all of them at once: one epoll behind the event loop.
 
-Owns the kernel's list of watched sockets and who stands behind each. Must never read or write a socket,
-nor know what it is for. A socket that is ready and was left alone is ready again at the next look, so
-nothing is lost by putting one off; fairness among those put off is the caller's (rounds.py).
+Owns the kernel's list of registered sockets and the owner of each. Must never read or write a socket, nor
+know what it is for. The registration is level-triggered: a socket that is ready and was left alone is ready
+again at the next poll, so nothing is lost by deferring one; fairness among the deferred is the caller's.
 """
 
 import contextlib
 import select
 import socket
+from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
 import anyio
 
-from hillchute.net.system_calls import NOT_YET, SYSTEM, System
+from hillchute.net.system_calls import SYSTEM_CALLS, TRANSIENT_ERRNOS, SystemCalls
 
-MOST = 4_096  # sockets in one look: more than any deployment allows descriptors, so a look is always whole
-ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-READABLE = select.EPOLLIN | select.EPOLLPRI | ENDED
+MAX_EVENTS = 4_096
+"""Sockets in one poll: more than any deployment allows descriptors, so that a poll always finds all."""
 
+ENDED_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+READABLE_EVENTS = select.EPOLLIN | select.EPOLLPRI | ENDED_EVENTS
 
-class Owner(Protocol):
-    """Who stands behind a socket."""
 
-    served: int  # number of the round in which it was last looked after
+class SocketOwner(Protocol):
+    """The object that a socket's events are delivered to."""
 
+    served: int
+    """Number of the event loop's round in which it was last served."""
 
-class Ready(NamedTuple):
-    """One socket that is ready, by its owner."""
 
-    owner: Owner
-    readable: bool  # something to read, or an end
-    writable: bool  # it takes bytes again
-    ended: bool = False  # the other side has closed or reset it, whatever is still to be read
+class ReadySocket(NamedTuple):
+    """One socket that is ready, by its owner."""
 
+    owner: SocketOwner
+    readable: bool
+    """There are bytes to read, or the end of the stream, or an error."""
+    writable: bool
+    """The kernel takes bytes again."""
+    ended: bool = False
+    """The peer has closed or reset the connection, whatever is still to be read."""
 
-class Watch:
-    """What is watched of one socket."""
 
-    __slots__ = ("owner", "reading", "writing", "paused")
+@dataclass(slots=True)
+class Registration:
+    """What one socket is registered for."""
 
-    def __init__(self, owner: Owner, writing: bool) -> None:
-        self.owner = owner
-        self.reading = True
-        self.writing = writing
-        self.paused = False  # a call on it failed for want of memory: left alone until resume()
+    owner: SocketOwner
+    writing: bool
+    reading: bool = True
+    paused: bool = False
+    """A call on it failed for want of kernel memory: left alone until Poller.resume()."""
 
     @property
     def mask(self) -> int:
+        """The epoll events to ask for. The end of the connection is always among them."""
         if self.paused:
             return select.EPOLLRDHUP
         reading = select.EPOLLIN if self.reading else 0
@@ -55,92 +62,108 @@
 
 
 class Poller:
-    """add() and remove() sockets, look() for what is ready now, wait() until anything is."""
+    """Register sockets with add() and remove(), poll() for those ready now, wait_until_ready() for any."""
 
-    def __init__(self, system: System = SYSTEM) -> None:
+    def __init__(self, system: SystemCalls = SYSTEM_CALLS) -> None:
         self.system = system
         self.epoll = select.epoll()
-        self.watched: dict[int, Watch] = {}
-        self.paused: set[int] = set()
-
-    def add(self, sock: socket.socket, owner: Owner, writing: bool = False) -> None:
-        """Watches a socket for bytes to read, or an end; twice is once. Raises OSError where the kernel takes
-        no more."""
-        number = sock.fileno()
-        if number in self.watched:
-            return
-        watch = Watch(owner, writing)
-        self.system.epoll_add(self.epoll, number, watch.mask)
-        self.watched[number] = watch
+        self._registrations: dict[int, Registration] = {}  # by descriptor
+        self._paused: set[int] = set()  # descriptors
 
-    def watch_writing(self, sock: socket.socket, on: bool) -> None:
-        """Also tells when the socket takes bytes again, or no longer does."""
-        self.change(sock, "writing", on)
+    def add(self, sock: socket.socket, owner: SocketOwner, writing: bool = False) -> None:
+        """Register a socket for reading, and for writing if asked; a second call for it changes nothing.
 
-    def watch_reading(self, sock: socket.socket, on: bool) -> None:
-        """Tells of bytes to read, or only of an end: what is unread then stays with the kernel."""
-        self.change(sock, "reading", on)
+        Raises OSError where the kernel registers no more.
+        """
+        descriptor = sock.fileno()
+        if descriptor in self._registrations:
+            return
+        registration = Registration(owner, writing)
+        self.system.epoll_add(self.epoll, descriptor, registration.mask)
+        self._registrations[descriptor] = registration
+
+    def watch_writing(self, sock: socket.socket, enabled: bool) -> None:
+        """Report the socket also when it takes bytes again, or no longer."""
+        descriptor = sock.fileno()
+        registration = self._registrations.get(descriptor)
+        if registration is not None and registration.writing != enabled:
+            registration.writing = enabled
+            self._apply(descriptor, registration)
+
+    def watch_reading(self, sock: socket.socket, enabled: bool) -> None:
+        """Report the socket when there are bytes to read, or only at its end.
+
+        While reading is disabled, unread bytes stay with the kernel, which holds up the sender.
+        """
+        descriptor = sock.fileno()
+        registration = self._registrations.get(descriptor)
+        if registration is not None and registration.reading != enabled:
+            registration.reading = enabled
+            self._apply(descriptor, registration)
 
     def pause(self, sock: socket.socket) -> None:
-        """Guards against a loop that spins on a call for which the kernel has no memory."""
-        self.paused.add(sock.fileno())
-        self.change(sock, "paused", True)
+        """Leave a socket alone until resume(): a call on it failed because the kernel lacks memory.
 
-    def resume(self) -> None:
-        """Those that were paused are watched again."""
-        numbers, self.paused = self.paused, set()
-        for number in numbers:
-            watch = self.watched.get(number)
-            if watch is not None and watch.paused:
-                watch.paused = False
-                self.apply(number, watch)
-
-    def change(self, sock: socket.socket, what: str, on: bool) -> None:
-        number = sock.fileno()
-        watch = self.watched.get(number)
-        if watch is None or getattr(watch, what) == on:
-            return
-        setattr(watch, what, on)
-        self.apply(number, watch)
+        Without this a level-triggered loop would spin on the failing call.
+        """
+        descriptor = sock.fileno()
+        self._paused.add(descriptor)
+        registration = self._registrations.get(descriptor)
+        if registration is not None and not registration.paused:
+            registration.paused = True
+            self._apply(descriptor, registration)
 
-    def apply(self, number: int, watch: Watch) -> None:
-        try:
-            self.system.epoll_change(self.epoll, number, watch.mask)
-        except OSError:  # of memory: what is watched is put right by resume()
-            watch.paused = True
-            self.paused.add(number)
+    def resume(self) -> None:
+        """Register again what was paused. To be called from time to time."""
+        descriptors = self._paused
+        self._paused = set()
+        for descriptor in descriptors:
+            registration = self._registrations.get(descriptor)
+            if registration is not None and registration.paused:
+                registration.paused = False
+                self._apply(descriptor, registration)
 
     def remove(self, sock: socket.socket) -> None:
-        """Must come before the close: the number may be another socket's a moment later."""
-        number = sock.fileno()
-        if self.watched.pop(number, None) is None:
+        """Forget a socket. Must come before its close: the descriptor may be reused a moment later."""
+        descriptor = sock.fileno()
+        if self._registrations.pop(descriptor, None) is None:
             return
-        self.paused.discard(number)
+        self._paused.discard(descriptor)
         with contextlib.suppress(OSError):  # the kernel forgets it with the close that follows
-            self.system.epoll_remove(self.epoll, number)
+            self.system.epoll_remove(self.epoll, descriptor)
 
-    def look(self) -> list[Ready]:
-        """Who is ready now."""
+    def poll(self) -> list[ReadySocket]:
+        """Return the sockets that are ready now, without waiting."""
         try:
-            found = self.system.epoll_look(self.epoll, MOST)
-        except OSError as fault:
-            if fault.errno not in NOT_YET:
+            found = self.system.epoll_wait(self.epoll, MAX_EVENTS)
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
             return []
         ready = []
-        for number, mask in found:
-            watch = self.watched.get(number)
-            if watch is None:
+        for descriptor, mask in found:
+            registration = self._registrations.get(descriptor)
+            if registration is None:
                 continue
-            readable = bool(mask & READABLE)
+            readable = bool(mask & READABLE_EVENTS)
             writable = bool(mask & select.EPOLLOUT)
-            ready.append(Ready(watch.owner, readable, writable, bool(mask & ENDED)))
+            ended = bool(mask & ENDED_EVENTS)
+            ready.append(ReadySocket(registration.owner, readable, writable, ended))
         return ready
 
-    async def wait(self) -> None:
-        """Until look() would find somebody."""
+    async def wait_until_ready(self) -> None:
+        """Wait until poll() would return a socket."""
         await anyio.wait_readable(self.epoll)
 
     def close(self) -> None:
+        """Close the epoll descriptor; a waiting wait_until_ready() is woken with an error."""
         anyio.notify_closing(self.epoll)
         self.epoll.close()
+
+    def _apply(self, descriptor: int, registration: Registration) -> None:
+        """Tell the kernel what a socket is registered for now."""
+        try:
+            self.system.epoll_modify(self.epoll, descriptor, registration.mask)
+        except OSError:  # of memory: the next resume() tries again
+            registration.paused = True
+            self._paused.add(descriptor)
--- a/hillchute/peers/link.py
+++ b/hillchute/peers/link.py
@@ -16,10 +16,10 @@
 import anyio.abc
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from hillchute.catalog import up
 from hillchute.decision.interface import Time
 from hillchute.errors import PeerListenError
-from hillchute.net.system_calls import CONNECTION_FAILED, NOT_YET
+from hillchute.net.clock import round_up_to_time_units
+from hillchute.net.system_calls import ABORTED_CONNECTION_ERRNOS, TRANSIENT_ERRNOS
 from hillchute.peers.codec import MOST, MOST_ON_STREAM
 from hillchute.peers.node import Node
 from hillchute.peers.parts import PIECE
@@ -51,7 +51,7 @@
         self.began = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
     def __call__(self) -> Time:
-        return up(self.began + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+        return round_up_to_time_units(self.began + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
 
 
 class Address(NamedTuple):
@@ -213,7 +213,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError as fault:
-                if fault.errno not in NOT_YET and fault.errno not in CONNECTION_FAILED:
+                if fault.errno not in TRANSIENT_ERRNOS and fault.errno not in ABORTED_CONNECTION_ERRNOS:
                     # Guards against a loop that spins while this machine lacks descriptors or memory.
                     self.counts["streams not accepted"] += 1
                     await anyio.sleep(ACCEPT_AGAIN)
--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -12,7 +12,7 @@
 import anyio
 
 from hillchute.errors import HillchuteError
-from hillchute.log import Log
+from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.router import config
 from hillchute.router.lifecycle import Lifecycle
 from hillchute.router.service import SIGNALS, Service
@@ -23,7 +23,8 @@
     operator: Mapping[str, object] | None,
     read_again: Callable[[], Mapping[str, object]] | None,
 ) -> None:
-    log = Log(station.name, **((operator or {}).get("log", {})))
+    log_settings = (operator or {}).get("log", {})
+    log = Log(station.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
     lifecycle = Lifecycle(log)
     await Service(station, log, lifecycle, operator=operator, read_operator=read_again).run()
     log.flush()
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -28,8 +28,8 @@
 from hillchute.log import Log
 from hillchute.membership import event_bus
 from hillchute.membership.follower import Follower
-from hillchute.net.clock import Clock, StartTimes
-from hillchute.net.poller import Poller, Ready
+from hillchute.net.clock import Clock, EngineStartTimes
+from hillchute.net.poller import Poller, ReadySocket
 from hillchute.router import config, events
 from hillchute.router.config import SECOND, Station
 from hillchute.router.lifecycle import Lifecycle, Phase
@@ -73,7 +73,7 @@
         self.log = log
         self.lifecycle = lifecycle
         self.clock = clock = clock or Clock()
-        self.start_times = StartTimes(clock)
+        self.start_times = EngineStartTimes(clock)
         self.kinds = kinds_named(station.catalog)
         self.poller = poller or Poller()
         self.rounds = Rounds()
@@ -253,9 +253,9 @@
         if not self.rounds.drop(session) and session in self.reducer.asking:
             self.handle(events.Left(session))
 
-    def look(self) -> list[Ready]:
+    def look(self) -> list[ReadySocket]:
         self.looked_at = self.clock()
-        return self.poller.look()
+        return self.poller.poll()
 
     def notice_departures(self) -> None:
         """Clients that have closed their connections are let go; all else waits for its turn in the round."""
@@ -275,7 +275,7 @@
         entries = []
         for entry in news.entries:
             listing = entry.listing
-            started = self.start_times.translate(listing.engine, listing.started)
+            started = self.start_times.to_router_clock(listing.engine, listing.started)
             listing = self.usable(listing._replace(started=started))
             entries.append(entry._replace(listing=listing))
         self.handle(events.Notified(news._replace(entries=tuple(entries))))
@@ -307,8 +307,8 @@
         rounds.begin()
         began = self.clock()
         stale = began - self.looked_at > STALE
-        links: list[Ready] = []
-        clients: list[Ready] = []
+        links: list[ReadySocket] = []
+        clients: list[ReadySocket] = []
         knocks = False
         for ready in self.look():
             if isinstance(ready.owner, Client):
@@ -342,7 +342,7 @@
         if ended - began > ENGINES_TIME + QUERIES_TIME:
             self.reducer.lateness.seen(ended, ended - began)
 
-    def departures(self, clients: list[Ready]) -> None:
+    def departures(self, clients: list[ReadySocket]) -> None:
         """All that have left are let go before anything follows from it: the place of one must not go to a
         query of another."""
         ended = [ready.owner for ready in clients if ready.ended]
@@ -356,7 +356,7 @@
         if not outer:
             self.handle_queue()
 
-    def hear_engines(self, links: list[Ready], began: int) -> None:
+    def hear_engines(self, links: list[ReadySocket], began: int) -> None:
         by_owner = {ready.owner: ready for ready in links}
         for n, link in enumerate(self.rounds.in_turn(by_owner)):
             if n and self.clock() - began > ENGINES_TIME:
@@ -365,7 +365,7 @@
             link.served = self.rounds.number
             self.guarded(self.links.ready, link, by_owner[link].readable, by_owner[link].writable)
 
-    def read_clients(self, clients: list[Ready]) -> None:
+    def read_clients(self, clients: list[ReadySocket]) -> None:
         for n, ready in enumerate(clients):
             if n % CLIENTS == CLIENTS - 1:
                 self.look_at_alarm(self.clock())
@@ -395,7 +395,7 @@
         """Rounds without end. Between two of them signals, timers and the event bus have their turn."""
         while True:
             if self.rounds.idle:
-                await self.poller.wait()
+                await self.poller.wait_until_ready()
             else:
                 await anyio.lowlevel.checkpoint()
             self.round()
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -15,7 +15,7 @@
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller
-from hillchute.net.system_calls import SYSTEM
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
@@ -171,7 +171,7 @@
 class Rig:
     """One router and one engine. `self.wants` are the attempts that have come to the engine, in order."""
 
-    def __init__(self, system=SYSTEM, backlog=64, sockets=128, table=None, clock=None):
+    def __init__(self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 import pytest
 from rounds_by_hand import LOGIN, Rig, query
 
-from hillchute.net.clock import Clock, StartTimes, up
+from hillchute.net.clock import Clock, EngineStartTimes, round_up_to_time_units
 from hillchute.peers.link import Steady
 
 HOUR = 3_600 * 10**9
@@ -54,13 +54,13 @@
 def test_start_of_an_engine_is_translated_once_and_never_makes_it_older_than_it_may_be(seconds):
     walls = Walls()
     clock = walls.clock()
-    times = StartTimes(clock)
-    stated = up(walls.wall + walls.steady) - 40_000  # it started 4 s ago
-    started = times.translate(1, stated)
+    times = EngineStartTimes(clock)
+    stated = round_up_to_time_units(walls.wall + walls.steady) - 40_000  # it started 4 s ago
+    started = times.to_router_clock(1, stated)
     assert clock() - started == 40_000
     walls.step(seconds)
-    assert times.translate(1, stated) == started  # the same statement is no new start
-    age = clock() - times.translate(2, stated)  # another engine, read after the step
+    assert times.to_router_clock(1, stated) == started  # the same statement is no new start
+    age = clock() - times.to_router_clock(2, stated)  # another engine, read after the step
     assert 0 <= age <= 40_000 and clock() - started == 40_000
     if seconds > 0:
         assert age == 40_000  # only the wall clock makes it older; this clock knows better
@@ -69,13 +69,13 @@
 def test_start_stated_in_the_future_is_now_and_a_later_start_of_the_same_engine_is_a_new_one():
     walls = Walls()
     clock = walls.clock()
-    times = StartTimes(clock)
-    unix = up(walls.wall + walls.steady)
-    assert times.translate(1, unix + 36_000_000) == clock()  # this machine's clock was set back, say
+    times = EngineStartTimes(clock)
+    unix = round_up_to_time_units(walls.wall + walls.steady)
+    assert times.to_router_clock(1, unix + 36_000_000) == clock()  # this machine's clock was set back, say
     walls.steady += 5 * 10**9
-    assert times.translate(1, unix + 36_000_000) == clock() - 50_000
-    assert times.translate(1, unix + 36_100_000) == clock()
-    assert times.translate(1, 0) == 0
+    assert times.to_router_clock(1, unix + 36_000_000) == clock() - 50_000
+    assert times.to_router_clock(1, unix + 36_100_000) == clock()
+    assert times.to_router_clock(1, 0) == 0
 
 
 @pytest.mark.parametrize("seconds", STEPS)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from hillchute.fronts import seats
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
-from hillchute.lab.faulty_system import FaultySystem
+from hillchute.lab.faulty_system import FaultySystemCalls
 from hillchute.router import service
 
 KEYED = {"route": "event-load", "entity": "ab", "patience": 8_000}
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def rig():
-    rig = Rig(FaultySystem(), table=deployment.table(sockets=128, mutating=True))
+    rig = Rig(FaultySystemCalls(), table=deployment.table(sockets=128, mutating=True))
     yield rig
     rig.close()
 
@@ -305,7 +305,7 @@
     rig.system.send = full
     rig.talks[0].serve(ids(1)[0])
     rig.turn(3)
-    assert session.pipe.left and not rig.service.reducer.asking
+    assert session.pipe.unsent and not rig.service.reducer.asking
     rig.serving = True
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: other.answers())
@@ -321,13 +321,13 @@
     rig.turn(2)
     (session,) = rig.service.door.clients.values()
     rig.pass_time(seats.STEP / 10_000)
-    put = session.pipe.put
+    put = session.pipe.write
 
     def cross(data):
         client.write(LOGIN[9:12])
         return put(data)
 
-    session.pipe.put = cross
+    session.pipe.write = cross
     rig.service.door.sweep()
     rig.turn(3)
     client.hear()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -17,7 +17,7 @@
 from hillchute.errors import HillchuteError
 from hillchute.history.disk import Disk
 from hillchute.lab import deployment
-from hillchute.lab.faulty_system import Fault, FaultySystem
+from hillchute.lab.faulty_system import Fault, FaultySystemCalls
 from hillchute.lab.history_net import EPOCH
 from hillchute.membership import event_bus
 from hillchute.membership.event_bus import Entry, Update
@@ -157,7 +157,7 @@
 
 
 def accept_paused(log, tmp_path):
-    rig = Rig(FaultySystem(Fault("accept", "ENFILE")))
+    rig = Rig(FaultySystemCalls(Fault("accept", "ENFILE")))
     rig.service.door.log = log
     rig.client()
     rig.turn()
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -8,7 +8,7 @@
 from hillchute.decision.teamwork import MOST_LATE, SECOND
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
-from hillchute.net.system_calls import SYSTEM
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import lateness, rounds, shutdown
 from hillchute.router.lateness import Lateness
 from hillchute.router.rounds import Rounds
@@ -229,9 +229,9 @@
     """Stands in for a session's pipe."""
 
     def __init__(self, left=b"", unread=False):
-        self.left, self.waiting, self.closed = left, unread, False
+        self.unsent, self.waiting, self.closed = left, unread, False
 
-    def unread(self):
+    def has_unread(self):
         return self.waiting
 
     def close(self):
@@ -240,7 +240,7 @@
 
 def door(*wires):
     """A door whose places are all taken by sessions in a step that is not complete."""
-    poller = SimpleNamespace(system=SYSTEM)
+    poller = SimpleNamespace(system=SYSTEM_CALLS)
     made = Door(len(wires), 1000, poller, Rounds(), None, lambda: 0, lambda session: None, None, None, None)
     for number, wire in enumerate(wires):
         client = made.clients[number] = Client(number, 1000)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -22,10 +22,10 @@
 from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.fronts import seats
 from hillchute.fronts.mysql import packets as mysql
-from hillchute.log import MOST_ALIKE, Log
+from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.membership import event_bus
-from hillchute.net.buffered_socket import Pipe
-from hillchute.net.system_calls import SYSTEM
+from hillchute.net.buffered_socket import BufferedSocket
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events, lateness, service
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
@@ -556,20 +556,20 @@
 
 
 def test_bytes_that_a_full_socket_does_not_take_are_still_owed():
-    pipe = Pipe(Fickle(), Watched(), None, 1024)
-    pipe.put(b"an answer")
-    while pipe.left:
+    pipe = BufferedSocket(Fickle(), Watched(), None, 1024)
+    pipe.write(b"an answer")
+    while pipe.unsent:
         assert pipe.poller.writing
         pipe.flush()
     assert not pipe.poller.writing
-    assert pipe.sock.taken == b"an answer" and not pipe.left
+    assert pipe.sock.taken == b"an answer" and not pipe.unsent
 
 
 class Watched:
     """Stands in for the poller: whether the pipe asks to be told that its socket takes bytes."""
 
     writing = False
-    system = SYSTEM
+    system = SYSTEM_CALLS
 
     def add(self, sock, owner):
         pass
@@ -771,8 +771,8 @@
     log = Log("n1", -1)
     for _ in range(100):
         log.write("misread", why="x")
-    log.second = 0
+    log.window_start = 0
     log.write("misread", why="x")
     lines = [orjson.loads(line) for line in log.buffer.splitlines()]
-    assert len(lines) == MOST_ALIKE + 2
-    assert lines[-2]["left_out"] == {"misread": 100 - MOST_ALIKE}
+    assert len(lines) == MAX_LINES_PER_EVENT + 2
+    assert lines[-2]["left_out"] == {"misread": 100 - MAX_LINES_PER_EVENT}
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,7 +9,7 @@
 from hillchute.engines.line.links import Link
 from hillchute.fronts.mysql.packets import FAILED, MOST_WAITING, OK
 from hillchute.lab import deployment
-from hillchute.lab.faulty_system import DOCUMENTED, Fault, FaultySystem
+from hillchute.lab.faulty_system import DOCUMENTED_ERRNOS, Fault, FaultySystemCalls
 
 AFTER_WHICH_NOTHING_RAN = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"}
 
@@ -17,7 +17,7 @@
 def scripted(fault):
     """A query and one that is unsafe to repeat, a client that leaves, one that writes much ahead, one that
     says good-bye; then a client that must be served as before."""
-    system = FaultySystem(fault)
+    system = FaultySystemCalls(fault)
     rig = Rig(system, table=deployment.table(sockets=128, mutating=True))
     try:
         first = rig.client(LOGIN + query(1))
@@ -37,7 +37,7 @@
         last = rig.client(LOGIN + query(5))
         rig.until(lambda: last.answers())
         # An engine that refuses a connection is taken to have restarted: it gets little at first.
-        assert last.answers() == ["served"] or fault.error == "ECONNREFUSED" and last.answers() == [1040]
+        assert last.answers() == ["served"] or fault.errno_name == "ECONNREFUSED" and last.answers() == [1040]
         assert rig.service.door.listener is not None and not rig.log.faults()
         blamed = [e.fails for e in rig.service.reducer.module.engines.values()]
         return system, first.ended, first.answers(), blamed
@@ -45,7 +45,7 @@
         rig.close()
 
 
-CASES = [(call, error) for call, errors in DOCUMENTED.items() for error in errors]
+CASES = [(call, error) for call, errors in DOCUMENTED_ERRNOS.items() for error in errors]
 
 
 @pytest.mark.parametrize(("call", "error"), CASES)
@@ -54,7 +54,7 @@
     while True:
         number += 1
         system, ended, answers, blamed = scripted(Fault(call, error, number))
-        if not system.happened:
+        if not system.triggered:
             break
         # The connection of the first client may break, as it would outside; else both answers have come.
         assert ended or len(answers) == 2
@@ -66,13 +66,13 @@
 @pytest.mark.parametrize("call", ["receive", "send"])
 def test_short_reads_and_writes_of_every_size_change_nothing(call):
     for size in range(1, 120):
-        _, _, answers, _ = scripted(Fault(call, short=size, count=10**6))
+        _, _, answers, _ = scripted(Fault(call, max_bytes=size, count=10**6))
         assert answers == ["served", "served"]
 
 
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOMEM"])
 def test_want_of_descriptors_neither_spins_nor_ends_the_router_and_ends_with_the_want(error):
-    system = FaultySystem(Fault("accept", error, count=10**6))
+    system = FaultySystemCalls(Fault("accept", error, count=10**6))
     rig = Rig(system)
     client = rig.client(LOGIN + query(1))
     rig.turn(50)
@@ -89,7 +89,7 @@
 
 
 def test_keyed_query_waits_while_connections_that_came_before_it_cannot_be_accepted():
-    system = FaultySystem()
+    system = FaultySystemCalls()
     rig = Rig(system)
     open_one = rig.connected()
     system.fault = Fault("accept", "ENFILE", system.calls["accept"] + 1, count=10**6)
@@ -109,7 +109,7 @@
 @pytest.fixture
 def unsafe():
     """A router with a class that is unsafe to repeat, a client that is logged in and an idle connection."""
-    rig = Rig(FaultySystem(), table=deployment.table(sockets=128, mutating=True))
+    rig = Rig(FaultySystemCalls(), table=deployment.table(sockets=128, mutating=True))
     rig.first = rig.connected()
     yield rig
     rig.close()
@@ -117,14 +117,14 @@
 
 def test_unsafe_attempt_that_meets_the_end_of_an_idle_connection_is_made_on_another(unsafe, monkeypatch):
     """The engine closes after the round has looked and before the attempt is written."""
-    look = unsafe.service.poller.look
+    look = unsafe.service.poller.poll
 
     def look_then_close():
         found = look()
         unsafe.talks[0].close()
         return found
 
-    monkeypatch.setattr(unsafe.service.poller, "look", look_then_close)
+    monkeypatch.setattr(unsafe.service.poller, "poll", look_then_close)
     unsafe.first.write(query(5, "change"))
     unsafe.service.round()
     monkeypatch.undo()
@@ -146,7 +146,7 @@
 
 def test_unsafe_attempt_is_not_made_again_where_a_byte_of_it_left(unsafe):
     calls = unsafe.system.calls["send"]
-    unsafe.system.fault = Fault("send", short=1, number=calls + 1)
+    unsafe.system.fault = Fault("send", max_bytes=1, first=calls + 1)
     unsafe.first.write(query(5, "change"))
     unsafe.service.round()
     unsafe.system.fault = Fault("send", "ECONNRESET", calls + 2)
@@ -158,7 +158,7 @@
     (link,) = unsafe.service.links.links.values()
     runs = [words.Run(f"{n:016x}", "lookup", 900, None, None, SELECT.encode()) for n in (6, 7, 8)]
     unsafe.service.links.wanted = lambda id: True
-    unsafe.system.fault = Fault("send", short=5, number=unsafe.system.calls["send"] + 1)
+    unsafe.system.fault = Fault("send", max_bytes=5, first=unsafe.system.calls["send"] + 1)
     unsafe.service.links.write(link, runs)
     assert [item.command for item in link.held] == runs[1:]
     link.hold(words.GiveUp(runs[1].id), 0)
@@ -179,7 +179,7 @@
 def test_engine_that_does_not_read_is_written_nothing_for_a_client_that_has_left():
     """The first attempts fill the connection; those that wait behind them are taken back with their
     clients."""
-    system = FaultySystem()
+    system = FaultySystemCalls()
     rig = Rig(system)
     rig.connected()
     rig.serving = False
@@ -187,10 +187,10 @@
     staying, leaving = rig.client(), rig.client()
     rig.until(lambda: len(rig.service.door.clients) == 3 and not rig.service.door.seats.steps)
     staying.write(query(6))
-    system.fault = Fault("send", short=9, number=system.calls["send"] + 1, count=1)
+    system.fault = Fault("send", max_bytes=9, first=system.calls["send"] + 1, count=1)
     rig.service.round()
-    assert link.pipe.left  # the engine took nine bytes of the first
-    system.fault = Fault("send", "EAGAIN", number=1, count=10**9)
+    assert link.pipe.unsent  # the engine took nine bytes of the first
+    system.fault = Fault("send", "EAGAIN", first=1, count=10**9)
     leaving.write(query(7))
     rig.turn()
     assert [item.command.id for item in link.held] == [f"{7:016x}"]
@@ -211,7 +211,7 @@
 
 
 def test_connection_that_failed_before_it_was_accepted_does_not_hold_up_the_next():
-    rig = Rig(FaultySystem(Fault("accept", "ECONNABORTED")))
+    rig = Rig(FaultySystemCalls(Fault("accept", "ECONNABORTED")))
     client = rig.client(LOGIN + query(1))
     rig.turn(4)  # no sweep in between
     assert not rig.service.door.paused and client.answers() == ["served"]
