--- a/hillchute/accord/codec.py
+++ b/hillchute/accord/codec.py
@@ -60,7 +60,7 @@
     try:
         found = decoder.decode(data)
     except msgspec.DecodeError as fault:
-        raise InvalidDatagramError(f"load: {fault}", sender) from None
+        raise InvalidDatagramError(f"load: {fault}", sender) from fault
     if fault := unfit(found):
         raise InvalidDatagramError(f"load: {fault}", sender)
     return found
--- a/hillchute/operator/reading.py
+++ b/hillchute/operator/reading.py
@@ -23,9 +23,9 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as fault:
-        raise OperatorFileError(f"{path}: {fault.strerror}") from None
-    except UnicodeDecodeError:
-        raise OperatorFileError(f"{path}: not UTF-8 text") from None
+        raise OperatorFileError(f"{path}: {fault.strerror}") from fault
+    except UnicodeDecodeError as fault:
+        raise OperatorFileError(f"{path}: not UTF-8 text") from fault
     return hold(text, str(path))
 
 
@@ -60,7 +60,7 @@
             try:
                 other["key"] = Path(other["key_file"]).read_text(encoding="utf-8").strip()
             except (OSError, UnicodeDecodeError) as fault:
-                raise OperatorFileError(f"{here}.key_file: {other['key_file']}: {fault}") from None
+                raise OperatorFileError(f"{here}.key_file: {other['key_file']}: {fault}") from fault
         if len(other["key"].encode()) < KEY_LEAST:
             raise OperatorFileError(f"{here}: expected a key of {KEY_LEAST} characters or more")
 
@@ -116,7 +116,7 @@
         try:
             key_in(partners["key_file"])  # it is read where it is used: what holds may be printed
         except (OSError, ValueError) as fault:
-            raise OperatorFileError(f"{here}.key_file: {partners['key_file']}: {fault}") from None
+            raise OperatorFileError(f"{here}.key_file: {partners['key_file']}: {fault}") from fault
 
 
 def defaults() -> dict[str, object]:
--- a/hillchute/operator/records.py
+++ b/hillchute/operator/records.py
@@ -114,11 +114,11 @@
         tree = grammar().parse(text)
     except UnexpectedInput as fault:
         seen = text[fault.pos_in_stream :].split("\n")[0][:30] if fault.pos_in_stream is not None else ""
-        raise OperatorFileError(f"{name}:{fault.line}: can't be read at {seen!r}") from None
+        raise OperatorFileError(f"{name}:{fault.line}: can't be read at {seen!r}") from fault
     try:
         return document(tree, docs(text), name)
     except OperatorFileError as fault:
-        raise OperatorFileError(f"{name}:{fault}") from None
+        raise OperatorFileError(f"{name}:{fault}") from fault
 
 
 def document(tree: Tree, comments: dict[int, str], name: str) -> Document:
@@ -173,8 +173,8 @@
 def unquote(token: Token) -> str:
     try:
         return orjson.loads(str(token))
-    except orjson.JSONDecodeError:
-        raise OperatorFileError(f"{token.line}: can't be read at {str(token)[:30]!r}") from None
+    except orjson.JSONDecodeError as fault:
+        raise OperatorFileError(f"{token.line}: can't be read at {str(token)[:30]!r}") from fault
 
 
 def build(node: Tree, comments: dict[int, str]) -> Constraint:
--- a/hillchute/partners/kept.py
+++ b/hillchute/partners/kept.py
@@ -41,7 +41,7 @@
                 self.path.open("ab").close()
                 sync_folder(self.path.parent)
         except (OSError, ValueError) as fault:
-            raise SignatureJournalError(str(fault), str(self.path)) from None
+            raise SignatureJournalError(str(fault), str(self.path)) from fault
 
     def save(self, number: int, sealed: bytes) -> bool:
         """Whether it is there for good. After a fault the file is written anew: a line may have been
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -79,9 +79,9 @@
         with open(path, "rb") as file:
             table = orjson.loads(file.read())
     except OSError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: {fault.strerror}") from None
+        raise bad("EDGE_CONFIG", f"{path}: {fault.strerror}") from fault
     except orjson.JSONDecodeError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: not JSON: {fault}") from None
+        raise bad("EDGE_CONFIG", f"{path}: not JSON: {fault}") from fault
     if not isinstance(table, dict):
         raise bad("EDGE_CONFIG", f"{path}: not a JSON object")
     return station(table, environ)
@@ -100,8 +100,8 @@
     seed = get(table, "seed", (str, int))
     try:
         seed = int(seed, 16) if isinstance(seed, str) else seed
-    except ValueError:
-        raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from None
+    except ValueError as fault:
+        raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from fault
     offset, known = events(table)
     catalog["sessions"] = sockets // 3  # the protocol: clients hold a third of the descriptors at most
     longest = max(catalog.get(f"groups.{n}.queue_timeout", 0) for n in range(catalog["groups.count"]))
@@ -146,4 +146,4 @@
     try:
         return offset, tuple(event_bus.from_json(table["known"], zones, kinds))
     except (EventBusProtocolError, KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise bad("known.batch", f"{type(fault).__name__}: {fault}") from None
+        raise bad("known.batch", f"{type(fault).__name__}: {fault}") from fault
