--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -4,7 +4,7 @@
 so that nothing waits too short and nothing is answered late.
 """
 
-from hillchute.catalog import NS, translate, up
+from hillchute.catalog import translate
 from hillchute.decision.interface import (
     AttemptResult,
     Cancel,
@@ -19,6 +19,7 @@
     Wake,
     WatchEndpoints,
 )
+from hillchute.net.clock import NANOSECONDS_PER_TIME_UNIT, round_up_to_time_units
 
 RESULTS = {"completed": AttemptResult.SERVED}  # the wire's results that are not spelled as the enum's values
 
@@ -83,7 +84,7 @@
             raise self.fault("expected an ENGINE line of the CENSUS")
         kind = self.integer("kind", 0)
         cell = self.integer("bay", 0)
-        started = up(self.integer("last_start_ns", 0))
+        started = round_up_to_time_units(self.integer("last_start_ns", 0))
         zone = self.integer("locality", 0)
         state = EndpointState(self.text("availability") or EndpointState.READY)
         nominal = self.real("nominal", 1.0)
@@ -133,9 +134,9 @@
 def encode(decision: Decision) -> str:
     match decision:
         case Submit(query, engine, time_limit):
-            return f"PASS_ON {query} {engine} {time_limit * NS}"
+            return f"PASS_ON {query} {engine} {time_limit * NANOSECONDS_PER_TIME_UNIT}"
         case Reject(query, retry_after):
-            return f"PUSH_BACK {query} {retry_after * NS}"
+            return f"PUSH_BACK {query} {retry_after * NANOSECONDS_PER_TIME_UNIT}"
         case Fail(query):
             return f"FINISH_ERROR {query}"
         case Cancel(query, attempt):
@@ -147,5 +148,5 @@
         case WatchEndpoints():
             return "OBSERVE 1"
         case Wake(at, name):
-            return f"WAKE_ME {at * NS} {name}"
+            return f"WAKE_ME {at * NANOSECONDS_PER_TIME_UNIT} {name}"
     raise ValueError(f"no wire form for decision {decision}")
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -5,9 +5,10 @@
 
 from hillchute.accord.subsets import Sight
 from hillchute.benchlink.codec import Fields, Malformed, attempt_result, encode, health_check_result
-from hillchute.catalog import down, up
+from hillchute.catalog import down
 from hillchute.decision.interface import AttemptEnded, ListMode, NewQuery, Scheduler
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.net.clock import round_up_to_time_units
 
 
 class Host:
@@ -25,7 +26,7 @@
             head = Fields(line, number)
             if head.name != "SYNC":
                 raise head.fault("a batch begins with SYNC")
-            self.now = up(head.needed(head.integer("clock"), "clock"))
+            self.now = round_up_to_time_units(head.needed(head.integer("clock"), "clock"))
             batch = head.needed(head.integer("number"), "number")
             self.answers.write(self.batch(numbered, batch))
             self.answers.flush()
@@ -120,7 +121,7 @@
         due = down(fields.needed(fields.integer("drop_dead_ns"), "drop_dead_ns"))
         key = fields.text("table")
         tables = fields.integer("table_group")
-        cost = up(cost) if cost else None
+        cost = round_up_to_time_units(cost) if cost else None
         arrival = NewQuery(query, group, due, tables, tenant, cost, memory, key)
         self.router(fields).on_query(self.now, arrival)
 
@@ -130,7 +131,7 @@
         result = attempt_result(fields.needed(fields.text("result"), "result"))
         used = fields.integer("used_up", 0)
         fields.text("engine")
-        elapsed = up(fields.integer("spent_ns", 0))
+        elapsed = round_up_to_time_units(fields.integer("spent_ns", 0))
         attempt = fields.integer("leg", 0)
         report = fields.report("feedback")
         cost = used // 4096 * 10 if used else None
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -19,13 +19,13 @@
 from hillchute.engines.line import wire
 from hillchute.engines.line.exchange import Exchange
 from hillchute.engines.line.wire import Answer
-from hillchute.errors import BadConfiguration, BusUnreadable
+from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.fronts import seats
 from hillchute.fronts.mysql import packets as mysql
-from hillchute.log import MOST_ALIKE, Log
+from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.membership import event_bus
-from hillchute.net.pipe import Pipe
-from hillchute.net.system import SYSTEM
+from hillchute.net.buffered_socket import BufferedSocket
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events, lateness, service
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
@@ -203,7 +203,7 @@
 
 
 def test_unreadable_frame_is_said_to_be():
-    with pytest.raises(BusUnreadable):
+    with pytest.raises(EventBusProtocolError):
         list(event_bus.Decoder().feed(event_bus.FRAME.pack(9 + 5, 1, 2)))
 
 
@@ -265,7 +265,7 @@
     for name in parents:
         place = place[name]
     place[last] = value
-    with pytest.raises(BadConfiguration, match=path.replace(".", r"\.")):
+    with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
         config.station(table, {})
 
 
@@ -558,20 +558,20 @@
 
 
 def test_bytes_that_a_full_socket_does_not_take_are_still_owed():
-    pipe = Pipe(Fickle(), Watched(), None, 1024)
-    pipe.put(b"an answer")
-    while pipe.left:
+    pipe = BufferedSocket(Fickle(), Watched(), None, 1024)
+    pipe.write(b"an answer")
+    while pipe.unsent:
         assert pipe.poller.writing
         pipe.flush()
     assert not pipe.poller.writing
-    assert pipe.sock.taken == b"an answer" and not pipe.left
+    assert pipe.sock.taken == b"an answer" and not pipe.unsent
 
 
 class Watched:
     """Stands in for the poller: whether the pipe asks to be told that its socket takes bytes."""
 
     writing = False
-    system = SYSTEM
+    system = SYSTEM_CALLS
 
     def add(self, sock, owner):
         pass
@@ -596,7 +596,9 @@
 def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
     async def run():
         buses = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        read_again = iter([BadConfiguration("missing", "bus"), station._replace(bus=buses[1].getsockname())])
+        read_again = iter(
+            [ConfigurationError("missing", "bus"), station._replace(bus=buses[1].getsockname())]
+        )
 
         def read():
             found = next(read_again)
@@ -771,8 +773,8 @@
     log = Log("n1", -1)
     for _ in range(100):
         log.write("misread", why="x")
-    log.second = 0
+    log.window_start = 0
     log.write("misread", why="x")
     lines = [orjson.loads(line) for line in log.buffer.splitlines()]
-    assert len(lines) == MOST_ALIKE + 2
-    assert lines[-2]["left_out"] == {"misread": 100 - MOST_ALIKE}
+    assert len(lines) == MAX_LINES_PER_EVENT + 2
+    assert lines[-2]["left_out"] == {"misread": 100 - MAX_LINES_PER_EVENT}
