--- a/hillchute/decision/dashboards.py
+++ b/hillchute/decision/dashboards.py
@@ -5,7 +5,7 @@
 
 from hillchute.decision.dispatch import Dispatcher
 from hillchute.decision.health_checks import HealthChecks
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import Reason, Time
 from hillchute.decision.load_estimation import LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
@@ -29,20 +29,18 @@
         self.dispatcher = dispatcher
         self.planned = dispatcher.planned
 
-    def send_next(self, now: Time, mean_weight: float) -> None:
+    def send_next(self, now: Time) -> None:
         """Sends or rejects the first dashboard for which that can be decided now."""
         for query in self.queues.dashboards:
             if self.health_checks.waits_for_answer(now, query):
                 continue
             if not self.placement.may_go_somewhere(now, query):
                 continue
-            engine = self.health_checks.choose(
-                now, query, lambda engine: self.load.is_uncrowded(now, engine), mean_weight
-            )
+            engine = self.health_checks.choose(now, query, lambda engine: self.load.is_uncrowded(now, engine))
             if engine is not None:
                 self.queues.dashboards.remove(query)
                 self.dispatcher.submit(now, query, engine)
             elif query.checked_engine is None:
-                self.dispatcher.give_up(query, "crowd")
+                self.dispatcher.give_up(query, Reason.CROWDED)
             if self.planned:
                 return
--- a/hillchute/decision/dispatch.py
+++ b/hillchute/decision/dispatch.py
@@ -8,6 +8,7 @@
     Cancel,
     Decision,
     Fail,
+    Reason,
     Reject,
     SetTerms,
     Submit,
@@ -88,7 +89,7 @@
             priority = 0
         self.planned.append(SetTerms(query.id, 0, priority))
 
-    def give_up(self, query: QueryState, reason: str) -> None:
+    def give_up(self, query: QueryState, reason: Reason) -> None:
         """Answers a query without a result; `reason` is for the log alone."""
         if query.open_attempts and self.settings.cancels:
             self.planned.append(Cancel(query.id, len(query.attempts) - 1))
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -6,7 +6,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from hillchute.decision.engine_state import EnginePool, EngineState
+from hillchute.decision.admission import Admission
+from hillchute.decision.engine_state import EngineState
 from hillchute.decision.interface import MILLISECOND, Decision, HealthCheck, Time
 from hillchute.decision.load_estimation import REPORT_HALF_LIFE, LoadEstimator
 from hillchute.decision.placement import Placement
@@ -28,16 +29,17 @@
     def __init__(
         self,
         settings: Settings,
-        pool: EnginePool,
         load: LoadEstimator,
         placement: Placement,
+        admission: Admission,
         planned: deque[Decision],
     ) -> None:
         self.enabled = settings.health_checks
         self.cost = settings.health_check_cost
-        self.pool = pool
+        self.pool = load.pool
         self.load = load
         self.placement = placement
+        self.admission = admission
         self.planned = planned
         self.credit = float(len(settings.groups))  # checks that may be sent beside those for queries
         self.credit_per_query = PACED_COST_SHARE / (self.cost or PACED_COST_SHARE)
@@ -91,7 +93,6 @@
         now: Time,
         query: QueryState,
         has_room: HasRoom,
-        mean_weight: float,
         affine: EngineState | None = None,
     ) -> EngineState | None:
         """The engine for a query, once enough is known of it; None while one is checked, or all are full.
@@ -114,7 +115,7 @@
         engine = self.placement.pick(now, query, self._worth_a_visit(now, query, engines), affine)
         if engine is None or engine.id == query.permit_engine or not self.is_stale(now, engine):
             return engine
-        if not self._may_cost_a_check(query, mean_weight):
+        if not self._may_cost_a_check(query):
             return engine
         query.checked_engine = engine.id
         query.checked_at = now
@@ -130,9 +131,9 @@
     def _may_be_calm(self, now: Time, engine: EngineState) -> bool:
         return self.is_stale(now, engine) or self.load.is_calm(now, engine)
 
-    def _may_cost_a_check(self, query: QueryState, mean_weight: float) -> bool:
+    def _may_cost_a_check(self, query: QueryState) -> bool:
         weight = query.group.settings.weight
-        return self.cost * (mean_weight or weight) <= QUERY_COST_SHARE * weight
+        return self.cost * (self.admission.mean_weight or weight) <= QUERY_COST_SHARE * weight
 
     def candidates(
         self,
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -6,13 +6,15 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import NamedTuple, Protocol, TypeAlias
+from typing import TYPE_CHECKING, NamedTuple, Protocol, TypeAlias
+
+if TYPE_CHECKING:
+    from hillchute.decision.engine_state import EngineState
 
 Time: TypeAlias = int
 QueryId: TypeAlias = str
 EngineId: TypeAlias = int
 Report: TypeAlias = Mapping[str, float]  # a load report: column names to figures
-Catalog: TypeAlias = Mapping[str, object]  # settings: dotted names to plain values
 
 SECOND: Time = 10_000
 MILLISECOND: Time = 10
@@ -107,6 +109,17 @@
 # ---- decisions ------------------------------------------------------------------------------------
 
 
+class Reason(StrEnum):
+    """Which check rejected or failed a query; the values are the log's words."""
+
+    DEADLINE = "its end"  # its deadline has come
+    NO_RETRY = "tried"  # its attempt ended without a result, and there may be no further one, or none in time
+    TOO_LATE = "too late"  # a start would not meet the latency objective any more
+    TOO_HEAVY = "too heavy"  # for the load of the engines, or for the sessions that are free
+    CROWDED = "crowd"  # a dashboard, and every engine is crowded
+    LOADS_AHEAD = "line of loads"  # a load that can't start in time behind those of its table group
+
+
 @dataclass(frozen=True, slots=True)
 class Submit:
     """Start an attempt: send the query to this engine, which may take so long for it."""
@@ -131,7 +144,7 @@
 
     query: QueryId
     retry_after: Time
-    reason: str  # which check rejected it, for the log
+    reason: Reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +152,7 @@
     """Answer the client with an error: the query may have run."""
 
     query: QueryId
-    reason: str  # which check failed it, for the log
+    reason: Reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,6 +189,10 @@
 class Scheduler(Protocol):
     """The inputs (`on_...`) only update what is known; `next_decision` is called until it returns None."""
 
+    @property
+    def engines(self) -> "Mapping[EngineId, EngineState]":
+        """All engines that are known; callers only look at them."""
+
     def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
         """The endpoint list, or a change of it, has come."""
 
--- a/hillchute/decision/reviews.py
+++ b/hillchute/decision/reviews.py
@@ -2,7 +2,7 @@
 
 from hillchute.decision.admission import Admission
 from hillchute.decision.dispatch import Dispatcher
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import Reason, Time
 from hillchute.decision.load_estimation import LoadEstimator
 from hillchute.decision.query_queues import QueryQueues
 from hillchute.decision.query_state import WAITING, QueryPlace, QueryState
@@ -37,16 +37,16 @@
 
     def _review(self, now: Time, query: QueryState) -> None:
         if now >= query.deadline - self.dispatcher.answer_margin:
-            self.dispatcher.give_up(query, "its end")
+            self.dispatcher.give_up(query, Reason.DEADLINE)
         elif query.place is QueryPlace.RETRYING:
             if self._may_be_served_by_a_retry(now, query):
                 self.queues.enqueue(now, query, front=True)
             else:
-                self.dispatcher.give_up(query, "tried")
+                self.dispatcher.give_up(query, Reason.NO_RETRY)
         elif query.place in WAITING and now >= self.load.latest_start(now, query):
-            self.dispatcher.give_up(query, "too late")
+            self.dispatcher.give_up(query, Reason.TOO_LATE)
         elif query.place in WAITING and self.admission.is_too_heavy(now, query):
-            self.dispatcher.give_up(query, "too heavy")
+            self.dispatcher.give_up(query, Reason.TOO_HEAVY)
 
     def _may_be_served_by_a_retry(self, now: Time, query: QueryState) -> bool:
         if not self.retries.may_retry(now, query):
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -20,7 +20,6 @@
     NEVER_RAN,
     AttemptEnded,
     AttemptResult,
-    Catalog,
     Decision,
     EngineId,
     Listing,
@@ -42,7 +41,7 @@
 from hillchute.decision.slow_start import SlowStart
 from hillchute.decision.statistics import TRAFFIC_SPAN, TrafficWindow
 from hillchute.decision.teams import Teams
-from hillchute.settings import Settings
+from hillchute.settings import Catalog, Settings
 
 SWEEP_EVERY: Time = 25 * MILLISECOND  # waiting work is looked at this often; far under any latency objective
 TIMER_NAME = "look"
@@ -69,7 +68,7 @@
         self.placement = Placement(settings, self.load, self.retries, self.slow_start, draws.chance)
         self.queues = QueryQueues(settings, draws, self.load, self.slow_start)
         self.admission = Admission(settings, self.load, self.placement, self.queues)
-        self.health_checks = HealthChecks(settings, self.pool, self.load, self.placement, self.planned)
+        self.health_checks = HealthChecks(settings, self.load, self.placement, self.admission, self.planned)
         self.dispatcher = Dispatcher(settings, self.load, self.placement, self.queues, self.planned)
         self.teams = Teams(self.load, self.placement, self.health_checks, self.queues, self.dispatcher)
         self.dashboards = Dashboards(
@@ -272,11 +271,10 @@
         self.reviews.run(now)
         if self.planned:
             return
-        weight = self.admission.mean_weight
-        self.dashboards.send_next(now, weight)
+        self.dashboards.send_next(now)
         if self.planned:
             return
-        self.teams.send_next(now, weight)
+        self.teams.send_next(now)
         if self.planned:
             return
         self.health_checks.send_paced(now)
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -11,7 +11,7 @@
 from hillchute.decision.draws import fraction_of
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.health_checks import HealthChecks
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import Reason, Time
 from hillchute.decision.load_estimation import CROWDED_FACTOR, THREADS_PER_CORE, LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
@@ -39,7 +39,7 @@
         self.queues = queues
         self.dispatcher = dispatcher
 
-    def send_next(self, now: Time, mean_weight: float) -> None:
+    def send_next(self, now: Time) -> None:
         """Sends the next team, if its leader has an engine."""
         if not self._move_blocked_loads(now):
             return
@@ -52,7 +52,6 @@
             now,
             leader,
             lambda engine: self.room(now, engine, leader, bound_factor) > 0,
-            mean_weight,
             self.placement.affine_engine(leader),
         )
         if engine is None:
@@ -90,7 +89,7 @@
             line = queues.behind_loads[load.table_group]
             wait = self._total_runtime(now, line) / len(engines)
             if now + wait > self.load.latest_start(now, load):
-                self.dispatcher.give_up(load, "line of loads")
+                self.dispatcher.give_up(load, Reason.LOADS_AHEAD)
                 return False
             queues.wait_behind_loads(load)
         return True
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,6 +14,7 @@
     Listing,
     ListMode,
     NewQuery,
+    Reason,
     Reject,
     Submit,
 )
@@ -226,7 +227,7 @@
     probing.verbs()
     probing.router.load.mean_load = 3.1  # threads a core, over the bound and a half
     q = probing.take(LOOKUP, cost=1)
-    assert Reject(q.id, 0, "crowd") in probing.verbs()
+    assert Reject(q.id, 0, Reason.CROWDED) in probing.verbs()
     assert q.checked_engine is None
 
 
--- a/tests/test_teamwork.py
+++ b/tests/test_teamwork.py
@@ -14,7 +14,7 @@
 def test_affinity_set_joins_the_leader_and_loads_go_alone(desk):
     leader, other = desk.take(REPORT, table_group=4), desk.take(REPORT, table_group=5)
     mate, load = desk.take(REPORT, table_group=4), desk.take(LOAD, table_group=4)
-    desk.router.teams.send_next(desk.router.now, 0.0)
+    desk.router.teams.send_next(desk.router.now)
     sent = [d.query for d in desk.router.planned if isinstance(d, Submit)]
     assert sent == [leader.id, mate.id]
     assert list(desk.router.queues.teams) == [other, load]
@@ -23,7 +23,7 @@
 def test_leader_returns_to_the_engine_that_last_ran_its_group(desk):
     q = desk.take(REPORT, table_group=4)
     desk.router.placement.affinity[4] = 3
-    desk.router.teams.send_next(desk.router.now, 0.0)
+    desk.router.teams.send_next(desk.router.now)
     assert engines_of(desk.router.planned, q) == [3]
 
 
@@ -44,7 +44,7 @@
     q = desk.take(REPORT)
     for e in desk.router.engines.values():
         e.threads, e.open_attempts = 16, 4
-    desk.router.teams.send_next(desk.router.now, 0.0)
+    desk.router.teams.send_next(desk.router.now)
     assert list(desk.router.queues.teams) == [q]
 
 
@@ -52,8 +52,8 @@
     for e in desk.router.engines.values():
         e.threads, e.open_attempts = 8, 2
     waiting, q = desk.take(REPORT), desk.take(LOOKUP)
-    desk.router.dashboards.send_next(desk.router.now, 0.0)
-    desk.router.teams.send_next(desk.router.now, 0.0)
+    desk.router.dashboards.send_next(desk.router.now)
+    desk.router.teams.send_next(desk.router.now)
     assert engines_of(desk.router.planned, q)
     assert list(desk.router.queues.teams) == [waiting]
 
@@ -62,7 +62,7 @@
     for e in desk.router.engines.values():
         e.threads, e.open_attempts = 16, 4
     q = desk.take(LOOKUP)
-    desk.router.dashboards.send_next(desk.router.now, 0.0)
+    desk.router.dashboards.send_next(desk.router.now)
     answer = desk.router.planned[0]
     assert isinstance(answer, Reject) and answer.query == q.id
 
