--- a/hillchute/settings.py
+++ b/hillchute/settings.py
@@ -130,14 +130,8 @@
         values: Mapping[str, Any] = catalog
         kinds, one_kind = _engine_kinds(values)
         report_columns = values.get("report.columns", ())
-        if isinstance(report_columns, str):
-            report_columns = [report_columns]
-        columns = {
-            values.get(f"domain.report_{column}"): column
-            for column in ("x0", "x1")
-            if values.get(f"domain.report_{column}")
-        }
-        limit = values.get("limits.retry_after") and values.get("limits.max_retry_after")
+        meanings = {values.get(f"domain.report_{column}"): column for column in ("x0", "x1")}
+        retry_after = values.get("limits.retry_after") and values.get("limits.max_retry_after")
         return cls(
             router=values.get("me", 0),
             routers=max(1, values.get("n_instances", 1)),
@@ -147,32 +141,40 @@
             tenants=_tenants(values),
             engine_kinds=kinds,
             one_engine_kind=one_kind,
-            warm_up=WarmUpSettings(
-                duration=values.get("guarantees.cold", 0),
-                initial_share=values.get("guarantees.cold_from", 0),
-                budget_window=values.get("guarantees.fall", 0),
-                budget_multiple=values.get("guarantees.tip_multiple", 0),
-            ),
-            retries=RetrySettings(
-                most_attempts=values.get("limits.most_tries", 1),
-                budget_window=values.get("guarantees.look_back") or 0,
-                budget_minimum=values.get("guarantees.min_extra", 0),
-                budget_share=values.get("guarantees.extra_share", 0),
-                order_pause=values.get("guarantees.order_pause", 0),
-            ),
+            warm_up=_warm_up(values),
+            retries=_retries(values),
             health_checks=values.get("report.via") == "probe" and bool(values.get("limits.probes", False)),
             health_check_cost=values.get("costs.probe", 0),
-            report_columns=frozenset(report_columns),
-            memory_column=columns.get("share_of_memory_granted"),
-            disk_column=columns.get("share_of_disks_busy"),
+            report_columns=frozenset([report_columns] if isinstance(report_columns, str) else report_columns),
+            memory_column=meanings.get("share_of_memory_granted"),
+            disk_column=meanings.get("share_of_disks_busy"),
             queues_for_memory=values.get("domain.on_shortage") == "line_up",
             priorities=values.get("domain.ranks_heeded", False),
             cancels=values.get("limits.cancel", False),
-            retry_after=limit or 0,
+            retry_after=retry_after or 0,
             watches_on_request=values.get("discovery") == "on_request",
         )
 
 
+def _warm_up(values: Mapping[str, Any]) -> WarmUpSettings:
+    return WarmUpSettings(
+        duration=values.get("guarantees.cold", 0),
+        initial_share=values.get("guarantees.cold_from", 0),
+        budget_window=values.get("guarantees.fall", 0),
+        budget_multiple=values.get("guarantees.tip_multiple", 0),
+    )
+
+
+def _retries(values: Mapping[str, Any]) -> RetrySettings:
+    return RetrySettings(
+        most_attempts=values.get("limits.most_tries", 1),
+        budget_window=values.get("guarantees.look_back") or 0,
+        budget_minimum=values.get("guarantees.min_extra", 0),
+        budget_share=values.get("guarantees.extra_share", 0),
+        order_pause=values.get("guarantees.order_pause", 0),
+    )
+
+
 def _engine_kinds(values: Mapping[str, Any]) -> tuple[tuple[EngineKind, ...], bool]:
     """The kinds of machines, and whether one stands for all: each figure is one number or a list by kind."""
     cores = values.get("domain.kind_cores", 1)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -80,12 +80,17 @@
         """One more submission of a query, with its ending if there is one."""
         q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.threads))
         e = self.router.engines[engine]
-        e.open_attempts, e.threads = e.open_attempts + 1, e.threads + q.threads
+        e.attempt_started(sent, q.threads, q.memory_mb)
         if q.group.settings.is_load:
             e.running_loads.append(q.table_group)
         if result:
             self.router.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
 
+    def fill(self, engine, attempts, threads=4):
+        """So many attempts of other queries are out on an engine."""
+        for _ in range(attempts):
+            engine.attempt_started(self.router.now, threads, 0.0)
+
     def verbs(self, now=0):
         """All decisions at this time."""
         said = []
--- a/tests/test_teamwork.py
+++ b/tests/test_teamwork.py
@@ -29,7 +29,8 @@
 
 def test_bound_binds_only_under_pressure(desk):
     e, q = desk.router.engines[1], desk.take(REPORT)
-    e.threads, e.open_attempts = 8, 2
+    desk.fill(e, attempts=2)
+    desk.router.now = 3 * SECOND  # reports have counted them by then
     desk.router.load.mean_load, desk.router.load.mean_own_threads, desk.router.load.reports_count_queries = (
         1.0,
         8.0,
@@ -43,14 +44,14 @@
 def test_leader_waits_when_no_engine_is_eligible(desk):
     q = desk.take(REPORT)
     for e in desk.router.engines.values():
-        e.threads, e.open_attempts = 16, 4
+        desk.fill(e, attempts=4)
     desk.router.teams.send_next(desk.router.now)
     assert list(desk.router.queues.teams) == [q]
 
 
 def test_dashboard_skips_the_queue_and_the_bound(desk):
     for e in desk.router.engines.values():
-        e.threads, e.open_attempts = 8, 2
+        desk.fill(e, attempts=2)
     waiting, q = desk.take(REPORT), desk.take(LOOKUP)
     desk.router.dashboards.send_next(desk.router.now)
     desk.router.teams.send_next(desk.router.now)
@@ -60,7 +61,7 @@
 
 def test_dashboard_is_deferred_when_every_engine_is_crowded(desk):
     for e in desk.router.engines.values():
-        e.threads, e.open_attempts = 16, 4
+        desk.fill(e, attempts=4)
     q = desk.take(LOOKUP)
     desk.router.dashboards.send_next(desk.router.now)
     answer = desk.router.planned[0]
@@ -153,8 +154,6 @@
     desk.router.on_health_check(0, 1, AttemptResult.SERVED, {"inflight": 4})
     for n in range(6):
         q = desk.tried(LOOKUP, sent=0)
-        desk.router.engines[1].unreported.append((0, 1, 0.0))
-        desk.router.engines[1].unreported_threads += 1
         if n:
             desk.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 10))
     assert desk.router.engines[1].sent_since(0) == (1, 0.0)
@@ -359,5 +358,5 @@
     q = desk.take(REPORT, cost=3000)
     assert not router.admission.is_too_heavy(router.now, q)
     for e in router.engines.values():
-        e.threads = 3 * e.cores
+        desk.fill(e, attempts=6)
     assert router.admission.is_too_heavy(router.now, q)
