--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -22,7 +22,7 @@
     zone: int = 0
     cores: int = 1
     memory_mb: float = 0.0  # that it has; 0: not stated
-    warm_up_share: float = 0.0  # of its cores' work that it does as it starts
+    warm_up_initial_share: float = 0.0  # of its cores' work that it does as it starts
     warm_up_duration: Time = 0
     ready: bool = False
     gone: bool = False
@@ -51,8 +51,8 @@
         """Cores that it is worth. How it warms up is not known: evenly, at the slowest that is stated."""
         if not self.is_warming_up(now):
             return self.cores
-        warmed = (1 - self.warm_up_share) * (now - self.started) / self.warm_up_duration
-        return self.cores * (self.warm_up_share + warmed)
+        warmed = (1 - self.warm_up_initial_share) * (now - self.started) / self.warm_up_duration
+        return self.cores * (self.warm_up_initial_share + warmed)
 
     def update(self, listing: Listing, settings: Settings) -> None:
         """The endpoint list names it."""
@@ -62,7 +62,7 @@
         kind = settings.engine_kind(listing.kind)
         self.cores = kind.cores
         self.memory_mb = kind.memory_mb
-        self.warm_up_share = settings.warm_up.initial_share
+        self.warm_up_initial_share = settings.warm_up.initial_share
         self.warm_up_duration = settings.warm_up.duration
         self.ready = listing.state == EndpointState.READY
         self.gone = listing.state == EndpointState.GONE
--- a/hillchute/decision/load_estimation.py
+++ b/hillchute/decision/load_estimation.py
@@ -105,7 +105,7 @@
         """Threads and memory of this router's attempts that the last report can't have counted."""
         return engine.sent_since(max(engine.reported_at - REPORT_LAG, now - PRESSURE_STANDS))
 
-    def load(self, now: Time, engine: EngineState) -> float:
+    def believed_threads(self, now: Time, engine: EngineState) -> float:
         """Threads there, at the most: as reported, and this router's since, none of which has ended."""
         if self.mean_load is None:
             return engine.threads
@@ -135,7 +135,7 @@
             part = (self.mean_load or 0.0) * engine.cores / own
         confidence = own / (own + FEW_THREADS) if own else 1
         others = (min(routers, part) - 1) * confidence
-        return max(self.load(now, engine), engine.threads * (1 + max(0.0, others)))
+        return max(self.believed_threads(now, engine), engine.threads * (1 + max(0.0, others)))
 
     def is_calm(self, now: Time, engine: EngineState) -> bool:
         """Whether one more query slows nothing there."""
--- a/hillchute/decision/placement.py
+++ b/hillchute/decision/placement.py
@@ -204,7 +204,8 @@
         if not engines:
             return None
         weights: Iterable[float] = (
-            (IDLE_LOAD + self.load.load(now, engine) / engine.cores) ** -SHARPNESS for engine in engines
+            (IDLE_LOAD + self.load.believed_threads(now, engine) / engine.cores) ** -SHARPNESS
+            for engine in engines
         )
         sums = list(accumulate(weights))
         return engines[bisect(sums, self.chance() * sums[-1])]
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -21,7 +21,9 @@
 from hillchute.decision.statistics import TRAFFIC_SPAN, WorkWindow, smoothed
 from hillchute.settings import Settings
 
-COLD_SHARE = 0.7  # of what a recovering engine can do, sent by all routers: what a warm one bears well
+WARM_UP_BUDGET_SHARE = (
+    0.7  # of what a recovering engine can do, sent by all routers: what a warm one bears well
+)
 UNUSED_WINDOWS = 1.0  # for which a permit that nobody used stands
 PERMIT_WINDOWS = 0.5  # for which a query that drew a permit may wait with it
 FEWEST_QUERIES = 16  # that overload a recovering engine together: few heavy ones must not by chance
@@ -72,7 +74,7 @@
             # one in so many windows, and all together have their sum.
             credit = Credit(engine.started, now, -self.chance() * self.mean_work)
             self.credits[engine.id] = credit
-        rate = COLD_SHARE * engine.usable_cores(now) * share
+        rate = WARM_UP_BUDGET_SHARE * engine.usable_cores(now) * share
         credit.work += rate * (now - credit.updated)
         credit.updated = now
         excess = credit.work - rate * UNUSED_WINDOWS * self.window
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -37,7 +37,7 @@
     Time,
 )
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.decision.slow_start import COLD_SHARE
+from hillchute.decision.slow_start import WARM_UP_BUDGET_SHARE
 from hillchute.peers.node import Node
 from hillchute.peers.roster import ALIVE
 
@@ -447,7 +447,7 @@
         warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
         able = sum(e.usable_cores(self.now) for e in warming)
         rate = router.light_query_rate(self.now) if able else 0
-        self.companies[n].quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
+        self.companies[n].quotas.asked("cold", int(WHOLE * rate / able / WARM_UP_BUDGET_SHARE) if able else 0)
 
     def says(self, n: int, said: list[tuple[str, bytes]]) -> None:
         self.bytes += sum(HEADERS + len(data) for _, data in said)
--- a/hillchute/router/telling.py
+++ b/hillchute/router/telling.py
@@ -27,7 +27,7 @@
     Time,
 )
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.decision.slow_start import COLD_SHARE
+from hillchute.decision.slow_start import WARM_UP_BUDGET_SHARE
 from hillchute.decision.statistics import TRAFFIC_SPAN, WorkWindow
 
 
@@ -170,7 +170,7 @@
         if "cold" in quotas.limits:
             able = sum(e.usable_cores(now) for e in self.warming(now))
             rate = module.light_query_rate(now)
-            quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
+            quotas.asked("cold", int(WHOLE * rate / able / WARM_UP_BUDGET_SHARE) if able else 0)
         for tenant, taken in module.traffic.by_tenant.items():
             rate = self.catalog.get(f"parties.{tenant}.quota_per_s")
             if rate and f"parties.{tenant}" in quotas.limits:
--- a/tests/test_teamwork.py
+++ b/tests/test_scheduler.py
@@ -31,11 +31,9 @@
     e, q = desk.router.engines[1], desk.take(REPORT)
     desk.fill(e, attempts=2)
     desk.router.now = 3 * SECOND  # reports have counted them by then
-    desk.router.load.mean_load, desk.router.load.mean_own_threads, desk.router.load.reports_count_queries = (
-        1.0,
-        8.0,
-        True,
-    )
+    desk.router.load.mean_load = 1.0
+    desk.router.load.mean_own_threads = 8.0
+    desk.router.load.reports_count_queries = True
     assert desk.router.teams.room(desk.router.now, e, q) == 2
     desk.router.load.read_report(desk.router.now, e, {"queue": 2.0})
     assert desk.router.teams.room(desk.router.now, e, q) == 0
@@ -103,10 +101,10 @@
 def test_unheard_engine_counts_as_average(desk):
     for e, util in zip(desk.router.engines.values(), (0.25, 0.75), strict=False):
         desk.router.load.read_report(desk.router.now, e, {"util": util})
-    assert desk.router.load.load(desk.router.now, desk.router.engines[3]) == pytest.approx(
+    assert desk.router.load.believed_threads(desk.router.now, desk.router.engines[3]) == pytest.approx(
         8 * desk.router.load.mean_load
     )
-    assert 2 < desk.router.load.load(desk.router.now, desk.router.engines[3]) < 6
+    assert 2 < desk.router.load.believed_threads(desk.router.now, desk.router.engines[3]) < 6
 
 
 def test_dashboard_keeps_off_the_tables_a_load_holds(desk):
@@ -162,11 +160,9 @@
 def test_engine_that_hangs_between_reports_is_seen_by_what_is_out(desk):
     e = desk.router.engines[1]
     desk.router.load.read_report(desk.router.now, e, {"inflight": 0.0})
-    desk.router.load.mean_load, desk.router.load.mean_own_threads, desk.router.load.reports_count_queries = (
-        1.0,
-        4.0,
-        True,
-    )
+    desk.router.load.mean_load = 1.0
+    desk.router.load.mean_own_threads = 4.0
+    desk.router.load.reports_count_queries = True
     for _ in range(12):
         desk.tried(LOOKUP)
     assert desk.router.load.crowd(desk.router.now, e) == 18
@@ -190,9 +186,11 @@
     one, other = desk.router.engines[1], desk.router.engines[2]
     desk.router.load.read_report(desk.router.now, other, {"util": 0.5})
     desk.router.load.read_report(desk.router.now, one, {"util": 1.0})
-    assert desk.router.load.load(desk.router.now, one) == 8
+    assert desk.router.load.believed_threads(desk.router.now, one) == 8
     desk.router.now = 60 * SECOND
-    assert desk.router.load.load(desk.router.now, one) == pytest.approx(desk.router.load.mean_load * 8)
+    assert desk.router.load.believed_threads(desk.router.now, one) == pytest.approx(
+        desk.router.load.mean_load * 8
+    )
 
 
 def test_jam_shows_before_its_first_answer_and_keeps_heavy_queries_out(desk):
@@ -346,7 +344,9 @@
     for engine in router.engines:
         for _ in range(4):
             desk.tried(REPORT, engine, cost=3000)
-    assert [router.load.load(router.now, e) > 1.9 * e.cores for e in router.engines.values()] == [True] * 3
+    assert [router.load.believed_threads(router.now, e) > 1.9 * e.cores for e in router.engines.values()] == [
+        True
+    ] * 3
     assert not router.admission.is_too_heavy(router.now, q)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,10 +18,10 @@
 )
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.decision.slow_start import (
-    COLD_SHARE,
     FEWEST_QUERIES,
     PERMIT_WINDOWS,
     UNUSED_WINDOWS,
+    WARM_UP_BUDGET_SHARE,
     PermitLedger,
 )
 
@@ -56,9 +56,9 @@
 
 
 def share_sent(allowed, living):
-    """Calls that all routers send it in a window in the mean: COLD_SHARE of what it can do, where the
-    budget is MULTIPLE of that."""
-    return allowed * COLD_SHARE / MULTIPLE * living
+    """Calls that all routers send it in a window in the mean: WARM_UP_BUDGET_SHARE of what it can do, where
+    the budget is MULTIPLE of that."""
+    return allowed * WARM_UP_BUDGET_SHARE / MULTIPLE * living
 
 
 @pytest.mark.parametrize("allowed", ALLOWED)
@@ -76,7 +76,7 @@
 
 
 def test_calculation_would_find_a_share_that_is_too_large():
-    assert tail(share_sent(30, MULTIPLE / COLD_SHARE), budget(30)) > ODDS
+    assert tail(share_sent(30, MULTIPLE / WARM_UP_BUDGET_SHARE), budget(30)) > ODDS
 
 
 class Fleet:
