--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from typing import TextIO
 
-from hillchute.accord.subsets import Sight
 from hillchute.benchlink.codec import RESULTS, Fields, Malformed, encode
 from hillchute.catalog import down, up
+from hillchute.coordination.subsetting import Sight
 from hillchute.decision.interface import Router
 from hillchute.decision.teamwork import Teamwork
 
--- a/hillchute/accord/codec.py
+++ b/hillchute/coordination/codec.py
@@ -1,15 +1,15 @@
 """What routers say to each other beside who lives: typed values to bytes and back, each field bounded.
 
 Owns the layout and the bounds. Must never do I/O, look at a clock, or believe anything: the mark says who
-spoke, this says that it can be read, and signals.py and quotas.py say what is made of it.
+spoke, this says that it can be read, and load_signals.py and quota_leases.py say what is made of it.
 """
 
 from collections.abc import Iterable
 
 import msgspec
 
-from hillchute.accord.quotas import SPAN, Ask, Grant, Want, Word
-from hillchute.accord.signals import FIGURES, Drain, Ill, Load, News, Spent, Turned
+from hillchute.coordination.load_signals import FIGURES, Drain, Ill, Load, News, Spent, Turned
+from hillchute.coordination.quota_leases import SPAN, Ask, Grant, Want, Word
 from hillchute.errors import DatagramDropped
 
 MOST = {"loads": 64, "ills": 32, "drains": 32, "spent": 16, "turned": 16, "wants": 8, "asks": 8, "grants": 8}
--- a/hillchute/accord/company.py
+++ b/hillchute/coordination/fleet_view.py
@@ -14,10 +14,21 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from hillchute.accord import codec
-from hillchute.accord.quotas import Quotas, Word
-from hillchute.accord.signals import FIGURES, ILL, OLD, Drain, Ill, Load, News, Signals, Spent, Turned
-from hillchute.accord.subsets import SIZE, Sight, first, widths
+from hillchute.coordination import codec
+from hillchute.coordination.load_signals import (
+    FIGURES,
+    ILL,
+    OLD,
+    Drain,
+    Ill,
+    Load,
+    News,
+    Signals,
+    Spent,
+    Turned,
+)
+from hillchute.coordination.quota_leases import Quotas, Word
+from hillchute.coordination.subsetting import SIZE, Sight, first, widths
 from hillchute.decision.interface import EngineId, Report, Time
 
 SECOND = 10_000
--- a/hillchute/accord/signals.py
+++ b/hillchute/coordination/load_signals.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hillchute.accord.turns import turn
+from hillchute.coordination.jitter import turn
 from hillchute.decision.interface import EngineId, Time
 
 SECOND = 10_000
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -45,9 +45,7 @@
         engines: frozenset[EngineId],
         routers: int | None = None,
         parts: Mapping[str | EngineId, float] | None = None,
-    ) -> (
-        None
-    ): ...  # to be looked at first: accord/subsets.py; routers that live, parts of limits: accord/company.py
+    ) -> None: ...  # looked at first: coordination/subsetting.py; who lives, parts: fleet_view.py
 
     def welcome(
         self, now: Time, group: int, late: float
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -5,8 +5,8 @@
 serves, nor know how a decision is made. Times are whole tenths of a millisecond, work is core time.
 
 A fleet has a form: `alone`, each router for itself; `subset`, each with the engines in sight that
-accord/subsets.py gives it. `Seeing` is what both are held against: one mind that sends every query, and sees
-the true state of every engine late.
+coordination/subsetting.py gives it. `Seeing` is what both are held against: one mind that sends every
+query, and sees the true state of every engine late.
 """
 
 import random
@@ -19,10 +19,9 @@
 from statistics import median
 from zlib import crc32
 
-from hillchute.accord import company as told_of
-from hillchute.accord import subsets
-from hillchute.accord.company import WHOLE, Company
-from hillchute.accord.subsets import Sight
+from hillchute.coordination import fleet_view, subsetting
+from hillchute.coordination.fleet_view import WHOLE, Company
+from hillchute.coordination.subsetting import Sight
 from hillchute.decision.interface import Listing, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
@@ -325,11 +324,11 @@
 @lru_cache(maxsize=2048)
 def order(engine: int, routers: int) -> tuple[int, ...]:
     """An engine's order of all routers."""
-    return subsets.first(engine, routers, routers)
+    return subsetting.first(engine, routers, routers)
 
 
 # What each router works out alone is worked out once for all that play here.
-told_of.first = lambda engine, routers, width: order(engine, routers)[:width]
+fleet_view.first = lambda engine, routers, width: order(engine, routers)[:width]
 
 
 class Many(World):
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -24,11 +24,11 @@
 import msgspec
 import orjson
 
-from hillchute.accord import codec as words
-from hillchute.accord.company import WHOLE as PARTS
-from hillchute.accord.company import Company
-from hillchute.accord.quotas import SPAN, Grant
-from hillchute.accord.signals import Drain, Ill, Load
+from hillchute.coordination import codec as words
+from hillchute.coordination.fleet_view import WHOLE as PARTS
+from hillchute.coordination.fleet_view import Company
+from hillchute.coordination.load_signals import Drain, Ill, Load
+from hillchute.coordination.quota_leases import SPAN, Grant
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
 from hillchute.lab import history_mutants, partners_mutants
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from hillchute.accord.quotas import Quotas
+from hillchute.coordination.quota_leases import Quotas
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Claim
 from hillchute.history.keeper import Keeper
--- a/hillchute/partners/pool.py
+++ b/hillchute/partners/pool.py
@@ -1,7 +1,7 @@
 """What each router may use of the pool of engines by its partner's share.
 
-Owns that one division. Pure. Must never know what is used, lent or asked for: that is accord/quotas.py, whose
-limit `pool` has these homes.
+Owns that one division. Pure. Must never know what is used, lent or asked for: that is
+coordination/quota_leases.py, whose limit `pool` has these homes.
 """
 
 from collections.abc import Iterable, Mapping
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Container, Mapping
 from dataclasses import dataclass, field
 
-from hillchute.accord.subsets import Sight
+from hillchute.coordination.subsetting import Sight
 from hillchute.decision.interface import Router, Time
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hillchute.accord.quotas import LENT, Quotas
+from hillchute.coordination.quota_leases import LENT, Quotas
 from hillchute.decision.interface import Listing, Time
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from hillchute.accord.company import Company
+from hillchute.coordination.fleet_view import Company
 from hillchute.decision.interface import Report
 from hillchute.decision.teamwork import Teamwork
 from hillchute.errors import ClockBehind, ListsDiffer
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -17,7 +17,7 @@
 import anyio.abc
 import anyio.lowlevel
 
-from hillchute.accord import turns
+from hillchute.coordination import jitter
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import Teamwork
 from hillchute.engines import words
@@ -130,7 +130,7 @@
         """One wait of so many seconds in the mean, that does not end with those of other routers."""
         self.waits += 1
         chance = crc32(f"{self.station.seed}:wait:{self.waits}".encode()) / 2**32
-        return turns.spread(int(seconds * SECOND), chance) / SECOND
+        return jitter.spread(int(seconds * SECOND), chance) / SECOND
 
     def engine_links(self, settings: Mapping[str, object]) -> Links:
         lines = self.reducer.lines
--- a/hillchute/router/telling.py
+++ b/hillchute/router/telling.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from hillchute.accord.company import WHOLE, Company
+from hillchute.coordination.fleet_view import WHOLE, Company
 from hillchute.decision.interface import Decision, EngineId, Listing, QueryId, Report, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.state import Engine, Light
--- a/tests/test_accord.py
+++ b/tests/test_coordination.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.accord import subsets, turns
-from hillchute.accord.subsets import Sight, pairs
+from hillchute.coordination import jitter, subsetting
+from hillchute.coordination.subsetting import Sight, pairs
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.membership import event_bus
@@ -47,14 +47,14 @@
     assert len(without - all_of_them) <= most and len(all_of_them - without) <= most
     # Nobody loses an engine that stays because another goes, nor gains one because another comes.
     left = {pair for pair in all_of_them if pair[1] != other}
-    assert len(engines) <= subsets.SIZE or left <= without
+    assert len(engines) <= subsetting.SIZE or left <= without
 
 
 @settings(max_examples=30, deadline=None)
 @given(fleets)
 def test_engine_that_drains_gives_its_pairs_to_as_many_others_as_it_had(fleet):
     routers, engines = fleet
-    if len(engines) <= subsets.SIZE + 1:
+    if len(engines) <= subsetting.SIZE + 1:
         return
     one = max(engines)
     gained = pairs(engines - {one}, routers) - pairs(engines, routers)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("routers, count", SIZES)
 def test_router_works_out_its_own_part_of_the_pairs_alone(routers, count):
-    engines = [subsets.mixed(n) for n in range(count)]
+    engines = [subsetting.mixed(n) for n in range(count)]
     every = pairs(engines, routers)
     for me in range(0, routers, max(1, routers // 7)):
         assert Sight(me, routers).near(reversed(engines)) == {e for r, e in every if r == me}
@@ -98,8 +98,8 @@
 
 def test_list_that_changes_costs_no_more_than_the_engines_that_are_new(monkeypatch):
     asked = []
-    rank = subsets.Rank
-    monkeypatch.setattr(subsets, "Rank", lambda engine, me: asked.append(engine) or rank(engine, me))
+    rank = subsetting.Rank
+    monkeypatch.setattr(subsetting, "Rank", lambda engine, me: asked.append(engine) or rank(engine, me))
     sight = Sight(0, 200)
     sight.near(range(80))
     asked.clear()
@@ -132,36 +132,36 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 400), st.text(max_size=8), st.floats(0.02, 1.0))
 def test_all_that_learn_in_one_instant_take_turns_within_the_stated_bound(routers, thing, part):
-    places = [turns.place(router, thing) for router in range(routers)]
-    assert most_within(places, part) <= turns.most_by_number(routers, part)
+    places = [jitter.place(router, thing) for router in range(routers)]
+    assert most_within(places, part) <= jitter.most_by_number(routers, part)
 
 
 @pytest.mark.parametrize("wrong", [0.5, 1.0, 1.5])
 def test_count_that_is_wrong_by_half_makes_the_sum_as_much_larger_or_smaller(wrong):
     """Five routers in each 100 ms are wished for, of 200; the count tells half, or half as much again."""
-    span = turns.window(int(200 * wrong), 5, 1000)
-    moments = [turns.turn(router, "engine 7", span) for router in range(200)]
-    assert most_within(moments, 1000) <= turns.most_by_number(200, 1000 / span)
-    assert turns.most_by_number(200, 1000 / span) <= 5 / wrong + turns.MORE + 1
+    span = jitter.window(int(200 * wrong), 5, 1000)
+    moments = [jitter.turn(router, "engine 7", span) for router in range(200)]
+    assert most_within(moments, 1000) <= jitter.most_by_number(200, 1000 / span)
+    assert jitter.most_by_number(200, 1000 / span) <= 5 / wrong + jitter.MORE + 1
 
 
 def test_router_that_restarts_keeps_its_place_and_no_router_is_always_first():
-    assert turns.turn(17, "list 5", 10_000) == turns.turn(17, "list 5", 10_000)
-    first = {min(range(200), key=lambda router: turns.place(router, thing)) for thing in range(50)}
+    assert jitter.turn(17, "list 5", 10_000) == jitter.turn(17, "list 5", 10_000)
+    first = {min(range(200), key=lambda router: jitter.place(router, thing)) for thing in range(50)}
     assert len(first) > 30
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_turns_by_chance_pass_their_bound_no_more_often_than_stated(seed):
     chance, odds = random.Random(seed), 1e-3
-    most = turns.most_by_chance(200, 0.05, odds)
+    most = jitter.most_by_chance(200, 0.05, odds)
     counts = [sum(chance.random() < 0.05 for _ in range(200)) for _ in range(300)]
     assert sum(count > most for count in counts) <= 3  # 0.3 in the mean; over 3 once in some thousand seeds
     assert most < 200 * 0.05 * 3
 
 
 def test_waits_that_began_together_end_apart_and_in_the_mean_alike():
-    waits = [turns.spread(1000, n / 100) for n in range(100)]
+    waits = [jitter.spread(1000, n / 100) for n in range(100)]
     assert min(waits) == 500 and max(waits) < 1500 and abs(sum(waits) / 100 - 1000) < 10
 
 
@@ -177,7 +177,7 @@
     fleet = [waits(seed) for seed in range(200)]
     for one_try in zip(*fleet):
         assert min(one_try) >= 0.125 and max(one_try) < 0.375
-        assert most_within(one_try, 0.0125) <= turns.most_by_chance(200, 0.05, 1e-6)
+        assert most_within(one_try, 0.0125) <= jitter.most_by_chance(200, 0.05, 1e-6)
     assert waits(5) == waits(5)
 
 
--- a/tests/test_signals.py
+++ b/tests/test_load_signals.py
@@ -6,10 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.accord import codec
-from hillchute.accord.company import BYTES, WHOLE, Company
-from hillchute.accord.quotas import SPAN, Ask, Grant, Want
-from hillchute.accord.signals import (
+from hillchute.coordination import codec
+from hillchute.coordination.fleet_view import BYTES, WHOLE, Company
+from hillchute.coordination.load_signals import (
     BACK,
     ILL,
     MOST,
@@ -23,7 +22,8 @@
     Spent,
     Turned,
 )
-from hillchute.accord.subsets import pairs
+from hillchute.coordination.quota_leases import SPAN, Ask, Grant, Want
+from hillchute.coordination.subsetting import pairs
 from hillchute.errors import DatagramDropped
 
 NOW = 10**9
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from hillchute.accord import quotas, signals
-from hillchute.accord.quotas import Limit
-from hillchute.accord.signals import Signals
+from hillchute.coordination import load_signals, quota_leases
+from hillchute.coordination.load_signals import Signals
+from hillchute.coordination.quota_leases import Limit
 from hillchute.lab import mutants
 from hillchute.lab.mutants import CHANGES, Run, judge, play
 from hillchute.peers import roster
@@ -101,7 +101,7 @@
 
 
 def opens_again(self, now, number, ready, closed):
-    from hillchute.accord.company import Company
+    from hillchute.coordination.fleet_view import Company
 
     WAS[Company, "listed"](self, now, number, {*ready, *closed}, closed)
 
@@ -121,11 +121,11 @@
     "owner, name, fault, kinds, picks",
     [
         (hmac, "compare_digest", lambda a, b: True, ("a drain put in",), None),
-        (quotas, "LENT", 0, (), None),
+        (quota_leases, "LENT", 0, (), None),
         (Limit, "own", lambda self, now: self.home, (), None),
         (Limit, "usable", counted_twice, (), None),
-        (quotas.Lent, "out", nothing_is_before, ("left out", "late by"), carries_grant),
-        (signals, "WITNESSES", 1, ("all engines drain",), None),
+        (quota_leases.Lent, "out", nothing_is_before, ("left out", "late by"), carries_grant),
+        (load_signals, "WITNESSES", 1, ("all engines drain",), None),
         (Signals, "listed", forgets_the_event, (), None),
         (Signals, "ill", any_age, (), None),
         (mutants.Company, "listed", opens_again, (), None),
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.accord.quotas import LENT
 from hillchute.cli import commands
+from hillchute.coordination.quota_leases import LENT
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.fronts.events import FIRST_GUEST
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,9 +11,9 @@
 import pytest
 from test_router import TABLE
 
-from hillchute.accord.company import Company
-from hillchute.accord.quotas import SPAN, Held
-from hillchute.accord.signals import Drain, News
+from hillchute.coordination.fleet_view import Company
+from hillchute.coordination.load_signals import Drain, News
+from hillchute.coordination.quota_leases import SPAN, Held
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.errors import HillchuteError
@@ -291,7 +291,8 @@
         "import sys, hillchute.router.__main__, hillchute.router.service;"
         "print(*[name for name in sys.modules if name.startswith(('hillchute.peers', 'msgspec', 'sqlite3',"
         " 'hillchute.history', 'hillchute.partners', 'cryptography', 'hillchute.router.remembering'))"
-        " or name in ('hillchute.accord.company', 'hillchute.router.peering', 'hillchute.router.telling')])"
+        " or name in ('hillchute.coordination.fleet_view', 'hillchute.router.peering',"
+        " 'hillchute.router.telling')])"
     )
     told = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == ""
--- a/tests/test_quotas.py
+++ b/tests/test_quota_leases.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.accord.quotas import (
+from hillchute.coordination.quota_leases import (
     AGAIN,
     FLOOR,
     KIN,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 from conftest import CATALOG, LOAD, LOOKUP, REPORT
 from rounds_by_hand import Rig
 
-from hillchute.accord.subsets import Sight
+from hillchute.coordination.subsetting import Sight
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.engines import words
