--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -20,9 +20,9 @@
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from hillchute.accord import codec as gossip
-from hillchute.accord import quotas, signals
 from hillchute.benchlink import codec as simulator
+from hillchute.coordination import codec as gossip
+from hillchute.coordination import load_signals, quota_leases
 from hillchute.decision.interface import Listing
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
@@ -62,16 +62,16 @@
     full = gossip.Parcel(
         edition=71,
         loads=(
-            signals.Load(engine=11, age=12, figures=(13, 14, -1)),
-            signals.Load(engine=15, age=16, figures=()),
+            load_signals.Load(engine=11, age=12, figures=(13, 14, -1)),
+            load_signals.Load(engine=15, age=16, figures=()),
         ),
-        ills=(signals.Ill(engine=21, age=22),),
-        drains=(signals.Drain(engine=31, number=32),),
-        spent=(signals.Spent(engine=41, total=42),),
-        turned=(signals.Turned(group=51, taken=53, away=52),),
-        wants={"limit-a": quotas.Want(asked=61, usable=62)},
-        asks={"limit-b": quotas.Ask(number=63, level=64, keeps=65, asked=66, usable=67)},
-        grants={"limit-c": quotas.Grant(number=68, amount=69, span=70)},
+        ills=(load_signals.Ill(engine=21, age=22),),
+        drains=(load_signals.Drain(engine=31, number=32),),
+        spent=(load_signals.Spent(engine=41, total=42),),
+        turned=(load_signals.Turned(group=51, taken=53, away=52),),
+        wants={"limit-a": quota_leases.Want(asked=61, usable=62)},
+        asks={"limit-b": quota_leases.Ask(number=63, level=64, keeps=65, asked=66, usable=67)},
+        grants={"limit-c": quota_leases.Grant(number=68, amount=69, span=70)},
     )
     yield example("digest", full)
     yield example("digest, empty", gossip.Parcel())
