--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -5,7 +5,7 @@
 
 from hillchute.benchlink.codec import RESULTS, Fields, Malformed, encode
 from hillchute.catalog import down, up
-from hillchute.coordination.subsetting import Sight
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import Router
 from hillchute.decision.teamwork import Teamwork
 
@@ -14,7 +14,7 @@
     def __init__(self, answers: TextIO) -> None:
         self.answers = answers
         self.routers: dict[int, Router] = {}
-        self.sights: dict[int, Sight] = {}
+        self.sights: dict[int, Subset] = {}
         self.censuses: dict[int, list] = {}
         self.who: int | None = None
         self.now = 0
@@ -80,7 +80,7 @@
         seed = fields.needed(fields.integer("init_seed"), "init_seed")
         catalog = fields.catalog()
         self.routers[self.who] = Teamwork(seed, catalog, self.now)
-        self.sights[self.who] = Sight(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.sights[self.who] = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
 
     def on_exit(self, fields: Fields) -> None:
         self.routers.pop(self.who, None)
@@ -107,7 +107,7 @@
         router = self.router(fields)
         router.roster(self.now, mode, entries)
         ready = [engine for engine, known in router.engines.items() if known.ready]
-        router.nearby(self.now, self.sights[self.who].near(ready))
+        router.nearby(self.now, self.sights[self.who].select(ready))
 
     def on_ask(self, fields: Fields) -> None:
         query = fields.needed(fields.text("call"), "call")
--- a/hillchute/coordination/codec.py
+++ b/hillchute/coordination/codec.py
@@ -1,100 +1,117 @@
-"""What routers say to each other beside who lives: typed values to bytes and back, each field bounded.
+"""Gossip digests to bytes and back, with every field bounded.
 
-Owns the layout and the bounds. Must never do I/O, look at a clock, or believe anything: the mark says who
-spoke, this says that it can be read, and load_signals.py and quota_leases.py say what is made of it.
+Pure: no I/O, no clock. The sender's authenticity is checked before (peers); whether a readable digest is
+believed is decided after (load_signals.py, quota_leases.py).
 """
 
-from collections.abc import Iterable
+from collections.abc import Iterator
 
 import msgspec
 
-from hillchute.coordination.load_signals import FIGURES, Drain, Ill, Load, News, Spent, Turned
-from hillchute.coordination.quota_leases import SPAN, Ask, Grant, Want, Word
+from hillchute.coordination.load_signals import MAX_FIGURES
+from hillchute.coordination.messages import Digest, LoadReport
+from hillchute.coordination.quota_leases import LEASE_DURATION
 from hillchute.errors import DatagramDropped
 
-MOST = {"loads": 64, "ills": 32, "drains": 32, "spent": 16, "turned": 16, "wants": 8, "asks": 8, "grants": 8}
-NAME = 64  # characters of a limit's name
-WHOLE = 1 << 62
-AGE = 1 << 30  # tenths of a millisecond: over a day
-
-
-class Parcel(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One load of a datagram. `edition` tells whether both were named the same routers."""
-
-    edition: int = 0
-    loads: tuple[Load, ...] = ()
-    ills: tuple[Ill, ...] = ()
-    drains: tuple[Drain, ...] = ()
-    spent: tuple[Spent, ...] = ()
-    turned: tuple[Turned, ...] = ()
-    wants: dict[str, Want] = {}
-    asks: dict[str, Ask] = {}
-    grants: dict[str, Grant] = {}
-
-    @property
-    def news(self) -> News:
-        return News(self.loads, self.ills, self.drains, self.spent, self.turned)
-
-
-encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Parcel)
-
-
-def parcel(edition: int, news: News, wants: dict[str, Want], words: Iterable[Word]) -> Parcel:
-    """All that goes to one router: of each limit one ask and one grant at the most, the last."""
-    asks = {word.limit: word.what for word in words if isinstance(word.what, Ask)}
-    grants = {word.limit: word.what for word in words if isinstance(word.what, Grant)}
-    return Parcel(edition, *news, wants, asks, grants)
-
-
-def encode(parcel: Parcel) -> bytes:
-    """The bytes; raises ValueError for what no receiver would take."""
-    if fault := unfit(parcel):
-        raise ValueError(fault)
-    return encoder.encode(parcel)
-
-
-def decode(data: bytes, sender: str) -> Parcel:
-    """The parcel; raises DatagramDropped with the field that is out of its bounds."""
+# Entries of each field that a digest has at most; together they stay below a datagram's size.
+MAX_ENTRIES = {
+    "load_reports": 64,
+    "failures": 32,
+    "drains": 32,
+    "warm_up_work": 16,
+    "admissions": 16,
+    "demands": 8,
+    "lease_requests": 8,
+    "lease_grants": 8,
+}
+MAX_LIMIT_NAME = 64  # characters
+ENGINE_ID_BOUND = 1 << 32
+CHECKSUM_BOUND = 1 << 32
+FIGURE_BOUND = 1 << 31
+COUNT_BOUND = 1 << 62  # sums of a few counts still fit 64 bits
+AGE_BOUND = 1 << 30  # tenths of a millisecond: over a day
+
+encoder = msgspec.msgpack.Encoder()
+decoder = msgspec.msgpack.Decoder(Digest)
+
+
+def encode(digest: Digest) -> bytes:
+    """The bytes of a digest; raises ValueError for one that no receiver would accept."""
+    field = find_invalid_field(digest)
+    if field is not None:
+        raise ValueError(field)
+    return encoder.encode(digest)
+
+
+def decode(data: bytes, sender: str) -> Digest:
+    """The digest in these bytes; raises DatagramDropped with the field that is out of bounds."""
     if not data:
-        return Parcel()
+        return Digest()
     try:
-        found = decoder.decode(data)
-    except msgspec.DecodeError as fault:
-        raise DatagramDropped(f"load: {fault}", sender) from None
-    if fault := unfit(found):
-        raise DatagramDropped(f"load: {fault}", sender)
-    return found
-
-
-def unfit(parcel: Parcel) -> str:
-    """The first field out of its bounds. Guards against a peer that may mark what it likes."""
-    for name, most in MOST.items():
-        if len(getattr(parcel, name)) > most:
-            return name
-    if any(not 0 < len(name) <= NAME for said in (parcel.wants, parcel.asks, parcel.grants) for name in said):
-        return "limit"
-    if not 0 <= parcel.edition < 1 << 32:
-        return "edition"
-    for load in parcel.loads:
-        if not (0 <= load.engine < 1 << 32 and 0 <= load.age < AGE and len(load.figures) <= FIGURES):
-            return "loads"
-        if any(not -1 <= figure < 1 << 31 for figure in load.figures):
-            return "loads"
-    if any(not (0 <= ill.engine < 1 << 32 and 0 <= ill.age < AGE) for ill in parcel.ills):
-        return "ills"
-    rows = (
-        ("drains", parcel.drains),
-        ("spent", parcel.spent),
-        ("turned", parcel.turned),
-        ("wants", parcel.wants.values()),
-        ("asks", parcel.asks.values()),
-        ("grants", parcel.grants.values()),
-    )
-    for name, row in rows:
-        if any(not 0 <= figure < WHOLE for said in row for figure in said):
-            return name
-    if any(grant.span > SPAN for grant in parcel.grants.values()):
-        return "span"
-    if any(turned.away > turned.taken for turned in parcel.turned):
-        return "turned"
-    return ""
+        digest = decoder.decode(data)
+    except msgspec.DecodeError as error:
+        raise DatagramDropped(f"load: {error}", sender) from error
+    field = find_invalid_field(digest)
+    if field is not None:
+        raise DatagramDropped(f"load: {field}", sender)
+    return digest
+
+
+def find_invalid_field(digest: Digest) -> str | None:
+    """The first field out of its bounds: an authentic peer may still be faulty or hostile."""
+    return next(invalid_fields(digest), None)
+
+
+def invalid_fields(digest: Digest) -> Iterator[str]:
+    """Names of the fields out of bounds; lengths come first, so that the rest costs little."""
+    for name, most in MAX_ENTRIES.items():
+        if len(getattr(digest, name)) > most:
+            yield name
+    for by_limit in (digest.demands, digest.lease_requests, digest.lease_grants):
+        if any(not 0 < len(limit) <= MAX_LIMIT_NAME for limit in by_limit):
+            yield "limit"
+    if not 0 <= digest.membership_checksum < CHECKSUM_BOUND:
+        yield "membership_checksum"
+    yield from invalid_observations(digest)
+    yield from invalid_lease_messages(digest)
+
+
+def invalid_observations(digest: Digest) -> Iterator[str]:
+    """Fields about engines and queries that are out of bounds."""
+    if not all(is_valid_load_report(report) for report in digest.load_reports):
+        yield "load_reports"
+    for failure in digest.failures:
+        if not (0 <= failure.engine < ENGINE_ID_BOUND and 0 <= failure.age < AGE_BOUND):
+            yield "failures"
+    if not all(are_counts(notice) for notice in digest.drains):
+        yield "drains"
+    if not all(are_counts(work) for work in digest.warm_up_work):
+        yield "warm_up_work"
+    for counts in digest.admissions:
+        if not are_counts(counts) or counts.rejected > counts.received:
+            yield "admissions"
+
+
+def invalid_lease_messages(digest: Digest) -> Iterator[str]:
+    """Fields about limits that are out of bounds."""
+    if not all(are_counts(demand) for demand in digest.demands.values()):
+        yield "demands"
+    if not all(are_counts(request) for request in digest.lease_requests.values()):
+        yield "lease_requests"
+    for grant in digest.lease_grants.values():
+        if not are_counts(grant) or grant.duration > LEASE_DURATION:
+            yield "lease_grants"
+
+
+def is_valid_load_report(report: LoadReport) -> bool:
+    """Whether the engine, the age and all figures are within bounds; -1 stands for a missing figure."""
+    if not (0 <= report.engine < ENGINE_ID_BOUND and 0 <= report.age < AGE_BOUND):
+        return False
+    if len(report.figures) > MAX_FIGURES:
+        return False
+    return all(-1 <= figure < FIGURE_BOUND for figure in report.figures)
+
+
+def are_counts(message: tuple[int, ...]) -> bool:
+    """Whether all fields of a message are within the bounds of counts."""
+    return all(0 <= figure < COUNT_BOUND for figure in message)
--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -1,303 +1,337 @@
-"""One router in company: what it saw goes out as parcels, what others say comes in and is weighed.
+"""One router's view of the fleet: its observations go out as gossip digests, those of others come in.
 
-Owns what waits to be told, to whom, and what follows for the decision module from all that is known. Pure:
-events and the time in, parcels and a standing out. Must never need company: cut off from all, a router
-has its own sight, its floor of each limit, and decides as alone.
+Owns which digest goes to whom and what follows for the decision module from all that is known. Pure: events
+and the time in, digests and a fleet state out. Other routers are never needed: cut off from all, a router has
+its own observations and the floor of each limit, and decides as if alone.
 
-A report goes straight to the routers that have its engine in sight, and to no other: as many as an engine
-serves, whatever the fleet's size. All else is told with the pings and answers that go round anyway.
-Times are whole tenths of a millisecond.
+A load report goes only to the routers that have its engine in their subsets: as many as an engine serves,
+whatever the fleet's size. All else goes with the pings and answers of failure detection. Times are tenths of
+a millisecond.
 """
 
-from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 from zlib import crc32
 
 from hillchute.coordination import codec
-from hillchute.coordination.load_signals import (
-    FIGURES,
-    ILL,
-    OLD,
-    Drain,
-    Ill,
-    Load,
-    News,
-    Signals,
-    Spent,
-    Turned,
+from hillchute.coordination.load_signals import MAX_FIGURES, SECOND, LoadSignals
+from hillchute.coordination.messages import (
+    Demand,
+    Digest,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    LoadReport,
+    Observations,
 )
-from hillchute.coordination.quota_leases import Quotas, Word
-from hillchute.coordination.subsetting import SIZE, Sight, first, widths
+from hillchute.coordination.own_observations import OwnObservations
+from hillchute.coordination.quota_leases import QuotaLeases
+from hillchute.coordination.report_relay import ReportRelay
+from hillchute.coordination.subsetting import SUBSET_SIZE, Subset, first_routers, routers_per_engine
 from hillchute.decision.interface import EngineId, Report, Time
 
-SECOND = 10_000
-WHOLE = 1_000_000  # units of a limit: parts in a million
-BYTES = 6_000  # a second that loads may take on the way out: what is over waits, and is dropped when old
-BURST = 12_000  # bytes that may go at once: a report to all of a large circle
-ROOM = 700  # bytes of reports in one parcel: with all else in it a datagram is still whole
-A_PARCEL = 110  # bytes of a datagram with one load in it, for the count above
-TIPPED = 0.5  # of what tips a cold engine: known to be sent there by all, it gets no more for the while; two
-# sides of a cut that hear nothing of each other then come to the whole of it at the most
-PROBES = 0.25  # probes a query beside looks: what one learns all of a circle know
-DRAINS = 120 * SECOND  # a drain is told for so long after the list had it: lists come later by far less
+LIMIT_UNITS = 1_000_000  # units of a limit: parts in a million
+REPORT_BYTES_PER_DIGEST = 700  # with all else in it a datagram is still not fragmented
+REPORT_HEADER_BYTES = 12
+FIGURE_BYTES = 5
+# Of the work that overloads a warming engine: at this much known to be sent there by all, it gets no more for
+# a while. Two sides of a partition that hear nothing of each other then reach the whole of it at most.
+MAX_WARM_UP_SHARE = 0.5
+PROBE_SHARE = 0.25  # health checks a query beside those of engines drawn: what one finds all of them learn
+STATE_LIFETIME: Time = SECOND  # a fleet state is computed anew at least so often
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetSettings:
+    """What a router's view is built from."""
+
+    name: str
+    router_names: Collection[str]  # all routers, this one too, as the operator names them alike to all
+    columns: Collection[str]  # figures of a load report, in the settings' order
+    limits: Collection[str]
+    seed: int
+    subset_size: int = SUBSET_SIZE
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """What the decision module is told: see its `nearby` and `roster`."""
+class FleetState:
+    """What the decision module gets: see its `nearby` and `roster`."""
 
-    near: frozenset[EngineId]
-    closed: frozenset[EngineId]  # by others' word; the list has not said so yet
+    subset: frozenset[EngineId]
+    closed: frozenset[EngineId]  # by witnesses; the own endpoint list does not say so yet
     routers: int
-    parts: Mapping[str | EngineId, float]  # of a limit, by name; 0 for a cold engine that has had enough
-    until: Time  # parts may be less from then on
+    shares: Mapping[str | EngineId, float]  # of a limit, by name; 0 for a warming engine that had enough
+    valid_until: Time  # from then on shares may be smaller
 
 
-class Company:
-    def __init__(
-        self,
-        me: str,
-        names: Iterable[str],
-        columns: Iterable[str],
-        limits: Iterable[str],
-        seed: int,
-        now: Time,
-        size: int = SIZE,
-    ) -> None:
-        """`names`: all routers, this one too, which the operator named alike to all. `columns`: the figures
-        of a report, in the order that the settings give to all routers."""
-        self.me, self.columns, self.size = me, tuple(columns)[:FIGURES], size
-        self.most = min(codec.MOST["loads"], ROOM // (12 + 5 * len(self.columns)))  # reports in a parcel
-        self.quotas = Quotas(me, names, dict.fromkeys(limits, WHOLE), seed, now)
-        self.credit, self.credited = float(BURST), now
-        self.dropped = 0  # loads that were too old by the time that there was room for them
-        self.reports: dict[EngineId, tuple[Time, tuple[int, ...]]] = {}  # the last of our own
-        self.failures: dict[EngineId, Time] = {}
-        self.drains: dict[EngineId, tuple[int, Time]] = {}  # engine: event, when we heard
-        self.spent: dict[EngineId, int] = {}  # hundredths of seconds of core time, all our life
-        self.sent: dict[EngineId, deque[tuple[Time, int]]] = {}  # of late, in core time
-        self.taken: dict[int, int] = {}
-        self.away: dict[int, int] = {}
-        self.line: deque[tuple[Time, str, EngineId]] = deque()  # loads to be told: when seen, to whom
-        self.words: dict[str, list[Word]] = {}
-        self.fresh: list[tuple[EngineId, Report, Time]] = []  # reports for the module, with their ages
-        self.turn = 0  # whose turn it is among drains, where they are too many for one parcel
-        self.names: list[str] = []
+class RelayedReport(NamedTuple):
+    """Another router's load report of an engine, for the decision module."""
+
+    engine: EngineId
+    report: Report
+    age: Time
+
+
+class FleetView:
+    """All that one router knows of the others, and what it sends them."""
+
+    def __init__(self, settings: FleetSettings, now: Time) -> None:
+        self.name = settings.name
+        self.subset_size = settings.subset_size
+        self.columns = tuple(settings.columns)[:MAX_FIGURES]
+        report_bytes = REPORT_HEADER_BYTES + FIGURE_BYTES * len(self.columns)
+        self.reports_per_digest = min(
+            codec.MAX_ENTRIES["load_reports"], REPORT_BYTES_PER_DIGEST // report_bytes
+        )
+        limits = dict.fromkeys(settings.limits, LIMIT_UNITS)
+        self.quotas = QuotaLeases(self.name, settings.router_names, limits, settings.seed, now)
+        self.own = OwnObservations(self.columns)
+        self.relay = ReportRelay(now)
+        self.lease_messages: dict[str, list[LeaseMessage]] = {}  # by recipient
+        self.relayed_reports: list[RelayedReport] = []  # not taken by the decision module yet
+        self.router_names: list[str] = []
         self.ready: frozenset[EngineId] = frozenset()
-        self.signals = Signals(0, self.sees)
-        self.named(now, names)
+        self.signals = LoadSignals(0, self.has_in_subset)
+        self.set_router_names(now, settings.router_names)
 
-    def named(self, now: Time, names: Iterable[str]) -> None:
-        """The operator names other routers: all numbers are dealt anew, over the engines that are listed."""
-        names = sorted(set(names) | {self.me})
-        if names == self.names:
+    def set_router_names(self, now: Time, router_names: Iterable[str]) -> None:
+        """The operator names other routers: all subsets are computed anew over the ready engines."""
+        router_names = sorted(set(router_names) | {self.name})
+        if router_names == self.router_names:
             return
-        self.names = names
-        self.number = {name: n for n, name in enumerate(self.names)}
-        self.edition = crc32("\n".join(self.names).encode())
-        self.quotas.named(now, self.names)
-        self.sight = Sight(self.number[self.me], len(self.names), self.size)
-        self.unlike: set[str] = set()  # those that were named other routers than we were
-        self.near: frozenset[EngineId] = frozenset()
-        self.circles: dict[EngineId, frozenset[str]] = {}
-        listed_to, ready, self.ready = self.signals.listed_to, self.ready, frozenset()
-        self.signals = Signals(self.number[self.me], self.sees)
-        self.listed(now, listed_to, ready, ())
-
-    def sees(self, witness: str, engine: EngineId) -> bool:
-        return witness in self.circles.get(engine, ())
-
-    # ---- what this router sees ----------------------------------------------------------------------
-
-    def listed(self, now: Time, number: int, ready: Iterable[EngineId], closed: Iterable[EngineId]) -> None:
-        """The list of engines at an event: those that are ready, those that drain or are gone."""
-        ready, closed = frozenset(ready), frozenset(closed)
-        for engine in closed - self.drains.keys():
-            self.drains[engine] = number, now
-        for engine in [e for e, (_, at) in self.drains.items() if e in ready or now - at > DRAINS]:
-            del self.drains[engine]
-        self.signals.listed(number, ready)
+        self.router_names = router_names
+        router_number = router_names.index(self.name)
+        self.membership_checksum = crc32("\n".join(router_names).encode())
+        self.quotas.set_router_names(now, router_names)
+        self.subset_rule = Subset(router_number, len(router_names), self.subset_size)
+        self.differing_routers: set[str] = set()  # routers that were given other names than this one
+        self.subset: frozenset[EngineId] = frozenset()
+        self.serving_routers: dict[EngineId, frozenset[str]] = {}  # those with a subset engine in theirs
+        list_event = self.signals.list_event
+        ready = self.ready
+        self.ready = frozenset()
+        self.signals = LoadSignals(router_number, self.has_in_subset)
+        self.on_endpoint_list(now, list_event, ready, ())
+
+    def has_in_subset(self, witness: str, engine: EngineId) -> bool:
+        """Whether a router and this one both have an engine in their subsets."""
+        return witness in self.serving_routers.get(engine, ())
+
+    # ---- own observations --------------------------------------------------------------------------
+
+    def on_endpoint_list(
+        self, now: Time, event_number: int, ready: Iterable[EngineId], closed: Iterable[EngineId]
+    ) -> None:
+        """The endpoint list has reached an event. `closed`: engines that are draining or gone."""
+        ready = frozenset(ready)
+        self.own.on_drains(now, event_number, ready, frozenset(closed))
+        self.signals.on_endpoint_list(event_number, ready)
         if ready == self.ready:
             return
         self.ready = ready
-        self.near, width = self.sight.near(ready), widths(ready, len(self.names), self.size)
-        circles, self.circles = self.circles, {}
-        for engine in self.near:
-            before = circles.get(engine, ())
-            if len(before) == width[engine]:
-                self.circles[engine] = before
+        self.subset = self.subset_rule.select(ready)
+        self.find_serving_routers()
+        self.own.keep_only(ready)
+
+    def find_serving_routers(self) -> None:
+        """Computes which routers the engines of the subset serve; keeps what has not changed."""
+        counts = routers_per_engine(self.ready, len(self.router_names), self.subset_size)
+        before = self.serving_routers
+        self.serving_routers = {}
+        for engine in self.subset:
+            known = before.get(engine, frozenset())
+            if len(known) == counts[engine]:
+                self.serving_routers[engine] = known
                 continue
-            circle = first(engine, len(self.names), width[engine])
-            self.circles[engine] = frozenset(self.names[n] for n in circle)
-        for kept in (self.reports, self.failures, self.spent, self.sent):
-            for engine in kept.keys() - ready:
-                del kept[engine]
-
-    def reported(self, now: Time, engine: EngineId, report: Report) -> None:
-        """A report that came to this router itself."""
-        self.signals.seen(now, engine, looked=True)
-        self.failures.pop(engine, None)
-        figures = tuple(
-            min(1 << 30, max(0, int(report[name] * 100))) if name in report else -1 for name in self.columns
-        )
-        self.reports[engine] = now, figures
-        self.tell(now, engine)
-
-    def tell(self, now: Time, engine: EngineId) -> None:
-        """All that have it in sight hear of it with the next parcels."""
-        circle = sorted(self.circles.get(engine, ()))  # the same seed gives the same run
-        self.line.extend((now, name, engine) for name in circle if name != self.me)
-
-    def ran(self, now: Time, engine: EngineId) -> None:
-        """An engine gave this router a result."""
-        self.signals.seen(now, engine)
-        self.failures.pop(engine, None)
-
-    def failed(self, now: Time, engine: EngineId) -> None:
+            numbers = first_routers(engine, len(self.router_names), counts[engine])
+            self.serving_routers[engine] = frozenset(self.router_names[number] for number in numbers)
+
+    def on_load_report(self, now: Time, engine: EngineId, report: Report) -> None:
+        """An engine sent this router a load report; it is relayed to all that have the engine in theirs."""
+        self.signals.on_own_result(now, engine, has_report=True)
+        self.own.on_load_report(now, engine, report)
+        recipients = self.serving_routers.get(engine, frozenset()) - {self.name}
+        self.relay.enqueue(now, engine, sorted(recipients))  # sorted: the same seed gives the same run
+
+    def on_success(self, now: Time, engine: EngineId) -> None:
+        """An engine returned a result to this router."""
+        self.signals.on_own_result(now, engine)
+        self.own.on_success(engine)
+
+    def on_failure(self, now: Time, engine: EngineId) -> None:
         """An engine failed more than once in a row for this router."""
-        self.failures[engine] = now
-
-    def sent_cold(self, now: Time, engine: EngineId, work: Time) -> None:
-        """A submission to an engine that warms."""
-        self.spent[engine] = self.spent.get(engine, 0) + max(0, work) // 100
-        self.sent.setdefault(engine, deque()).append((now, work))
-
-    def counted(self, group: int, away: bool) -> None:
-        """A query of a group came, or was turned away."""
-        counts = self.away if away else self.taken
-        counts[group] = counts.get(group, 0) + 1
-
-    # ---- what others say ----------------------------------------------------------------------------
-
-    def heard(self, now: Time, sender: str, data: bytes) -> None:
-        """A parcel that its sender marked; what of it is news to the module waits in `fresh`. Raises
-        DatagramDropped for what can't be read, of which nothing counts."""
-        parcel = codec.decode(data, sender)
-        fresh = self.signals.heard(now, sender, parcel.news)
-        (self.unlike.discard if parcel.edition == self.edition else self.unlike.add)(sender)
-        if parcel.edition == self.edition:  # homes are of one size only among those that were named alike
-            self.quotas.heard(now, sender, parcel.wants)
-            for limit, ask in parcel.asks.items():
-                self.words.setdefault(sender, []).extend(self.quotas.asks(now, sender, limit, ask))
-            for limit, grant in parcel.grants.items():
-                self.quotas.granted(now, sender, limit, grant)
-        self.fresh += [(load.engine, self.report(load), load.age) for load in fresh]
-
-    def gone(self, name: str) -> None:
-        """A router lives no more, as far as is known."""
-        self.signals.gone(name)
-        self.unlike.discard(name)
-
-    def news(self) -> list[tuple[EngineId, Report, Time]]:
-        fresh, self.fresh = self.fresh, []
-        return fresh
-
-    def report(self, load: Load) -> Report:
-        pairs = zip(self.columns, load.figures)
+        self.own.on_failure(now, engine)
+
+    def on_warm_up_work(self, now: Time, engine: EngineId, core_time: Time) -> None:
+        """A query was sent to a warming engine."""
+        self.own.on_warm_up_work(now, engine, core_time)
+
+    def count_query(self, group: int, *, rejected: bool) -> None:
+        """A query of a group was received, or was rejected."""
+        self.own.count_query(group, rejected=rejected)
+
+    # ---- from other routers ------------------------------------------------------------------------
+
+    def on_digest(self, now: Time, sender: str, data: bytes) -> None:
+        """An authentic digest was received. Raises DatagramDropped for one that can't be read; then nothing
+        of it counts. Lease messages count only from routers that were given the same names, as entitlements
+        are equal among those alone."""
+        digest = codec.decode(data, sender)
+        newest = self.signals.on_observations(now, sender, digest.observations)
+        if digest.membership_checksum == self.membership_checksum:
+            self.differing_routers.discard(sender)
+            self.on_lease_messages(now, sender, digest)
+        else:
+            self.differing_routers.add(sender)
+        for load_report in newest:
+            report = self.to_report(load_report)
+            self.relayed_reports.append(RelayedReport(load_report.engine, report, load_report.age))
+
+    def on_lease_messages(self, now: Time, sender: str, digest: Digest) -> None:
+        """Passes demands, requests and grants to the limits; answers wait for the next digest."""
+        self.quotas.on_demands(now, sender, digest.demands)
+        for limit, request in digest.lease_requests.items():
+            messages = self.quotas.on_request(now, sender, limit, request)
+            self.lease_messages.setdefault(sender, []).extend(messages)
+        for limit, grant in digest.lease_grants.items():
+            self.quotas.on_grant(sender, limit, grant)
+
+    def on_router_lost(self, name: str) -> None:
+        """Failure detection no longer holds a router to be alive."""
+        self.signals.on_router_lost(name)
+        self.differing_routers.discard(name)
+
+    def take_relayed_reports(self) -> list[RelayedReport]:
+        """Other routers' load reports since the last call."""
+        reports = self.relayed_reports
+        self.relayed_reports = []
+        return reports
+
+    def to_report(self, load_report: LoadReport) -> Report:
+        """A load report as the decision module gets it from engines."""
+        pairs = zip(self.columns, load_report.figures, strict=False)
         return {name: figure / 100 for name, figure in pairs if figure >= 0}
 
-    # ---- what is said ---------------------------------------------------------------------------------
-
-    def tick(self, now: Time, living: Iterable[str]) -> list[tuple[str, bytes]]:
-        """Parcels that are due: loads to whom they matter, words on loans."""
-        living = frozenset(living)
-        for word in self.quotas.tick(now, living):
-            self.words.setdefault(word.to, []).append(word)
-        self.credit = min(BURST, self.credit + BYTES * (now - self.credited) / SECOND)
-        self.credited = now
-        loads: dict[str, set[EngineId]] = {}
-        while self.line and self.credit > 0:
-            at, name, engine = self.line.popleft()
-            if now - at > OLD:
-                self.dropped += 1
-            elif name in living and engine not in loads.get(name, ()):
-                self.credit -= 12 if name in loads else A_PARCEL
-                loads.setdefault(name, set()).add(engine)
-        said = []
-        for name in sorted(loads.keys() | (self.words.keys() & living)):
-            engines = sorted(loads.get(name, ()))[: self.most]
-            told = [self.load(now, engine) for engine in engines if engine in self.reports]
-            spent = [Spent(engine, self.spent[engine]) for engine in engines if engine in self.spent]
-            news = News(
-                tuple(load for load in told if load.age <= OLD), spent=tuple(spent)[: codec.MOST["spent"]]
+    # ---- to other routers --------------------------------------------------------------------------
+
+    def due_digests(self, now: Time, alive: Iterable[str]) -> list[tuple[str, bytes]]:
+        """Digests that are due, by recipient: load reports and lease messages."""
+        alive = frozenset(alive)
+        for message in self.quotas.due_requests(now, alive):
+            self.lease_messages.setdefault(message.recipient, []).append(message)
+        due = self.relay.take_due(now, alive)
+        digests = []
+        for recipient in sorted(due.keys() | (self.lease_messages.keys() & alive)):
+            engines = sorted(due.get(recipient, ()))[: self.reports_per_digest]
+            work = self.own.warm_up_work(engines)[: codec.MAX_ENTRIES["warm_up_work"]]
+            observations = Observations(
+                load_reports=tuple(self.own.fresh_load_reports(now, engines)), warm_up_work=tuple(work)
             )
-            said.append((name, self.parcel(now, news, self.words.pop(name, ()))))
-        self.words.clear()  # to those that don't live as far as is known
-        return said
-
-    def beside(self, now: Time, to: str) -> bytes:
-        """What goes with a ping or its answer: all but reports."""
-        return self.parcel(now, self.rest(now), self.words.pop(to, ()), wants=True)
-
-    def all(self, now: Time, to: str) -> list[bytes]:
-        """All that this router saw itself and that may matter to another, which has just come."""
-        rest = self.rest(now)
-        circles = [e for e, circle in self.circles.items() if to in circle and e in self.reports]
-        loads = [load for load in (self.load(now, engine) for engine in circles) if load.age <= OLD]
-        drains = [Drain(engine, number) for engine, (number, _) in self.drains.items()]
-        said = [self.parcel(now, rest, (), wants=True)]
-        for n in range(0, len(loads), self.most):
-            said.append(self.parcel(now, News(tuple(loads[n : n + self.most])), ()))
-        for n in range(0, len(drains), codec.MOST["drains"]):
-            said.append(self.parcel(now, News(drains=tuple(drains[n : n + codec.MOST["drains"]])), ()))
-        return said
-
-    def load(self, now: Time, engine: EngineId) -> Load:
-        at, figures = self.reports[engine]
-        return Load(engine, max(0, now - at), figures)
-
-    def rest(self, now: Time) -> News:
-        self.turn += 1
-        self.failures = {e: at for e, at in self.failures.items() if now - at < ILL}
-        ills = tuple(Ill(engine, max(0, now - at)) for engine, at in self.failures.items())
-        drains = sorted(self.drains.items())
-        first = self.turn * 8 % max(1, len(drains))
-        drains = (drains[first:] + drains[:first])[:8]
-        turned = [Turned(g, n, min(n, self.away.get(g, 0))) for g, n in sorted(self.taken.items())]
-        return News(
-            ills=ills[:8],
-            drains=tuple(Drain(engine, number) for engine, (number, _) in drains),
-            spent=tuple(Spent(engine, total) for engine, total in sorted(self.spent.items())[:8]),
-            turned=tuple(turned[: codec.MOST["turned"]]),
+            messages = self.lease_messages.pop(recipient, [])
+            digests.append((recipient, self.encode_digest(observations, messages)))
+        self.lease_messages.clear()  # those to routers that are not alive
+        return digests
+
+    def ping_digest(self, now: Time, recipient: str) -> bytes:
+        """What goes with a ping or its answer: all but load reports."""
+        observations = self.own.beside_ping(now)
+        messages = self.lease_messages.pop(recipient, [])
+        return self.encode_digest(observations, messages, self.own_demands(now))
+
+    def newcomer_digests(self, now: Time, recipient: str) -> list[bytes]:
+        """All own observations that may matter to a router that has just started."""
+        digests = [self.encode_digest(self.own.beside_ping(now), (), self.own_demands(now))]
+        engines = [engine for engine, names in self.serving_routers.items() if recipient in names]
+        reports = self.own.fresh_load_reports(now, engines)
+        for start in range(0, len(reports), self.reports_per_digest):
+            page = tuple(reports[start : start + self.reports_per_digest])
+            digests.append(self.encode_digest(Observations(load_reports=page)))
+        drains = self.own.drain_notices()
+        for start in range(0, len(drains), codec.MAX_ENTRIES["drains"]):
+            notices = tuple(drains[start : start + codec.MAX_ENTRIES["drains"]])
+            digests.append(self.encode_digest(Observations(drains=notices)))
+        return digests
+
+    def own_demands(self, now: Time) -> dict[str, Demand]:
+        """This router's demands, as many as a digest may have."""
+        return dict(list(self.quotas.demands(now).items())[: codec.MAX_ENTRIES["demands"]])
+
+    def encode_digest(
+        self,
+        observations: Observations,
+        messages: Iterable[LeaseMessage] = (),
+        demands: Mapping[str, Demand] | None = None,
+    ) -> bytes:
+        """The bytes of one digest; of each limit the last request and the last grant."""
+        requests: dict[str, LeaseRequest] = {}
+        grants: dict[str, LeaseGrant] = {}
+        for message in messages:
+            match message.body:
+                case LeaseRequest():
+                    requests[message.limit] = message.body
+                case LeaseGrant():
+                    grants[message.limit] = message.body
+        digest = Digest(
+            membership_checksum=self.membership_checksum,
+            load_reports=observations.load_reports,
+            failures=observations.failures,
+            drains=observations.drains,
+            warm_up_work=observations.warm_up_work,
+            admissions=observations.admissions,
+            demands=dict(demands or {}),
+            lease_requests=requests,
+            lease_grants=grants,
+        )
+        return codec.encode(digest)
+
+    # ---- for the decision module -------------------------------------------------------------------
+
+    def warm_up_capacity(self, now: Time, engine: EngineId, overload_work: float, window: Time) -> float:
+        """Core time that may still go to a warming engine, by what is known of all that has. Permits
+        (decision/slow_start.py) bound the sum on average, also where other routers are not heard; this bounds
+        what chance lets past. `overload_work`: core time within the window that overloads it."""
+        own_work = self.own.recent_warm_up_work(now, engine, window)
+        others_work = self.signals.recent_warm_up_work(now, engine, window)
+        return max(0.0, MAX_WARM_UP_SHARE * overload_work - own_work - others_work)
+
+    def state(
+        self, now: Time, alive: Iterable[str], warming: Mapping[EngineId, float], window: Time
+    ) -> FleetState:
+        """The fleet's state until something changes or a lease expires. `warming`: the warming engines, with
+        the core time within the window that overloads each."""
+        return FleetState(
+            subset=self.signals.preferred_engines(now, self.subset),
+            closed=self.signals.closed_engines(),
+            routers=1 + len(frozenset(alive) - {self.name}),
+            shares=self.shares(now, warming, window),
+            valid_until=self.next_lease_expiry(now),
         )
 
-    def parcel(self, now: Time, news: News, words: Iterable[Word], wants: bool = False) -> bytes:
-        said = dict(list(self.quotas.wants(now).items())[: codec.MOST["wants"]]) if wants else {}
-        return codec.encode(codec.parcel(self.edition, news, said, words))
-
-    # ---- what follows ---------------------------------------------------------------------------------
-
-    def room(self, now: Time, engine: EngineId, tips: float, span: Time) -> float:
-        """Core time that may still go to an engine that warms, by what is known of all that has. Lots
-        (teamwork.draw_lot) keep the sum in the mean, also where nothing is heard; this closes what chance
-        has let past."""
-        sent = self.sent.get(engine, deque())
-        while sent and sent[0][0] <= now - span:
-            sent.popleft()
-        own = sum(work for _, work in sent)
-        return max(0.0, TIPPED * tips - own - self.signals.cold_work(now, engine, span))
-
-    def standing(
-        self, now: Time, living: Iterable[str], warming: Mapping[EngineId, float], span: Time
-    ) -> Standing:
-        """For the module, until something changes: what is lent and borrowed is over at some moment.
-        `warming`: engines that warm, with the core time that tips each now if it comes within the span."""
-        living = frozenset(living)
-        ends = [now + SECOND]
+    def shares(
+        self, now: Time, warming: Mapping[EngineId, float], window: Time
+    ) -> dict[str | EngineId, float]:
+        """This router's share of each limit, and 0 for each warming engine that it must not use."""
+        limits: dict[str | EngineId, float] = {
+            name: max(1 / LIMIT_UNITS, self.quotas.usable_share(name, now)) for name in self.quotas.limits
+        }
+        excluded: dict[str | EngineId, float] = {
+            engine: 0.0
+            for engine, overload_work in warming.items()
+            if not self.warm_up_capacity(now, engine, overload_work, window)
+        }
+        own_warming = self.subset & warming.keys()
+        if own_warming:
+            # Warming engines outside the subset are left to the routers that have them in theirs; in return
+            # this router's share of all warming engines goes to those of its subset.
+            excluded |= dict.fromkeys(warming.keys() - own_warming, 0.0)
+            share = limits.get("cold", 1 / len(self.router_names))
+            limits["cold"] = min(1.0, share * len(warming) / len(own_warming))
+        return limits | {"probes": PROBE_SHARE} | excluded
+
+    def next_lease_expiry(self, now: Time) -> Time:
+        """When the first borrowed lease expires, at most STATE_LIFETIME from now."""
+        expiries = [now + STATE_LIFETIME]
         for limit in self.quotas.limits.values():
-            ends += [held.until for held in limit.held.values() if held.until > now]
-        parts = {name: max(1 / WHOLE, self.quotas.part(name, now)) for name in self.quotas.limits}
-        shut = {engine: 0.0 for engine, tips in warming.items() if not self.room(now, engine, tips, span)}
-        if seen := self.near & warming.keys():
-            # Where some are in sight the others are left to those that see them, who then are fewer each:
-            # its part of all cold engines goes to these.
-            shut |= dict.fromkeys(warming.keys() - seen, 0.0)
-            parts["cold"] = min(1.0, parts.get("cold", 1 / len(self.names)) * len(warming) / len(seen))
-        return Standing(
-            near=self.signals.order(now, self.near),
-            closed=self.signals.closed(),
-            routers=1 + len(living - {self.me}),
-            parts=parts | {"probes": PROBES} | shut,
-            until=min(ends),
-        )
+            expiries += [lease.expires_at for lease in limit.borrowed.values() if lease.expires_at > now]
+        return min(expiries)
--- a/hillchute/coordination/jitter.py
+++ b/hillchute/coordination/jitter.py
@@ -1,14 +1,14 @@
-"""Who may do a costly common thing when: so that what all routers do adds up to a stated bound.
+"""When each router does a costly thing that all have to do, so that the sum over routers stays bounded.
 
-Owns the moment that one router takes for such a thing, and the bound that follows. Must never hold a state,
-look at a clock or wait for another router's turn: a turn that nobody takes is lost and costs nothing.
+Pure and stateless: no clock, and no waiting for another router. A turn that nobody takes costs nothing.
 
-Two ways to part the time. By number, where all learn of the same thing in the same instant: each router's
-place in a window follows from its number by steps of the golden ratio, so that the routers in any part of
-the window are its share of all and a few more, however many there are. By chance, where they learn of it one
-by one. Both are drawn anew for each thing, so that no router is always the first. A router that restarts
-finds the same place by number, and draws again by chance. A count that is wrong by half makes the window as
-much too short or too long, and the sum as much larger or smaller; nothing else.
+There are two ways to spread routers over a window of time. By number, where all learn of the same thing at
+the same instant: a router's position follows from its number by steps of the golden ratio (a Weyl sequence),
+so that any part of the window has its share of the routers and a few more, however many there are. By chance,
+where they learn of it one by one. Either way the order differs from thing to thing, so that no router is
+always first. A router that restarts finds the same position by number, and draws again by chance. A router
+count that is wrong by half makes the window as much too short or too long, and the sum as much larger or
+smaller; nothing else.
 """
 
 from math import comb
@@ -16,43 +16,43 @@
 
 from hillchute.decision.interface import Time
 
-GOLDEN = 0x9E3779B1  # the odd number next to 2^32 over the golden ratio
-WHOLE = 1 << 32
-MORE = 3  # routers beyond their share in any part of a window: what steps of the golden ratio leave uneven
+GOLDEN_RATIO_STEP = 0x9E3779B1  # the odd number next to 2^32 over the golden ratio
+HASH_RANGE = 1 << 32
+GOLDEN_RATIO_EXCESS = 3  # routers beyond their share in any part of a window: the sequence's unevenness
 
 
-def window(routers: int, at_once: float, each: Time) -> Time:
-    """So long that no more than `at_once` routers begin within `each` in the mean."""
-    return max(0, int(routers * each / at_once))
+def window_length(routers: int, at_once: float, duration: Time) -> Time:
+    """So long a window that on average no more than `at_once` routers begin within any `duration`."""
+    return max(0, int(routers * duration / at_once))
 
 
-def place(router: int, thing: object) -> float:
-    """A router's place in a window about a thing, from 0 to 1: even over routers, another for each thing."""
-    return (router * GOLDEN + crc32(repr(thing).encode())) % WHOLE / WHOLE
+def position(router: int, topic: object) -> float:
+    """A router's position in a window about a topic, from 0 to 1: even over routers, different by topic."""
+    return (router * GOLDEN_RATIO_STEP + crc32(repr(topic).encode())) % HASH_RANGE / HASH_RANGE
 
 
-def turn(router: int, thing: object, span: Time) -> Time:
-    """How long after all have learned of a thing this router does what it calls for."""
-    return int(place(router, thing) * span)
+def delay_by_number(router: int, topic: object, window: Time) -> Time:
+    """How long after all have learned of a topic this router acts on it."""
+    return int(position(router, topic) * window)
 
 
-def spread(wait: Time, chance: float) -> Time:
-    """A wait that does not end together with others that began together: half of it to half as much again."""
+def randomized(wait: Time, chance: float) -> Time:
+    """A wait with jitter, for a `chance` from 0 to 1: from half of it to half as much again."""
     return int(wait * (0.5 + chance))
 
 
-def most_by_number(routers: int, part: float) -> int:
-    """At the most so many begin within a part of the window, all having learned in one instant."""
-    return min(routers, int(routers * part) + MORE)
+def max_by_number(routers: int, fraction: float) -> int:
+    """Upper bound of the routers that act within a fraction of the window, by number."""
+    return min(routers, int(routers * fraction) + GOLDEN_RATIO_EXCESS)
 
 
-def most_by_chance(routers: int, part: float, odds: float) -> int:
-    """The least number that is passed with at most these odds in a given part of the window, each router
-    having drawn its moment for itself: the tail of the binomial."""
-    part = min(1.0, part)
-    below = 0.0
-    for number in range(routers + 1):
-        below += comb(routers, number) * part**number * (1 - part) ** (routers - number)
-        if 1 - below <= odds:
-            return number
+def max_by_chance(routers: int, fraction: float, odds: float) -> int:
+    """The least count that the routers acting within a given fraction of the window exceed with at most these
+    odds, each having drawn its moment independently: the tail of the binomial distribution."""
+    fraction = min(1.0, fraction)
+    cumulative = 0.0
+    for count in range(routers + 1):
+        cumulative += comb(routers, count) * fraction**count * (1 - fraction) ** (routers - count)
+        if 1 - cumulative <= odds:
+            return count
     return routers
--- a/hillchute/coordination/load_signals.py
+++ b/hillchute/coordination/load_signals.py
@@ -1,19 +1,19 @@
-"""What routers tell each other of engines, and how much of it is believed.
+"""What routers tell each other about engines, and how much of it is believed.
 
-Owns the merge of what was told and the rules of belief. Pure: what was seen or told and the time in, what is
-believed out. Must never make a rule of the protocol hang on hearsay, reopen an engine, or close all.
+Owns the merge of observations and the rules of belief. Pure: observations and the time come in, beliefs go
+out. Nothing that others say ever reopens an engine, closes all, or is needed for the protocol to hold.
 
-Whatever is told has a witness, the router that saw it itself, and an age. The merge keeps the newest word of
-each witness on each engine, so order, repeats and loss don't matter. What one lying or broken router can do:
+Each observation has a witness, the router that made it itself, and an age. The merge keeps the newest of each
+witness about each engine, so order, repeats and loss do not matter. What one lying or broken router can do:
 
-- load: a witness is heard only on engines that it has in sight, some SIZE of them all, so the loads of no
-  more engines than that can be wrong, and of those that this router looked at itself within OWN none;
-- illness: one witness puts an engine last among those looked at, two leave it out; no more than a third of
-  what a router has in sight is ever left out or put last, and nothing that ran for it within OWN;
-- drains: one witness puts an engine last, two close it, a third of all engines at the most. Nothing that is
-  told opens one: that is for the list of engines alone, once it has reached the event of which was told.
+- load: a witness counts only for engines of its own subset, so the loads of no more engines than that can be
+  wrong, and of those none that this router had a report of within OWN_PRECEDENCE;
+- failures: one witness puts an engine last among those considered; no more than a third of a subset is put
+  last, and nothing that ran a query for this router within OWN_PRECEDENCE;
+- drains: one witness puts an engine last, two close it, at most a third of all engines. Only the endpoint
+  list opens it again, once it has reached the event that the witnesses named.
 
-Times are whole tenths of a millisecond on this router's own clock; ages go between routers, not times.
+Times are tenths of a millisecond on this router's own clock.
 """
 
 from collections import deque
@@ -21,195 +21,216 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hillchute.coordination.jitter import turn
+from hillchute.coordination.jitter import delay_by_number
+from hillchute.coordination.messages import (
+    AdmissionCounts,
+    DrainNotice,
+    EngineFailure,
+    LoadReport,
+    Observations,
+    WarmUpWork,
+)
 from hillchute.decision.interface import EngineId, Time
 
 SECOND = 10_000
-OWN: Time = SECOND  # what a router saw itself goes before hearsay for so long
-OLD: Time = 3 * SECOND  # a load told of longer ago says nothing any more: most of what it counted has ended
-ILL: Time = 3 * SECOND  # an engine that was told of as ill is left alone for so long
-BACK: Time = 2 * SECOND  # and then tried by one router after another within so much more
-WITNESSES = 2  # that close or leave out, where one puts last
-MOST = 1 / 3  # of the engines that hearsay may close, leave out or put last
-FIGURES = 8  # figures of a report at the most
-TELLINGS = 64  # totals of one witness on one engine that are kept: over a span, ten a second at the most
+OWN_PRECEDENCE: Time = SECOND  # a router's own observation outweighs those of others for so long
+MAX_REPORT_AGE: Time = 3 * SECOND  # by then most queries that a report counted have ended
+FAILURE_BACKOFF: Time = 3 * SECOND  # an engine reported as failing is put last for so long
+RECOVERY_SPREAD: Time = 2 * SECOND  # then routers return to it one after another within so much more
+WITNESSES_TO_CLOSE = 2
+MAX_DISTRUSTED_SHARE = 1 / 3  # of the engines that observations of others may close or put last
+MAX_FIGURES = 8  # of a load report
+MAX_TOTALS = 64  # kept of one witness about one engine: over the window, ten a second at most
+LONG_AGO: Time = -(10**12)  # before any time on the clock
+HUNDREDTH_OF_SECOND: Time = SECOND // 100  # the unit in which warm-up work travels
 
 
-class Load(NamedTuple):
-    """One report of an engine as its witness got it: figures in the order of the settings' columns."""
+class TimedFigures(NamedTuple):
+    """The figures of a load report and when the engine's witness received them."""
 
-    engine: EngineId
-    age: Time
-    figures: tuple[int, ...]  # hundredths; -1 where the report had none
+    measured_at: Time
+    figures: tuple[int, ...]
 
 
-class Ill(NamedTuple):
-    """An engine that failed for the witness more than once in a row; age of the last failure."""
+class TimedTotal(NamedTuple):
+    """A witness's total of warm-up work, in hundredths of a second, and when it was received here."""
 
-    engine: EngineId
-    age: Time
-
-
-class Drain(NamedTuple):
-    """An engine that the list called Terminating or Gone in the event of this number."""
-
-    engine: EngineId
-    number: int
-
-
-class Spent(NamedTuple):
-    """Work that the witness has sent to an engine that warms, all of its life; hundredths of a second of
-    core time."""
-
-    engine: EngineId
+    received_at: Time
     total: int
 
 
-class Turned(NamedTuple):
-    """Queries of a group that the witness has taken and has turned away, all of its life."""
-
-    group: int
-    taken: int
-    away: int
-
-
-class News(NamedTuple):
-    """All that goes from one router to another at once."""
-
-    loads: tuple[Load, ...] = ()
-    ills: tuple[Ill, ...] = ()
-    drains: tuple[Drain, ...] = ()
-    spent: tuple[Spent, ...] = ()
-    turned: tuple[Turned, ...] = ()
-
-
 @dataclass(slots=True)
-class Known:
-    """What is known of one engine beside what its list says."""
-
-    own_at: Time = -(10**12)  # last report or success of our own
-    looked_at: Time = -(10**12)  # last report of our own
-    loads: dict[str, tuple[Time, tuple[int, ...]]] = field(default_factory=dict)  # by witness: when, what
-    ills: dict[str, Time] = field(default_factory=dict)  # by witness: the last failure
-    drains: dict[str, int] = field(default_factory=dict)  # by witness: the event
-    spent: dict[str, deque[tuple[Time, int]]] = field(default_factory=dict)  # by witness: when, totals
-
-
-class Signals:
-    """`sees(witness, engine)`: whether a router has an engine in sight, as all work it out alike."""
-
-    def __init__(self, me: int, sees: Callable[[str, EngineId], bool]) -> None:
-        self.me, self.sees = me, sees
-        self.engines: dict[EngineId, Known] = {}
-        self.listed_to = 0  # the event that the own list has reached
-        self.turned: dict[tuple[str, int], tuple[int, int]] = {}
-        self.refused = 0  # words of witnesses that could not have seen what they tell
-
-    # ---- what is seen and told --------------------------------------------------------------------
-
-    def listed(self, number: int, engines: Iterable[EngineId]) -> None:
-        """The own list has reached an event; engines that it no longer has are forgotten."""
-        self.listed_to = max(self.listed_to, number)
-        known, self.engines = self.engines, {}
+class EngineSignals:
+    """What is known of one engine beside its entry in the endpoint list; the maps are by witness."""
+
+    own_result_at: Time = LONG_AGO  # this router's last load report or success
+    own_report_at: Time = LONG_AGO  # this router's last load report
+    load_reports: dict[str, TimedFigures] = field(default_factory=dict)
+    failures: dict[str, Time] = field(default_factory=dict)  # when the last one happened
+    drains: dict[str, int] = field(default_factory=dict)  # the event's number
+    warm_up_work: dict[str, deque[TimedTotal]] = field(default_factory=dict)
+
+
+class LoadSignals:
+    """All that this router believes of others' observations. `has_in_subset(witness, engine)`: whether a
+    router has an engine in its subset, which all routers compute alike."""
+
+    def __init__(self, router_number: int, has_in_subset: Callable[[str, EngineId], bool]) -> None:
+        self.router_number = router_number
+        self.has_in_subset = has_in_subset
+        self.engines: dict[EngineId, EngineSignals] = {}
+        self.list_event = 0  # the event that the own endpoint list has reached
+        self.admissions: dict[tuple[str, int], AdmissionCounts] = {}  # by witness and group
+        self.implausible_reports = 0  # by witnesses that do not have the engine in their subset
+
+    # ---- observations ------------------------------------------------------------------------------
+
+    def on_endpoint_list(self, event_number: int, engines: Iterable[EngineId]) -> None:
+        """The own endpoint list has reached an event; engines that it no longer has are forgotten."""
+        self.list_event = max(self.list_event, event_number)
+        known = self.engines
+        self.engines = {}
         for engine in engines:
-            self.engines[engine] = found = known.get(engine) or Known()
-            found.drains = {who: event for who, event in found.drains.items() if event > self.listed_to}
-
-    def seen(self, now: Time, engine: EngineId, looked: bool = False) -> None:
-        """This router had a result of it itself, or a report (looked)."""
-        if engine in self.engines:
-            self.engines[engine].own_at = now
-            if looked:
-                self.engines[engine].looked_at = now
-
-    def heard(self, now: Time, witness: str, news: News) -> list[Load]:
-        """Takes in what a router saw; the loads that are newer than anything known, to be told onwards to
-        whoever decides. Hearsay at second hand is never passed on: a witness speaks for itself."""
-        fresh = []
-        for load in news.loads:
-            known, at = self.engines.get(load.engine), now - max(0, load.age)
-            if known is None or load.age > OLD:
-                continue
-            if not self.sees(witness, load.engine):
-                self.refused += 1
-                continue
-            before = max((when for when, _ in known.loads.values()), default=known.looked_at)
-            if witness not in known.loads or known.loads[witness][0] < at:
-                known.loads[witness] = at, load.figures
-            if at > max(before, known.looked_at) and now - known.looked_at >= OWN:
-                fresh.append(load)
-        for ill in news.ills:
-            known = self.engines.get(ill.engine)
-            if known is not None and self.sees(witness, ill.engine):
-                known.ills[witness] = max(known.ills.get(witness, now - ILL), now - max(0, ill.age))
-        for drain in news.drains:
-            known = self.engines.get(drain.engine)
-            if known is not None and drain.number > self.listed_to:
-                known.drains[witness] = max(known.drains.get(witness, 0), drain.number)
-        for spent in news.spent:
-            known = self.engines.get(spent.engine)
-            if known is not None:
-                line = known.spent.setdefault(witness, deque(maxlen=TELLINGS))
-                if not line or spent.total > line[-1][1]:  # totals only rise; a smaller one came late
-                    line.append((now, spent.total))
-        for turned in news.turned:
-            taken, away = self.turned.get((witness, turned.group), (0, 0))
-            self.turned[witness, turned.group] = max(taken, turned.taken), max(away, turned.away)
-        return fresh
-
-    def gone(self, witness: str) -> None:
-        """A router lives no more: what it said of illness and loads was true when it said so, and ages; its
-        word on drains goes, since nobody can take it back."""
-        for known in self.engines.values():
-            known.drains.pop(witness, None)
-        for key in [key for key in self.turned if key[0] == witness]:
-            del self.turned[key]
-
-    # ---- what is believed -------------------------------------------------------------------------
-
-    def ill(self, now: Time, engine: EngineId) -> int:
-        """How many say that it is ill, and are believed. Routers come back one after another, so that an
-        engine that is ill still does not get all of them in one instant."""
-        known = self.engines.get(engine)
-        if known is None or now - known.own_at < OWN:
+            signals = known.get(engine) or EngineSignals()
+            signals.drains = {
+                witness: event for witness, event in signals.drains.items() if event > self.list_event
+            }
+            self.engines[engine] = signals
+
+    def on_own_result(self, now: Time, engine: EngineId, has_report: bool = False) -> None:
+        """This router itself had a result of an engine, or a load report."""
+        signals = self.engines.get(engine)
+        if signals is None:
+            return
+        signals.own_result_at = now
+        if has_report:
+            signals.own_report_at = now
+
+    def on_observations(self, now: Time, witness: str, observations: Observations) -> list[LoadReport]:
+        """Merges what another router observed. Returns the load reports that are newer than any known before,
+        for the decision module. They are not relayed to other routers: a witness speaks for itself."""
+        newest = []
+        for report in observations.load_reports:
+            if self.merge_load_report(now, witness, report):
+                newest.append(report)
+        for failure in observations.failures:
+            self.merge_failure(now, witness, failure)
+        for notice in observations.drains:
+            self.merge_drain(witness, notice)
+        for work in observations.warm_up_work:
+            self.merge_warm_up_work(now, witness, work)
+        for counts in observations.admissions:
+            self.merge_admissions(witness, counts)
+        return newest
+
+    def merge_load_report(self, now: Time, witness: str, report: LoadReport) -> bool:
+        """Keeps a load report; whether it is newer than all that are known of its engine."""
+        signals = self.engines.get(report.engine)
+        if signals is None or report.age > MAX_REPORT_AGE:
+            return False
+        if not self.has_in_subset(witness, report.engine):
+            self.implausible_reports += 1
+            return False
+        measured_at = now - max(0, report.age)
+        newest_before = max(
+            (known.measured_at for known in signals.load_reports.values()), default=signals.own_report_at
+        )
+        last = signals.load_reports.get(witness)
+        if last is None or last.measured_at < measured_at:
+            signals.load_reports[witness] = TimedFigures(measured_at, report.figures)
+        is_newest = measured_at > max(newest_before, signals.own_report_at)
+        return is_newest and now - signals.own_report_at >= OWN_PRECEDENCE
+
+    def merge_failure(self, now: Time, witness: str, failure: EngineFailure) -> None:
+        """Keeps the last failure that a witness saw."""
+        signals = self.engines.get(failure.engine)
+        if signals is None or not self.has_in_subset(witness, failure.engine):
+            return
+        last = signals.failures.get(witness, now - FAILURE_BACKOFF)
+        signals.failures[witness] = max(last, now - max(0, failure.age))
+
+    def merge_drain(self, witness: str, notice: DrainNotice) -> None:
+        """Keeps the last drain of which a witness knows, unless the own endpoint list has reached it."""
+        signals = self.engines.get(notice.engine)
+        if signals is not None and notice.event_number > self.list_event:
+            signals.drains[witness] = max(signals.drains.get(witness, 0), notice.event_number)
+
+    def merge_warm_up_work(self, now: Time, witness: str, work: WarmUpWork) -> None:
+        """Appends a witness's total; totals only rise, so a smaller one came late."""
+        signals = self.engines.get(work.engine)
+        if signals is None:
+            return
+        totals = signals.warm_up_work.setdefault(witness, deque(maxlen=MAX_TOTALS))
+        if not totals or work.total > totals[-1].total:
+            totals.append(TimedTotal(now, work.total))
+
+    def merge_admissions(self, witness: str, counts: AdmissionCounts) -> None:
+        """Keeps the largest counts of a witness, as they only rise."""
+        group = counts.group
+        last = self.admissions.get((witness, group), AdmissionCounts(group, 0, 0))
+        received = max(last.received, counts.received)
+        rejected = max(last.rejected, counts.rejected)
+        self.admissions[witness, group] = AdmissionCounts(group, received, rejected)
+
+    def on_router_lost(self, witness: str) -> None:
+        """A router is no longer alive. Its load reports and failures were true when it sent them, and expire;
+        its drains are dropped, since nobody could withdraw them."""
+        for signals in self.engines.values():
+            signals.drains.pop(witness, None)
+        for key in [key for key in self.admissions if key[0] == witness]:
+            del self.admissions[key]
+
+    # ---- beliefs -----------------------------------------------------------------------------------
+
+    def count_failure_witnesses(self, now: Time, engine: EngineId) -> int:
+        """How many believed witnesses saw an engine fail. Each router returns to the engine at a time of its
+        own, so that one that still fails does not get the traffic of all at once."""
+        signals = self.engines.get(engine)
+        if signals is None or now - signals.own_result_at < OWN_PRECEDENCE:
             return 0
-        until = ILL + turn(self.me, ("ill", engine), BACK)
-        known.ills = {who: at for who, at in known.ills.items() if now - at < until}
-        return len(known.ills)
-
-    def draining(self, engine: EngineId) -> int:
-        """How many say that it drains, by an event that the own list has not reached."""
-        known = self.engines.get(engine)
-        return len(known.drains) if known else 0
-
-    def closed(self) -> frozenset[EngineId]:
-        """Engines that take nothing new: by two witnesses, a third of all at the most, those first that most
-        tell of."""
-        told = [(self.draining(e), e) for e in self.engines if self.draining(e) >= WITNESSES]
-        most = int(len(self.engines) * MOST)
-        return frozenset(e for _, e in sorted(told, reverse=True)[:most])
-
-    def order(self, now: Time, sight: frozenset[EngineId]) -> frozenset[EngineId]:
-        """The engines to be looked at first, of those in sight: without those that are doubted, a third of
-        them at the most. Whoever is left out is still drawn where none of these may take a query."""
-        doubts = [(self.ill(now, e) + WITNESSES * self.draining(e), e) for e in sight]
-        most = int(len(sight) * MOST)
-        return sight - {e for doubt, e in sorted(doubts, reverse=True)[:most] if doubt}
-
-    def cold_work(self, now: Time, engine: EngineId, span: Time) -> float:
-        """Core time that others say they sent there within a span, as far as is known: from the last total
-        told before it, or the first that was told at all."""
-        known = self.engines.get(engine)
-        if known is None:
+        backoff = FAILURE_BACKOFF + delay_by_number(self.router_number, ("ill", engine), RECOVERY_SPREAD)
+        signals.failures = {witness: at for witness, at in signals.failures.items() if now - at < backoff}
+        return len(signals.failures)
+
+    def count_drain_witnesses(self, engine: EngineId) -> int:
+        """How many witnesses say that an engine drains, by events that the own list has not reached."""
+        signals = self.engines.get(engine)
+        return len(signals.drains) if signals else 0
+
+    def closed_engines(self) -> frozenset[EngineId]:
+        """Engines that get no new queries: named by enough witnesses, those with the most witnesses first,
+        up to MAX_DISTRUSTED_SHARE of all."""
+        candidates = [(self.count_drain_witnesses(engine), engine) for engine in self.engines]
+        confirmed = [entry for entry in candidates if entry[0] >= WITNESSES_TO_CLOSE]
+        most = int(len(self.engines) * MAX_DISTRUSTED_SHARE)
+        return frozenset(engine for _, engine in sorted(confirmed, reverse=True)[:most])
+
+    def preferred_engines(self, now: Time, subset: frozenset[EngineId]) -> frozenset[EngineId]:
+        """A subset without the engines that are doubted, which are at most MAX_DISTRUSTED_SHARE of it. The
+        others are still considered where none of these may take a query."""
+        doubts = [(self.doubt(now, engine), engine) for engine in subset]
+        most = int(len(subset) * MAX_DISTRUSTED_SHARE)
+        return subset - {engine for doubt, engine in sorted(doubts, reverse=True)[:most] if doubt}
+
+    def doubt(self, now: Time, engine: EngineId) -> int:
+        """How strongly an engine is doubted: one for each failure witness, more for each drain witness."""
+        failure_witnesses = self.count_failure_witnesses(now, engine)
+        return failure_witnesses + WITNESSES_TO_CLOSE * self.count_drain_witnesses(engine)
+
+    def recent_warm_up_work(self, now: Time, engine: EngineId, window: Time) -> float:
+        """Core time that others sent to an engine within a window: of each witness the last total less the
+        last one from before the window, or the first that is known."""
+        signals = self.engines.get(engine)
+        if signals is None:
             return 0.0
-        sums = 0
-        for line in known.spent.values():
-            first = next((total for at, total in reversed(line) if at <= now - span), line[0][1])
-            sums += line[-1][1] - first
-        return 100.0 * sums
-
-    def away(self, group: int) -> float:
-        """The part of a group's queries that all routers together have turned away."""
-        counts = [count for (_, g), count in self.turned.items() if g == group]
-        taken = sum(taken for taken, _ in counts)
-        return sum(away for _, away in counts) / taken if taken else 0.0
+        work = 0
+        for totals in signals.warm_up_work.values():
+            before = (entry.total for entry in reversed(totals) if entry.received_at <= now - window)
+            work += totals[-1].total - next(before, totals[0].total)
+        return float(HUNDREDTH_OF_SECOND * work)
+
+    def rejected_share(self, group: int) -> float:
+        """The share of a group's queries that all other routers together have rejected."""
+        counts = [entry for entry in self.admissions.values() if entry.group == group]
+        received = sum(entry.received for entry in counts)
+        return sum(entry.rejected for entry in counts) / received if received else 0.0
--- a/hillchute/coordination/quota_leases.py
+++ b/hillchute/coordination/quota_leases.py
@@ -1,24 +1,25 @@
-"""Limits that hold over the whole fleet: each router's part of a whole, lent from one to another for a time.
+"""Limits that hold over the whole fleet, by quota leases between routers.
 
-Owns what this router may use of each limit at an instant, what it has lent and what it was lent. Pure: events
-and the time in, words for others out. Must never need an answer to stay within the whole, nor read a clock.
+Owns what this router may use of each limit at an instant, what it lends and what it borrows. Pure: events and
+the time come in, lease messages go out. No answer is ever needed to stay within a limit.
 
-The whole belongs to the routers that the operator names, in equal homes. A quarter of a home, the floor, is
-never lent, so that a router cut off from all others still has it. The rest may be lent: a loan ends by
-itself, at the borrower so long after it *asked*, at the lender so long and a twentieth more after it
-*granted*; so at no instant do two routers count on the same unit, whatever is lost, late, repeated or cut
-between them. Guards besides:
+A limit is divided into units. They belong to the routers that the operator names, in equal entitlements. A
+quarter of an entitlement, the floor, is never lent, so that a router cut off from all others still has it.
+The rest may be lent. A lease ends by itself: at the borrower a lease duration after it *requested* it, at the
+lender a twentieth later than that after it *granted* it. So no two routers count on the same unit at any
+instant, whatever is lost, late, repeated or partitioned. Further invariants:
 
-- a router that starts has forgotten what its earlier life lent: it keeps to its floor until all that is over;
-- a pair has one loan, replaced by the next: of grants only that for the last ask counts, and an ask says how
-  much of the loan before is still used, so that the lender knows what may be out at the most;
+- a router that starts has forgotten what it lent before: it keeps to its floor until all of that has
+  expired;
+- a pair has one lease, replaced by the next: of grants only the one for the last request counts, and a
+  request says how much of the lease so far is still used, so that the lender knows what may be outstanding;
 - a clock that is slow or fast by up to one part in fifty is covered by the twentieth.
 
-Of a limit whose homes are told (partners: by their shares) a router lends evenly within its own kin, and to
-others only what it does not want itself; confined, it keeps to its floor, which is the same whatever homes
-are told.
+Where entitlements are set from outside (partners: by their shares) a router lends evenly within its own
+group, and to others only what it does not request itself. A confined router keeps to its floor, which is the
+same whatever entitlements are set.
 
-Times are whole tenths of a millisecond on a clock that goes on while a process stands still.
+Times are tenths of a millisecond on a clock that goes on while the process is suspended.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,293 +27,338 @@
 from typing import NamedTuple
 from zlib import crc32
 
+from hillchute.coordination.messages import Demand, LeaseGrant, LeaseMessage, LeaseRequest
 from hillchute.decision.interface import Time
 
 SECOND = 10_000
-SPAN: Time = 4 * SECOND  # of a loan: a router cut off falls back to its own within this
-LONGER = 20  # the lender waits one part in so many longer: two clocks, each wrong by one in fifty at the most
-LENT: Time = SPAN + SPAN // LONGER
-FLOOR = 4  # one part in so many of a home is never lent
-TO_ONE = 2  # one part in so many of a home is lent to one router at the most
-AGAIN: Time = SPAN // 4  # between two asks to the same lender: a loan outlives three that are lost
-LENDERS = 8  # loans that are sought at once: a crowd of a router comes from several others' rest
-HEARD: Time = 5 * SECOND  # what a router said of its wants counts so long
-NEAR = 0.02  # of what is asked: a smaller lack is not worth a word
-KIN = 32  # routers that one may borrow from: so many halves of homes are all that a liar can get
-TRIES = 4  # routers that a borrower compares, drawn by chance: all would ask the same best one
+LEASE_DURATION: Time = 4 * SECOND  # a router cut off falls back to its entitlement within this
+CLOCK_MARGIN_DIVISOR = 20  # the lender waits one part in so many longer: two clocks, each wrong by a fiftieth
+LENDER_HOLD: Time = LEASE_DURATION + LEASE_DURATION // CLOCK_MARGIN_DIVISOR
+FLOOR_DIVISOR = 4  # one part in so many of an entitlement is never lent
+SINGLE_LEASE_DIVISOR = 2  # one part in so many of an entitlement is lent to one router at most
+RENEWAL_INTERVAL: Time = LEASE_DURATION // 4  # a lease outlives three renewals that are lost
+MAX_BORROWED_LEASES = 8  # at once: an overload of one router is shared by several lenders
+DEMAND_LIFETIME: Time = 5 * SECOND  # another router's demand counts for so long
+MIN_RELATIVE_SHORTAGE = 0.02  # of what is requested: a smaller shortage is not worth a message
+MAX_LENDERS = 32  # routers that one may borrow from: bounds what a lying borrower can get
+LENDERS_COMPARED = 4  # drawn at random, as all borrowers would otherwise choose the same best lender
 
 
-class Want(NamedTuple):
-    """What a router says of itself in one limit: units asked of it, units that it may use."""
+@dataclass(slots=True)
+class LentLease:
+    """Units that another router may count on; the lease before this one may still be in use."""
 
-    asked: int
-    usable: int
+    request_number: int
+    previous_amount: int = 0
+    previous_expires_at: Time = 0
+    amount: int = 0
+    expires_at: Time = 0
 
+    def outstanding(self, now: Time) -> int:
+        """Units that the borrower may count on."""
+        previous = self.previous_amount * (now < self.previous_expires_at)
+        current = self.amount * (now < self.expires_at)
+        return max(previous, current)
 
-class Ask(NamedTuple):
-    """Make our loan so large. `keeps`: what is still used of the one before, now that this is sent."""
+    def last_expiry(self) -> Time:
+        """When the borrower can count on nothing any more."""
+        return max(self.expires_at, self.previous_expires_at)
 
-    number: int
-    level: int
-    keeps: int
-    asked: int
-    usable: int
 
+@dataclass(slots=True)
+class BorrowedLease:
+    """Units borrowed from another router, as of the last request."""
 
-class Grant(NamedTuple):
-    """The loan is so large from the ask of this number on, for a span."""
+    request_number: int
+    requested_at: Time
+    requested_amount: int
+    amount: int = 0
+    expires_at: Time = 0
 
-    number: int
-    amount: int
-    span: Time
+    def usable(self, now: Time) -> int:
+        """Units that this lease gives at this instant."""
+        return self.amount if now < self.expires_at else 0
 
 
-class Word(NamedTuple):
-    """To one router, in one limit."""
+class TimedDemand(NamedTuple):
+    """Another router's demand and when it was received."""
 
-    to: str
-    limit: str
-    what: Ask | Grant
+    received_at: Time
+    demand: Demand
 
 
-@dataclass(slots=True)
-class Lent:
-    number: int
-    before: int = 0  # may still be out of the loan before, until
-    before_until: Time = 0
-    amount: int = 0
-    until: Time = 0
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Entitlement:
+    """A router's entitlement to a limit, where it is set from outside."""
 
-    def out(self, now: Time) -> int:
-        """Units that the borrower may count on."""
-        return max(self.before * (now < self.before_until), self.amount * (now < self.until))
+    units: int
+    floor: int
+    group: frozenset[str]  # routers to which units are lent evenly
+    settling_time: Time  # until a larger entitlement holds
+    confined: bool  # whether only the floor may be used
 
 
-@dataclass(slots=True)
-class Held:
-    number: int  # of the last ask
-    asked_at: Time
-    level: int  # as it was asked for
-    amount: int = 0
-    until: Time = 0
-
-    def counts(self, now: Time) -> int:
-        return self.amount if now < self.until else 0
-
-
-def home(whole: int, names: Iterable[str], me: str) -> int:
-    """Equal parts of the whole; what is left over goes to the first by name. None for whom nobody names."""
+def equal_entitlement(total: int, names: Iterable[str], name: str) -> int:
+    """A router's equal part of a total; the remainder goes to the first by name. 0 for an unnamed router."""
     order = sorted(set(names))
-    if me not in order:
+    if name not in order:
         return 0
-    each, more = divmod(whole, len(order))
-    return each + (order.index(me) < more)
+    each, remainder = divmod(total, len(order))
+    return each + (order.index(name) < remainder)
 
 
 @dataclass
-class Limit:
-    """One limit as this router has it."""
-
-    whole: int
-    home: int
-    changed: Time  # when this life began, or the home was changed
-    before: int  # what it may use of its home until it is known that no loan of before is out
-    wait: Time = LENT  # until that is known
-    least: int | None = None  # the floor, where homes are told
-    ours: frozenset[str] | None = None  # those that one lends to evenly; None: all
+class LimitState:
+    """One limit as one router has it."""
+
+    total: int
+    entitlement: int
+    changed_at: Time  # when this router started, or its entitlement was changed
+    units_until_settled: int  # usable of the entitlement until earlier leases have surely expired
+    settling_time: Time = LENDER_HOLD
+    fixed_floor: int | None = None  # where entitlements are set from outside
+    group: frozenset[str] | None = None  # routers to which units are lent evenly; None: all
     confined: bool = False
-    asked: int = 0  # units that this router's traffic would use now
-    lent: dict[str, Lent] = field(default_factory=dict)
-    held: dict[str, Held] = field(default_factory=dict)
-    wants: dict[str, tuple[Time, Want]] = field(default_factory=dict)
+    requested: int = 0  # units that this router's traffic would use now
+    lent: dict[str, LentLease] = field(default_factory=dict)  # by borrower
+    borrowed: dict[str, BorrowedLease] = field(default_factory=dict)  # by lender
+    demands: dict[str, TimedDemand] = field(default_factory=dict)  # by router
 
     @property
     def floor(self) -> int:
-        return self.home // FLOOR if self.least is None else min(self.least, self.home)
+        """Units that are never lent."""
+        if self.fixed_floor is None:
+            return self.entitlement // FLOOR_DIVISOR
+        return min(self.fixed_floor, self.entitlement)
+
+    def own_units(self, now: Time) -> int:
+        """Units to use or lend: the whole entitlement once all earlier leases have expired."""
+        if now >= self.changed_at + self.settling_time:
+            units = self.entitlement
+        else:
+            units = min(self.entitlement, self.units_until_settled)
+        return min(units, self.floor) if self.confined else units
+
+    def outstanding(self, now: Time) -> int:
+        """Units that borrowers may count on."""
+        return sum(lease.outstanding(now) for lease in self.lent.values())
 
-    def own(self, now: Time) -> int:
-        """What it may use or lend of its home: all, once what an earlier life lent is over."""
-        own = self.home if now >= self.changed + self.wait else min(self.home, self.before)
-        return min(own, self.floor) if self.confined else own
+    def usable(self, now: Time) -> int:
+        """Units usable at this instant; over all routers they never exceed the total."""
+        remaining = max(0, self.own_units(now) - self.outstanding(now))
+        return remaining + sum(lease.usable(now) for lease in self.borrowed.values())
 
-    def out(self, now: Time) -> int:
-        return sum(lent.out(now) for lent in self.lent.values())
+    def demand(self, now: Time) -> Demand:
+        """What this router would use and may use."""
+        return Demand(self.requested, self.usable(now))
 
-    def usable(self, now: Time) -> int:
-        """Units that it may use at this instant; of all routers together never more than the whole."""
-        own = max(0, self.own(now) - self.out(now))
-        return own + sum(held.counts(now) for held in self.held.values())
+    def change_entitlement(self, now: Time, units: int, units_until_settled: int) -> None:
+        """Sets the entitlement, and what is usable of it until the settling time has passed."""
+        self.entitlement = units
+        self.units_until_settled = units_until_settled
+        self.changed_at = now
 
 
-class Quotas:
-    """All limits of one router. `limits`: their names and wholes, the same at all routers."""
+class QuotaLeases:
+    """All limits of one router. `limits`: their names and totals, the same at all routers."""
 
     def __init__(
-        self, me: str, names: Iterable[str], limits: Mapping[str, int], seed: int, now: Time
+        self, name: str, router_names: Iterable[str], limits: Mapping[str, int], seed: int, now: Time
     ) -> None:
-        self.me, self.seed, self.drawn = me, seed, 0
-        self.number = now  # rises over all lives of this router, as its clock does
-        self.names = frozenset(names)
-        self.kin: dict[str, frozenset[str]] = {}  # borrower: whom it may borrow from
-        homes = {name: home(whole, self.names, me) for name, whole in limits.items()}
-        self.limits = {n: Limit(whole, homes[n], now, homes[n] // FLOOR) for n, whole in limits.items()}
-
-    def named(self, now: Time, names: Iterable[str]) -> None:
-        """The operator names other routers (docs/peers.md says in which order). A smaller home holds at once,
-        and what is lent of it runs out before those that are new may start. A larger one holds once all that
-        the routers no longer named may have lent, before they ended, has run out."""
-        if frozenset(names) == self.names:
+        self.name = name
+        self.seed = seed
+        self.draw_count = 0
+        self.request_number = now  # rises over all restarts of this router, as its clock does
+        self.router_names = frozenset(router_names)
+        self.lenders_of: dict[str, frozenset[str]] = {}  # cache, by borrower
+        self.limits: dict[str, LimitState] = {}
+        for limit_name, total in limits.items():
+            units = equal_entitlement(total, self.router_names, name)
+            self.limits[limit_name] = LimitState(total, units, now, units // FLOOR_DIVISOR)
+
+    def set_router_names(self, now: Time, router_names: Iterable[str]) -> None:
+        """The operator names other routers (docs/peers.md says in which order). A smaller entitlement holds
+        at once, and what is lent of it expires before new routers may start. A larger one holds once all that
+        the routers no longer named may have lent has expired."""
+        router_names = frozenset(router_names)
+        if router_names == self.router_names:
             return
-        self.names = frozenset(names)
-        self.kin.clear()
+        self.router_names = router_names
+        self.lenders_of.clear()
         for limit in self.limits.values():
-            if limit.least is None:
-                limit.before, limit.changed = limit.own(now), now
-                limit.home = home(limit.whole, self.names, self.me)
-
-    def told(
-        self, now: Time, name: str, home: int, least: int, ours: Iterable[str], wait: Time, confined: bool
-    ) -> None:
-        """The home of a limit whose homes are told. A larger one holds once `wait` is over: by then whoever
-        has less by what was told uses less, and all that it lent has run out."""
-        limit = self.limits[name]
-        if limit.least is None:
-            limit.before = min(limit.before, least)
-        limit.confined, limit.ours = confined, frozenset(ours)
-        if (home, least) != (limit.home, limit.least) or limit.wait != wait:
-            before = min(limit.own(now), limit.home)
-            limit.home, limit.least, limit.wait = home, least, wait
-            limit.before, limit.changed = before, now
-
-    def kin_of(self, borrower: str) -> frozenset[str]:
-        """Whom a router may borrow from: as many others as KIN, by chance that all draw alike."""
-        if borrower not in self.kin:
-            others = sorted(self.names - {borrower}, key=lambda n: (crc32(f"{borrower}:{n}".encode()), n))
-            self.kin[borrower] = frozenset(others[:KIN])
-        return self.kin[borrower]
-
-    def asked(self, limit: str, units: int) -> None:
-        self.limits[limit].asked = max(0, units)
-
-    def usable(self, limit: str, now: Time) -> int:
-        return self.limits[limit].usable(now)
-
-    def part(self, limit: str, now: Time) -> float:
-        """The same as a part of the whole."""
-        return self.limits[limit].usable(now) / self.limits[limit].whole
-
-    def wants(self, now: Time) -> dict[str, Want]:
-        """What is said of itself to whoever is spoken to."""
-        return {name: Want(limit.asked, limit.usable(now)) for name, limit in self.limits.items()}
-
-    def heard(self, now: Time, sender: str, wants: Mapping[str, Want]) -> None:
-        for name, want in wants.items():
+            if limit.fixed_floor is None:
+                units = equal_entitlement(limit.total, self.router_names, self.name)
+                limit.change_entitlement(now, units, limit.own_units(now))
+
+    def set_entitlement(self, now: Time, limit_name: str, entitlement: Entitlement) -> None:
+        """Sets an entitlement from outside. A larger one holds once its settling time is over: by then all
+        routers with a smaller one use less, and all that they lent has expired."""
+        limit = self.limits[limit_name]
+        if limit.fixed_floor is None:
+            limit.units_until_settled = min(limit.units_until_settled, entitlement.floor)
+        limit.confined = entitlement.confined
+        limit.group = entitlement.group
+        current = (limit.entitlement, limit.fixed_floor, limit.settling_time)
+        if current != (entitlement.units, entitlement.floor, entitlement.settling_time):
+            units_until_settled = min(limit.own_units(now), limit.entitlement)
+            limit.fixed_floor = entitlement.floor
+            limit.settling_time = entitlement.settling_time
+            limit.change_entitlement(now, entitlement.units, units_until_settled)
+
+    def permitted_lenders(self, borrower: str) -> frozenset[str]:
+        """Routers that a router may borrow from: MAX_LENDERS others, by a hash that all compute alike."""
+        if borrower not in self.lenders_of:
+            others = sorted(
+                self.router_names - {borrower}, key=lambda name: (crc32(f"{borrower}:{name}".encode()), name)
+            )
+            self.lenders_of[borrower] = frozenset(others[:MAX_LENDERS])
+        return self.lenders_of[borrower]
+
+    def set_requested(self, limit_name: str, units: int) -> None:
+        """Sets the units that this router's traffic would use now."""
+        self.limits[limit_name].requested = max(0, units)
+
+    def usable(self, limit_name: str, now: Time) -> int:
+        """Units of a limit usable at this instant."""
+        return self.limits[limit_name].usable(now)
+
+    def usable_share(self, limit_name: str, now: Time) -> float:
+        """The usable units as a fraction of the limit's total."""
+        limit = self.limits[limit_name]
+        return limit.usable(now) / limit.total
+
+    def demands(self, now: Time) -> dict[str, Demand]:
+        """This router's demand by limit, for whichever router a message goes to."""
+        return {name: limit.demand(now) for name, limit in self.limits.items()}
+
+    def on_demands(self, now: Time, sender: str, demands: Mapping[str, Demand]) -> None:
+        """Another router's demands were received."""
+        for name, demand in demands.items():
             if name in self.limits:
-                self.limits[name].wants[sender] = now, want
+                self.limits[name].demands[sender] = TimedDemand(now, demand)
 
     # ---- borrowing --------------------------------------------------------------------------------
 
-    def tick(self, now: Time, living: Iterable[str]) -> list[Word]:
-        """Asks that are due: loans to be renewed at the size that is wanted now, and new ones."""
-        living, said = frozenset(living) & self.kin_of(self.me), []
+    def due_requests(self, now: Time, alive: Iterable[str]) -> list[LeaseMessage]:
+        """Requests that are due: renewals at the size that is needed now, and new leases."""
+        reachable = frozenset(alive) & self.permitted_lenders(self.name)
+        messages: list[LeaseMessage] = []
         for name, limit in self.limits.items():
-            for lender, held in list(limit.held.items()):
-                if now >= held.until and now - held.asked_at >= AGAIN:
-                    del limit.held[lender]  # over, and not granted again
-            for lender, held in limit.held.items():
-                if lender in living and now - held.asked_at >= AGAIN:
-                    said.append(self.ask(now, name, lender))
-            lack = limit.asked - limit.usable(now)
-            if lack > NEAR * limit.asked and len(limit.held) < LENDERS:
-                lender = self.lender(now, limit, living)
-                if lender is not None:
-                    said.append(self.ask(now, name, lender))
-        return said
-
-    def lender(self, now: Time, limit: Limit, living: frozenset[str]) -> str | None:
-        """Of a few that were heard of, the one from whom most would come; None if it asks for nothing."""
+            for lender, lease in list(limit.borrowed.items()):
+                if now >= lease.expires_at and now - lease.requested_at >= RENEWAL_INTERVAL:
+                    del limit.borrowed[lender]  # expired, and not granted again
+            for lender, lease in limit.borrowed.items():
+                if lender in reachable and now - lease.requested_at >= RENEWAL_INTERVAL:
+                    messages.append(self.make_request(now, name, lender))
+            shortage = limit.requested - limit.usable(now)
+            is_short = shortage > MIN_RELATIVE_SHORTAGE * limit.requested
+            if is_short and len(limit.borrowed) < MAX_BORROWED_LEASES:
+                new_lender = self.choose_lender(now, limit, reachable)
+                if new_lender is not None:
+                    messages.append(self.make_request(now, name, new_lender))
+        return messages
+
+    def choose_lender(self, now: Time, limit: LimitState, reachable: frozenset[str]) -> str | None:
+        """Of a few routers with a known demand the one that would lend most; None if none lends enough."""
         known = [
-            (name, want)
-            for name, (at, want) in limit.wants.items()
-            if now - at < HEARD and name in living and name not in limit.held
+            (name, entry.demand)
+            for name, entry in limit.demands.items()
+            if now - entry.received_at < DEMAND_LIFETIME and name in reachable and name not in limit.borrowed
         ]
-        self.drawn += 1
-        known.sort(key=lambda entry: crc32(f"{self.seed}:{self.drawn}:{entry[0]}".encode()))
-        usable = limit.usable(now)
-        worth = [
-            (fair(limit, name, limit.asked, usable, w.asked, w.usable), name) for name, w in known[:TRIES]
+        self.draw_count += 1
+        known.sort(key=lambda candidate: crc32(f"{self.seed}:{self.draw_count}:{candidate[0]}".encode()))
+        own = limit.demand(now)
+        offers = [
+            (lendable_units(limit, name, own, demand), name) for name, demand in known[:LENDERS_COMPARED]
         ]
-        most, name = max(worth, default=(0, ""))
-        return name if most > NEAR * limit.asked else None
-
-    def ask(self, now: Time, name: str, lender: str) -> Word:
-        """One ask: for what would make both as well off, by what the lender said last. What is over what is
-        wanted is given up here, before it is said."""
-        limit, self.number = self.limits[name], self.number + 1
-        held = limit.held.get(lender)
-        had = held.counts(now) if held else 0
-        usable = limit.usable(now)
-        keeps = max(0, min(had, had - (usable - limit.asked)))
-        at, want = limit.wants.get(lender, (-HEARD, Want(0, 0)))
-        heard = now - at < HEARD
-        more = fair(limit, lender, limit.asked, usable, want.asked, want.usable) if heard else 0
-        level = max(0, min(keeps + more, limit.asked))
-        until = held.until if held else now
-        limit.held[lender] = Held(self.number, now, level, keeps, until)
-        return Word(lender, name, Ask(self.number, level, keeps, limit.asked, limit.usable(now)))
-
-    def granted(self, now: Time, sender: str, name: str, grant: Grant) -> None:
-        limit = self.limits.get(name)
-        held = limit and limit.held.get(sender)
-        if not held or held.number != grant.number:
-            return  # of an earlier ask: the lender knows from a later one that it is not used
-        # Guards against a lender that gives more than it was asked for, or for longer than loans last.
-        held.amount = min(grant.amount, held.level)
-        held.until = held.asked_at + min(grant.span, SPAN)
-        if not held.amount:
-            del limit.held[sender]
+        most, best = max(offers, default=(0, ""))
+        return best if most > MIN_RELATIVE_SHORTAGE * limit.requested else None
+
+    def make_request(self, now: Time, limit_name: str, lender: str) -> LeaseMessage:
+        """A request for what would give both the same share of their demand, as far as the lender's is known.
+        Units beyond the demand are given up here, before the request says so."""
+        self.request_number += 1
+        limit = self.limits[limit_name]
+        lease = limit.borrowed.get(lender)
+        held = lease.usable(now) if lease else 0
+        own = limit.demand(now)
+        still_used = max(0, min(held, held - (own.usable - own.requested)))
+        entry = limit.demands.get(lender)
+        more = 0
+        if entry is not None and now - entry.received_at < DEMAND_LIFETIME:
+            more = lendable_units(limit, lender, own, entry.demand)
+        amount = max(0, min(still_used + more, own.requested))
+        expires_at = lease.expires_at if lease else now
+        limit.borrowed[lender] = BorrowedLease(self.request_number, now, amount, still_used, expires_at)
+        body = LeaseRequest(self.request_number, amount, still_used, own.requested, limit.usable(now))
+        return LeaseMessage(lender, limit_name, body)
+
+    def on_grant(self, sender: str, limit_name: str, grant: LeaseGrant) -> None:
+        """A grant was received; it counts only if it answers the last request."""
+        limit = self.limits.get(limit_name)
+        lease = limit.borrowed.get(sender) if limit else None
+        if limit is None or lease is None or lease.request_number != grant.number:
+            return  # the lender knows from a later request that this one is not used
+        # Guards against a lender that gives more than was requested, or for longer than leases last.
+        lease.amount = min(grant.amount, lease.requested_amount)
+        lease.expires_at = lease.requested_at + min(grant.duration, LEASE_DURATION)
+        if not lease.amount:
+            del limit.borrowed[sender]
 
     # ---- lending ----------------------------------------------------------------------------------
 
-    def asks(self, now: Time, sender: str, name: str, ask: Ask) -> list[Word]:
-        """An ask came; the grant, which may be smaller, or none."""
-        limit = self.limits.get(name)
-        if limit is None or sender not in self.names or self.me not in self.kin_of(sender):
+    def on_request(
+        self, now: Time, sender: str, limit_name: str, request: LeaseRequest
+    ) -> list[LeaseMessage]:
+        """A request was received; the grant, which may be smaller, or nothing where none is due."""
+        limit = self.limits.get(limit_name)
+        if limit is None or sender not in self.router_names:
+            return []
+        if self.name not in self.permitted_lenders(sender):
             return []
-        limit.wants[sender] = now, Want(ask.asked, ask.usable)
-        lent = limit.lent.get(sender)
-        if lent is not None and ask.number <= lent.number:
-            return []  # an earlier one that came late
-        before, before_until = 0, now
-        if lent is not None:
-            before = min(lent.out(now), max(0, ask.keeps))
-            before_until = max(lent.until, lent.before_until)
-        room = limit.own(now) - limit.floor - limit.out(now) + (lent.out(now) if lent else 0)
-        mine = limit.usable(now) + (lent.out(now) if lent else 0)
-        due = fair(limit, sender, ask.asked, ask.usable - ask.keeps, limit.asked, mine)
-        amount = max(0, min(ask.level, due, room, limit.home // TO_ONE))
-        until = now + LENT
-        limit.lent[sender] = Lent(ask.number, before, before_until, amount, until)
-        for other in [who for who, had in limit.lent.items() if not had.out(now) and who != sender]:
-            if now >= max(limit.lent[other].until, limit.lent[other].before_until):
-                del limit.lent[other]
-        return [Word(sender, name, Grant(ask.number, amount, SPAN))]
-
-
-def fair(limit: Limit, other: str, asked: int, usable: int, others: int, theirs: int) -> int:
-    """What has to go from one who wants `others` and has `theirs` to one who wants `asked`: for both to have
-    the same share of it, or, of one that is not of its own, at most what that one does not want."""
-    if limit.ours is None or other in limit.ours:
-        return even(asked, usable, others, theirs)
-    return max(0, min(asked - usable, theirs - max(0, others)))
-
-
-def even(asked: int, usable: int, others: int, theirs: int) -> int:
-    """What has to come from the other for both to have the same share of what is asked of them. Of one who
-    wants nothing all that it has may come."""
-    if asked <= 0:
+        limit.demands[sender] = TimedDemand(now, Demand(request.requested, request.usable))
+        previous = limit.lent.get(sender)
+        if previous is not None and request.number <= previous.request_number:
+            return []  # an earlier request that came late
+        amount = grantable_units(now, limit, sender, request)
+        lease = LentLease(request.number, 0, now, amount, now + LENDER_HOLD)
+        if previous is not None:
+            lease.previous_amount = min(previous.outstanding(now), max(0, request.still_used))
+            lease.previous_expires_at = previous.last_expiry()
+        limit.lent[sender] = lease
+        expired = [name for name, other in limit.lent.items() if now >= other.last_expiry()]
+        for borrower in expired:
+            if borrower != sender:
+                del limit.lent[borrower]
+        return [LeaseMessage(sender, limit_name, LeaseGrant(request.number, amount, LEASE_DURATION))]
+
+
+def grantable_units(now: Time, limit: LimitState, borrower: str, request: LeaseRequest) -> int:
+    """Units to lend for a request, in place of what the borrower has."""
+    previous = limit.lent.get(borrower)
+    returned = previous.outstanding(now) if previous else 0
+    spare = limit.own_units(now) - limit.floor - limit.outstanding(now) + returned
+    lender = Demand(limit.requested, limit.usable(now) + returned)
+    without_lease = Demand(request.requested, request.usable - request.still_used)
+    due = lendable_units(limit, borrower, without_lease, lender)
+    return max(0, min(request.amount, due, spare, limit.entitlement // SINGLE_LEASE_DIVISOR))
+
+
+def lendable_units(limit: LimitState, other: str, borrower: Demand, lender: Demand) -> int:
+    """Units to move from a lender to a borrower: within a group so many that both have the same share of
+    their demand, otherwise at most what the lender does not request. `other` is the peer of this router."""
+    if limit.group is None or other in limit.group:
+        return equalizing_units(borrower, lender)
+    return max(0, min(borrower.requested - borrower.usable, lender.usable - max(0, lender.requested)))
+
+
+def equalizing_units(borrower: Demand, lender: Demand) -> int:
+    """Units to move for both to have the same share of their demand. Of a lender that requests nothing all
+    that it has may be moved."""
+    if borrower.requested <= 0:
         return 0
-    others = max(0, others)
-    return int(max(0, min(asked * theirs - others * usable, (asked - usable) * (asked + others)))) // (
-        asked + others
-    )
+    lender_requested = max(0, lender.requested)
+    both_requested = borrower.requested + lender_requested
+    surplus = borrower.requested * lender.usable - lender_requested * borrower.usable
+    shortage = (borrower.requested - borrower.usable) * both_requested
+    return max(0, min(surplus, shortage)) // both_requested
--- a/hillchute/coordination/subsetting.py
+++ b/hillchute/coordination/subsetting.py
@@ -1,127 +1,136 @@
-"""Which engines a router looks at, keeps connections to and draws from first: a small share of them all.
+"""Which engines a router prefers: a small subset of all, to which it keeps connections and load reports.
 
 Owns the pairs of router and engine. They follow from the number of routers, the router's own number and the
-engines that are ready, so all routers work out the same pairs without a word. Must never hold a state that
-two routers could have differently, know why an engine is left, or close one to a query that needs it.
-
-Each engine serves its first routers in an order of its own. Even by construction: the pairs are dealt to the
-engines alike, the remainder to the first in an order that all share, so two engines differ by one at the
-most, of whatever kind and zone. An engine that goes or comes moves its own pairs and no others, and they
-move from or to as many others as it has pairs, since each of those grows or shrinks by one. A router that
-goes or comes moves one pair of each engine that it stood among the first of: SIZE in the mean.
+ready engines, so all routers compute the same pairs without messages. Pure: no state that two routers could
+have differently, and no knowledge of why an engine is left out.
+
+Each engine orders all routers by a hash of the pair (rendezvous hashing) and serves the first so many. The
+pairs are divided evenly over the engines and the remainder goes to the first in an order that all share, so
+two engines differ by at most one router, whatever their kind and zone. An engine that is added or removed
+moves its own pairs only, from or to as many other engines as it has pairs. A router that is added or removed
+moves one pair of each engine that it is among the first of: SUBSET_SIZE on average.
 """
 
 from bisect import bisect_left, insort
 from collections.abc import Iterable
 
-SIZE = 10  # engines a router: enough that ill and crowded ones leave some; each is heard of every few queries
+SUBSET_SIZE = 10  # engines a router: some remain when others fail, and each is heard of every few queries
 
-BITS = 0xFFFFFFFF
+MASK_32 = 0xFFFFFFFF
+GOLDEN_RATIO_32 = 0x9E3779B9  # 2^32 over the golden ratio: spreads consecutive numbers
+ROUTER_NUMBER_BITS = 20
 
 
-def mixed(number: int) -> int:
-    """32 bits in which every bit of the number counts (the finaliser of MurmurHash3)."""
-    number &= BITS
-    number = ((number ^ number >> 16) * 0x85EBCA6B) & BITS
-    number = ((number ^ number >> 13) * 0xC2B2AE35) & BITS
+def mix(number: int) -> int:
+    """A 32-bit hash in which every bit of the number counts (the finaliser of MurmurHash3)."""
+    number &= MASK_32
+    number = ((number ^ number >> 16) * 0x85EBCA6B) & MASK_32
+    number = ((number ^ number >> 13) * 0xC2B2AE35) & MASK_32
     return number ^ number >> 16
 
 
-def place(engine: int, router: int) -> int:
-    """Where a router stands in the order of an engine; ties, which are rare, go by the router's number."""
-    return mixed(mixed(engine) + 0x9E3779B9 * (router + 1)) << 20 | router
+def rank_key(engine: int, router: int) -> int:
+    """The sort key of a router in an engine's order; equal hashes, which are rare, go by router number."""
+    return mix(mix(engine) + GOLDEN_RATIO_32 * (router + 1)) << ROUTER_NUMBER_BITS | router
 
 
-def first(engine: int, routers: int, width: int) -> tuple[int, ...]:
-    """So many routers that stand first in the order of an engine."""
-    return tuple(sorted(range(routers), key=lambda router: place(engine, router))[:width])
+def first_routers(engine: int, routers: int, count: int) -> tuple[int, ...]:
+    """So many routers that come first in an engine's order."""
+    return tuple(sorted(range(routers), key=lambda router: rank_key(engine, router))[:count])
 
 
-def widths(engines: Iterable[int], routers: int, size: int = SIZE) -> dict[int, int]:
+def routers_per_engine(engines: Iterable[int], routers: int, size: int = SUBSET_SIZE) -> dict[int, int]:
     """How many routers each engine serves."""
-    order = sorted(engines, key=lambda engine: (mixed(engine), engine))
+    order = sorted(engines, key=lambda engine: (mix(engine), engine))
     if not order:
         return {}
-    each, more = divmod(routers * min(size, len(order)), len(order))
-    return {engine: each + (n < more) for n, engine in enumerate(order)}
+    each, remainder = divmod(routers * min(size, len(order)), len(order))
+    return {engine: each + (index < remainder) for index, engine in enumerate(order)}
 
 
-def pairs(engines: Iterable[int], routers: int, size: int = SIZE) -> set[tuple[int, int]]:
-    """All (router, engine), for rigs: a router works out its own alone."""
-    found = set()
-    for engine, width in widths(engines, routers, size).items():
-        found |= {(router, engine) for router in first(engine, routers, width)}
-    return found
+def all_pairs(engines: Iterable[int], routers: int, size: int = SUBSET_SIZE) -> set[tuple[int, int]]:
+    """All (router, engine), for tests and simulations: a router computes its own subset alone."""
+    pairs = set()
+    for engine, count in routers_per_engine(engines, routers, size).items():
+        pairs |= {(router, engine) for router in first_routers(engine, routers, count)}
+    return pairs
 
 
-class Rank:
-    """How many routers stand before this one in the order of an engine, counted only as far as is asked."""
+class RouterRank:
+    """How many routers come before this one in an engine's order, counted only as far as is needed."""
 
-    __slots__ = ("engine", "own", "before", "next")
+    __slots__ = ("counted_to", "engine", "own_key", "preceding")
 
     def __init__(self, engine: int, router: int) -> None:
-        self.engine, self.own = engine, place(engine, router)
-        self.before = 0  # of the routers below `next`
-        self.next = 0
-
-    def below(self, width: int, routers: int) -> bool:
-        """Whether fewer than `width` routers stand before this one."""
-        while self.before < width and self.next < routers:
-            self.before += place(self.engine, self.next) < self.own
-            self.next += 1
-        return self.before < width
-
-
-class Sight:
-    """What one router has in sight. A change of the list costs no more than the engines that are new: their
-    order is kept sorted, and only those that this router may serve by its rank are looked at again."""
-
-    def __init__(self, me: int, routers: int, size: int = SIZE) -> None:
-        self.routers, self.size = max(1, routers), size
-        self.me = me % self.routers  # guards against settings that number routers from one
-        self.order: list[tuple[int, int]] = []  # the engines that are ready, as widths() orders them
-        self.ranks: dict[int, Rank] = {}  # of those
-        self.may: set[int] = set()  # engines that are this router's at `most` routers each
-        self.most = -1
-        self.seen: frozenset[int] = frozenset()  # the engines it was last asked about, and its own of them
-        self.own: frozenset[int] = frozenset()
-
-    def near(self, engines: Iterable[int]) -> frozenset[int]:
-        """Its engines of these, which are the ones that are ready."""
-        engines = frozenset(engines)
-        if engines == self.seen:
-            return self.own  # lists come all day, and say mostly the same
-        come, gone = engines - self.seen, self.seen - engines
-        self.seen = engines
-        for engine in gone:
-            del self.order[bisect_left(self.order, (mixed(engine), engine))]
+        self.engine = engine
+        self.own_key = rank_key(engine, router)
+        self.counted_to = 0  # routers with a smaller number have been compared
+        self.preceding = 0  # of those
+
+    def is_below(self, limit: int, routers: int) -> bool:
+        """Whether fewer than `limit` routers come before this one."""
+        while self.preceding < limit and self.counted_to < routers:
+            self.preceding += rank_key(self.engine, self.counted_to) < self.own_key
+            self.counted_to += 1
+        return self.preceding < limit
+
+
+class Subset:
+    """One router's subset. A change of the endpoint list costs no more than the engines that are new: their
+    order is kept sorted, and only engines that this router's rank may qualify for are examined again."""
+
+    def __init__(self, router_number: int, routers: int, size: int = SUBSET_SIZE) -> None:
+        self.routers = max(1, routers)
+        self.size = size
+        self.router_number = router_number % self.routers  # guards against settings that count from one
+        self.order: list[tuple[int, int]] = []  # the ready engines, ordered as in routers_per_engine
+        self.ranks: dict[int, RouterRank] = {}  # of those
+        self.candidates: set[int] = set()  # engines that this router's rank qualifies for at `most_routers`
+        self.most_routers = -1  # routers that an engine serves at most
+        self.engines: frozenset[int] = frozenset()  # the ready engines
+        self.selected: frozenset[int] = frozenset()  # the subset of those
+
+    def select(self, ready: Iterable[int]) -> frozenset[int]:
+        """The subset of these engines, which are the ready ones."""
+        engines = frozenset(ready)
+        if engines == self.engines:
+            return self.selected  # lists arrive all day, and are mostly unchanged
+        added = engines - self.engines
+        removed = self.engines - engines
+        self.engines = engines
+        for engine in removed:
+            del self.order[bisect_left(self.order, (mix(engine), engine))]
             del self.ranks[engine]
-            self.may.discard(engine)
-        for engine in come:
-            self.ranks[engine] = Rank(engine, self.me)
-        if len(come) > len(engines) // 4:
-            self.order = sorted((mixed(engine), engine) for engine in engines)
+            self.candidates.discard(engine)
+        for engine in added:
+            self.ranks[engine] = RouterRank(engine, self.router_number)
+        if len(added) > len(engines) // 4:  # sorting anew is cheaper than inserting one by one
+            self.order = sorted((mix(engine), engine) for engine in engines)
         else:
-            for engine in come:
-                insort(self.order, (mixed(engine), engine))
-        self.own = self.mine(come)
-        return self.own
-
-    def mine(self, come: Iterable[int]) -> frozenset[int]:
+            for engine in added:
+                insort(self.order, (mix(engine), engine))
+        self.selected = self.select_by_rank(added)
+        return self.selected
+
+    def select_by_rank(self, added: Iterable[int]) -> frozenset[int]:
+        """The engines for which this router's rank is low enough; examines `added`, or all if the number of
+        routers an engine serves has changed."""
         count = len(self.order)
         if not count:
-            self.may, self.most = set(), -1
+            self.candidates = set()
+            self.most_routers = -1
             return frozenset()
-        each, more = divmod(self.routers * min(self.size, count), count)
-        again = self.ranks if each + 1 != self.most else come
-        self.most = each + 1
-        for engine in again:
-            if self.ranks[engine].below(self.most, self.routers):
-                self.may.add(engine)
+        each, remainder = divmod(self.routers * min(self.size, count), count)
+        examined = self.ranks if each + 1 != self.most_routers else added
+        self.most_routers = each + 1
+        for engine in examined:
+            if self.ranks[engine].is_below(self.most_routers, self.routers):
+                self.candidates.add(engine)
             else:
-                self.may.discard(engine)
-        return frozenset(engine for engine in self.may if self.serves(engine, each, more))
+                self.candidates.discard(engine)
+        return frozenset(engine for engine in self.candidates if self.is_served_by(engine, each, remainder))
 
-    def serves(self, engine: int, each: int, more: int) -> bool:
-        at = bisect_left(self.order, (mixed(engine), engine))
-        return self.ranks[engine].below(each + (at < more), self.routers)
+    def is_served_by(self, engine: int, each: int, remainder: int) -> bool:
+        """Whether an engine serves this router, where it serves `each` routers, the first few one more."""
+        index = bisect_left(self.order, (mix(engine), engine))
+        return self.ranks[engine].is_below(each + (index < remainder), self.routers)
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -20,8 +20,8 @@
 from zlib import crc32
 
 from hillchute.coordination import fleet_view, subsetting
-from hillchute.coordination.fleet_view import WHOLE, Company
-from hillchute.coordination.subsetting import Sight
+from hillchute.coordination.fleet_view import LIMIT_UNITS, FleetSettings, FleetView
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import Listing, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
@@ -324,11 +324,11 @@
 @lru_cache(maxsize=2048)
 def order(engine: int, routers: int) -> tuple[int, ...]:
     """An engine's order of all routers."""
-    return subsetting.first(engine, routers, routers)
+    return subsetting.first_routers(engine, routers, routers)
 
 
 # What each router works out alone is worked out once for all that play here.
-fleet_view.first = lambda engine, routers, width: order(engine, routers)[:width]
+fleet_view.first_routers = lambda engine, routers, width: order(engine, routers)[:width]
 
 
 class Many(World):
@@ -339,11 +339,11 @@
         self.form, self.probes, self.ages = form, 0, []
         self.events = 1  # of the list of engines
         self.moved: list[float] = []  # at each change of the list: pairs moved over all pairs
-        self.sights: list[Sight] = []
+        self.sights: list[Subset] = []
         self.near: list[frozenset[int]] = []
         self.routers: list[Teamwork] = []
         self.nodes: list[Node] = []
-        self.companies: list[Company] = []
+        self.companies: list[FleetView] = []
         self.post: list[tuple[int, str, bytes]] = []  # datagrams on their way: from whom, to whom
         self.bytes = 0
         self.name_all()
@@ -365,7 +365,7 @@
     def start(self, n: int) -> None:
         """A router's module that knows the list and nothing else."""
         router = Teamwork(self.chance.getrandbits(60), self.catalog | {"me": n}, self.now)
-        sight = Sight(n, self.catalog["n_instances"])
+        sight = Subset(n, self.catalog["n_instances"])
         if n == len(self.routers):
             self.routers.append(router)
             self.sights.append(sight)
@@ -373,7 +373,10 @@
         self.routers[n], self.sights[n] = router, sight
         if self.form == "shared":
             now, seed = EPOCH + self.now, self.chance.getrandbits(30)
-            company = Company(self.name(n), self.keys, ["inflight"], ["cold"], seed, now)
+            settings = FleetSettings(
+                name=self.name(n), router_names=self.keys, columns=["inflight"], limits=["cold"], seed=seed
+            )
+            company = FleetView(settings, now)
             node = Node(self.name(n), now // 10, self.keys, seed, now, company)
             self.nodes[n:], self.companies[n:] = (
                 [node, *self.nodes[n + 1 :]],
@@ -391,12 +394,12 @@
         router = self.routers[n]
         router.roster(self.now, "Complete", self.listings())
         if self.form == "subset":
-            self.near[n] = self.sights[n].near([e.id for e in self.engines.values() if not e.draining])
+            self.near[n] = self.sights[n].select([e.id for e in self.engines.values() if not e.draining])
             router.nearby(self.now, self.near[n])
         elif self.form == "shared":
             ready = [e.id for e in self.engines.values() if not e.draining]
             closed = [e.id for e in self.engines.values() if e.draining]
-            self.companies[n].listed(EPOCH + self.now, self.events, ready, closed)
+            self.companies[n].on_endpoint_list(EPOCH + self.now, self.events, ready, closed)
             self.stands(n)
 
     def stands(self, n: int) -> None:
@@ -405,9 +408,9 @@
         router, span = self.routers[n], CATALOG["guarantees.fall"]
         warming = [e for e in router.engines.values() if e.ready and e.cold(self.now)]
         tips = {e.id: CATALOG["guarantees.tip_multiple"] * span * e.able(self.now) for e in warming}
-        standing = self.companies[n].standing(EPOCH + self.now, living, tips, span)
-        self.near[n] = standing.near
-        self.routers[n].nearby(self.now, standing.near, standing.routers, standing.parts)
+        standing = self.companies[n].state(EPOCH + self.now, living, tips, span)
+        self.near[n] = standing.subset
+        self.routers[n].nearby(self.now, standing.subset, standing.routers, standing.shares)
 
     def talk(self) -> None:
         """Datagrams come a step after they went, but for those that are lost or cut off."""
@@ -423,10 +426,10 @@
                 self.says(n, node.tick(now))
                 self.wants_cold(n)
                 self.stands(n)
-            if company.line or company.words or self.now % TICK == 0:
-                said = company.tick(now, node.living())
+            if company.relay.queue or company.lease_messages or self.now % TICK == 0:
+                said = company.due_digests(now, node.living())
                 self.says(n, [datagram for to, load in said for datagram in node.say(to, load)])
-            for engine, report, age in company.news():
+            for engine, report, age in company.take_relayed_reports():
                 self.routers[n].probed(self.now, engine, "heard", report, age)
 
     def wants_cold(self, n: int) -> None:
@@ -434,7 +437,9 @@
         able = sum(e.able(self.now) for e in router.engines.values() if e.ready and e.cold(self.now))
         span = max(1, min(TRAFFIC_SPAN, self.now - router.light.began))
         rate = router.light.work / span if able else 0
-        self.companies[n].quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
+        self.companies[n].quotas.set_requested(
+            "cold", int(LIMIT_UNITS * rate / able / COLD_SHARE) if able else 0
+        )
 
     def says(self, n: int, said: list[tuple[str, bytes]]) -> None:
         self.bytes += sum(HEADERS + len(data) for _, data in said)
@@ -459,7 +464,7 @@
         self.name_all()
         for n, (node, company) in enumerate(zip(self.nodes, self.companies)):
             node.named(self.keys, EPOCH + self.now)
-            company.named(EPOCH + self.now, self.keys)
+            company.set_router_names(EPOCH + self.now, self.keys)
             self.tell(n)
         del self.nodes[routers:], self.companies[routers:]
         for n in range(len(self.routers), routers):
@@ -511,7 +516,7 @@
         report = engine.report()
         router.probed(self.now, engine.id, "finished", report)
         if n < len(self.companies):
-            self.companies[n].reported(EPOCH + self.now, engine.id, report)
+            self.companies[n].on_load_report(EPOCH + self.now, engine.id, report)
 
     def unheard(self, n: int, router: Teamwork, engine: Engine) -> None:
         router.probed(self.now, engine.id, "overdue", None)
@@ -519,7 +524,7 @@
 
     def failed(self, n: int, router: Teamwork, engine: int) -> None:
         if n < len(self.companies) and engine in router.engines and router.engines[engine].fails > 1:
-            self.companies[n].failed(EPOCH + self.now, engine)
+            self.companies[n].on_failure(EPOCH + self.now, engine)
 
     def submit(self, router: Teamwork, q: Query, engine: Engine) -> None:
         leg = len(router.queries[q.id].legs) - 1
@@ -531,7 +536,7 @@
         else:
             self.begin(engine, q, leg)
             if q.router < len(self.companies) and router.engines[engine.id].cold(self.now):
-                self.companies[q.router].sent_cold(EPOCH + self.now, engine.id, q.cost)
+                self.companies[q.router].on_warm_up_work(EPOCH + self.now, engine.id, q.cost)
 
     def forget(self) -> None:
         super().forget()
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -25,10 +25,9 @@
 import orjson
 
 from hillchute.coordination import codec as words
-from hillchute.coordination.fleet_view import WHOLE as PARTS
-from hillchute.coordination.fleet_view import Company
-from hillchute.coordination.load_signals import Drain, Ill, Load
-from hillchute.coordination.quota_leases import SPAN, Grant
+from hillchute.coordination.fleet_view import LIMIT_UNITS, FleetSettings, FleetView
+from hillchute.coordination.messages import Digest, DrainNotice, EngineFailure, LeaseGrant, LoadReport
+from hillchute.coordination.quota_leases import LEASE_DURATION
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
 from hillchute.lab import history_mutants, partners_mutants
@@ -70,7 +69,7 @@
         self.chance, self.now, self.at, self.change = random.Random(seed), STARTS, at, change
         self.names = [name(n) for n in range(ROUTERS)]
         self.nodes: dict[str, Node] = {}
-        self.companies: dict[str, Company] = {}
+        self.companies: dict[str, FleetView] = {}
         self.line: list[tuple[Time, int, str, bytes]] = []
         self.sent = self.order = 0
         self.used = False  # whether the change reached a reader
@@ -114,8 +113,11 @@
         keys = {other: key(who, other) for other in self.names if other != who}
         self.began[who] = self.now
         seed = self.names.index(who) + 1
-        self.companies[who] = Company(who, self.names, ["inflight"], [LIMIT], seed, self.now)
-        self.companies[who].listed(self.now, 1, range(ENGINES), ())
+        settings = FleetSettings(
+            name=who, router_names=self.names, columns=["inflight"], limits=[LIMIT], seed=seed
+        )
+        self.companies[who] = FleetView(settings, self.now)
+        self.companies[who].on_endpoint_list(self.now, 1, range(ENGINES), ())
         self.events[who], self.drained[who] = 1, set()
         self.nodes[who] = Node(who, self.now // 10, keys, seed, self.now, self.companies[who])
 
@@ -134,19 +136,19 @@
 
     def report(self, who: str, engine: int) -> None:
         if who in self.companies:
-            self.companies[who].reported(self.now, engine, {"inflight": self.sent % 9})
+            self.companies[who].on_load_report(self.now, engine, {"inflight": self.sent % 9})
 
     def fail(self, who: str, engine: int) -> None:
-        self.companies[who].failed(self.now, engine)
+        self.companies[who].on_failure(self.now, engine)
 
     def ask(self, who: str, units: int) -> None:
-        self.companies[who].quotas.asked(LIMIT, units)
+        self.companies[who].quotas.set_requested(LIMIT, units)
 
     def hears(self, who: str, number: int, gone: int | None = None) -> None:
         """Its own list of engines at an event."""
         self.events[who], self.drained[who] = number, set() if gone is None else {gone}
         ready = set(range(ENGINES)) - self.drained[who]
-        self.companies[who].listed(self.now, number, ready, self.drained[who])
+        self.companies[who].on_endpoint_list(self.now, number, ready, self.drained[who])
 
     def left(self) -> None:
         """A farewell is heard at once; where it was lost the silence tells, later."""
@@ -174,12 +176,12 @@
                 self.post(to, self.nodes[to].receive(self.now, data))
         for who, node in list(self.nodes.items()):
             self.post(who, node.tick(self.now))
-            said = self.companies[who].tick(self.now, node.living())
+            said = self.companies[who].due_digests(self.now, node.living())
             self.post(who, [datagram for to, load in said for datagram in node.say(to, load)])
             for to in node.wishes:
                 self.post(who, [(to, node.wish(to))])
             node.wishes = []
-            self.companies[who].news()
+            self.companies[who].take_relayed_reports()
         self.hold()
 
     def post(self, sender: str, said: list[tuple[str, bytes]]) -> None:
@@ -211,11 +213,11 @@
             limit = company.quotas.limits[LIMIT]
             parts += limit.usable(self.now)
             # A lender that lies gives what it may not have; that is its own word broken, no one else's.
-            parts -= sum(held.counts(self.now) for who, held in limit.held.items() if who == self.liar)
-        if parts > PARTS:
+            parts -= sum(held.usable(self.now) for who, held in limit.borrowed.items() if who == self.liar)
+        if parts > LIMIT_UNITS:
             self.fault(f"parts of {parts}")
         for who, company in honest.items():
-            closed = company.signals.closed()
+            closed = company.signals.closed_engines()
             if closed and self.events[who] >= 3:
                 self.fault(f"{who} closed {sorted(closed)} though its list has told later that it is back")
             if closed - {5}:
@@ -246,10 +248,14 @@
         for who, node in self.nodes.items():
             company = self.companies[who]
             limit = company.quotas.limits[LIMIT]
-            ills = [engine for engine in range(ENGINES) if company.signals.ill(self.now, engine)]
-            met = limit.usable(self.now) >= 0.9 * min(limit.asked, limit.home)
-            drains = [engine for engine in range(ENGINES) if company.signals.draining(engine)]
-            found[who] = (node.living(), drains, ills, company.unlike, met)
+            ills = [
+                engine
+                for engine in range(ENGINES)
+                if company.signals.count_failure_witnesses(self.now, engine)
+            ]
+            met = limit.usable(self.now) >= 0.9 * min(limit.requested, limit.entitlement)
+            drains = [engine for engine in range(ENGINES) if company.signals.count_drain_witnesses(engine)]
+            found[who] = (node.living(), drains, ills, company.differing_routers, met)
         return found
 
     def living(self) -> bool:
@@ -285,7 +291,7 @@
 def forged(data: bytes) -> bytes:
     """Another load under the mark of what was sent, as somebody without the key would try it."""
     datagram = opened(data)
-    load = words.encode(words.Parcel(drains=(Drain(1, 10**6),)))
+    load = words.encode(Digest(drains=(DrainNotice(1, 10**6),)))
     return data[: 1 + MARK] + encoder.encode(msgspec.structs.replace(datagram, load=load))
 
 
@@ -342,33 +348,36 @@
         yield liar(kind, lambda d, run, change=change: replace(d, load=carried(d, change)))
 
 
-def carried(datagram: Datagram, change: Callable[[words.Parcel], words.Parcel]) -> bytes:
+def carried(datagram: Datagram, change: Callable[[Digest], Digest]) -> bytes:
     try:
         return words.encoder.encode(change(words.decode(datagram.load, datagram.sender)))
     except DatagramDropped:
         return datagram.load
 
 
-def loads() -> Iterator[tuple[str, Callable[[words.Parcel], words.Parcel]]]:
+def loads() -> Iterator[tuple[str, Callable[[Digest], Digest]]]:
     replace = msgspec.structs.replace
     all = range(ENGINES)
-    yield "edition another", lambda p: replace(p, edition=1)
-    yield "all engines idle", lambda p: replace(p, loads=tuple(Load(e, 0, (0,)) for e in all))
-    yield "all engines full", lambda p: replace(p, loads=tuple(Load(e, 0, (10**6,)) for e in all))
-    yield "all engines ill", lambda p: replace(p, ills=tuple(Ill(e, 0) for e in all))
-    yield "all engines drain", lambda p: replace(p, drains=tuple(Drain(e, 10**6) for e in all))
-    for field, row in (("asks", "ask"), ("grants", "grant"), ("wants", "want")):
+    yield "edition another", lambda p: replace(p, membership_checksum=1)
+    yield "all engines idle", lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (0,)) for e in all))
+    yield (
+        "all engines full",
+        lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (10**6,)) for e in all)),
+    )
+    yield "all engines ill", lambda p: replace(p, failures=tuple(EngineFailure(e, 0) for e in all))
+    yield "all engines drain", lambda p: replace(p, drains=tuple(DrainNotice(e, 10**6) for e in all))
+    for field, row in (("lease_requests", "ask"), ("lease_grants", "grant"), ("demands", "want")):
         for what, value in (("zero", 0), ("most", 10**9)):
 
-            def changed(p: words.Parcel, field: str = field, value: int = value) -> words.Parcel:
+            def changed(p: Digest, field: str = field, value: int = value) -> Digest:
                 rows = {
-                    limit: said._replace(**{name: value for name in said._fields if name != "span"})
+                    limit: said._replace(**{name: value for name in said._fields if name != "duration"})
                     for limit, said in getattr(p, field).items()
                 }
                 return replace(p, **{field: rows})
 
             yield f"{row} {what}", changed
-    yield "a grant unasked", lambda p: replace(p, grants={LIMIT: Grant(1, 10**9, SPAN)})
+    yield "a grant unasked", lambda p: replace(p, lease_grants={LIMIT: LeaseGrant(1, 10**9, LEASE_DURATION)})
 
 
 CHANGES = (*network(), *lies())
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from hillchute.coordination.quota_leases import Quotas
+from hillchute.coordination.quota_leases import Entitlement, QuotaLeases
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Claim
 from hillchute.history.keeper import Keeper
@@ -193,7 +193,7 @@
         self.names = [name for some in routers.values() for name in some]
         self.whose = {name: partner for partner, some in routers.items() for name in some}
         self.quotas = {
-            n: Quotas(n, self.names, {"pool": WHOLE}, seed + i, 0) for i, n in enumerate(self.names)
+            n: QuotaLeases(n, self.names, {"pool": WHOLE}, seed + i, 0) for i, n in enumerate(self.names)
         }
         self.confined: set[str] = set()
         self.told_of = dict.fromkeys(self.names, shares)
@@ -205,7 +205,14 @@
         for name, quotas in self.quotas.items():
             home = homes(WHOLE, self.told_of[name], self.routers)[name]
             ours, least = self.routers[self.whose[name]], floor(WHOLE, len(self.names))
-            quotas.told(self.now, "pool", home, least, ours, GROWS_AFTER, name in self.confined)
+            entitlement = Entitlement(
+                units=home,
+                floor=least,
+                group=frozenset(ours),
+                settling_time=GROWS_AFTER,
+                confined=name in self.confined,
+            )
+            quotas.set_entitlement(self.now, "pool", entitlement)
 
     def play(self, seconds: float) -> None:
         for _ in range(int(seconds * SECOND / TICK)):
@@ -215,16 +222,16 @@
         self.now += TICK
         self.tell()
         for name, quotas in self.quotas.items():
-            quotas.asked("pool", self.wants[name])
-        said = {name: quotas.wants(self.now) for name, quotas in self.quotas.items()}
+            quotas.set_requested("pool", self.wants[name])
+        said = {name: quotas.demands(self.now) for name, quotas in self.quotas.items()}
         for name, wants in said.items():
             for other, quotas in self.quotas.items():
                 if other != name:
-                    quotas.heard(self.now, name, wants)
-        words = [(n, w) for n, q in self.quotas.items() for w in q.tick(self.now, self.names)]
+                    quotas.on_demands(self.now, name, wants)
+        words = [(n, w) for n, q in self.quotas.items() for w in q.due_requests(self.now, self.names)]
         for name, word in words:
-            for back in self.quotas[word.to].asks(self.now, name, word.limit, word.what):
-                self.quotas[name].granted(self.now, word.to, back.limit, back.what)
+            for back in self.quotas[word.recipient].on_request(self.now, name, word.limit, word.body):
+                self.quotas[name].on_grant(word.recipient, back.limit, back.body)
         self.most = max(self.most, sum(self.may_use(name) for name in self.names))
 
     def may_use(self, name: str) -> int:
@@ -263,8 +270,10 @@
         full = [p for p in routers if asked[p] >= WHOLE * shares[p] / 10_000]
         for name, quotas in pool.quotas.items():
             limit = quotas.limits["pool"]
-            lent = sum(lent.out(pool.now) for who, lent in limit.lent.items() if who not in limit.ours)
-            if lent and limit.asked >= limit.home:
+            lent = sum(
+                lent.outstanding(pool.now) for who, lent in limit.lent.items() if who not in limit.group
+            )
+            if lent and limit.requested >= limit.entitlement:
                 low.setdefault(name, pool.now)
             elif name in low:
                 back.append(pool.now - low.pop(name))
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -24,13 +24,13 @@
 class Passenger(Protocol):
     """Who rides with the datagrams."""
 
-    def beside(self, now: Time, to: str) -> bytes: ...
+    def ping_digest(self, now: Time, recipient: str) -> bytes: ...
 
-    def heard(self, now: Time, sender: str, data: bytes) -> None: ...
+    def on_digest(self, now: Time, sender: str, data: bytes) -> None: ...
 
-    def all(self, now: Time, to: str) -> list[bytes]: ...
+    def newcomer_digests(self, now: Time, recipient: str) -> list[bytes]: ...
 
-    def gone(self, name: str) -> None: ...
+    def on_router_lost(self, name: str) -> None: ...
 
 
 class Rider(Protocol):
@@ -81,7 +81,7 @@
                 if datagram.kind in self.riders:
                     self.riders[datagram.kind].heard(now, datagram.sender, datagram.load)
             elif datagram.load:
-                self.passenger.heard(now, datagram.sender, datagram.load)
+                self.passenger.on_digest(now, datagram.sender, datagram.load)
         except DatagramDropped as fault:
             self.dropped[fault.what.split(":")[0]] += 1
             return []
@@ -92,7 +92,7 @@
         said = self.roster.heard(now, datagram.sender, *told)
         self.changes(now)
         if datagram.kind == ALL:
-            loads = self.passenger.all(now, datagram.sender)
+            loads = self.passenger.newcomer_digests(now, datagram.sender)
             return [said for load in loads for said in self.say(datagram.sender, load)]
         return [self.encoded(now, send) for send in said]
 
@@ -130,7 +130,7 @@
         if alive == self.alive:
             return
         for name in sorted(self.alive - alive):
-            self.passenger.gone(name)
+            self.passenger.on_router_lost(name)
         fresh = sorted(alive - self.alive)
         if fresh and now - self.wished >= ALL_EVERY:
             self.wished = now
@@ -140,7 +140,7 @@
     def encoded(self, now: Time, send: Send, bare: bool = False) -> tuple[str, bytes]:
         """With the passenger's load where there is room for it. Who lives goes first, and of that whom the
         datagram is about: long names may leave no room for all rumours."""
-        load = b"" if bare else self.passenger.beside(now, send.to)
+        load = b"" if bare else self.passenger.ping_digest(now, send.to)
         while True:
             try:
                 return send.to, self.marked(send, load)
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Container, Mapping
 from dataclasses import dataclass, field
 
-from hillchute.coordination.subsetting import Sight
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import Router, Time
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
@@ -97,7 +97,7 @@
         self.notes_every: Time = catalog.get("domain.tells_every", 0)
         # Notes come as often as the settings say; the rest is the way there and back.
         self.silence: Time = self.notes_every + 2 * self.connect_wait
-        self.sight = Sight(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.sight = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
         self.told_to = 0  # number of the last event of the list of engines
         self.peers: dict[int, Peer] = {}
         self.lines: dict[int, Line] = {}
@@ -281,7 +281,7 @@
                 peer.ready = peer.ready and engine in listed
         self.module.roster(self.desk.now, news.mode, [entry.listing for entry in news.entries])
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
-        self.module.nearby(self.desk.now, self.sight.near(ready))
+        self.module.nearby(self.desk.now, self.sight.select(ready))
         forgotten = len(self.peers) != len(self.module.engines)
         for engine, peer in list(self.peers.items()) if forgotten else ():
             if engine not in self.module.engines:  # gone, with nothing out
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hillchute.coordination.quota_leases import LENT, Quotas
+from hillchute.coordination.quota_leases import LENDER_HOLD, Entitlement, QuotaLeases
 from hillchute.decision.interface import Listing, Time
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
@@ -31,7 +31,9 @@
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
 
-GROWS_AFTER: Time = int(LEASE * (1 + 2 * DRIFT)) + LENT  # by then all that have less by a new text use less
+GROWS_AFTER: Time = (
+    int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
+)  # by then all that have less by a new text use less
 VERDICTS = {"finished": "ANSWER", "deferred": "DEFER", "killed": "KILL"}
 
 
@@ -205,12 +207,12 @@
                 brings[whose["name"]] += cores[entry.kind]
         self.council.brings(self.clock(), brings)
 
-    def pool(self, quotas: Quotas) -> None:
+    def pool(self, quotas: QuotaLeases) -> None:
         """This router's part of the pool, as the text that holds gives it. Where it is not known to hold, for
         want of a view or of the text that others go by, the router keeps to the floor."""
         now, council = self.clock(), self.council
         routers = council.routers
-        whole = quotas.limits["pool"].whole
+        whole = quotas.limits["pool"].total
         if self.homes[0] != council.revision:
             self.homes = council.revision, homes(whole, council.counted(now), routers)
         home = self.homes[1].get(self.node.me, 0)
@@ -218,7 +220,10 @@
         known = self.views is not None and self.views.views.in_force(now)
         confined = not (known and council.current() and council.holds(now))
         ours = routers.get(council.partner, frozenset())
-        quotas.told(now, "pool", home, least, ours, GROWS_AFTER, confined)
+        entitlement = Entitlement(
+            units=home, floor=least, group=frozenset(ours), settling_time=GROWS_AFTER, confined=confined
+        )
+        quotas.set_entitlement(now, "pool", entitlement)
 
     # ---- log, reload ------------------------------------------------------------------------------------
 
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from hillchute.coordination.fleet_view import Company
+from hillchute.coordination.fleet_view import FleetSettings, FleetView
 from hillchute.decision.interface import Report
 from hillchute.decision.teamwork import Teamwork
 from hillchute.errors import ClockBehind, ListsDiffer
@@ -50,14 +50,17 @@
         columns = columns if isinstance(columns, list | tuple) else [columns]
         limits = (["cold"] if catalog.get("guarantees.cold") else []) + rated
         limits += ["pool"] if operator.get("partners") else []
-        self.company = Company(me, [me, *keys], columns, limits, station.seed, now)
+        fleet = FleetSettings(
+            name=me, router_names=[me, *keys], columns=columns, limits=limits, seed=station.seed
+        )
+        self.company = FleetView(fleet, now)
         self.node = Node(me, now // 10, keys, station.seed, now, self.company)
         self.link = Link(
             Address(*address(settings["listen"], "peers.listen")),
             self.addresses,
             self.node,
             self.clock,
-            due=lambda now: self.company.tick(now, self.node.living()),
+            due=lambda now: self.company.due_digests(now, self.node.living()),
             moved=self.heard,
             fault=lambda trace: log.write("fault", what="peers", trace=trace),
         )
@@ -115,21 +118,23 @@
         if now - self.logged >= LOGGED:
             self.logged = now
             self.tell_counts(now)
-        if self.company.fresh or now >= self.telling.until:
+        if self.company.relayed_reports or now >= self.telling.until:
             self.moved()
 
     def tell_counts(self, now: int) -> None:
-        parts = {name: round(self.company.quotas.part(name, now), 4) for name in self.company.quotas.limits}
+        parts = {
+            name: round(self.company.quotas.usable_share(name, now), 4) for name in self.company.quotas.limits
+        }
         self.log.write(
             "peers_count",
             living=len(self.known),
             **dict(self.link.counts),
             dropped=dict(self.node.dropped),
-            refused=self.company.signals.refused,
+            refused=self.company.signals.implausible_reports,
             closed=sorted(self.telling.closed),
             parts=parts,
         )
-        for name in sorted(self.company.unlike):
+        for name in sorted(self.company.differing_routers):
             self.log.write("peers_differ", **ListsDiffer("other names under `peers`", name).told)
 
         if behind := self.node.dropped[CLOCK_BEHIND]:
@@ -137,7 +142,7 @@
             self.log.write("peers_clock", **fault.told)
 
     def news(self) -> list[tuple[int, Report, int]]:
-        return self.company.news()
+        return self.company.take_relayed_reports()
 
     def renew(self, operator: Mapping[str, object]) -> list[str]:
         """The operator file's peers and history read again; the paths of what needs a restart."""
@@ -146,7 +151,7 @@
         restart = [f"peers.{key}" for key in ("name", "listen") if settings[key] != self.settings[key]]
         if not restart:
             self.node.named(keys, self.clock())
-            self.company.named(self.clock(), [settings["name"], *keys])
+            self.company.set_router_names(self.clock(), [settings["name"], *keys])
             self.link.addresses = addresses
             self.settings = settings
         if self.remembering is not None and history:
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -130,7 +130,7 @@
         """One wait of so many seconds in the mean, that does not end with those of other routers."""
         self.waits += 1
         chance = crc32(f"{self.station.seed}:wait:{self.waits}".encode()) / 2**32
-        return jitter.spread(int(seconds * SECOND), chance) / SECOND
+        return jitter.randomized(int(seconds * SECOND), chance) / SECOND
 
     def engine_links(self, settings: Mapping[str, object]) -> Links:
         lines = self.reducer.lines
--- a/hillchute/router/telling.py
+++ b/hillchute/router/telling.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from hillchute.coordination.fleet_view import WHOLE, Company
+from hillchute.coordination.fleet_view import LIMIT_UNITS, FleetView
 from hillchute.decision.interface import Decision, EngineId, Listing, QueryId, Report, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.state import Engine, Light
@@ -20,7 +20,7 @@
     def __init__(
         self,
         module: Teamwork,
-        company: Company,
+        company: FleetView,
         catalog: Mapping[str, object],
         clock: Callable[[], Time],
         living: Callable[[], list[str]],
@@ -54,13 +54,13 @@
     def nearby(self, now: Time, engines: frozenset[EngineId]) -> None:
         """The list has changed: sights and circles follow from the names of the peers, not from settings."""
         ready = {e for e, entry in self.listings.items() if entry.state == "Ready"}
-        self.company.listed(self.clock(), self.reached(), ready, self.listings.keys() - ready)
+        self.company.on_endpoint_list(self.clock(), self.reached(), ready, self.listings.keys() - ready)
         if self.partnering is not None:
             self.partnering.listed(self.listings.values())
         self.stand(now)
 
     def take(self, now: Time, query: QueryId, group: int, *about: object) -> None:
-        self.company.counted(group, False)
+        self.company.count_query(group, rejected=False)
         self.asking[query] = group
         self.module.take(now, query, group, *about)
         if self.partnering is not None and query in self.module.queries:
@@ -97,12 +97,12 @@
     def saw(self, engine: EngineId, result: str, report: Report | None) -> None:
         known, now = self.module.engines.get(engine), self.clock()
         if report:
-            self.company.reported(now, engine, report)
+            self.company.on_load_report(now, engine, report)
             self.soon()
         elif result == "finished":
-            self.company.ran(now, engine)
+            self.company.on_success(now, engine)
         elif known is not None and known.fails > 1:
-            self.company.failed(now, engine)
+            self.company.on_failure(now, engine)
 
     # ---- from the module to the router ----------------------------------------------------------------
 
@@ -115,13 +115,13 @@
             case ("submit", query, engine, _):
                 self.submitted(now, query, engine)
             case ("defer" | "kill", query, *_):
-                self.company.counted(self.asking.pop(query, 0), True)
+                self.company.count_query(self.asking.pop(query, 0), rejected=True)
         return decision
 
     def submitted(self, now: Time, query: QueryId, engine: EngineId) -> None:
         known = self.module.engines[engine]
         if known.cold(now):
-            self.company.sent_cold(self.clock(), engine, int(self.module.queries[query].work))
+            self.company.on_warm_up_work(self.clock(), engine, int(self.module.queries[query].work))
 
     # ---- from the company to the module -----------------------------------------------------------------
 
@@ -129,9 +129,9 @@
         """The module is told how things stand with the others, as of now."""
         self.wants(now)
         tips = {e.id: self.multiple * self.span * e.able(now) for e in self.warming(now)}
-        standing = self.company.standing(self.clock(), self.living(), tips, self.span)
-        self.until = standing.until
-        self.module.nearby(now, standing.near, standing.routers, {**standing.parts, **self.pool()})
+        standing = self.company.state(self.clock(), self.living(), tips, self.span)
+        self.until = standing.valid_until
+        self.module.nearby(now, standing.subset, standing.routers, {**standing.shares, **self.pool()})
         engines, listings = self.module.engines, self.listings
         shut = [e for e in standing.closed if e in listings and e in engines and engines[e].ready]
         changed = [listings[e]._replace(state="Terminating") for e in shut]
@@ -144,7 +144,7 @@
         """With partners: how many routers of this one's size the pool would have, by its part of it."""
         if self.partnering is None:
             return {}
-        return {"pool": 1 / max(1 / WHOLE, self.company.quotas.part("pool", self.clock()))}
+        return {"pool": 1 / max(1 / LIMIT_UNITS, self.company.quotas.usable_share("pool", self.clock()))}
 
     def warming(self, now: Time) -> list[Engine]:
         return [e for e in self.module.engines.values() if e.ready and e.cold(now)]
@@ -156,13 +156,13 @@
             self.partnering.pool(quotas)
             cores = sum(e.able(now) for e in module.engines.values() if e.ready)
             rate = self.work.rate(now, TRAFFIC_SPAN)
-            quotas.asked("pool", int(WHOLE * min(1.0, rate / cores)) if cores else 0)
+            quotas.set_requested("pool", int(LIMIT_UNITS * min(1.0, rate / cores)) if cores else 0)
         if "cold" in quotas.limits:
             able = sum(e.able(now) for e in self.warming(now))
             rate = module.light.work / max(1, min(TRAFFIC_SPAN, now - module.light.began))
-            quotas.asked("cold", int(WHOLE * rate / able / COLD_SHARE) if able else 0)
+            quotas.set_requested("cold", int(LIMIT_UNITS * rate / able / COLD_SHARE) if able else 0)
         for tenant, taken in module.taken.of.items():
             rate = self.catalog.get(f"parties.{tenant}.quota_per_s")
             if rate and f"parties.{tenant}" in quotas.limits:
                 span = max(SECOND, now - module.taken.line[0][0]) if module.taken.line else SECOND
-                quotas.asked(f"parties.{tenant}", int(WHOLE * taken * SECOND / span / rate))
+                quotas.set_requested(f"parties.{tenant}", int(LIMIT_UNITS * taken * SECOND / span / rate))
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from hillchute.coordination import jitter, subsetting
-from hillchute.coordination.subsetting import Sight, pairs
+from hillchute.coordination.subsetting import Subset, all_pairs
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.membership import event_bus
@@ -30,7 +30,7 @@
 @given(fleets, st.integers(1, 16))
 def test_routers_that_engines_serve_differ_by_one_at_the_most(fleet, size):
     routers, engines = fleet
-    counts = served(pairs(engines, routers, size))
+    counts = served(all_pairs(engines, routers, size))
     assert set(counts) <= engines and sum(counts.values()) == routers * min(size, len(engines))
     for some in (engines, {e for e in engines if e % 3 == 0}, {e for e in engines if e % 3 == 1}):
         widths = [counts[e] for e in some]  # of one kind or zone as well
@@ -42,33 +42,33 @@
 def test_engine_that_goes_or_comes_moves_two_parts_of_all_at_the_most(fleet, other):
     routers, engines = fleet
     engines = engines | {other}
-    all_of_them, without = pairs(engines, routers), pairs(engines - {other}, routers)
+    all_of_them, without = all_pairs(engines, routers), all_pairs(engines - {other}, routers)
     most = 2 * -(-len(all_of_them) // len(engines))
     assert len(without - all_of_them) <= most and len(all_of_them - without) <= most
     # Nobody loses an engine that stays because another goes, nor gains one because another comes.
     left = {pair for pair in all_of_them if pair[1] != other}
-    assert len(engines) <= subsetting.SIZE or left <= without
+    assert len(engines) <= subsetting.SUBSET_SIZE or left <= without
 
 
 @settings(max_examples=30, deadline=None)
 @given(fleets)
 def test_engine_that_drains_gives_its_pairs_to_as_many_others_as_it_had(fleet):
     routers, engines = fleet
-    if len(engines) <= subsetting.SIZE + 1:
+    if len(engines) <= subsetting.SUBSET_SIZE + 1:
         return
     one = max(engines)
-    gained = pairs(engines - {one}, routers) - pairs(engines, routers)
-    had = served(pairs(engines, routers))[one]
+    gained = all_pairs(engines - {one}, routers) - all_pairs(engines, routers)
+    had = served(all_pairs(engines, routers))[one]
     each = -(-had // (len(engines) - 1))
     assert len(gained) == had and max(served(gained).values(), default=0) <= each
 
 
 @pytest.mark.parametrize("routers, count", SIZES)
 def test_router_works_out_its_own_part_of_the_pairs_alone(routers, count):
-    engines = [subsetting.mixed(n) for n in range(count)]
-    every = pairs(engines, routers)
+    engines = [subsetting.mix(n) for n in range(count)]
+    every = all_pairs(engines, routers)
     for me in range(0, routers, max(1, routers // 7)):
-        assert Sight(me, routers).near(reversed(engines)) == {e for r, e in every if r == me}
+        assert Subset(me, routers).select(reversed(engines)) == {e for r, e in every if r == me}
 
 
 def test_router_that_comes_moves_its_own_part_and_no_more():
@@ -77,7 +77,7 @@
         moved, gained = [], []
         for n in range(routers, routers + 12):
             engines = range(1000 * n, 1000 * n + count)
-            before, after = pairs(engines, n), pairs(engines, n + 1)
+            before, after = all_pairs(engines, n), all_pairs(engines, n + 1)
             moved.append(len(before - after) / len(before))
             gained.append(sum(r < n for r, _ in after - before) / len(before))
         assert max(moved) <= 2 / routers and max(gained) <= 1 / routers
@@ -86,38 +86,38 @@
 
 def test_no_router_is_left_with_nothing_and_few_with_little():
     for routers, count in [(200, 80), (230, 300), (1000, 512)]:
-        sizes = Counter(router for router, _ in pairs(range(count), routers))
+        sizes = Counter(router for router, _ in all_pairs(range(count), routers))
         assert len(sizes) == routers and sum(size < 4 for size in sizes.values()) < routers / 25
 
 
 def test_few_engines_are_all_in_sight_and_numbers_from_one_do_no_harm():
-    assert Sight(2, 3).near(range(8)) == set(range(8))
-    assert Sight(3, 3).near(range(80)) == Sight(0, 3).near(range(80))
-    assert Sight(0, 0).near([]) == frozenset()
+    assert Subset(2, 3).select(range(8)) == set(range(8))
+    assert Subset(3, 3).select(range(80)) == Subset(0, 3).select(range(80))
+    assert Subset(0, 0).select([]) == frozenset()
 
 
 def test_list_that_changes_costs_no_more_than_the_engines_that_are_new(monkeypatch):
     asked = []
-    rank = subsetting.Rank
-    monkeypatch.setattr(subsetting, "Rank", lambda engine, me: asked.append(engine) or rank(engine, me))
-    sight = Sight(0, 200)
-    sight.near(range(80))
+    rank = subsetting.RouterRank
+    monkeypatch.setattr(subsetting, "RouterRank", lambda engine, me: asked.append(engine) or rank(engine, me))
+    sight = Subset(0, 200)
+    sight.select(range(80))
     asked.clear()
-    sight.near(range(3, 83))
+    sight.select(range(3, 83))
     assert sorted(asked) == [80, 81, 82]
-    sight.near(range(3, 83))
+    sight.select(range(3, 83))
     assert len(asked) == 3 and len(sight.ranks) == 80  # those that are gone are forgotten
 
 
 @pytest.mark.parametrize("routers, many", [(1, 5), (3, 30), (40, 200), (200, 80), (230, 800)])
 def test_engines_in_sight_are_the_pairs_whatever_changes_came_before(routers, many):
     chance = random.Random(routers)
-    sights = {me: Sight(me, routers) for me in {0, routers // 2, routers - 1}}
+    sights = {me: Subset(me, routers) for me in {0, routers // 2, routers - 1}}
     for _ in range(6):
         engines = chance.sample(range(2 * many), chance.randint(0, many))
-        wanted = pairs(engines, routers)
+        wanted = all_pairs(engines, routers)
         for me, sight in sights.items():
-            assert sight.near(engines) == {engine for router, engine in wanted if router == me}
+            assert sight.select(engines) == {engine for router, engine in wanted if router == me}
 
 
 # ---- turns ------------------------------------------------------------------------------------------
@@ -132,36 +132,36 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 400), st.text(max_size=8), st.floats(0.02, 1.0))
 def test_all_that_learn_in_one_instant_take_turns_within_the_stated_bound(routers, thing, part):
-    places = [jitter.place(router, thing) for router in range(routers)]
-    assert most_within(places, part) <= jitter.most_by_number(routers, part)
+    places = [jitter.position(router, thing) for router in range(routers)]
+    assert most_within(places, part) <= jitter.max_by_number(routers, part)
 
 
 @pytest.mark.parametrize("wrong", [0.5, 1.0, 1.5])
 def test_count_that_is_wrong_by_half_makes_the_sum_as_much_larger_or_smaller(wrong):
     """Five routers in each 100 ms are wished for, of 200; the count tells half, or half as much again."""
-    span = jitter.window(int(200 * wrong), 5, 1000)
-    moments = [jitter.turn(router, "engine 7", span) for router in range(200)]
-    assert most_within(moments, 1000) <= jitter.most_by_number(200, 1000 / span)
-    assert jitter.most_by_number(200, 1000 / span) <= 5 / wrong + jitter.MORE + 1
+    span = jitter.window_length(int(200 * wrong), 5, 1000)
+    moments = [jitter.delay_by_number(router, "engine 7", span) for router in range(200)]
+    assert most_within(moments, 1000) <= jitter.max_by_number(200, 1000 / span)
+    assert jitter.max_by_number(200, 1000 / span) <= 5 / wrong + jitter.GOLDEN_RATIO_EXCESS + 1
 
 
 def test_router_that_restarts_keeps_its_place_and_no_router_is_always_first():
-    assert jitter.turn(17, "list 5", 10_000) == jitter.turn(17, "list 5", 10_000)
-    first = {min(range(200), key=lambda router: jitter.place(router, thing)) for thing in range(50)}
+    assert jitter.delay_by_number(17, "list 5", 10_000) == jitter.delay_by_number(17, "list 5", 10_000)
+    first = {min(range(200), key=lambda router: jitter.position(router, thing)) for thing in range(50)}
     assert len(first) > 30
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_turns_by_chance_pass_their_bound_no_more_often_than_stated(seed):
     chance, odds = random.Random(seed), 1e-3
-    most = jitter.most_by_chance(200, 0.05, odds)
+    most = jitter.max_by_chance(200, 0.05, odds)
     counts = [sum(chance.random() < 0.05 for _ in range(200)) for _ in range(300)]
     assert sum(count > most for count in counts) <= 3  # 0.3 in the mean; over 3 once in some thousand seeds
     assert most < 200 * 0.05 * 3
 
 
 def test_waits_that_began_together_end_apart_and_in_the_mean_alike():
-    waits = [jitter.spread(1000, n / 100) for n in range(100)]
+    waits = [jitter.randomized(1000, n / 100) for n in range(100)]
     assert min(waits) == 500 and max(waits) < 1500 and abs(sum(waits) / 100 - 1000) < 10
 
 
@@ -177,7 +177,7 @@
     fleet = [waits(seed) for seed in range(200)]
     for one_try in zip(*fleet):
         assert min(one_try) >= 0.125 and max(one_try) < 0.375
-        assert most_within(one_try, 0.0125) <= jitter.most_by_chance(200, 0.05, 1e-6)
+        assert most_within(one_try, 0.0125) <= jitter.max_by_chance(200, 0.05, 1e-6)
     assert waits(5) == waits(5)
 
 
@@ -185,13 +185,13 @@
     entries = [event_bus.Entry(Listing(n, 0, 0, 0, 0, "Ready", 1.0), "10.0.0.1", 1) for n in range(80)]
     reducer = Reducer(Teamwork(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
     reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
-    assert reducer.module.near == Sight(7, 200).near(range(80)) != frozenset()
+    assert reducer.module.near == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.near)
     listing = entries[gone].listing._replace(state="Terminating")
     reducer.reduce(
         events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
-    assert reducer.module.near == Sight(7, 200).near(n for n in range(80) if n != gone)
+    assert reducer.module.near == Subset(7, 200).select(n for n in range(80) if n != gone)
 
 
 # ---- their use in the module ------------------------------------------------------------------------
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -115,7 +115,7 @@
     station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     peering = Peering({"peers": peers}, station, None, log, lambda: None)
-    peering.company.unlike = {"b"}
+    peering.company.differing_routers = {"b"}
     peering.tell_counts(0)
 
 
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hillchute.coordination import load_signals, quota_leases
-from hillchute.coordination.load_signals import Signals
-from hillchute.coordination.quota_leases import Limit
+from hillchute.coordination.load_signals import LoadSignals
+from hillchute.coordination.quota_leases import LimitState
 from hillchute.lab import mutants
 from hillchute.lab.mutants import CHANGES, Run, judge, play
 from hillchute.peers import roster
@@ -40,7 +40,7 @@
 
 def carries_grant(data: bytes) -> bool:
     datagram = mutants.opened(data)
-    return bool(mutants.words.decode(datagram.load, datagram.sender).grants)
+    return bool(mutants.words.decode(datagram.load, datagram.sender).lease_grants)
 
 
 def farewell(data: bytes) -> bool:
@@ -78,21 +78,21 @@
 
 
 def counted_twice(self, now):
-    return WAS[Limit, "usable"](self, now) + sum(held.counts(now) for held in self.held.values())
+    return WAS[LimitState, "usable"](self, now) + sum(held.usable(now) for held in self.borrowed.values())
 
 
 def forgets_the_event(self, number, engines):
-    WAS[Signals, "listed"](self, number, engines)
-    self.listed_to = 0
+    WAS[LoadSignals, "on_endpoint_list"](self, number, engines)
+    self.list_event = 0
 
 
 def nothing_is_before(self, now):
-    return self.amount * (now < self.until)
+    return self.amount * (now < self.expires_at)
 
 
 def any_age(self, now, engine):
     known = self.engines.get(engine)
-    return len(known.ills) if known else 0
+    return len(known.failures) if known else 0
 
 
 def unbelieved_farewell(self, sender, told):
@@ -101,18 +101,18 @@
 
 
 def opens_again(self, now, number, ready, closed):
-    from hillchute.coordination.fleet_view import Company
+    from hillchute.coordination.fleet_view import FleetView
 
-    WAS[Company, "listed"](self, now, number, {*ready, *closed}, closed)
+    WAS[FleetView, "on_endpoint_list"](self, now, number, {*ready, *closed}, closed)
 
 
 WAS = {
     (owner, name): getattr(owner, name)
     for owner, name in (
         (Roster, "rumour"),
-        (Limit, "usable"),
-        (Signals, "listed"),
-        (mutants.Company, "listed"),
+        (LimitState, "usable"),
+        (LoadSignals, "on_endpoint_list"),
+        (mutants.FleetView, "on_endpoint_list"),
     )
 }
 
@@ -121,14 +121,14 @@
     "owner, name, fault, kinds, picks",
     [
         (hmac, "compare_digest", lambda a, b: True, ("a drain put in",), None),
-        (quota_leases, "LENT", 0, (), None),
-        (Limit, "own", lambda self, now: self.home, (), None),
-        (Limit, "usable", counted_twice, (), None),
-        (quota_leases.Lent, "out", nothing_is_before, ("left out", "late by"), carries_grant),
-        (load_signals, "WITNESSES", 1, ("all engines drain",), None),
-        (Signals, "listed", forgets_the_event, (), None),
-        (Signals, "ill", any_age, (), None),
-        (mutants.Company, "listed", opens_again, (), None),
+        (quota_leases, "LENDER_HOLD", 0, (), None),
+        (LimitState, "own_units", lambda self, now: self.entitlement, (), None),
+        (LimitState, "usable", counted_twice, (), None),
+        (quota_leases.LentLease, "outstanding", nothing_is_before, ("left out", "late by"), carries_grant),
+        (load_signals, "WITNESSES_TO_CLOSE", 1, ("all engines drain",), None),
+        (LoadSignals, "on_endpoint_list", forgets_the_event, (), None),
+        (LoadSignals, "count_failure_witnesses", any_age, (), None),
+        (mutants.FleetView, "on_endpoint_list", opens_again, (), None),
         (Roster, "rumour", dead_by_hearsay, ("all others",), None),
         (Roster, "rumour", unbelieved_farewell, (), None),
         (roster, "AHEAD", 10**19, ("all others",), None),
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from hillchute.cli import commands
-from hillchute.coordination.quota_leases import LENT
+from hillchute.coordination.quota_leases import LENDER_HOLD
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.fronts.events import FIRST_GUEST
@@ -276,7 +276,7 @@
     lent = pool.of("b")
     assert lent > 0.5 * WHOLE and pool.may_use("a0") >= 100_000
     pool.wants |= {"a0": WHOLE, "a1": WHOLE}
-    pool.play(1 + LENT / SECOND + 1)  # what was lent is back within a loan's time and an ask's
+    pool.play(1 + LENDER_HOLD / SECOND + 1)  # what was lent is back within a loan's time and an ask's
     assert pool.of("a") / WHOLE > 0.68
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,9 +11,9 @@
 import pytest
 from test_router import TABLE
 
-from hillchute.coordination.fleet_view import Company
-from hillchute.coordination.load_signals import Drain, News
-from hillchute.coordination.quota_leases import SPAN, Held
+from hillchute.coordination.fleet_view import FleetSettings, FleetView
+from hillchute.coordination.messages import DrainNotice, Observations
+from hillchute.coordination.quota_leases import LEASE_DURATION, BorrowedLease
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.errors import HillchuteError
@@ -83,16 +83,16 @@
     def __init__(self):
         self.heard_of, self.ended = [], []
 
-    def beside(self, now, to):
+    def ping_digest(self, now, recipient):
         return b"x" * 100
 
-    def heard(self, now, sender, data):
+    def on_digest(self, now, sender, data):
         self.heard_of.append((sender, data))
 
-    def all(self, now, to):
+    def newcomer_digests(self, now, recipient):
         return [b"all"] * 3
 
-    def gone(self, name):
+    def on_router_lost(self, name):
         self.ended.append(name)
 
 
@@ -159,7 +159,7 @@
 
 def test_load_that_does_not_fit_goes_without_and_who_lives_is_still_told():
     net = Nodes(["a", "b"])
-    net.nodes["a"].passenger.beside = lambda now, to: b"x" * MOST
+    net.nodes["a"].passenger.ping_digest = lambda now, recipient: b"x" * MOST
     net.play(3)
     assert net.nodes["b"].living() == ["a"] and net.nodes["a"].living() == ["b"]
     assert not net.nodes["a"].say("b", b"x" * MOST) and net.nodes["a"].dropped["load too long to go"] == 1
@@ -214,7 +214,10 @@
     """A telling over a module with engines 1 to 3, its clock, and a company of four routers."""
     catalog = config.settings(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
     clock = [NOW]
-    company = Company("r0", ["r0", "r1", "r2", "r3"], ["inflight"], ["cold"], 1, NOW)
+    settings = FleetSettings(
+        name="r0", router_names=["r0", "r1", "r2", "r3"], columns=["inflight"], limits=["cold"], seed=1
+    )
+    company = FleetView(settings, NOW)
     soon = []
     found = Telling(
         Teamwork(1, catalog, 0),
@@ -239,7 +242,7 @@
     told.module.give_up(told.module.queries["q1"], "crowd")
     assert told.decide(10)[:2] == ("defer", "q1")
     told.left(10, "q0")
-    assert told.company.taken == {0: 1, 1: 2} and told.company.away == {1: 1}
+    assert told.company.own.received == {0: 1, 1: 2} and told.company.own.rejected == {1: 1}
     assert told.asking.keys() == {"q2"}
 
 
@@ -250,14 +253,14 @@
 
 def test_report_that_comes_here_is_told_and_one_heard_of_is_not(told):
     told.probed(10, 1, "finished", {"inflight": 3})
-    assert told.said and told.company.reports.keys() == {1}
+    assert told.said and told.company.own.load_reports.keys() == {1}
     told.probed(10, 2, "heard", {"inflight": 3}, age=5)
-    assert told.company.reports.keys() == {1} and told.module.engines[2].reported_at == 5
+    assert told.company.own.load_reports.keys() == {1} and told.module.engines[2].reported_at == 5
 
 
 def test_engine_closed_by_others_word_takes_nothing_until_the_list_has_come_so_far(told):
     for witness in ("r1", "r2"):
-        told.company.signals.heard(NOW, witness, News(drains=(Drain(3, 9),)))
+        told.company.signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(3, 9),)))
     told.stand(20)
     assert not told.module.engines[3].ready
     told.roster(25, "Partial", [Listing(3, 0, 0, 0, 0, "Ready", 1.0)])
@@ -278,10 +281,12 @@
     told.stand(100)
     own = told.module.parts["cold"]
     now = told.clock_of[0]
-    limit.held["r1"] = Held(1, now, 100_000, 100_000, now + SPAN)
+    limit.borrowed["r1"] = BorrowedLease(1, now, 100_000, 100_000, now + LEASE_DURATION)
     told.stand(100)
     assert told.module.parts["cold"] > own
-    told.clock_of[0] += SPAN  # the process stands still as long as the loan lasts, and wakes in a decision
+    told.clock_of[0] += (
+        LEASE_DURATION  # the process stands still as long as the loan lasts, and wakes in a decision
+    )
     told.decide(100)
     assert told.module.parts["cold"] == own
 
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -6,19 +6,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from hillchute.coordination.messages import Demand, LeaseGrant, LeaseRequest
 from hillchute.coordination.quota_leases import (
-    AGAIN,
-    FLOOR,
-    KIN,
-    LENT,
-    SPAN,
-    TO_ONE,
-    Ask,
-    Grant,
-    Quotas,
-    Want,
-    even,
-    home,
+    FLOOR_DIVISOR,
+    LEASE_DURATION,
+    LENDER_HOLD,
+    MAX_LENDERS,
+    RENEWAL_INTERVAL,
+    SINGLE_LEASE_DIVISOR,
+    QuotaLeases,
+    equal_entitlement,
+    equalizing_units,
 )
 
 WHOLE = 1_000_000
@@ -48,13 +46,13 @@
 
     def start(self, name):
         seed = self.chance.getrandbits(20)
-        self.routers[name] = Quotas(name, self.names, {X: WHOLE}, seed, self.clock(name))
-        self.routers[name].asked(X, self.asked[name])
+        self.routers[name] = QuotaLeases(name, self.names, {X: WHOLE}, seed, self.clock(name))
+        self.routers[name].set_requested(X, self.asked[name])
 
     def ask(self, name, units):
         self.asked[name] = units
         if name in self.routers:
-            self.routers[name].asked(X, units)
+            self.routers[name].set_requested(X, units)
 
     def post(self, sender, words):
         for word in words:
@@ -74,26 +72,28 @@
 
     def step(self):
         self.now += STEP
-        due = sorted(entry for entry in self.line if entry[0] <= self.now and entry[3].to not in self.stopped)
+        due = sorted(
+            entry for entry in self.line if entry[0] <= self.now and entry[3].recipient not in self.stopped
+        )
         self.line = [entry for entry in self.line if entry not in due]
         for _, _, sender, word in due:
-            router = self.routers.get(word.to)
-            if router is None or self.sides[sender] != self.sides[word.to]:
+            router = self.routers.get(word.recipient)
+            if router is None or self.sides[sender] != self.sides[word.recipient]:
                 continue
-            now = self.clock(word.to)
-            if isinstance(word.what, Ask):
-                self.post(word.to, router.asks(now, sender, word.limit, word.what))
+            now = self.clock(word.recipient)
+            if isinstance(word.body, LeaseRequest):
+                self.post(word.recipient, router.on_request(now, sender, word.limit, word.body))
             else:
-                router.granted(now, sender, word.limit, word.what)
+                router.on_grant(sender, word.limit, word.body)
         for name, router in self.routers.items():
             if name in self.stopped:
                 continue
             for other in self.chance.sample(self.names, min(6, len(self.names))):
                 if other in self.routers and other != name and self.sides[other] == self.sides[name]:
-                    self.routers[other].heard(
-                        self.clock(other), name, self.routers[name].wants(self.clock(name))
+                    self.routers[other].on_demands(
+                        self.clock(other), name, self.routers[name].demands(self.clock(name))
                     )
-            self.post(name, router.tick(self.clock(name), self.names))
+            self.post(name, router.due_requests(self.clock(name), self.names))
         assert self.sum() <= WHOLE
 
     def play(self, seconds):
@@ -116,15 +116,15 @@
 @given(st.integers(0, 10**9), st.integers(1, 300))
 def test_homes_add_up_to_the_whole_and_differ_by_one(whole, count):
     names = [f"n{n}" for n in range(count)]
-    homes = [home(whole, names, name) for name in names]
+    homes = [equal_entitlement(whole, names, name) for name in names]
     assert sum(homes) == whole and max(homes) - min(homes) <= 1
-    assert home(whole, names, "nobody") == 0
+    assert equal_entitlement(whole, names, "nobody") == 0
 
 
 @settings(max_examples=200, deadline=None)
 @given(*[st.integers(0, 10**6)] * 4)
 def test_what_is_moved_makes_shares_alike_and_never_more_than_is_wanted(asked, usable, others, theirs):
-    moved = even(asked, usable, others, theirs)
+    moved = equalizing_units(Demand(asked, usable), Demand(others, theirs))
     assert 0 <= moved <= max(0, asked - usable)
     if moved and others and moved < asked - usable:
         mine, left = (usable + moved) / asked, (theirs - moved) / others
@@ -135,7 +135,7 @@
 def test_sum_never_passes_the_whole_whatever_fails(seed, count):
     """Loss, repeats, lateness past a loan's span, clocks that are off, splits, pauses, deaths: `step` holds
     the sum at each tenth of a second."""
-    net = Net(seed, count, loss=0.2, twice=0.2, late=SPAN + SPAN // 2, drift=0.02)
+    net = Net(seed, count, loss=0.2, twice=0.2, late=LEASE_DURATION + LEASE_DURATION // 2, drift=0.02)
     for _ in range(14):
         uneven(net, net.chance.choice((0.3, 0.9, 3.0)))
         match net.chance.randrange(4):
@@ -183,8 +183,8 @@
         for name in [name for name in net.routers if name not in names]:
             del net.routers[name]  # they have ended before the others are told
         for name, router in net.routers.items():
-            router.named(net.clock(name), names)
-        net.play(LENT / 10_000)  # what is lent of homes that are smaller now has run out
+            router.set_router_names(net.clock(name), names)
+        net.play(LENDER_HOLD / 10_000)  # what is lent of homes that are smaller now has run out
         for name in names:
             if name not in net.routers:
                 net.start(name)
@@ -209,11 +209,11 @@
     own = WHOLE // 10
     assert net.usable("n0") > 4 * own
     net.sides["n0"] = 1
-    net.play(SPAN / 10_000)
+    net.play(LEASE_DURATION / 10_000)
     assert net.usable("n0") == own
     net.start("n0")
-    assert net.usable("n0") == own // FLOOR
-    net.play(LENT / 10_000 + 0.1)
+    assert net.usable("n0") == own // FLOOR_DIVISOR
+    net.play(LENDER_HOLD / 10_000 + 0.1)
     assert net.usable("n0") == own
 
 
@@ -223,39 +223,39 @@
     net.ask("n0", WHOLE // 2)
     net.play(6)
     net.stopped = {"n0"}
-    net.play(SPAN / 10_000 + 0.5)
+    net.play(LEASE_DURATION / 10_000 + 0.5)
     assert net.usable("n0") <= WHOLE // 10  # asked at the moment that it wakes
 
 
 def pair(now=10**6):
-    a, b = (Quotas(me, ["a", "b"], {X: WHOLE}, 1, now - 2 * SPAN) for me in "ab")
+    a, b = (QuotaLeases(me, ["a", "b"], {X: WHOLE}, 1, now - 2 * LEASE_DURATION) for me in "ab")
     return a, b, now
 
 
 def test_grant_of_an_earlier_ask_that_comes_late_does_not_count():
     a, b, now = pair()
-    a.asked(X, 700_000)
-    a.heard(now, "b", b.wants(now))
-    (first,) = a.tick(now, ["b"])
-    (late,) = b.asks(now, "a", X, first.what)
-    now += AGAIN
-    (second,) = a.tick(now, ["b"])
-    a.granted(now, "b", X, late.what)
+    a.set_requested(X, 700_000)
+    a.on_demands(now, "b", b.demands(now))
+    (first,) = a.due_requests(now, ["b"])
+    (late,) = b.on_request(now, "a", X, first.body)
+    now += RENEWAL_INTERVAL
+    (second,) = a.due_requests(now, ["b"])
+    a.on_grant("b", X, late.body)
     assert a.usable(X, now) == WHOLE // 2
-    (grant,) = b.asks(now, "a", X, second.what)
-    a.granted(now, "b", X, grant.what)
+    (grant,) = b.on_request(now, "a", X, second.body)
+    a.on_grant("b", X, grant.body)
     assert WHOLE // 2 < a.usable(X, now) <= 700_000
-    assert not b.asks(now, "a", X, first.what)  # an ask that comes late changes nothing either
+    assert not b.on_request(now, "a", X, first.body)  # an ask that comes late changes nothing either
 
 
 def test_lender_that_gives_more_or_for_longer_than_asked_is_held_to_the_ask():
     a, b, now = pair()
-    a.asked(X, 600_000)
-    a.heard(now, "b", b.wants(now))
-    (ask,) = a.tick(now, ["b"])
-    a.granted(now, "b", X, Grant(ask.what.number, WHOLE, 100 * SPAN))
+    a.set_requested(X, 600_000)
+    a.on_demands(now, "b", b.demands(now))
+    (ask,) = a.due_requests(now, ["b"])
+    a.on_grant("b", X, LeaseGrant(ask.body.number, WHOLE, 100 * LEASE_DURATION))
     assert a.usable(X, now) <= 600_000
-    assert a.usable(X, now + SPAN) == WHOLE // 2
+    assert a.usable(X, now + LEASE_DURATION) == WHOLE // 2
 
 
 def test_greedy_liar_gets_a_stated_part_and_the_floor_of_none():
@@ -264,16 +264,16 @@
     uneven(net, 0.6, net.names[1:])
     net.ask("n0", 10**9)
     liar = net.routers["n0"]
-    liar.wants = lambda now: {X: Want(10**9, 0)}
+    liar.demands = lambda now: {X: Demand(10**9, 0)}
     net.play(20)
     own = WHOLE // 100
-    assert net.usable("n0") <= own + KIN * (own // TO_ONE)
-    assert all(net.usable(name) >= own // FLOOR for name in net.names)
+    assert net.usable("n0") <= own + MAX_LENDERS * (own // SINGLE_LEASE_DIVISOR)
+    assert all(net.usable(name) >= own // FLOOR_DIVISOR for name in net.names)
 
 
 def test_stranger_and_unknown_limit_are_lent_nothing():
     a, _, now = pair()
-    assert not a.asks(now, "c", X, Ask(1, 1000, 0, 1000, 0))
-    assert not a.asks(now, "b", "y", Ask(1, 1000, 0, 1000, 0))
-    a.granted(now, "c", X, Grant(1, 1000, SPAN))
+    assert not a.on_request(now, "c", X, LeaseRequest(1, 1000, 0, 1000, 0))
+    assert not a.on_request(now, "b", "y", LeaseRequest(1, 1000, 0, 1000, 0))
+    a.on_grant("c", X, LeaseGrant(1, 1000, LEASE_DURATION))
     assert a.usable(X, now) == WHOLE // 2
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -22,7 +22,7 @@
 
 from hillchute.benchlink import codec as simulator
 from hillchute.coordination import codec as gossip
-from hillchute.coordination import load_signals, quota_leases
+from hillchute.coordination import messages as coordination
 from hillchute.decision.interface import Listing
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
@@ -54,27 +54,29 @@
 
 
 def gossip_examples() -> Iterator[Example]:
-    def example(name: str, digest: gossip.Parcel) -> Example:
+    def example(name: str, digest: coordination.Digest) -> Example:
         return Example(
             f"coordination/{name}", digest, gossip.encode, lambda data: gossip.decode(data, "router-a")
         )
 
-    full = gossip.Parcel(
-        edition=71,
-        loads=(
-            load_signals.Load(engine=11, age=12, figures=(13, 14, -1)),
-            load_signals.Load(engine=15, age=16, figures=()),
+    full = coordination.Digest(
+        membership_checksum=71,
+        load_reports=(
+            coordination.LoadReport(engine=11, age=12, figures=(13, 14, -1)),
+            coordination.LoadReport(engine=15, age=16, figures=()),
         ),
-        ills=(load_signals.Ill(engine=21, age=22),),
-        drains=(load_signals.Drain(engine=31, number=32),),
-        spent=(load_signals.Spent(engine=41, total=42),),
-        turned=(load_signals.Turned(group=51, taken=53, away=52),),
-        wants={"limit-a": quota_leases.Want(asked=61, usable=62)},
-        asks={"limit-b": quota_leases.Ask(number=63, level=64, keeps=65, asked=66, usable=67)},
-        grants={"limit-c": quota_leases.Grant(number=68, amount=69, span=70)},
+        failures=(coordination.EngineFailure(engine=21, age=22),),
+        drains=(coordination.DrainNotice(engine=31, event_number=32),),
+        warm_up_work=(coordination.WarmUpWork(engine=41, total=42),),
+        admissions=(coordination.AdmissionCounts(group=51, received=53, rejected=52),),
+        demands={"limit-a": coordination.Demand(requested=61, usable=62)},
+        lease_requests={
+            "limit-b": coordination.LeaseRequest(number=63, amount=64, still_used=65, requested=66, usable=67)
+        },
+        lease_grants={"limit-c": coordination.LeaseGrant(number=68, amount=69, duration=70)},
     )
     yield example("digest", full)
-    yield example("digest, empty", gossip.Parcel())
+    yield example("digest, empty", coordination.Digest())
 
 
 def peers_examples() -> Iterator[Example]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 from conftest import CATALOG, LOAD, LOOKUP, REPORT
 from rounds_by_hand import Rig
 
-from hillchute.coordination.subsetting import Sight
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.engines import words
@@ -29,7 +29,7 @@
 def among(engines, routers=200, **changed):
     router = Teamwork(1, CATALOG | {"n_instances": routers} | changed, 0)
     router.roster(0, "Complete", [listing(n) for n in range(engines)])
-    router.nearby(0, Sight(7, routers).near(range(engines)))
+    router.nearby(0, Subset(7, routers).select(range(engines)))
     return router
 
 
@@ -62,8 +62,8 @@
 def test_change_of_the_list_looks_at_the_engines_that_changed(monkeypatch):
     """A thousand changes among 3,200 engines: their order is not worked out anew."""
     router = among(3_200)
-    sight = Sight(7, 200)
-    sight.near(range(3_200))
+    sight = Subset(7, 200)
+    sight.select(range(3_200))
     placed = []
     add = type(router.places).add
     monkeypatch.setattr(type(router.places), "add", lambda self, e: placed.append(e) or add(self, e))
@@ -72,7 +72,7 @@
         gone, come = listing(n, "Gone"), listing(10_000 + n)
         router.roster(n, "Partial", [gone, come])
         ready = ready - {n} | {10_000 + n}
-        router.nearby(n, sight.near(ready))
+        router.nearby(n, sight.select(ready))
     assert len(placed) == 1_000 and len(router.engines) == len(router.places) == 3_200
     assert {router.places.of(e) for e in router.engines} == set(range(3_200))
 
