--- a/hillchute/coordination/__init__.py
+++ b/hillchute/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Choices of many routers that add up, worked out by each alone; pure, and no rule hangs on them."""
+"""Decisions that many routers make alone and that add up: subsets, jitter, load signals, quota leases."""
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -31,9 +31,8 @@
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
 
-GROWS_AFTER: Time = (
-    int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
-)  # by then all that have less by a new text use less
+# By then all that have less by a new text use less.
+GROWS_AFTER: Time = int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
 VERDICTS = {"finished": "ANSWER", "deferred": "DEFER", "killed": "KILL"}
 
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Choices that add up over routers: the pairs of routers and engines."""
+"""Decisions of many routers that add up: subsets of engines, jitter."""
 
 import random
 from collections import Counter
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("routers, count", SIZES)
-def test_router_works_out_its_own_part_of_the_pairs_alone(routers, count):
+def test_router_computes_its_own_subset_alone(routers, count):
     engines = [subsetting.mix(n) for n in range(count)]
     every = all_pairs(engines, routers)
     for me in range(0, routers, max(1, routers // 7)):
@@ -90,7 +90,7 @@
         assert len(sizes) == routers and sum(size < 4 for size in sizes.values()) < routers / 25
 
 
-def test_few_engines_are_all_in_sight_and_numbers_from_one_do_no_harm():
+def test_few_engines_are_all_in_the_subset_and_numbers_from_one_do_no_harm():
     assert Subset(2, 3).select(range(8)) == set(range(8))
     assert Subset(3, 3).select(range(80)) == Subset(0, 3).select(range(80))
     assert Subset(0, 0).select([]) == frozenset()
@@ -100,27 +100,27 @@
     asked = []
     rank = subsetting.RouterRank
     monkeypatch.setattr(subsetting, "RouterRank", lambda engine, me: asked.append(engine) or rank(engine, me))
-    sight = Subset(0, 200)
-    sight.select(range(80))
+    subset = Subset(0, 200)
+    subset.select(range(80))
     asked.clear()
-    sight.select(range(3, 83))
+    subset.select(range(3, 83))
     assert sorted(asked) == [80, 81, 82]
-    sight.select(range(3, 83))
-    assert len(asked) == 3 and len(sight.ranks) == 80  # those that are gone are forgotten
+    subset.select(range(3, 83))
+    assert len(asked) == 3 and len(subset.ranks) == 80  # those that are gone are forgotten
 
 
 @pytest.mark.parametrize("routers, many", [(1, 5), (3, 30), (40, 200), (200, 80), (230, 800)])
-def test_engines_in_sight_are_the_pairs_whatever_changes_came_before(routers, many):
+def test_subset_is_independent_of_earlier_endpoint_lists(routers, many):
     chance = random.Random(routers)
-    sights = {me: Subset(me, routers) for me in {0, routers // 2, routers - 1}}
+    subsets = {me: Subset(me, routers) for me in {0, routers // 2, routers - 1}}
     for _ in range(6):
         engines = chance.sample(range(2 * many), chance.randint(0, many))
         wanted = all_pairs(engines, routers)
-        for me, sight in sights.items():
-            assert sight.select(engines) == {engine for router, engine in wanted if router == me}
+        for me, subset in subsets.items():
+            assert subset.select(engines) == {engine for router, engine in wanted if router == me}
 
 
-# ---- turns ------------------------------------------------------------------------------------------
+# ---- jitter -----------------------------------------------------------------------------------------
 
 
 def most_within(moments, span):
@@ -131,7 +131,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 400), st.text(max_size=8), st.floats(0.02, 1.0))
-def test_all_that_learn_in_one_instant_take_turns_within_the_stated_bound(routers, thing, part):
+def test_routers_that_learn_at_one_instant_act_within_the_stated_bound(routers, thing, part):
     places = [jitter.position(router, thing) for router in range(routers)]
     assert most_within(places, part) <= jitter.max_by_number(routers, part)
 
@@ -145,14 +145,14 @@
     assert jitter.max_by_number(200, 1000 / span) <= 5 / wrong + jitter.GOLDEN_RATIO_EXCESS + 1
 
 
-def test_router_that_restarts_keeps_its_place_and_no_router_is_always_first():
+def test_router_that_restarts_keeps_its_position_and_no_router_is_always_first():
     assert jitter.delay_by_number(17, "list 5", 10_000) == jitter.delay_by_number(17, "list 5", 10_000)
     first = {min(range(200), key=lambda router: jitter.position(router, thing)) for thing in range(50)}
     assert len(first) > 30
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_turns_by_chance_pass_their_bound_no_more_often_than_stated(seed):
+def test_moments_by_chance_pass_their_bound_no_more_often_than_stated(seed):
     chance, odds = random.Random(seed), 1e-3
     most = jitter.max_by_chance(200, 0.05, odds)
     counts = [sum(chance.random() < 0.05 for _ in range(200)) for _ in range(300)]
@@ -181,7 +181,7 @@
     assert waits(5) == waits(5)
 
 
-def test_engines_in_sight_follow_the_list_that_the_router_is_told():
+def test_subset_follows_the_endpoint_list_that_the_router_receives():
     entries = [event_bus.Entry(Listing(n, 0, 0, 0, 0, "Ready", 1.0), "10.0.0.1", 1) for n in range(80)]
     reducer = Reducer(Teamwork(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
     reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
--- a/tests/test_load_signals.py
+++ b/tests/test_load_signals.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of engines: merged in any order; what a liar can move is bounded."""
+"""Observations between routers: merged in any order; what a lying router can move is bounded."""
 
 import random
 
@@ -45,7 +45,7 @@
     return found
 
 
-news = st.builds(
+observations = st.builds(
     Observations,
     st.lists(
         st.builds(
@@ -57,14 +57,14 @@
     st.just(()),
     st.lists(st.builds(AdmissionCounts, st.integers(0, 2), st.just(9), st.integers(0, 9))).map(tuple),
 )
-told = st.lists(st.tuples(st.sampled_from("abcdef"), news), max_size=12)
+received = st.lists(st.tuples(st.sampled_from("abcdef"), observations), max_size=12)
 
 
-def merged(words):
+def merged(messages):
     found = LoadSignals(0, lambda witness, engine: True)
     found.on_endpoint_list(5, range(9))
-    for witness, said in words:
-        found.on_observations(NOW, witness, said)
+    for witness, message in messages:
+        found.on_observations(NOW, witness, message)
     known = {e: (k.load_reports, k.failures, k.drains) for e, k in found.engines.items()}
     newest = {e: {w: at for w, (at, _) in loads.items()} for e, (loads, _, _) in known.items()}
     rest = {e: (ills, drains) for e, (_, ills, drains) in known.items()}
@@ -78,26 +78,24 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(told, st.randoms(use_true_random=False))
-def test_order_and_repeats_of_what_is_told_do_not_matter(words, chance):
-    again = words + [word for word in words if chance.random() < 0.5]
+@given(received, st.randoms(use_true_random=False))
+def test_order_and_repeats_of_observations_do_not_matter(messages, chance):
+    again = messages + [message for message in messages if chance.random() < 0.5]
     chance.shuffle(again)
-    assert merged(words) == merged(again)
+    assert merged(messages) == merged(again)
 
 
-def test_own_sight_goes_before_hearsay(signals):
+def test_own_results_take_precedence_over_others_observations(signals):
     signals.on_own_result(NOW, 1, has_report=True)
-    assert not signals.on_observations(
-        NOW + 20, "a", Observations((LoadReport(1, 10, (5,)),))
-    )  # newer, but ours is fresh
+    newer = Observations((LoadReport(1, 10, (5,)),))
+    assert not signals.on_observations(NOW + 20, "a", newer)  # the own report is fresh
     assert signals.on_observations(NOW + OWN_PRECEDENCE, "a", Observations((LoadReport(1, 20, (5,)),)))
     signals.on_observations(NOW, "a", Observations(failures=(EngineFailure(1, 0), EngineFailure(2, 0))))
-    assert (
-        signals.count_failure_witnesses(NOW, 1) == 0 and signals.count_failure_witnesses(NOW, 2) == 1
-    )  # it ran for us just now
+    assert signals.count_failure_witnesses(NOW, 1) == 0  # it returned a result here just now
+    assert signals.count_failure_witnesses(NOW, 2) == 1
 
 
-def test_only_news_that_is_newer_than_all_goes_on_to_the_module(signals):
+def test_only_reports_newer_than_all_before_go_to_the_decision_module(signals):
     fresh = [
         signals.on_observations(NOW, who, Observations((LoadReport(3, age, (5,)),)))
         for who, age in (("a", 100), ("b", 200), ("c", 50), ("c", 50), ("a", MAX_REPORT_AGE + 1))
@@ -105,14 +103,14 @@
     assert [len(loads) for loads in fresh] == [1, 0, 1, 0, 0]
 
 
-def test_witness_is_heard_only_on_engines_that_it_has_in_sight(signals):
+def test_witness_counts_only_for_engines_of_its_subset(signals):
     assert not signals.on_observations(
         NOW, "z", Observations((LoadReport(3, 0, (0,)),), (EngineFailure(3, 0),))
     )
     assert signals.implausible_reports == 1 and not signals.count_failure_witnesses(NOW, 3)
 
 
-def test_ill_engine_comes_back_by_itself_and_for_one_router_after_another():
+def test_failing_engine_recovers_by_itself_for_one_router_after_another():
     ends = []
     for me in range(50):
         signals = LoadSignals(me, lambda witness, engine: True)
@@ -139,20 +137,20 @@
 
 
 def test_one_witness_puts_a_drain_last_and_two_close_until_the_list_says(signals):
-    sight = frozenset(range(9))
+    subset = frozenset(range(9))
     signals.on_observations(NOW, "a", Observations(drains=(DrainNotice(4, 8),)))
-    assert not signals.closed_engines() and 4 not in signals.preferred_engines(NOW, sight)
+    assert not signals.closed_engines() and 4 not in signals.preferred_engines(NOW, subset)
     signals.on_observations(NOW, "b", Observations(drains=(DrainNotice(4, 8),)))
     assert signals.closed_engines() == {4}
     signals.on_endpoint_list(7, range(9))
     assert signals.closed_engines() == {4}  # the list has not come so far
     signals.on_endpoint_list(8, range(9))
-    assert not signals.closed_engines() and signals.preferred_engines(NOW, sight) == sight
+    assert not signals.closed_engines() and signals.preferred_engines(NOW, subset) == subset
     signals.on_observations(NOW, "c", Observations(drains=(DrainNotice(4, 8),)))
-    assert not signals.count_drain_witnesses(4)  # the list has told of that event
+    assert not signals.count_drain_witnesses(4)  # the list has reached that event
 
 
-def test_nothing_that_is_told_opens_an_engine(signals):
+def test_no_observation_of_others_opens_an_engine(signals):
     for witness in "ab":
         signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(4, 8),)))
     signals.on_own_result(NOW + 1, 4)
@@ -174,7 +172,7 @@
     assert len(signals.preferred_engines(NOW, frozenset(all))) >= 9 - int(9 * MAX_DISTRUSTED_SHARE)
 
 
-def test_router_that_is_gone_takes_its_word_on_drains_with_it(signals):
+def test_drains_of_a_lost_router_are_dropped(signals):
     for witness in "ab":
         signals.on_observations(
             NOW, witness, Observations(drains=(DrainNotice(4, 8),), admissions=(AdmissionCounts(0, 10, 5),))
@@ -186,7 +184,7 @@
     assert signals.rejected_share(0) == 0.0
 
 
-def test_cold_work_that_others_sent_is_added_up_over_the_span(signals):
+def test_warm_up_work_that_others_sent_is_added_up_over_the_window(signals):
     for at, total in ((0, 100), (5_000, 160), (4_000, 130), (10_000, 190)):
         signals.on_observations(NOW + at, "a", Observations(warm_up_work=(WarmUpWork(2, total),)))
     signals.on_observations(NOW + 9_000, "b", Observations(warm_up_work=(WarmUpWork(2, 50),)))
@@ -195,10 +193,10 @@
     assert signals.recent_warm_up_work(NOW + 40_000, 2, 15_000) == 0
 
 
-# ---- parcels --------------------------------------------------------------------------------------
+# ---- digests --------------------------------------------------------------------------------------
 
 whole = st.integers(0, codec.COUNT_BOUND - 1)
-parcels = st.builds(
+digests = st.builds(
     Digest,
     st.integers(0, 2**32 - 1),
     st.lists(
@@ -229,10 +227,10 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(parcels)
-def test_parcel_comes_back_as_it_went_and_no_cut_of_it_is_read(parcel):
-    data = codec.encode(parcel)
-    assert codec.decode(data, "a") == parcel
+@given(digests)
+def test_digest_is_decoded_as_encoded_and_no_truncation_of_it_is_read(digest):
+    data = codec.encode(digest)
+    assert codec.decode(data, "a") == digest
     for end in range(1, len(data)):
         with pytest.raises(DatagramDropped):
             codec.decode(data[:end], "a")
@@ -260,15 +258,15 @@
     ],
 )
 def test_field_out_of_bounds_is_dropped_and_never_sent(field, value):
-    parcel = Digest(**{field: value})
+    digest = Digest(**{field: value})
     with pytest.raises(ValueError):
-        codec.encode(parcel)
+        codec.encode(digest)
     with pytest.raises(DatagramDropped) as fault:
-        codec.decode(codec.encoder.encode(parcel), "a")
+        codec.decode(codec.encoder.encode(digest), "a")
     assert fault.value.where == "a"
 
 
-# ---- a router in company --------------------------------------------------------------------------
+# ---- one router's view of the fleet ----------------------------------------------------------------
 
 
 def fleet_view(name, names, columns):
@@ -276,15 +274,15 @@
     return FleetView(settings, NOW)
 
 
-def companies(count=40, **changed):
+def fleet_views(count=40):
     found = [fleet_view(name, NAMES[:count], ["inflight", "util"]) for name in NAMES[:count]]
-    for company in found:
-        company.on_endpoint_list(NOW, 1, ENGINES, ())
+    for view in found:
+        view.on_endpoint_list(NOW, 1, ENGINES, ())
     return found
 
 
-def test_report_goes_to_all_that_have_its_engine_in_sight_and_to_no_other():
-    fleet = companies()
+def test_load_report_goes_to_all_with_its_engine_in_their_subsets_and_to_no_other():
+    fleet = fleet_views()
     engine = min(fleet[0].subset)
     fleet[0].on_load_report(NOW, engine, {"inflight": 3, "util": 0.5})
     said = fleet[0].due_digests(NOW + 200, NAMES)
@@ -297,32 +295,32 @@
     assert listener.take_relayed_reports() == [(engine, {"inflight": 3.0, "util": 0.5}, 200)]
 
 
-def test_drain_is_told_with_every_ping_until_the_engine_is_back():
-    fleet = companies()
+def test_drain_goes_with_every_ping_until_the_engine_is_back():
+    fleet = fleet_views()
     fleet[0].on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
     for teller in fleet[:3]:
         teller.on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
         fleet[9].on_digest(NOW, teller.name, teller.ping_digest(NOW, "n09"))
-    standing = fleet[9].state(NOW, NAMES, {}, 1)
-    assert standing.closed == {120} and 120 not in standing.subset
+    state = fleet[9].state(NOW, NAMES, {}, 1)
+    assert state.closed == {120} and 120 not in state.subset
     fleet[9].on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
     assert not fleet[9].state(NOW, NAMES, {}, 1).closed  # now the list itself says so
 
 
-def test_loads_keep_to_their_bytes_and_the_oldest_are_dropped():
-    company = companies(12)[0]
+def test_load_reports_keep_to_their_bytes_and_the_oldest_are_dropped():
+    view = fleet_views(12)[0]
     sent = 0
     for step in range(100):
         now = NOW + step * 1_000
-        for engine in company.subset:
-            company.on_load_report(now, engine, {"inflight": step})
-        sent += sum(len(data) + 80 for _, data in company.due_digests(now, NAMES))
-    assert sent < 2 * (10 * BYTES_PER_SECOND + BURST_BYTES) and company.relay.dropped > 0
-    assert len(company.relay.queue) < 60 * 12 * 10
+        for engine in view.subset:
+            view.on_load_report(now, engine, {"inflight": step})
+        sent += sum(len(data) + 80 for _, data in view.due_digests(now, NAMES))
+    assert sent < 2 * (10 * BYTES_PER_SECOND + BURST_BYTES) and view.relay.dropped > 0
+    assert len(view.relay.queue) < 60 * 12 * 10
 
 
-def test_cold_engine_that_got_enough_from_all_is_closed_to_lots():
-    fleet = companies()
+def test_warming_engine_that_got_enough_from_all_gets_no_more_permits():
+    fleet = fleet_views()
     engine = min(fleet[0].subset)
     other = next(c for c in fleet[1:] if engine in c.subset)
     tips = {engine: 40_000.0}
@@ -337,8 +335,8 @@
     assert engine not in fleet[0].state(NOW + 20_000, NAMES, tips, 15_000).shares
 
 
-def test_router_that_was_named_others_is_heard_but_lends_nothing():
-    fleet = companies()
+def test_router_with_other_names_is_believed_but_lends_nothing():
+    fleet = fleet_views()
     stranger = fleet_view("n05", NAMES[:20], ["inflight"])
     fleet[0].on_digest(NOW, "n05", stranger.ping_digest(NOW, "n00"))
     assert fleet[0].differing_routers == {"n05"} and not fleet[0].quotas.limits["cold"].demands
@@ -346,50 +344,50 @@
     assert not fleet[0].differing_routers
 
 
-def test_engines_stay_in_sight_when_the_operator_names_other_routers():
-    company = companies(20)[0]
-    before = company.subset
-    company.set_router_names(NOW, NAMES)
-    fresh = companies(40)[0]
-    assert company.subset == fresh.subset != before and company.serving_routers == fresh.serving_routers
-    assert company.signals.list_event == 1 and company.signals.engines.keys() == set(ENGINES)
-    signals = company.signals
-    company.set_router_names(NOW, reversed(NAMES))  # the same again forgets nothing
-    assert company.signals is signals
+def test_subset_is_computed_anew_when_the_operator_names_other_routers():
+    view = fleet_views(20)[0]
+    before = view.subset
+    view.set_router_names(NOW, NAMES)
+    fresh = fleet_views(40)[0]
+    assert view.subset == fresh.subset != before and view.serving_routers == fresh.serving_routers
+    assert view.signals.list_event == 1 and view.signals.engines.keys() == set(ENGINES)
+    signals = view.signals
+    view.set_router_names(NOW, reversed(NAMES))  # the same again forgets nothing
+    assert view.signals is signals
 
 
-def test_newcomer_is_told_all_that_may_matter_to_it():
-    fleet = companies()
+def test_newcomer_gets_all_that_may_matter_to_it():
+    fleet = fleet_views()
     for engine in fleet[0].subset:
         fleet[0].on_load_report(NOW, engine, {"inflight": 3})
     gone = list(ENGINES)[:50]
     fleet[0].on_endpoint_list(NOW, 2, set(ENGINES) - set(gone), gone)
     for engine in fleet[0].subset:
         fleet[0].on_load_report(NOW, engine, {"inflight": 3})
-    told = [codec.decode(data, "n00") for data in fleet[0].newcomer_digests(NOW, "n07")]
-    assert {drain.engine for parcel in told for drain in parcel.drains} == set(gone)
-    seen = {load.engine for parcel in told for load in parcel.load_reports}
+    digests = [codec.decode(data, "n00") for data in fleet[0].newcomer_digests(NOW, "n07")]
+    assert {drain.engine for digest in digests for drain in digest.drains} == set(gone)
+    seen = {load.engine for digest in digests for load in digest.load_reports}
     assert seen == {e for e, circle in fleet[0].serving_routers.items() if "n07" in circle}
 
 
-def test_liar_about_loads_reaches_the_engines_of_its_own_sight_alone():
+def test_liar_about_loads_reaches_the_engines_of_its_own_subset_alone():
     """Stated: some SUBSET_SIZE of them all, and of those none that this router has looked at within
     OWN_PRECEDENCE."""
-    fleet, chance = companies(), random.Random(1)
+    fleet, chance = fleet_views(), random.Random(1)
     liar = fleet[3]
     lies = codec.encode(Digest(liar.membership_checksum, tuple(LoadReport(e, 0, (0, 0)) for e in ENGINES)))
     reached = set()
-    for company in fleet[:3] + fleet[4:]:
-        own = chance.choice(sorted(company.subset))
-        company.on_load_report(NOW, own, {"inflight": 9})
-        company.on_digest(NOW + 100, "n03", lies)
-        news = {engine for engine, _, _ in company.take_relayed_reports()}
+    for view in fleet[:3] + fleet[4:]:
+        own = chance.choice(sorted(view.subset))
+        view.on_load_report(NOW, own, {"inflight": 9})
+        view.on_digest(NOW + 100, "n03", lies)
+        news = {engine for engine, _, _ in view.take_relayed_reports()}
         assert own not in news
         reached |= news
     assert reached <= set(liar.subset) and len(reached) < len(ENGINES) / 2
 
 
-def test_whole_of_a_limit_is_a_million_parts():
-    fleet = companies()
-    parts = [company.state(NOW, NAMES, {}, 1).shares["cold"] for company in fleet]
+def test_total_of_a_limit_is_a_million_units():
+    fleet = fleet_views()
+    parts = [view.state(NOW, NAMES, {}, 1).shares["cold"] for view in fleet]
     assert sum(parts) <= 1 and all(part >= 1 / LIMIT_UNITS for part in parts)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -284,9 +284,8 @@
     limit.borrowed["r1"] = BorrowedLease(1, now, 100_000, 100_000, now + LEASE_DURATION)
     told.stand(100)
     assert told.module.parts["cold"] > own
-    told.clock_of[0] += (
-        LEASE_DURATION  # the process stands still as long as the loan lasts, and wakes in a decision
-    )
+    # The process is suspended as long as the lease lasts, and wakes in a decision.
+    told.clock_of[0] += LEASE_DURATION
     told.decide(100)
     assert told.module.parts["cold"] == own
 
