--- a/hillchute/coordination/codec.py
+++ b/hillchute/coordination/codec.py
@@ -11,7 +11,7 @@
 from hillchute.coordination.load_signals import MAX_FIGURES
 from hillchute.coordination.messages import Digest, LoadReport
 from hillchute.coordination.quota_leases import LEASE_DURATION
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 # Entries of each field that a digest has at most; together they stay below a datagram's size.
 MAX_ENTRIES = {
@@ -44,16 +44,16 @@
 
 
 def decode(data: bytes, sender: str) -> Digest:
-    """The digest in these bytes; raises DatagramDropped with the field that is out of bounds."""
+    """The digest in these bytes; raises InvalidDatagramError with the field that is out of bounds."""
     if not data:
         return Digest()
     try:
         digest = decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise DatagramDropped(f"load: {error}", sender) from error
+        raise InvalidDatagramError(f"load: {error}", sender) from error
     field = find_invalid_field(digest)
     if field is not None:
-        raise DatagramDropped(f"load: {field}", sender)
+        raise InvalidDatagramError(f"load: {field}", sender)
     return digest
 
 
--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -174,9 +174,9 @@
     # ---- from other routers ------------------------------------------------------------------------
 
     def on_digest(self, now: Time, sender: str, data: bytes) -> None:
-        """An authentic digest was received. Raises DatagramDropped for one that can't be read; then nothing
-        of it counts. Lease messages count only from routers that were given the same names, as entitlements
-        are equal among those alone."""
+        """An authentic digest was received. Raises InvalidDatagramError for one that can't be read; then
+        nothing of it counts. Lease messages count only from routers that were given the same names, as
+        entitlements are equal among those alone."""
         digest = codec.decode(data, sender)
         newest = self.signals.on_observations(now, sender, digest.observations)
         if digest.membership_checksum == self.membership_checksum:
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -29,7 +29,7 @@
 from hillchute.coordination.messages import Digest, DrainNotice, EngineFailure, LeaseGrant, LoadReport
 from hillchute.coordination.quota_leases import LEASE_DURATION
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.lab import history_mutants, partners_mutants
 from hillchute.lab.workers import workers
 from hillchute.peers.codec import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
@@ -351,7 +351,7 @@
 def carried(datagram: Datagram, change: Callable[[Digest], Digest]) -> bytes:
     try:
         return words.encoder.encode(change(words.decode(datagram.load, datagram.sender)))
-    except DatagramDropped:
+    except InvalidDatagramError:
         return datagram.load
 
 
--- a/tests/test_load_signals.py
+++ b/tests/test_load_signals.py
@@ -31,7 +31,7 @@
 from hillchute.coordination.quota_leases import LEASE_DURATION
 from hillchute.coordination.report_relay import BURST_BYTES, BYTES_PER_SECOND
 from hillchute.coordination.subsetting import all_pairs
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 NOW = 10**9
 NAMES = [f"n{n:02d}" for n in range(40)]
@@ -232,7 +232,7 @@
     data = codec.encode(digest)
     assert codec.decode(data, "a") == digest
     for end in range(1, len(data)):
-        with pytest.raises(DatagramDropped):
+        with pytest.raises(InvalidDatagramError):
             codec.decode(data[:end], "a")
 
 
@@ -261,9 +261,9 @@
     digest = Digest(**{field: value})
     with pytest.raises(ValueError):
         codec.encode(digest)
-    with pytest.raises(DatagramDropped) as fault:
+    with pytest.raises(InvalidDatagramError) as fault:
         codec.decode(codec.encoder.encode(digest), "a")
-    assert fault.value.where == "a"
+    assert fault.value.location == "a"
 
 
 # ---- one router's view of the fleet ----------------------------------------------------------------
