--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from typing import TextIO
 
-from hillchute.accord.subsets import Sight
 from hillchute.benchlink.codec import Fields, Malformed, attempt_result, encode, health_check_result
 from hillchute.catalog import down
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptEnded, ListMode, NewQuery, Scheduler
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.net.clock import round_up_to_time_units
@@ -15,7 +15,7 @@
     def __init__(self, answers: TextIO) -> None:
         self.answers = answers
         self.routers: dict[int, Scheduler] = {}
-        self.sights: dict[int, Sight] = {}
+        self.sights: dict[int, Subset] = {}
         self.censuses: dict[int, list] = {}
         self.who: int | None = None
         self.now = 0
@@ -81,7 +81,7 @@
         seed = fields.needed(fields.integer("init_seed"), "init_seed")
         catalog = fields.catalog()
         self.routers[self.who] = QueryScheduler(seed, catalog, self.now)
-        self.sights[self.who] = Sight(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.sights[self.who] = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
 
     def on_exit(self, fields: Fields) -> None:
         self.routers.pop(self.who, None)
@@ -108,7 +108,7 @@
         router = self.router(fields)
         router.on_endpoint_list(self.now, mode, entries)
         ready = [engine for engine, known in router.engines.items() if known.ready]
-        router.on_subset(self.now, self.sights[self.who].near(ready))
+        router.on_subset(self.now, self.sights[self.who].select(ready))
 
     def on_ask(self, fields: Fields) -> None:
         query = fields.needed(fields.text("call"), "call")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 from conftest import CATALOG, LOAD, LOOKUP, REPORT
 from rounds_by_hand import Rig
 
-from hillchute.accord.subsets import Sight
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import (
     SECOND,
     AttemptEnded,
@@ -39,7 +39,7 @@
 def among(engines, routers=200, **changed):
     router = QueryScheduler(1, CATALOG | {"n_instances": routers} | changed, 0)
     router.on_endpoint_list(0, ListMode.COMPLETE, [listing(n) for n in range(engines)])
-    router.on_subset(0, Sight(7, routers).near(range(engines)))
+    router.on_subset(0, Subset(7, routers).select(range(engines)))
     return router
 
 
@@ -73,8 +73,8 @@
 def test_change_of_the_list_looks_at_the_engines_that_changed(monkeypatch):
     """A thousand changes among 3,200 engines: their order is not worked out anew."""
     router = among(3_200)
-    sight = Sight(7, 200)
-    sight.near(range(3_200))
+    sight = Subset(7, 200)
+    sight.select(range(3_200))
     placed = []
     add = type(router.pool.order).add
     monkeypatch.setattr(type(router.pool.order), "add", lambda self, e: placed.append(e) or add(self, e))
@@ -83,7 +83,7 @@
         gone, come = listing(n, EndpointState.GONE), listing(10_000 + n)
         router.on_endpoint_list(n, ListMode.PARTIAL, [gone, come])
         ready = ready - {n} | {10_000 + n}
-        router.on_subset(n, sight.near(ready))
+        router.on_subset(n, sight.select(ready))
     assert len(placed) == 1_000 and len(router.engines) == len(router.pool.order) == 3_200
     assert {router.pool.order.position(e) for e in router.engines} == set(range(3_200))
 
