--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -15,7 +15,7 @@
 from hillchute.history.policy import TEXT, Book
 from hillchute.history.policy import unfit as unfit_book
 from hillchute.history.records import KILLED, Record
-from hillchute.history.slots import SLOTS
+from hillchute.history.slot_placement import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.history.views import Grant, Id, Promise, View
--- a/hillchute/history/keeper.py
+++ b/hillchute/history/keeper.py
@@ -46,7 +46,7 @@
 )
 from hillchute.history.policy import MS, Book, changed
 from hillchute.history.records import FREED, OUT, STILL_OUT, Kept, Name, Record, Shelf
-from hillchute.history.slots import SLOTS, holders, slot_of
+from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.titles import Deeds, Moving, Title
 from hillchute.history.verdict import FOUNDING, Verdict, judge
 from hillchute.history.views import BEAT, DRIFT, LEASE, NONE, Id, View, Views
--- a/hillchute/history/records.py
+++ b/hillchute/history/records.py
@@ -11,7 +11,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.history.policy import MS, Book
-from hillchute.history.slots import SLOTS, slot_of
+from hillchute.history.slot_placement import SLOTS, slot_of
 
 OUT, FREED, FINISHED, KILLED = range(4)  # a run is out; it never began; how it ended
 STILL_OUT: Time = 300_000  # past its patience no submission of a query is out: longer than any closing time
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -20,7 +20,7 @@
 
 from hillchute.history.policy import Book, Policy
 from hillchute.history.records import FINISHED, Record, Shelf
-from hillchute.history.slots import slot_of
+from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
 from hillchute.lab.processes import Together
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -20,7 +20,7 @@
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import Book
 from hillchute.history.records import FINISHED, FREED
-from hillchute.history.slots import SLOTS, holders
+from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.history.verdict import Verdict
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
--- a/hillchute/partners/council.py
+++ b/hillchute/partners/council.py
@@ -23,7 +23,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
-from hillchute.history.slots import SLOTS
+from hillchute.history.slot_placement import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.partners import handover
--- a/hillchute/partners/passing.py
+++ b/hillchute/partners/passing.py
@@ -20,7 +20,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.fronts.events import FIRST_GUEST
-from hillchute.history.slots import slot_of, weight
+from hillchute.history.slot_placement import slot_of, weight
 from hillchute.partners.codec import Answer, Drop, Got, Pass, Took
 from hillchute.peers.messages import MOST
 
--- a/hillchute/partners/split.py
+++ b/hillchute/partners/split.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from hillchute.history.slots import SLOTS, weight
+from hillchute.history.slot_placement import SLOTS, weight
 
 EVEN = (
     0.01  # part of all work by which a partner may be off: half of what is promised, as work is an estimate
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -6,7 +6,7 @@
 from hillchute.history import keeper as keeping
 from hillchute.history.policy import Policy
 from hillchute.history.records import STILL_OUT
-from hillchute.history.slots import holders, slot_of
+from hillchute.history.slot_placement import holders, slot_of
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import TextNotTaken
-from hillchute.history.slots import SLOTS
+from hillchute.history.slot_placement import SLOTS
 from hillchute.lab.partners import least_moves
 from hillchute.partners.agreement import (
     WHOLE,
