--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,10 +6,11 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import DatagramDropped
-from hillchute.history import codec, slot_placement
+from hillchute.history import codec
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import MS, Book, Forget, Policy, unfit
 from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Kept, Record, Shelf
+from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.verdict import STILL_OUT, Verdict, judge
 from hillchute.history.views import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded, storm
@@ -184,10 +185,10 @@
 
 def test_slots_are_spread_and_move_little():
     names = [f"n{n}" for n in range(20)]
-    before = [slot_placement.holders(s, names, 3) for s in range(slot_placement.SLOTS)]
+    before = [holders(s, names, 3) for s in range(SLOTS)]
     count = [sum(name in held for held in before) for name in names]
     assert max(count) < 1.35 * min(count)
-    after = [slot_placement.holders(s, names[1:], 3) for s in range(slot_placement.SLOTS)]
+    after = [holders(s, names[1:], 3) for s in range(SLOTS)]
     for old, new in zip(before, after, strict=True):
         assert len(set(new) - set(old)) == ("n0" in old)
         assert [n for n in old if n != "n0"] == list(new[: len(old) - ("n0" in old)])
@@ -369,7 +370,7 @@
     """A key whose first holder is this router."""
     (members,) = {tuple(k.views.view.members) for k in net.keepers.values()}
     keys = (f"k{n}" for n in range(10_000))
-    return next(k for k in keys if slot_placement.holders(slot_placement.slot_of("", k), members, 1) == (name,))
+    return next(k for k in keys if holders(slot_of("", k), members, 1) == (name,))
 
 
 def asked(net: HistoryNet, name: str, token: str, key: str) -> str:
@@ -415,7 +416,7 @@
 
 def test_holder_that_lives_is_waited_for_and_one_that_died_is_not():
     net = net_of(copies=0)
-    keys = ((f"k{n}", slot_placement.holders(slot_placement.slot_of("", f"k{n}"), net.names, 2)) for n in range(1000))
+    keys = ((f"k{n}", holders(slot_of("", f"k{n}"), net.names, 2)) for n in range(1000))
     key, (_, other) = next((k, held) for k, held in keys if held[0] == "n4" and held[1] != "n0")
     assert asked(net, "n0", "t", key) == "RUN"
     net.cuts |= {("n4", other), (other, "n4")}  # who is to fetch does not reach it, and takes it for alive
@@ -459,7 +460,7 @@
 def test_record_that_has_not_reached_every_holder_starts_nothing():
     net = net_of(copies=1)
     key = key_held_by(net, "n2")
-    second = slot_placement.holders(slot_placement.slot_of("", key), net.names, 2)[1]
+    second = holders(slot_of("", key), net.names, 2)[1]
     net.cuts |= {("n2", second), (second, "n2")}  # nobody has noticed yet
     net.ask("n2", "t", key)
     net.advance(0.8)
@@ -515,7 +516,7 @@
     """Its round was broken off after the claim was given up: nobody else would end it."""
     net = net_of(copies=1)
     key = key_held_by(net, "n2")
-    held = slot_placement.holders(slot_placement.slot_of("", key), net.names, 2)
+    held = holders(slot_of("", key), net.names, 2)
     lost = record("lost", OUT, key=key, owner="n1", life=net.lives["n1"], claim=99, taken=net.now, rows=None)
     for name in held:
         net.keepers[name].shelf.put(lost, net.now, 0, net.book)
@@ -533,12 +534,12 @@
 def test_forget_holds_over_a_cut_and_a_return():
     net = net_of(copies=2)
     assert asked(net, "n0", "t", "k") == "RUN"
-    holders = net.held("t")
-    assert len(holders) == 3
-    away = holders[-1]
+    kept_by = net.held("t")
+    assert len(kept_by) == 3
+    away = kept_by[-1]
     net.cut([away], [n for n in net.names if n != away])
     net.advance(5)
-    net.forget(next(n for n in holders if n != away))
+    net.forget(next(n for n in kept_by if n != away))
     net.advance(LEASE / SECOND + 3)
     assert net.held("t") == [away]  # it can't know; it answers nothing either
     assert asked(net, away, "t", "k") == "DEFER"
