--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import TEXT, Book
-from hillchute.history.policy import unfit as unfit_book
 from hillchute.history.records import KILLED, Record
+from hillchute.history.retention import TEXT, Book
+from hillchute.history.retention import unfit as unfit_book
 from hillchute.history.slot_placement import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
--- a/hillchute/history/records.py
+++ b/hillchute/history/records.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import MS, Book
+from hillchute.history.retention import MS, Book
 from hillchute.history.slot_placement import SLOTS, slot_of
 
 OUT, FREED, FINISHED, KILLED = range(4)  # a run is out; it never began; how it ended
--- a/hillchute/history/verdict.py
+++ b/hillchute/history/verdict.py
@@ -7,8 +7,8 @@
 from enum import Enum
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import MS, Book
 from hillchute.history.records import FINISHED, FREED, KILLED, OUT, STILL_OUT, Kept
+from hillchute.history.retention import MS, Book
 
 FOUNDING: Time = 600_000  # a minute after `founded` in which routers start and find each other
 
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -18,8 +18,8 @@
 import anyio
 import orjson
 
-from hillchute.history.policy import Book, Policy
 from hillchute.history.records import FINISHED, Record, Shelf
+from hillchute.history.retention import Book, Policy
 from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -23,8 +23,8 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
 from hillchute.history.codec import KINDS, Message, encoder
-from hillchute.history.policy import Policy
 from hillchute.history.records import FREED
+from hillchute.history.retention import Policy
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.lab.history_net import STEP, HistoryNet, founded
 from hillchute.lab.workers import workers
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -14,8 +14,8 @@
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Message, decode, encode
 from hillchute.history.keeper import Keeper
-from hillchute.history.policy import MS, Book, Forget
 from hillchute.history.records import FINISHED, FREED, KILLED
+from hillchute.history.retention import MS, Book, Forget
 from hillchute.history.verdict import Verdict
 from hillchute.history.views import LEASE
 
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -13,7 +13,7 @@
 
 from hillchute.history import codec as history
 from hillchute.history.codec import encoder as history_encoder
-from hillchute.history.policy import Policy
+from hillchute.history.retention import Policy
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import HARMLESS, Changing
 from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -18,8 +18,8 @@
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
 from hillchute.history.keeper import Keeper
-from hillchute.history.policy import Book
 from hillchute.history.records import FINISHED, FREED
+from hillchute.history.retention import Book
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.history.verdict import Verdict
 from hillchute.lab import history_net
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import TEXT
+from hillchute.history.retention import TEXT
 from hillchute.partners.agreement import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
 from hillchute.peers.messages import Codec
 
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -15,7 +15,7 @@
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
 from hillchute.fronts.events import Asked, Left, Spoilt
 from hillchute.history.keeper import Keeper
-from hillchute.history.policy import MS
+from hillchute.history.retention import MS
 from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
 from hillchute.partners.agreement import Marker, Offer
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -12,12 +12,12 @@
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
 from hillchute.errors import BookNotTaken, DiskNotUsable
-from hillchute.history import policy
+from hillchute.history import retention
 from hillchute.history.codec import Message, codec
 from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
-from hillchute.history.policy import MS, Book, Forget, Policy
 from hillchute.history.records import FINISHED, FREED, KILLED
+from hillchute.history.retention import MS, Book, Forget, Policy
 from hillchute.history.titles import Deeds
 from hillchute.history.verdict import Verdict
 from hillchute.log import Log
@@ -147,7 +147,7 @@
             return
         before = self.keeper.book
         if self.keeper.apply(self.clock(), book):
-            changed = sorted(policy.changed(before, book))
+            changed = sorted(retention.changed(before, book))
             new = len(set(book.forgets) - set(before.forgets))
             self.log.write("history_policies", policies=book.number, changed=changed, forgets=new)
         else:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,8 +4,8 @@
 import pytest
 
 from hillchute.history import keeper as keeping
-from hillchute.history.policy import Policy
 from hillchute.history.records import STILL_OUT
+from hillchute.history.retention import Policy
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -4,7 +4,7 @@
 import pytest
 import test_history as tests
 
-from hillchute.history import keeper, policy, records, views
+from hillchute.history import keeper, records, retention, views
 from hillchute.history.keeper import Keeper
 from hillchute.history.records import OUT, Record
 from hillchute.history.views import Views
@@ -80,7 +80,7 @@
         (Keeper, "lose", lost_unsaid, "ran twice"),
         (Keeper, "judge", dead_runs_again, "ran twice"),
         (keeper, "judge", unordered, "out of order"),
-        (policy.Book, "forgotten", lambda self, *about: False, "kept too long"),
+        (retention.Book, "forgotten", lambda self, *about: False, "kept too long"),
     ],
 )
 def test_fault_planted_in_the_code_shows_in_the_script(monkeypatch, owner, name, fault, rule):
@@ -160,6 +160,6 @@
     if fault is None:
         monkeypatch.setattr(records.Shelf, "may_go", staticmethod(lambda *about: True))
     else:
-        monkeypatch.setattr(policy.Book, "erased", lambda self, customer, key, taken, age: False)
+        monkeypatch.setattr(retention.Book, "erased", lambda self, customer, key, taken, age: False)
     with pytest.raises(AssertionError):
         found_by()
