--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from hillchute.decision.interface import Time
+from hillchute.history.ownership_leases import Title
 from hillchute.history.records import KILLED, Record
 from hillchute.history.retention import TEXT, Book
 from hillchute.history.retention import unfit as unfit_book
 from hillchute.history.slot_placement import SLOTS
-from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.history.views import Grant, Id, Promise, View
 from hillchute.peers.messages import Codec
--- a/hillchute/history/keeper.py
+++ b/hillchute/history/keeper.py
@@ -44,10 +44,10 @@
     Text,
     WantBook,
 )
+from hillchute.history.ownership_leases import Deeds, Moving, Title
 from hillchute.history.records import FREED, OUT, STILL_OUT, Kept, Name, Record, Shelf
 from hillchute.history.retention import MS, Book, changed
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
-from hillchute.history.titles import Deeds, Moving, Title
 from hillchute.history.verdict import FOUNDING, Verdict, judge
 from hillchute.history.views import BEAT, DRIFT, LEASE, NONE, Id, View, Views
 
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -18,10 +18,10 @@
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Claim
 from hillchute.history.keeper import Keeper
+from hillchute.history.ownership_leases import Moving
 from hillchute.history.records import STILL_OUT
 from hillchute.history.retention import Policy
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
-from hillchute.history.titles import Moving
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
 from hillchute.partners.pool import floor, homes
 from hillchute.partners.split import moves, split, split_by_work
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -16,9 +16,9 @@
 from hillchute.history.codec import Message, codec
 from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
+from hillchute.history.ownership_leases import Deeds
 from hillchute.history.records import FINISHED, FREED, KILLED
 from hillchute.history.retention import MS, Book, Forget, Policy
-from hillchute.history.titles import Deeds
 from hillchute.history.verdict import Verdict
 from hillchute.log import Log
 from hillchute.peers.node import HISTORY, Node
