--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -23,8 +23,8 @@
 import anyio.abc
 import orjson
 
-from hillchute.history.disk import Disk
 from hillchute.history.records import OUT
+from hillchute.history.sqlite_store import Disk
 from hillchute.lab import deployment, rules
 from hillchute.lab.between import Between
 from hillchute.lab.clients import MySQL, Query
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
 from hillchute import errors
 from hillchute.decision.interface import Listing
 from hillchute.errors import HillchuteError
-from hillchute.history.disk import Disk
+from hillchute.history.sqlite_store import Disk
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import Fault, FaultySystem
 from hillchute.lab.history_net import EPOCH
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -7,8 +7,8 @@
 import pytest
 
 from hillchute.errors import MarksNotKept
-from hillchute.history.disk import Disk
 from hillchute.history.records import Record
+from hillchute.history.sqlite_store import Disk
 from hillchute.lab.history_net import EPOCH
 from hillchute.partners import kept
 from hillchute.partners.kept import MarksFile
@@ -193,7 +193,7 @@
 
 
 def test_file_that_another_process_holds_is_no_acknowledgement(tmp_path, some_record, monkeypatch):
-    monkeypatch.setattr("hillchute.history.disk.BUSY", 0.01)
+    monkeypatch.setattr("hillchute.history.sqlite_store.BUSY", 0.01)
     disk = Disk(tmp_path / "h.db")
     other = sqlite3.connect(tmp_path / "h.db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -11,10 +11,10 @@
 
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.errors import DatagramDropped, DiskNotUsable
-from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, OUT, Record
 from hillchute.history.retention import Book, Forget, Policy
+from hillchute.history.sqlite_store import Disk
 from hillchute.lab import processes
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
