--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -18,7 +18,7 @@
 from hillchute.history.retention import unfit as unfit_book
 from hillchute.history.slot_placement import SLOTS
 from hillchute.history.verdict import Verdict
-from hillchute.history.views import Grant, Id, Promise, View
+from hillchute.history.view_change import Grant, Id, Promise, View
 from hillchute.peers.messages import Codec
 
 NAME = 64
--- a/hillchute/history/keeper.py
+++ b/hillchute/history/keeper.py
@@ -49,7 +49,7 @@
 from hillchute.history.retention import MS, Book, changed
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.verdict import FOUNDING, Verdict, judge
-from hillchute.history.views import BEAT, DRIFT, LEASE, NONE, Id, View, Views
+from hillchute.history.view_change import BEAT, DRIFT, LEASE, NONE, Id, View, Views
 
 AGAIN: Time = 1_000  # after 0.1 s without an answer a message goes again: some ways there and back
 SLOW, SLOWEST = 2, 5  # doublings of that time: a claim that waits, with a client behind it; an ending
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -17,7 +17,7 @@
 from hillchute.history.records import FINISHED, FREED, KILLED
 from hillchute.history.retention import MS, Book, Forget
 from hillchute.history.verdict import Verdict
-from hillchute.history.views import LEASE
+from hillchute.history.view_change import LEASE
 
 SECOND = 10_000
 STEP: Time = 500
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,7 +12,7 @@
 from hillchute.history.retention import MS, Book, Forget, Policy, unfit
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.verdict import STILL_OUT, Verdict, judge
-from hillchute.history.views import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
+from hillchute.history.view_change import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded, storm
 
 KEEPS = Policy(rows=True, least_ms=20_000, most_ms=60_000)
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -4,10 +4,10 @@
 import pytest
 import test_history as tests
 
-from hillchute.history import keeper, records, retention, views
+from hillchute.history import keeper, records, retention, view_change
 from hillchute.history.keeper import Keeper
 from hillchute.history.records import OUT, Record
-from hillchute.history.views import Views
+from hillchute.history.view_change import Views
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
 
@@ -138,7 +138,7 @@
         ("in_force", for_ever, tests.test_lease_is_counted_from_before_it_was_granted),
         ("in_force", for_ever, tests.test_side_of_a_cut_with_fewer_than_half_neither_answers_nor_runs),
         ("believable", lambda *about: True, tests.test_number_far_ahead_of_the_clock_ends_no_views),
-        ("rest", lambda self, now: views.LEASE, tests.test_view_that_was_not_in_force_for_a_lease_is_dropped),
+        ("rest", lambda self, now: view_change.LEASE, tests.test_view_that_was_not_in_force_for_a_lease_is_dropped),
     ],
 )
 def test_fault_planted_in_the_views_is_found(monkeypatch, name, fault, found_by):
