--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from hillchute.decision.interface import Time
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
 from hillchute.history.records import KILLED, Record
 from hillchute.history.retention import TEXT, Book
 from hillchute.history.retention import unfit as unfit_book
 from hillchute.history.slot_placement import SLOTS
-from hillchute.history.verdict import Verdict
 from hillchute.history.view_change import Grant, Id, Promise, View
 from hillchute.peers.messages import Codec
 
@@ -106,7 +106,7 @@
 
 
 class Judged(Said, tag=9):
-    """`verdict` as in verdict.py. With RUN the record as granted, with ANSWER the one that answers."""
+    """`verdict` as in claim_decision.py. With RUN the record as granted, with ANSWER the one that answers."""
 
     number: int
     life: int
--- a/hillchute/history/keeper.py
+++ b/hillchute/history/keeper.py
@@ -3,7 +3,7 @@
 
 Owns the slots that it holds and from which view on, the claims that wait for copies, its own claims until
 they have ended, and the book that it has applied. Must never do I/O, look at a clock, or decide what
-verdict.py decides.
+claim_decision.py decides.
 
 What is relied on: a claim is granted only once every holder of its slot, in one view that all of them have
 taken up, has the record. A holder in a new view that was none before answers for a slot only once it has all
@@ -22,6 +22,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import BookNotCurrent
+from hillchute.history.claim_decision import FOUNDING, Verdict, judge
 from hillchute.history.codec import (
     Ask,
     BookIs,
@@ -48,7 +49,6 @@
 from hillchute.history.records import FREED, OUT, STILL_OUT, Kept, Name, Record, Shelf
 from hillchute.history.retention import MS, Book, changed
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
-from hillchute.history.verdict import FOUNDING, Verdict, judge
 from hillchute.history.view_change import BEAT, DRIFT, LEASE, NONE, Id, View, Views
 
 AGAIN: Time = 1_000  # after 0.1 s without an answer a message goes again: some ways there and back
--- a/hillchute/history/ownership_leases.py
+++ b/hillchute/history/ownership_leases.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.verdict import Verdict
+from hillchute.history.claim_decision import Verdict
 
 
 class Title(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from hillchute.decision.interface import Time
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.codec import Message, decode, encode
 from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, FREED, KILLED
 from hillchute.history.retention import MS, Book, Forget
-from hillchute.history.verdict import Verdict
 from hillchute.history.view_change import LEASE
 
 SECOND = 10_000
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -14,6 +14,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped, TextNotTaken
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
@@ -21,7 +22,6 @@
 from hillchute.history.records import FINISHED, FREED
 from hillchute.history.retention import Book
 from hillchute.history.slot_placement import SLOTS, holders
-from hillchute.history.verdict import Verdict
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
--- a/hillchute/partners/council.py
+++ b/hillchute/partners/council.py
@@ -23,9 +23,9 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
 from hillchute.history.slot_placement import SLOTS
-from hillchute.history.verdict import Verdict
 from hillchute.partners import handover
 from hillchute.partners.agreement import Check, Ledger, Marker, Offer, Text, digest, settle
 from hillchute.partners.codec import MARKS, Have, Know
--- a/hillchute/partners/handover.py
+++ b/hillchute/partners/handover.py
@@ -17,8 +17,8 @@
 from collections.abc import Callable
 
 from hillchute.decision.interface import Time
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
-from hillchute.history.verdict import Verdict
 
 MS = 10  # titles are numbered by milliseconds where that is higher: see below
 
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -13,13 +13,13 @@
 from hillchute.engines.words import Rows
 from hillchute.errors import BookNotTaken, DiskNotUsable
 from hillchute.history import retention
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.codec import Message, codec
 from hillchute.history.keeper import Keeper
 from hillchute.history.ownership_leases import Deeds
 from hillchute.history.records import FINISHED, FREED, KILLED
 from hillchute.history.retention import MS, Book, Forget, Policy
 from hillchute.history.sqlite_store import Disk
-from hillchute.history.verdict import Verdict
 from hillchute.log import Log
 from hillchute.peers.node import HISTORY, Node
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import DatagramDropped, MarksNotKept, TextNotTaken
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
 from hillchute.history.slot_placement import SLOTS
-from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
 from hillchute.partners.agreement import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,11 +4,11 @@
 import pytest
 
 from hillchute.history import keeper as keeping
+from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
 from hillchute.history.records import STILL_OUT
 from hillchute.history.retention import Policy
 from hillchute.history.slot_placement import holders, slot_of
-from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
 from hillchute.partners import handover, passing
 from hillchute.partners.agreement import Mark, Marker
