--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -14,8 +14,8 @@
 from hillchute.decision.interface import Time
 from hillchute.history.claim_decision import Verdict
 from hillchute.history.codec import Message, decode, encode
-from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, FREED, KILLED
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import MS, Book, Forget
 from hillchute.history.view_change import LEASE
 
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -17,9 +17,9 @@
 from hillchute.accord.quotas import Quotas
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Claim
-from hillchute.history.keeper import Keeper
 from hillchute.history.ownership_leases import Moving
 from hillchute.history.records import STILL_OUT
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import Policy
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -18,8 +18,8 @@
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
-from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, FREED
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import Book
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -14,7 +14,7 @@
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
 from hillchute.fronts.events import Asked, Left, Spoilt
-from hillchute.history.keeper import Keeper
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import MS
 from hillchute.history.view_change import DRIFT, LEASE
 from hillchute.log import Log
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -15,9 +15,9 @@
 from hillchute.history import retention
 from hillchute.history.claim_decision import Verdict
 from hillchute.history.codec import Message, codec
-from hillchute.history.keeper import Keeper
 from hillchute.history.ownership_leases import Deeds
 from hillchute.history.records import FINISHED, FREED, KILLED
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import MS, Book, Forget, Policy
 from hillchute.history.sqlite_store import Disk
 from hillchute.log import Log
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from hillchute.history import keeper as keeping
+from hillchute.history import replica
 from hillchute.history.claim_decision import Verdict
 from hillchute.history.ownership_leases import Title
 from hillchute.history.records import STILL_OUT
@@ -393,7 +393,7 @@
 
 
 PLANTED = {
-    "nobody waits for what is out": (keeping.Keeper, "others_out", lambda self, *about: False),
+    "nobody waits for what is out": (replica.Keeper, "others_out", lambda self, *about: False),
     "anybody leads": (handover, "leads", anybody_leads),
     "what may have run is deferred": (Passing, "end", has_not_run),
     "what has no answer ends without one": (Passing, "end", is_no_answer),
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -8,8 +8,8 @@
 from hillchute.errors import DatagramDropped
 from hillchute.history import codec
 from hillchute.history.claim_decision import STILL_OUT, Verdict, judge
-from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Kept, Record, Shelf
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import MS, Book, Forget, Policy, unfit
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.view_change import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -4,9 +4,9 @@
 import pytest
 import test_history as tests
 
-from hillchute.history import keeper, records, retention, view_change
-from hillchute.history.keeper import Keeper
+from hillchute.history import records, replica, retention, view_change
 from hillchute.history.records import OUT, Record
+from hillchute.history.replica import Keeper
 from hillchute.history.view_change import Views
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
@@ -38,7 +38,7 @@
 
 
 def without_copies(self, record):
-    self.copied(keeper.Round(0, record, set(), self.now, self.now))
+    self.copied(replica.Round(0, record, set(), self.now, self.now))
 
 
 def unfetched(self, number, slot, view):
@@ -65,10 +65,10 @@
 
 
 def unkept(self, sender, store):
-    self.say(sender, keeper.Stored(store.view, store.number, True))
+    self.say(sender, replica.Stored(store.view, store.number, True))
 
 
-ENTER, LOSE, JUDGE, CHOOSE = Keeper.enter, Keeper.lose, Keeper.judge, keeper.judge
+ENTER, LOSE, JUDGE, CHOOSE = Keeper.enter, Keeper.lose, Keeper.judge, replica.judge
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
         (Keeper, "enter", unfetched, "ran twice"),
         (Keeper, "lose", lost_unsaid, "ran twice"),
         (Keeper, "judge", dead_runs_again, "ran twice"),
-        (keeper, "judge", unordered, "out of order"),
+        (replica, "judge", unordered, "out of order"),
         (retention.Book, "forgotten", lambda self, *about: False, "kept too long"),
     ],
 )
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hillchute.history import codec as history
-from hillchute.history.keeper import Keeper
+from hillchute.history.replica import Keeper
 from hillchute.lab import partners_mutants
 from hillchute.lab.history_mutants import drawn, mutant, paths
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -11,8 +11,8 @@
 
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.errors import DatagramDropped, DiskNotUsable
-from hillchute.history.keeper import Keeper
 from hillchute.history.records import FINISHED, OUT, Record
+from hillchute.history.replica import Keeper
 from hillchute.history.retention import Book, Forget, Policy
 from hillchute.history.sqlite_store import Disk
 from hillchute.lab import processes
