--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -138,7 +138,11 @@
         ("in_force", for_ever, tests.test_lease_is_counted_from_before_it_was_granted),
         ("in_force", for_ever, tests.test_side_of_a_cut_with_fewer_than_half_neither_answers_nor_runs),
         ("believable", lambda *about: True, tests.test_number_far_ahead_of_the_clock_ends_no_views),
-        ("rest", lambda self, now: view_change.LEASE, tests.test_view_that_was_not_in_force_for_a_lease_is_dropped),
+        (
+            "rest",
+            lambda self, now: view_change.LEASE,
+            tests.test_view_that_was_not_in_force_for_a_lease_is_dropped,
+        ),
     ],
 )
 def test_fault_planted_in_the_views_is_found(monkeypatch, name, fault, found_by):
