--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.claim_decision import Verdict
-from hillchute.history.ownership_leases import Title
-from hillchute.history.records import KILLED, Record
-from hillchute.history.retention import TEXT, Book
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
+from hillchute.history.records import Record, RecordState
+from hillchute.history.retention import TEXT, RetentionPolicies
 from hillchute.history.retention import unfit as unfit_book
 from hillchute.history.slot_placement import SLOTS
 from hillchute.history.view_change import Grant, Id, Promise, View
@@ -31,8 +31,8 @@
     "patience": DAY,
     "attempt": 1 << 40,
     "place": 1 << 40,
-    "verdict": max(verdict.value for verdict in Verdict),
-    "state": KILLED,
+    "verdict": max(verdict.value for verdict in ClaimDecision),
+    "state": RecordState.FAILED,
 }
 PARTS = 4096  # messages that a slot goes in at the most
 
@@ -88,7 +88,7 @@
 
 
 class BookIs(Said, tag=7):
-    book: Book
+    book: RetentionPolicies
 
 
 class Claim(Said, tag=8):
@@ -116,7 +116,7 @@
 
 
 class End(Said, tag=10):
-    """The sender's run has ended, as the record says; FREED if it never began. It goes on until Ended
+    """The sender's run has ended, as the record says; NOT_RUN if it never began. It goes on until Ended
     comes."""
 
     view: Id
@@ -161,7 +161,7 @@
     records: tuple[Record, ...]
     ages: tuple[Time, ...]
     lost: Time | None
-    title: Title | None = None
+    title: OwnershipLease | None = None
 
 
 class Elsewhere(Said, tag=16):
@@ -178,7 +178,7 @@
 
     view: Id
     slot: int
-    title: Title
+    title: OwnershipLease
 
 
 class Entitled(Said, tag=19):
@@ -224,7 +224,7 @@
             return "" if fits else name
         case bytes():
             return ""  # rows: MOST bounds them
-        case Book():
+        case RetentionPolicies():
             return unfit_book(value)
         case Record():
             return unfit_record(value)
--- a/hillchute/history/ownership_leases.py
+++ b/hillchute/history/ownership_leases.py
@@ -10,24 +10,24 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.claim_decision import Verdict
+from hillchute.history.claim_decision import ClaimDecision
 
 
-class Title(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class OwnershipLease(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     number: int  # only rises; with each the owner is another
     owner: str  # the partner that leads the slot's queries
 
 
-class Moving(msgspec.Struct):
+class LeaseTransfer(msgspec.Struct):
     """A title on its way to the other holders; it holds once all have it."""
 
-    title: Title
+    title: OwnershipLease
     waits: set[str]
     began: Time
     sent: Time
 
 
-class Deeds(Protocol):
+class PartnerAgreement(Protocol):
     """What this router knows of its partners' agreement."""
 
     revision: int  # another one whenever slots may be due to others
@@ -41,11 +41,11 @@
     def told(self, now: Time, number: int) -> None:
         """Who speaks for all says which text holds."""
 
-    def follows(self, now: Time, slot: int, title: Title | None) -> Title | None:
+    def follows(self, now: Time, slot: int, title: OwnershipLease | None) -> OwnershipLease | None:
         """The title that is to stand; the same one where nothing is to move."""
 
     def leads(
-        self, now: Time, router: str, title: Title | None, others_out: Callable[[], bool]
-    ) -> tuple[Verdict, str] | None:
+        self, now: Time, router: str, title: OwnershipLease | None, others_out: Callable[[], bool]
+    ) -> tuple[ClaimDecision, str] | None:
         """Why a router's query of the slot can't be granted; None if it can. `others_out`: whether something
         of its key that was led under an earlier title may still be out."""
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -22,7 +22,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import BookNotCurrent
-from hillchute.history.claim_decision import FOUNDING, Verdict, judge
+from hillchute.history.claim_decision import FOUNDING, ClaimDecision, judge
 from hillchute.history.codec import (
     Ask,
     BookIs,
@@ -45,9 +45,9 @@
     Text,
     WantBook,
 )
-from hillchute.history.ownership_leases import Deeds, Moving, Title
-from hillchute.history.records import FREED, OUT, STILL_OUT, Kept, Name, Record, Shelf
-from hillchute.history.retention import MS, Book, changed
+from hillchute.history.ownership_leases import LeaseTransfer, OwnershipLease, PartnerAgreement
+from hillchute.history.records import COMPLETION_GRACE, Name, Record, RecordState, RecordStore, RetainedRecord
+from hillchute.history.retention import MS, RetentionPolicies, changed
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.view_change import BEAT, DRIFT, LEASE, NONE, Id, View, Views
 
@@ -66,7 +66,7 @@
 VIEWS_KEPT = 64  # views that a slot which nobody touched is brought through, one by one
 
 
-class Disk(Protocol):
+class DurableStore(Protocol):
     def write(self, moved: Mapping[Name, Record | None], since: Mapping[Name, Time]) -> bool: ...
 
 
@@ -84,7 +84,7 @@
     since: Time = 0
     asked: Time = 0
     left: Time | None = None  # when it became another's
-    title: Title | None = None
+    title: OwnershipLease | None = None
 
 
 class Mine(msgspec.Struct):
@@ -128,24 +128,24 @@
     return View(*change.view, members, change.copies, base.id, base.members, base.copies)
 
 
-class Keeper:
+class Replica:
     def __init__(
         self,
         me: str,
         life: int,
         named: list[str],
-        book: Book,
+        book: RetentionPolicies,
         now: Time,
         living: Callable[[], Mapping[str, int]],
-        disk: Disk | None = None,
-        deeds: Deeds | None = None,
+        disk: DurableStore | None = None,
+        deeds: PartnerAgreement | None = None,
     ) -> None:
         """`living`: this router and all others that live, with their lives. `deeds`: where there are
         partners."""
         self.me, self.life, self.living, self.disk, self.deeds = me, life, living, disk, deeds
         self.book, self.told = book, book.number  # the number that the last call named
         self.told_by: tuple[Id, Time] = ((0, ""), 0)
-        self.views, self.shelf = Views(me, life, named, now), Shelf()
+        self.views, self.shelf = Views(me, life, named, now), RecordStore()
         self.taken_up: list[View] = []
         self.forgot_views = 0  # of `taken_up` that were dropped
         self.slots = [Slot() for _ in range(SLOTS)]
@@ -155,7 +155,7 @@
         self.floor_at = now  # since when
         self.rounds: dict[int, Round] = {}
         self.round_of: dict[Name, Round] = {}  # the last of each token
-        self.moving: dict[int, Moving] = {}  # titles on their way, by slot
+        self.moving: dict[int, LeaseTransfer] = {}  # titles on their way, by slot
         self.to_title: deque[int] = deque()  # slots whose titles are to be looked at
         self.revision = 0  # of the deeds, as of which that is so
         self.leaving = False  # it ends: it gives what it has, and calls no view
@@ -165,7 +165,7 @@
         self.lines: dict[tuple[str, str], deque[int]] = {}  # of claims of one key that are not granted
         self.numbers = 0
         self.out: list[tuple[str, Message]] = []
-        self.verdicts: list[tuple[int, Verdict, str, bytes | None]] = []
+        self.verdicts: list[tuple[int, ClaimDecision, str, bytes | None]] = []
         self.counts: Counter[str] = Counter()
         self.now, self.beat_at, self.swept, self.asked_at = now, now, now, now - AGAIN
         self.book_asked_at, self.asked_whom = now, 0  # of policies, beside what calls say of them
@@ -211,7 +211,7 @@
             self.send_claim(self.mine[line[0]])
 
     def ended(self, now: Time, number: int, state: int, rows: bytes | None = None) -> None:
-        """A query is over, granted or not: FREED if no submission of it can have had an effect."""
+        """A query is over, granted or not: NOT_RUN if no submission of it can have had an effect."""
         self.now, mine = now, self.mine.get(number)
         if mine is not None and mine.end is None:
             self.end(mine, state, rows)
@@ -229,7 +229,7 @@
             self.life,
             mine.number,
             0,
-            FREED,
+            RecordState.NOT_RUN,
             None,
         )
         mine.tries = 0
@@ -475,9 +475,9 @@
         else:
             self.say(sender, Elsewhere(fetch.view, fetch.slot, fetch.epoch, {}))
 
-    def in_parts(self, number: int) -> list[list[Kept]]:
+    def in_parts(self, number: int) -> list[list[RetainedRecord]]:
         """A slot's records, so many at a time that each part goes in one message."""
-        parts: list[list[Kept]] = [[]]
+        parts: list[list[RetainedRecord]] = [[]]
         size = 0
         for kept in self.shelf.in_slot(number):
             if size + kept.record.size > PART and parts[-1]:
@@ -523,14 +523,14 @@
 
     def claimed(self, sender: str, claim: Claim) -> None:
         verdict, why, kept = self.judge(sender, claim)
-        if verdict is not Verdict.RUN:
+        if verdict is not ClaimDecision.RUN:
             key = claim.customer, claim.key
-            if verdict is Verdict.WAIT and (key in self.waiting or len(self.waiting) < WAITING):
+            if verdict is ClaimDecision.WAIT and (key in self.waiting or len(self.waiting) < WAITING):
                 self.waiting.setdefault(key, {})[sender, claim.number] = claim
-            record = kept.record if kept is not None and verdict is Verdict.ANSWER else None
+            record = kept.record if kept is not None and verdict is ClaimDecision.REPLAY else None
             self.say(sender, Judged(claim.number, claim.life, verdict.value, why, record))
             return
-        if kept is not None and kept.record.state == OUT:
+        if kept is not None and kept.record.state == RecordState.RUNNING:
             record = kept.record
         else:
             attempt = 1 + (kept.record.attempt if kept is not None else 0)
@@ -544,17 +544,19 @@
                 return
         self.copy(record)
 
-    def judge(self, sender: str, claim: Claim) -> tuple[Verdict, str, Kept | None]:
+    def judge(self, sender: str, claim: Claim) -> tuple[ClaimDecision, str, RetainedRecord | None]:
         number = slot_of(claim.customer, claim.key)
         fault, slot = self.unable(number, claim.view)
         if fault:
-            return Verdict.DEFER, fault, None
+            return ClaimDecision.REJECT, fault, None
         living = self.living()
         if living.get(sender) != claim.life:  # nobody would run it, nor say that it did not
-            return Verdict.DEFER, "its router does not live", None
+            return ClaimDecision.REJECT, "its router does not live", None
         kept = self.shelf.find(claim.customer, claim.key, claim.token)
         others = self.shelf.of_key(claim.customer, claim.key) if claim.ordered else ()
-        outs = (k for k in others if k is not kept and k.record.state == OUT and not self.over(k))
+        outs = (
+            k for k in others if k is not kept and k.record.state == RecordState.RUNNING and not self.over(k)
+        )
         before = next(outs, None)
         record = kept.record if kept is not None else None
         mine = record is not None and (record.owner, record.life, record.claim) == (
@@ -569,13 +571,13 @@
             return self.shelf.room(claim.customer, claim.key, self.now, self.book)
 
         verdict = judge(self.book, claim.customer, kept, before, self.now, lost_for, lives, mine, room)
-        if self.deeds is not None and not mine and verdict[0] in (Verdict.RUN, Verdict.WAIT):
+        if self.deeds is not None and not mine and verdict[0] in (ClaimDecision.RUN, ClaimDecision.WAIT):
             verdict = self.leads(sender, claim, number) or verdict
         return *verdict, kept
 
-    def over(self, kept: Kept) -> bool:
+    def over(self, kept: RetainedRecord) -> bool:
         """Whether a run can't be out any more, though its router never said how it ended."""
-        return self.now - kept.since > kept.record.patience + STILL_OUT
+        return self.now - kept.since > kept.record.patience + COMPLETION_GRACE
 
     def left_for(self, view: Id) -> bool:
         """Whether others have fetched from this router for a later view. One that has not come into force
@@ -633,8 +635,8 @@
     def copied(self, round: Round) -> None:
         self.drop_round(round)
         record = round.record
-        if record.state == OUT:
-            self.say(record.owner, Judged(record.claim, record.life, Verdict.RUN.value, "new", record))
+        if record.state == RecordState.RUNNING:
+            self.say(record.owner, Judged(record.claim, record.life, ClaimDecision.RUN.value, "new", record))
         else:
             self.say(record.owner, Ended(record.claim, record.life))
 
@@ -673,7 +675,7 @@
             ):
                 self.say(sender, Ended(record.claim, record.life))
                 return
-            record = msgspec.structs.replace(kept.record, state=FREED)
+            record = msgspec.structs.replace(kept.record, state=RecordState.NOT_RUN)
         age = self.now - kept.since if kept is not None else 0
         record = self.shelf.fitting(record, self.now, self.book)
         self.shelf.put(record, self.now, age, self.book)
@@ -691,9 +693,9 @@
 
     # ---- titles ---------------------------------------------------------------------------------------
 
-    def leads(self, sender: str, claim: Claim, number: int) -> tuple[Verdict, str] | None:
+    def leads(self, sender: str, claim: Claim, number: int) -> tuple[ClaimDecision, str] | None:
         if number in self.moving:
-            return Verdict.WAIT, "its slot changes hands"
+            return ClaimDecision.WAIT, "its slot changes hands"
         title = self.slots[number].title
 
         def others_out() -> bool:
@@ -701,10 +703,10 @@
 
         return self.deeds.leads(self.now, sender, title, others_out)
 
-    def others_out(self, customer: str, key: str, title: Title) -> bool:
+    def others_out(self, customer: str, key: str, title: OwnershipLease) -> bool:
         """Whether a run of the key that was granted under an earlier title may still be out."""
         earlier = (kept for kept in self.shelf.of_key(customer, key) if kept.record.title < title.number)
-        return any(kept.record.state == OUT and not self.over(kept) for kept in earlier)
+        return any(kept.record.state == RecordState.RUNNING and not self.over(kept) for kept in earlier)
 
     def look_at_titles(self) -> None:
         """Those that are due to another go on their way."""
@@ -723,19 +725,19 @@
             title = self.deeds.follows(self.now, number, slot.title)
             if title is not None and title != slot.title:
                 waits = set(self.holders_of(number)) - {self.me}
-                self.moving[number] = Moving(title, waits, self.now, self.now - AGAIN)
+                self.moving[number] = LeaseTransfer(title, waits, self.now, self.now - AGAIN)
         for number, moving in list(self.moving.items()):
             if self.now - moving.sent >= AGAIN:
                 self.send_title(number, moving)
 
-    def send_title(self, number: int, moving: Moving) -> None:
+    def send_title(self, number: int, moving: LeaseTransfer) -> None:
         moving.sent = self.now
         for name in sorted(moving.waits):
             self.say(name, Entitle(self.views.view.id, number, moving.title))
         if not moving.waits:
             self.title_stands(number, moving)
 
-    def title_stands(self, number: int, moving: Moving) -> None:
+    def title_stands(self, number: int, moving: LeaseTransfer) -> None:
         del self.moving[number]
         slot = self.slots[number]
         slot.title = moving.title
@@ -761,13 +763,13 @@
     # ---- as the one who asked -------------------------------------------------------------------------
 
     def judged(self, word: Judged) -> None:
-        mine, verdict, rows = self.mine.get(word.number), Verdict(word.verdict), None
+        mine, verdict, rows = self.mine.get(word.number), ClaimDecision(word.verdict), None
         if word.life != self.life:
             return
         if mine is None:
-            if verdict is Verdict.RUN and word.record is not None:
+            if verdict is ClaimDecision.RUN and word.record is not None:
                 # Guards against a claim that was granted when it was over here: nobody else would end it.
-                record = msgspec.structs.replace(word.record, state=FREED)
+                record = msgspec.structs.replace(word.record, state=RecordState.NOT_RUN)
                 about = (
                     record.customer,
                     record.key,
@@ -783,22 +785,22 @@
             return
         if mine.record is not None or mine.end is not None or mine.passed:
             return
-        if verdict is Verdict.ANSWER and not self.answers_hold(word.record):
+        if verdict is ClaimDecision.REPLAY and not self.answers_hold(word.record):
             return
-        if verdict is Verdict.WAIT or verdict is Verdict.DEFER:
+        if verdict is ClaimDecision.WAIT or verdict is ClaimDecision.REJECT:
             mine.sent = self.now  # asked again until it is due
             return
-        if verdict is Verdict.RUN:
+        if verdict is ClaimDecision.RUN:
             if word.record is None or self.now >= mine.due:
                 return  # it is given up when it is due
             mine.record = word.record
             self.leave_line(mine)
-        elif verdict is Verdict.PASS:
+        elif verdict is ClaimDecision.FORWARD:
             mine.passed = True  # until it is said how it ended: what came after it must not overtake it
         else:
             rows = word.record.rows if word.record is not None else None
-            if verdict is Verdict.ANSWER and rows is None:  # none that a holder would give
-                verdict = Verdict.KILL
+            if verdict is ClaimDecision.REPLAY and rows is None:  # none that a holder would give
+                verdict = ClaimDecision.FAIL
             self.leave_line(mine)
             del self.mine[word.number]
         self.verdicts.append((word.number, verdict, word.why, rows))
@@ -811,7 +813,7 @@
 
     # ---- the book -------------------------------------------------------------------------------------
 
-    def apply(self, now: Time, book: Book) -> bool:
+    def apply(self, now: Time, book: RetentionPolicies) -> bool:
         """A book with a higher number holds from now: what it forbids is answered no more, and soon gone."""
         if book.number <= self.book.number:
             return False
@@ -926,7 +928,9 @@
         living = self.living()
         for kept in list(self.shelf.in_slot(number)):
             record = kept.record
-            lasts = record.state == OUT and self.now - kept.since > LEASE and not self.over(kept)
+            lasts = (
+                record.state == RecordState.RUNNING and self.now - kept.since > LEASE and not self.over(kept)
+            )
             if lasts and living.get(record.owner) == record.life:
                 self.copy(record)
 
@@ -938,10 +942,10 @@
                 self.mine.pop(mine.number, None)  # the holders take its run, if any, for over by now
         elif mine.passed:
             if self.now - mine.due > FORGET:
-                self.end(mine, FREED)
+                self.end(mine, RecordState.NOT_RUN)
         elif mine.record is None and self.now >= mine.due:
-            self.verdicts.append((mine.number, Verdict.DEFER, "no verdict in time", None))
-            self.end(mine, FREED)
+            self.verdicts.append((mine.number, ClaimDecision.REJECT, "no verdict in time", None))
+            self.end(mine, RecordState.NOT_RUN)
         elif mine.record is None and self.now - mine.sent >= AGAIN << min(mine.tries, SLOW):
             if self.has_turn(mine):
                 self.send_claim(mine)
--- a/hillchute/history/retention.py
+++ b/hillchute/history/retention.py
@@ -18,7 +18,7 @@
 TEXT = 128  # characters of a customer's name or of a key
 
 
-class Policy(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class RetentionPolicy(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """One customer's. The defaults are those of the operator file."""
 
     least_ms: int = 600_000  # nothing is forgotten before, while a holder lives
@@ -33,7 +33,7 @@
     lost: str = "defer"  # "run": what a query gets whose history may have been lost with all its holders
 
 
-class Forget(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class ErasureRequest(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """All that was taken before a time, of a customer or of one of its keys."""
 
     before: Time
@@ -44,18 +44,18 @@
         return taken < self.before and self.customer == customer and self.key in (None, key)
 
 
-class Book(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class RetentionPolicies(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """All policies under one number; of two books the higher number holds."""
 
     number: int = 0
     copies: int = 2  # holders of a record beside the first
     erase_ms: int = 2000  # within this what is forbidden is gone from every living holder
     founded: Time = 0  # until a minute after, a history that nobody holds is one that nobody has had
-    default: Policy = Policy()
-    customers: dict[str, Policy] = {}
-    forgets: tuple[Forget, ...] = ()
+    default: RetentionPolicy = RetentionPolicy()
+    customers: dict[str, RetentionPolicy] = {}
+    forgets: tuple[ErasureRequest, ...] = ()
 
-    def of(self, customer: str) -> Policy:
+    def of(self, customer: str) -> RetentionPolicy:
         return self.customers.get(customer, self.default)
 
     def forgotten(self, customer: str, key: str, taken: Time) -> bool:
@@ -88,7 +88,7 @@
         return self.founded > 0 and lost <= self.founded + grace
 
 
-def unfit(book: Book) -> str:
+def unfit(book: RetentionPolicies) -> str:
     """The first field that no holder could honour; empty for a sound book."""
     if not 0 <= book.number <= 1_000_000_000 or not 0 <= book.founded < 1 << 60:
         return "number"
@@ -111,7 +111,7 @@
     return ""
 
 
-def unfit_policy(policy: Policy) -> str:
+def unfit_policy(policy: RetentionPolicy) -> str:
     if not 1000 <= policy.least_ms <= policy.most_ms <= 31_622_400_000:
         return "least_ms"
     for name, most in (("most", 1 << 20), ("most_bytes", 1 << 30), ("most_records", 1 << 24)):
@@ -120,7 +120,9 @@
     return "" if policy.lost in ("defer", "run") else "lost"
 
 
-def changed(old: Book, new: Book) -> Mapping[str, tuple[Policy, Policy]]:
+def changed(
+    old: RetentionPolicies, new: RetentionPolicies
+) -> Mapping[str, tuple[RetentionPolicy, RetentionPolicy]]:
     """Whose policy is another now."""
     names = {"", *old.customers, *new.customers}
     return {n: (old.of(n), new.of(n)) for n in sorted(names) if old.of(n) != new.of(n)}
--- a/hillchute/history/sqlite_store.py
+++ b/hillchute/history/sqlite_store.py
@@ -24,7 +24,7 @@
 encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Record)
 
 
-class Disk:
+class SqliteStore:
     def __init__(self, path: str | Path) -> None:
         """Raises DiskNotUsable for one that can't be opened, is read-only, or is damaged."""
         self.path, self.counts = Path(path), Counter()
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -18,8 +18,8 @@
 import anyio
 import orjson
 
-from hillchute.history.records import FINISHED, Record, Shelf
-from hillchute.history.retention import Book, Policy
+from hillchute.history.records import Record, RecordState, RecordStore
+from hillchute.history.retention import RetentionPolicies, RetentionPolicy
 from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
@@ -89,12 +89,12 @@
 
 def a_record(n: int) -> Record:
     whose = (1, f"router-{n % 200}", 1_700_000_000_000, n, 50_000)
-    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *whose, FINISHED, None)
+    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *whose, RecordState.SERVED, None)
 
 
 def memory() -> float:
     """Bytes that a record without rows takes."""
-    book, shelf = Book(default=Policy(most=1000)), Shelf()
+    book, shelf = RetentionPolicies(default=RetentionPolicy(most=1000)), RecordStore()
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -110,7 +110,7 @@
 def repair(seed: int, routers: int = 6) -> dict[str, float]:
     """A holder of some of them dies; until all slots have their copies again: simulated time, and
     the processor's own that all routers needed."""
-    net = HistoryNet(seed, routers, founded(copies=1, default=Policy(most=1000)))
+    net = HistoryNet(seed, routers, founded(copies=1, default=RetentionPolicy(most=1000)))
     if not net.settled():
         raise RuntimeError("no view came into force")
     view = net.keepers["n0"].views.view
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -23,8 +23,8 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
 from hillchute.history.codec import KINDS, Message, encoder
-from hillchute.history.records import FREED
-from hillchute.history.retention import Policy
+from hillchute.history.records import RecordState
+from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.lab.history_net import STEP, HistoryNet, founded
 from hillchute.lab.workers import workers
@@ -157,7 +157,7 @@
 class Net(Changing, HistoryNet):
     def __init__(self, seed: int, at: int = -1, change: str = "", path: tuple = ()) -> None:
         self.listen(at, change, path)
-        policy = Policy(rows=True, least_ms=90_000, most_ms=600_000)
+        policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
         super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
 
     def script(self) -> "Net":
@@ -220,7 +220,9 @@
             token = f"t{n}"
             records = [k.record for keeper in self.keepers.values() for k in keeper.shelf.all()]
             # One that was freed says that nothing ran: whether it is still there is no matter.
-            states = [(r.state, r.rows) for r in records if r.token == token and r.state != FREED]
+            states = [
+                (r.state, r.rows) for r in records if r.token == token and r.state != RecordState.NOT_RUN
+            ]
             kept[token] = len(self.runs[token]), len(states), sorted(set(states))
         return {"kept": kept, "books": sorted(k.book.number for k in self.keepers.values())}
 
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.claim_decision import Verdict
+from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import Message, decode, encode
-from hillchute.history.records import FINISHED, FREED, KILLED
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import MS, Book, Forget
+from hillchute.history.records import RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies
 from hillchute.history.view_change import LEASE
 
 SECOND = 10_000
@@ -35,7 +35,7 @@
         self,
         seed: int,
         count: int,
-        book: Book,
+        book: RetentionPolicies,
         loss: float = 0.0,
         twice: float = 0.0,
         never: float = 0.0,
@@ -44,7 +44,7 @@
         self.seed, self.chance, self.now, self.fails = seed, random.Random(seed), EPOCH, fails
         self.loss, self.twice, self.never, self.book = loss, twice, never, book
         self.names = [f"n{n}" for n in range(count)]
-        self.keepers: dict[str, Keeper] = {}
+        self.keepers: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.stopped: dict[str, list] = {}  # who stands still, and what came meanwhile
         self.offset: dict[str, Time] = defaultdict(int)  # of its clock
@@ -82,8 +82,8 @@
         self.keepers[name] = self.keeper(name, now, living)
         self.notice()
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
-        return Keeper(name, self.lives[name], self.names, self.book, now, living)
+    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
+        return Replica(name, self.lives[name], self.names, self.book, now, living)
 
     def kill(self, name: str) -> None:
         self.keepers.pop(name, None)
@@ -196,7 +196,7 @@
         self.open[name, self.lives[name], number] = token, key, self.now
         self.post(name)
 
-    def judged(self, name: str, keeper: Keeper) -> None:
+    def judged(self, name: str, keeper: Replica) -> None:
         verdicts, keeper.verdicts = keeper.verdicts, []
         for number, verdict, why, rows in verdicts:
             claim = name, self.lives[name], number
@@ -207,13 +207,13 @@
             self.said[f"{verdict.name}: {why}"] += 1
             self.said[verdict.name] += 1
             self.waited.append(self.now - asked)
-            if verdict is not Verdict.RUN:
+            if verdict is not ClaimDecision.RUN:
                 del self.open[claim]
-            if verdict is Verdict.ANSWER and rows != f"rows of {token}".encode():
+            if verdict is ClaimDecision.REPLAY and rows != f"rows of {token}".encode():
                 self.rule["wrong answer"] += 1
-            if verdict is Verdict.ANSWER and self.too_late(token):
+            if verdict is ClaimDecision.REPLAY and self.too_late(token):
                 self.rule["kept too long"] += 1
-            if verdict is Verdict.RUN:
+            if verdict is ClaimDecision.RUN:
                 self.run(claim, token, key)
             else:
                 self.over(claim, verdict, why, rows, (token, key, asked))
@@ -221,7 +221,7 @@
     def over(
         self,
         claim: tuple[str, int, int],
-        verdict: Verdict,
+        verdict: ClaimDecision,
         why: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
@@ -233,7 +233,7 @@
         # Each run has chance of its own: what happens to one changes no other.
         chance = random.Random(f"{self.seed}:{token}:{len(self.runs[token])}")
         if chance.random() < self.never:
-            self.ended(claim, FREED)
+            self.ended(claim, RecordState.NOT_RUN)
             return
         if self.runs[token] and self.bound(token):
             self.rule["ran twice"] += 1
@@ -245,7 +245,7 @@
         self.runs[token].append(span)
         self.keys[key].append(span)
         self.order += 1
-        how = KILLED if chance.random() < self.fails else FINISHED
+        how = RecordState.FAILED if chance.random() < self.fails else RecordState.SERVED
         heappush(self.endings, (span[1], self.order, claim, token, how))
 
     def ends(self) -> None:
@@ -256,7 +256,7 @@
             if claim[0] in self.stopped and self.lives[claim[0]] == claim[1]:
                 again.append((self.now + STEP, order, claim, token, how))
             elif claim in self.open:
-                self.ended(claim, how, f"rows of {token}".encode() if how == FINISHED else None)
+                self.ended(claim, how, f"rows of {token}".encode() if how == RecordState.SERVED else None)
         for ending in again:
             heappush(self.endings, ending)
 
@@ -281,7 +281,7 @@
     def forget(self, name: str) -> None:
         """The operator wants all forgotten that was taken until now, and tells one router."""
         self.book = msgspec.structs.replace(
-            self.book, number=self.book.number + 1, forgets=(*self.book.forgets, Forget(self.now))
+            self.book, number=self.book.number + 1, forgets=(*self.book.forgets, ErasureRequest(self.now))
         )
         self.forgotten.append((self.now, None))
         self.keepers[name].apply(self.clock(name), self.book)
@@ -320,9 +320,9 @@
             self.known()
 
 
-def founded(**about: object) -> Book:
+def founded(**about: object) -> RetentionPolicies:
     """A book of a fleet that begins now."""
-    return Book(number=1, founded=EPOCH // MS * MS, **about)
+    return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
 
 
 def storm(net: HistoryNet, seed: int, seconds: float, forgets: bool = False) -> bool:
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -17,10 +17,10 @@
 from hillchute.accord.quotas import Quotas
 from hillchute.decision.interface import Time
 from hillchute.history.codec import Claim
-from hillchute.history.ownership_leases import Moving
-from hillchute.history.records import STILL_OUT
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import Policy
+from hillchute.history.ownership_leases import LeaseTransfer
+from hillchute.history.records import COMPLETION_GRACE
+from hillchute.history.replica import Replica
+from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
 from hillchute.partners.pool import floor, homes
@@ -29,7 +29,7 @@
 
 WHOLE = 1_000_000
 TICK: Time = 2_000  # of the pool's simulation
-KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
+KEEPS = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
 
 # ---- moves ----------------------------------------------------------------------------------------
 
@@ -75,7 +75,7 @@
 # ---- time without an owner ------------------------------------------------------------------------
 
 
-class Watched(Keeper):
+class Watched(Replica):
     """Notes how long a title moves, and what waits for a run of the owner before."""
 
     gaps: list[Time]
@@ -83,7 +83,7 @@
     waits: dict[tuple[str, int, int], Time]
     had_owner: dict[int, bool]
 
-    def title_stands(self, number: int, moving: Moving) -> None:
+    def title_stands(self, number: int, moving: LeaseTransfer) -> None:
         super().title_stands(number, moving)
         if self.had_owner.pop(number, False):
             self.gaps.append(self.now - moving.began)
@@ -112,7 +112,7 @@
         self.waited_for: list[Time] = []
         super().__init__(*about, **faults)
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
+    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
         plain = super().keeper(name, now, living)
         keeper = Watched(name, plain.life, self.names, self.book, now, living, deeds=plain.deeds)
         keeper.gaps, keeper.waited = self.gaps, self.waited_for
@@ -167,7 +167,7 @@
     led, owners = {}, net.owners()
     first = {slot: holders(slot, net.keepers["n1"].views.view.members, 1)[0] for slot in range(SLOTS)}
     moved = [key for key in sorted(out) if owners[slot_of("", key)] != "a"]
-    while net.now < died + 2 * STILL_OUT and len(led) < len(moved):
+    while net.now < died + 2 * COMPLETION_GRACE and len(led) < len(moved):
         net.advance(0.5)
         for key in set(moved) - led.keys():
             keeper, slot = net.keepers[first[slot_of("", key)]], slot_of("", key)
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -13,7 +13,7 @@
 
 from hillchute.history import codec as history
 from hillchute.history.codec import encoder as history_encoder
-from hillchute.history.retention import Policy
+from hillchute.history.retention import RetentionPolicy
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import HARMLESS, Changing
 from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
@@ -29,7 +29,7 @@
 class Net(Changing, PartnersNet):
     def __init__(self, seed: int, at: int = -1, change: str = "", path: tuple = ()) -> None:
         self.listen(at, change, path)
-        policy = Policy(rows=True, least_ms=90_000, most_ms=600_000)
+        policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
         super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
 
     def unchecked(self, message: object) -> bytes:
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -14,13 +14,13 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped, TextNotTaken
-from hillchute.history.claim_decision import Verdict
+from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
-from hillchute.history.records import FINISHED, FREED
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import Book
+from hillchute.history.records import RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.retention import RetentionPolicies
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
@@ -45,7 +45,9 @@
 
 
 class PartnersNet(HistoryNet):
-    def __init__(self, seed: int, count: int, book: Book, partners: str = "abc", **faults: float) -> None:
+    def __init__(
+        self, seed: int, count: int, book: RetentionPolicies, partners: str = "abc", **faults: float
+    ) -> None:
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
         self.partner_of = {name: p for p, some in self.partners.items() for name in some}
@@ -69,7 +71,7 @@
 
     # ---- routers ------------------------------------------------------------------------------------
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
+    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
         life, partner = self.lives[name], self.partner_of[name]
         council = Council(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
         self.councils[name] = council
@@ -80,7 +82,7 @@
             return living().get(other) != other_life
 
         self.passings[name] = Passing(name, life, living, over)
-        return Keeper(name, life, self.names, self.book, now, living, deeds=council)
+        return Replica(name, life, self.names, self.book, now, living, deeds=council)
 
     def hand(self, name: str) -> Marker | None:
         partner = self.partner_of[name]
@@ -204,7 +206,7 @@
     def over(
         self,
         claim: tuple[str, int, int],
-        verdict: Verdict,
+        verdict: ClaimDecision,
         why: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
@@ -212,13 +214,13 @@
         """A claim that does not run here is answered, or passed on if it came from a client."""
         (name, life, _), (token, key, asked) = claim, about
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {Verdict.ANSWER: "finished", Verdict.KILL: "killed"}.get(verdict, "deferred")
+        how = {ClaimDecision.REPLAY: "finished", ClaimDecision.FAIL: "killed"}.get(verdict, "deferred")
         if session is not None:
-            if verdict is Verdict.PASS:
-                self.keepers[name].ended(self.clock(name), claim[2], FREED)
+            if verdict is ClaimDecision.FORWARD:
+                self.keepers[name].ended(self.clock(name), claim[2], RecordState.NOT_RUN)
             self.passings[name].answered(self.clock(name), session, how, why, rows)
             return
-        if verdict is Verdict.PASS:
+        if verdict is ClaimDecision.FORWARD:
             self.hops["passed on"] += 1
             passing, now = self.passings[name], self.clock(name)
             to = passing.choose(self.partners.get(why, ()), "", key)
@@ -232,7 +234,7 @@
                 self.errand_of[name, life, errand] = ask, claim[2]
                 self.errands[name, life, errand] = ask
                 return
-            self.keepers[name].ended(now, claim[2], FREED)
+            self.keepers[name].ended(now, claim[2], RecordState.NOT_RUN)
         self.answered(ask, how)
 
     def take_guests(self, name: str) -> None:
@@ -248,7 +250,7 @@
             ask, mine = self.errand_of.pop((name, life, number), (None, 0))
             self.rule["ended twice"] += ask is None
             if mine:
-                self.keepers[name].ended(self.clock(name), mine, FREED)
+                self.keepers[name].ended(self.clock(name), mine, RecordState.NOT_RUN)
             if how == "finished" and rows is None:
                 self.rule["wrong answer"] += 1
             if ask is not None:
@@ -285,7 +287,7 @@
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {FINISHED: "finished", FREED: "deferred"}.get(state, "killed")
+        how = {RecordState.SERVED: "finished", RecordState.NOT_RUN: "deferred"}.get(state, "killed")
         if session is not None:
             self.passings[claim[0]].answered(self.clock(claim[0]), session, how, "", rows)
         elif ask is not None:
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -23,8 +23,8 @@
 import anyio.abc
 import orjson
 
-from hillchute.history.records import OUT
-from hillchute.history.sqlite_store import Disk
+from hillchute.history.records import RecordState
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment, rules
 from hillchute.lab.between import Between
 from hillchute.lab.clients import MySQL, Query
@@ -503,8 +503,10 @@
         them: those stay until they can't be out any more. And those that were asked for again since."""
         if not member.disk.exists():
             return set()
-        records = [record for record, _ in Disk(member.disk).read()]
-        return {r.token for r in records if r.state == OUT or r.taken / 10_000 >= before - SKEW}
+        records = [record for record, _ in SqliteStore(member.disk).read()]
+        return {
+            r.token for r in records if r.state == RecordState.RUNNING or r.taken / 10_000 >= before - SKEW
+        }
 
     def kept_too_long(self, replayed: list[Query]) -> list[str]:
         """Tokens whose last run was to be forgotten, and that were answered, or are on a disk, long after."""
--- a/hillchute/partners/council.py
+++ b/hillchute/partners/council.py
@@ -23,8 +23,8 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
-from hillchute.history.claim_decision import Verdict
-from hillchute.history.ownership_leases import Title
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.history.slot_placement import SLOTS
 from hillchute.partners import handover
 from hillchute.partners.agreement import Check, Ledger, Marker, Offer, Text, digest, settle
@@ -242,13 +242,13 @@
         text = self.text()
         return text is not None and now < text.ends
 
-    def follows(self, now: Time, slot: int, title: Title | None) -> Title | None:
+    def follows(self, now: Time, slot: int, title: OwnershipLease | None) -> OwnershipLease | None:
         wanted = self.owners[slot] if self.current() and self.holds(now) else None
         return handover.follows(title, wanted or "", now)
 
     def leads(
-        self, now: Time, router: str, title: Title | None, others_out: Callable[[], bool]
-    ) -> tuple[Verdict, str] | None:
+        self, now: Time, router: str, title: OwnershipLease | None, others_out: Callable[[], bool]
+    ) -> tuple[ClaimDecision, str] | None:
         return handover.leads(title, self.partner_of.get(router, ""), self.holds(now), others_out)
 
     def brings(self, now: Time, capacities: Mapping[str, int]) -> None:
--- a/hillchute/partners/handover.py
+++ b/hillchute/partners/handover.py
@@ -8,7 +8,7 @@
 runs. So the old owner has nothing to hand over but the title: what it has out is listed where the new owner's
 queries are granted, and none of the same key or table group is granted until that is over. That is said by
 the router that led it, or, where that died, stands still or is cut off, shown by time: past its patience and
-the longest time that a submission can still be out nothing of it is (records.STILL_OUT). A router that stood
+the longest time that a submission can still be out nothing of it is (COMPLETION_GRACE). A router that stood
 still finds its query past its end when it wakes, and sends nothing.
 
 Times are whole tenths of a millisecond, Unix.
@@ -17,13 +17,13 @@
 from collections.abc import Callable
 
 from hillchute.decision.interface import Time
-from hillchute.history.claim_decision import Verdict
-from hillchute.history.ownership_leases import Title
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
 
 MS = 10  # titles are numbered by milliseconds where that is higher: see below
 
 
-def follows(title: Title | None, wanted: str, now: Time) -> Title | None:
+def follows(title: OwnershipLease | None, wanted: str, now: Time) -> OwnershipLease | None:
     """The title that is to stand. `wanted`: who is to own the slot by the text that holds; "" for nobody:
     then whoever owns it goes on, and nobody follows.
 
@@ -31,22 +31,22 @@
     went before."""
     if not wanted or (title is not None and title.owner == wanted):
         return title
-    return Title(max(title.number + 1 if title is not None else 1, now // MS), wanted)
+    return OwnershipLease(max(title.number + 1 if title is not None else 1, now // MS), wanted)
 
 
 def leads(
-    title: Title | None, partner: str, holds: bool, others_out: Callable[[], bool]
-) -> tuple[Verdict, str] | None:
+    title: OwnershipLease | None, partner: str, holds: bool, others_out: Callable[[], bool]
+) -> tuple[ClaimDecision, str] | None:
     """Why a query of the slot from one of this partner's routers is not granted; None where it may be.
     `holds`: whether any text does."""
     if not holds:
-        return Verdict.DEFER, "no agreement of the partners holds"
+        return ClaimDecision.REJECT, "no agreement of the partners holds"
     if title is None:
-        return Verdict.DEFER, "nobody owns its slot yet"
+        return ClaimDecision.REJECT, "nobody owns its slot yet"
     if not partner:
-        return Verdict.DEFER, "its router is no partner's"
+        return ClaimDecision.REJECT, "its router is no partner's"
     if title.owner != partner:
-        return Verdict.PASS, title.owner
+        return ClaimDecision.FORWARD, title.owner
     if others_out():
-        return Verdict.WAIT, "the owner before has something out"
+        return ClaimDecision.WAIT, "the owner before has something out"
     return None
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -14,7 +14,7 @@
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
 from hillchute.fronts.events import Asked, Left, Spoilt
-from hillchute.history.replica import Keeper
+from hillchute.history.replica import Replica
 from hillchute.history.retention import MS
 from hillchute.history.view_change import DRIFT, LEASE
 from hillchute.log import Log
@@ -62,7 +62,7 @@
         self.passing = Passing(node.me, node.born, node.lives, self.over)
         self.errands: dict[tuple[str, int], int] = {}  # the passing's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
-        self.views: Keeper | None = None  # whose views say which text holds
+        self.views: Replica | None = None  # whose views say which text holds
         self.logged = now
         self.told: set[tuple[str, str]] = set()  # faults that stand, and are in the log
         self.homes: tuple[int, dict[str, int]] = (0, {})  # as of the council's revision
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -13,18 +13,25 @@
 from hillchute.engines.words import Rows
 from hillchute.errors import BookNotTaken, DiskNotUsable
 from hillchute.history import retention
-from hillchute.history.claim_decision import Verdict
+from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import Message, codec
-from hillchute.history.ownership_leases import Deeds
-from hillchute.history.records import FINISHED, FREED, KILLED
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import MS, Book, Forget, Policy
-from hillchute.history.sqlite_store import Disk
+from hillchute.history.ownership_leases import PartnerAgreement
+from hillchute.history.records import RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies, RetentionPolicy
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.log import Log
 from hillchute.peers.node import HISTORY, Node
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 
-STATES = {"freed": FREED, "finished": FINISHED, "killed": KILLED}
+DECISIONS = {
+    ClaimDecision.RUN: "RUN",
+    ClaimDecision.REPLAY: "ANSWER",
+    ClaimDecision.REJECT: "DEFER",
+    ClaimDecision.FAIL: "KILL",
+    ClaimDecision.FORWARD: "PASS",
+}  # in the reducer's words
+STATES = {"freed": RecordState.NOT_RUN, "finished": RecordState.SERVED, "killed": RecordState.FAILED}
 
 
 class Remembering(Riding):
@@ -36,7 +43,7 @@
         log: Log,
         judged: Callable[[str, int, str, str, Rows | None], None],
         soon: Callable[[], None],
-        deeds: Deeds | None = None,
+        deeds: PartnerAgreement | None = None,
     ) -> None:
         """`judged` is told each verdict: the query's id and number, and what the verdict says. `soon` is told
         when there is something to be sent. `deeds`: where there are partners."""
@@ -46,10 +53,10 @@
         self.disk = None
         if settings.get("disk"):
             try:
-                self.disk = Disk(settings["disk"])
+                self.disk = SqliteStore(settings["disk"])
             except DiskNotUsable as fault:  # the history goes on in memory: no record rests on this disk
                 log.write("history_disk", **fault.told)
-        self.keeper = Keeper(
+        self.keeper = Replica(
             node.me, node.born, [node.me, *node.keys], book_of(settings), now, node.lives, self.disk, deeds
         )
         if self.disk is not None:
@@ -91,10 +98,10 @@
             query = self.queries.get(mine)
             if query is None:
                 continue
-            if verdict not in (Verdict.RUN, Verdict.PASS):
+            if verdict not in (ClaimDecision.RUN, ClaimDecision.FORWARD):
                 del self.queries[mine], self.numbers[query]
             try:
-                self.judged(*query, verdict.name, why, None if rows is None else rows_out.decode(rows))
+                self.judged(*query, DECISIONS[verdict], why, None if rows is None else rows_out.decode(rows))
             except msgspec.DecodeError:
                 self.judged(*query, "KILL", "its rows can't be read", None)
         if self.keeper.out:
@@ -164,18 +171,19 @@
         return alone or self.keeper.handed_over
 
 
-def book_of(settings: Mapping[str, object]) -> Book:
+def book_of(settings: Mapping[str, object]) -> RetentionPolicies:
     """The operator file's history as a book."""
-    customers = {each["name"]: Policy(**each["policy"]) for each in settings["customers"]}
+    customers = {each["name"]: RetentionPolicy(**each["policy"]) for each in settings["customers"]}
     forgets = tuple(
-        Forget(each["before_ms"] * MS, each["customer"], each.get("key")) for each in settings["forget"]
+        ErasureRequest(each["before_ms"] * MS, each["customer"], each.get("key"))
+        for each in settings["forget"]
     )
-    return Book(
+    return RetentionPolicies(
         settings["number"],
         settings["copies"],
         settings["erase_ms"],
         settings["founded_ms"] * MS,
-        Policy(**settings["default"]),
+        RetentionPolicy(**settings["default"]),
         customers,
         forgets,
     )
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import DatagramDropped, MarksNotKept, TextNotTaken
-from hillchute.history.claim_decision import Verdict
-from hillchute.history.ownership_leases import Title
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.history.slot_placement import SLOTS
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
@@ -157,7 +157,7 @@
     fleet.play(60)
     assert not council.holds(fleet.now) and council.follows(fleet.now, 3, None) is None
     verdict, _ = council.leads(fleet.now, f"{title.owner}0", title, lambda: False)
-    assert verdict is Verdict.DEFER
+    assert verdict is ClaimDecision.REJECT
     fleet.offer("a", turn=2, ends=LATER)
     fleet.offer("b", turn=2, ends=LATER)
     fleet.play()
@@ -399,8 +399,8 @@
 
 def test_title_follows_who_is_due_and_its_number_only_rises():
     first = follows(None, "a", 70)
-    assert first == Title(7, "a") and follows(first, "a", 10**9) is first
-    assert follows(first, "b", 0) == Title(8, "b")
+    assert first == OwnershipLease(7, "a") and follows(first, "a", 10**9) is first
+    assert follows(first, "b", 0) == OwnershipLease(8, "b")
     assert follows(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
     assert follows(first, "", 0) is first and follows(None, "", 0) is None
 
@@ -408,12 +408,12 @@
 @pytest.mark.parametrize(
     ("title", "partner", "holds", "out", "verdict"),
     [
-        (Title(1, "a"), "a", True, False, None),
-        (Title(1, "a"), "a", False, False, Verdict.DEFER),
-        (None, "a", True, False, Verdict.DEFER),
-        (Title(1, "a"), "", True, False, Verdict.DEFER),
-        (Title(1, "a"), "b", True, True, Verdict.PASS),
-        (Title(1, "a"), "a", True, True, Verdict.WAIT),
+        (OwnershipLease(1, "a"), "a", True, False, None),
+        (OwnershipLease(1, "a"), "a", False, False, ClaimDecision.REJECT),
+        (None, "a", True, False, ClaimDecision.REJECT),
+        (OwnershipLease(1, "a"), "", True, False, ClaimDecision.REJECT),
+        (OwnershipLease(1, "a"), "b", True, True, ClaimDecision.FORWARD),
+        (OwnershipLease(1, "a"), "a", True, True, ClaimDecision.WAIT),
     ],
 )
 def test_only_the_owner_leads_and_only_once_nothing_of_the_one_before_is_out(
@@ -421,7 +421,7 @@
 ):
     found = leads(title, partner, holds, lambda: out)
     assert (found and found[0]) == verdict
-    if verdict is Verdict.PASS:
+    if verdict is ClaimDecision.FORWARD:
         assert found[1] == "a"
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
 from hillchute import errors
 from hillchute.decision.interface import Listing
 from hillchute.errors import HillchuteError
-from hillchute.history.sqlite_store import Disk
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import Fault, FaultySystem
 from hillchute.lab.history_net import EPOCH
@@ -79,7 +79,7 @@
 
 
 def disk_not_usable(tmp_path):
-    Disk(tmp_path / "none" / "h.db")
+    SqliteStore(tmp_path / "none" / "h.db")
 
 
 def text_not_taken(tmp_path):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,10 +4,10 @@
 import pytest
 
 from hillchute.history import replica
-from hillchute.history.claim_decision import Verdict
-from hillchute.history.ownership_leases import Title
-from hillchute.history.records import STILL_OUT
-from hillchute.history.retention import Policy
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
+from hillchute.history.records import COMPLETION_GRACE
+from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
 from hillchute.partners import handover, passing
@@ -16,7 +16,7 @@
 from hillchute.partners.council import Council
 from hillchute.partners.passing import AGAIN, KEPT, Passing
 
-KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
+KEEPS = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
 
 
 def net_of(count=6, seed=1, copies=1, **faults) -> PartnersNet:
@@ -80,7 +80,7 @@
     net.advance(3)
     net.ask("n2", "t0", key)
     net.advance(2)
-    assert net.said["ANSWER: finished before"] == 1 and not net.hops["passed on"]
+    assert net.said["REPLAY: finished before"] == 1 and not net.hops["passed on"]
     clean(net)
 
 
@@ -91,7 +91,7 @@
     net.advance(4)
     assert net.said["answered finished"] + net.said["answered killed"] == 9 and net.hops["passed on"]
     assert any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
-    net.advance((STILL_OUT + 6 * SECOND) / SECOND)
+    net.advance((COMPLETION_GRACE + 6 * SECOND) / SECOND)
     assert not any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
     clean(net)
 
@@ -151,8 +151,8 @@
     other = next(n for n in net.names if net.partner_of[n] == net.owners()[slot])
     net.ask(other, "t1", key)
     net.advance(6)
-    assert not net.runs["t1"] and net.now < died + STILL_OUT
-    net.play((died + STILL_OUT + 5 * SECOND - net.now) / SECOND)
+    assert not net.runs["t1"] and net.now < died + COMPLETION_GRACE
+    net.play((died + COMPLETION_GRACE + 5 * SECOND - net.now) / SECOND)
     net.ask(other, "t2", key)
     net.advance(4)
     assert net.runs["t2"]
@@ -378,7 +378,7 @@
 
 def anybody_leads(title, partner, holds, others_out):
     found = LEADS(title, partner, holds, others_out)
-    return None if found and found[0] is Verdict.PASS else found
+    return None if found and found[0] is ClaimDecision.FORWARD else found
 
 
 def has_not_run(self, number, how, why, rows=None):
@@ -393,11 +393,15 @@
 
 
 PLANTED = {
-    "nobody waits for what is out": (replica.Keeper, "others_out", lambda self, *about: False),
+    "nobody waits for what is out": (replica.Replica, "others_out", lambda self, *about: False),
     "anybody leads": (handover, "leads", anybody_leads),
     "what may have run is deferred": (Passing, "end", has_not_run),
     "what has no answer ends without one": (Passing, "end", is_no_answer),
-    "titles are never moved": (handover, "follows", lambda title, wanted, now: title or Title(1, wanted)),
+    "titles are never moved": (
+        handover,
+        "follows",
+        lambda title, wanted, now: title or OwnershipLease(1, wanted),
+    ),
     "nothing is told on": (Council, "all", lambda self, back: Know((), (), (), (), (), back)),
     "a call is not heeded": (Council, "told", lambda self, now, number: None),
     "a mark is for what it was not": (
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,18 +7,20 @@
 
 from hillchute.errors import DatagramDropped
 from hillchute.history import codec
-from hillchute.history.claim_decision import STILL_OUT, Verdict, judge
-from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Kept, Record, Shelf
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import MS, Book, Forget, Policy, unfit
+from hillchute.history.claim_decision import COMPLETION_GRACE, ClaimDecision, judge
+from hillchute.history.records import Record, RecordState, RecordStore, RetainedRecord
+from hillchute.history.replica import Replica
+from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies, RetentionPolicy, unfit
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
 from hillchute.history.view_change import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded, storm
 
-KEEPS = Policy(rows=True, least_ms=20_000, most_ms=60_000)
+KEEPS = RetentionPolicy(rows=True, least_ms=20_000, most_ms=60_000)
 
 
-def record(token="t", state=FINISHED, attempt=1, taken=EPOCH, key="k", customer="", rows=b"rows", **about):
+def record(
+    token="t", state=RecordState.SERVED, attempt=1, taken=EPOCH, key="k", customer="", rows=b"rows", **about
+):
     whose = {"owner": "n0", "life": 1, "claim": 1, "patience": SECOND} | about
     return Record(customer, key, token, taken, 1, attempt, state=state, rows=rows, **whose)
 
@@ -27,9 +29,9 @@
 
 
 def test_hold_goes_before_forget_and_age_but_nothing_old_is_answered():
-    forgets = (Forget(EPOCH + 1),)
-    book = Book(default=KEEPS, forgets=forgets)
-    held = Book(default=msgspec.structs.replace(KEEPS, hold=True), forgets=forgets)
+    forgets = (ErasureRequest(EPOCH + 1),)
+    book = RetentionPolicies(default=KEEPS, forgets=forgets)
+    held = RetentionPolicies(default=msgspec.structs.replace(KEEPS, hold=True), forgets=forgets)
     assert book.erased("", "k", EPOCH, 0) and not held.erased("", "k", EPOCH, 0)
     assert not book.erased("", "k", EPOCH + 1, 0)
     old = KEEPS.most_ms * MS + 1
@@ -39,7 +41,7 @@
 
 
 def test_forget_names_a_customer_or_one_of_its_keys():
-    book = Book(forgets=(Forget(EPOCH, "a"), Forget(EPOCH, "b", "k")))
+    book = RetentionPolicies(forgets=(ErasureRequest(EPOCH, "a"), ErasureRequest(EPOCH, "b", "k")))
     told = [book.forgotten(c, k, EPOCH - 1) for c, k in (("a", "x"), ("b", "k"), ("b", "x"), ("", "k"))]
     assert told == [True, True, False, False]
 
@@ -47,45 +49,47 @@
 @pytest.mark.parametrize(
     ("book", "field"),
     [
-        (Book(default=Policy(least_ms=10_000, most_ms=5_000)), "default.least_ms"),
-        (Book(customers={"a": Policy(lost="perhaps")}), "a.lost"),
-        (Book(copies=9), "copies"),
-        (Book(erase_ms=1), "erase_ms"),
-        (Book(forgets=(Forget(-1),)), "forget"),
-        (Book(number=-1), "number"),
+        (RetentionPolicies(default=RetentionPolicy(least_ms=10_000, most_ms=5_000)), "default.least_ms"),
+        (RetentionPolicies(customers={"a": RetentionPolicy(lost="perhaps")}), "a.lost"),
+        (RetentionPolicies(copies=9), "copies"),
+        (RetentionPolicies(erase_ms=1), "erase_ms"),
+        (RetentionPolicies(forgets=(ErasureRequest(-1),)), "forget"),
+        (RetentionPolicies(number=-1), "number"),
     ],
 )
 def test_book_that_nobody_could_honour_names_the_field(book, field):
     assert unfit(book) == field
-    assert unfit(Book()) == ""
+    assert unfit(RetentionPolicies()) == ""
 
 
 def verdict(kept=None, before=None, lost_for=None, lives=True, mine=False, room=True, age=0, **policy):
-    book = Book(default=Policy(rows=True, **policy))
-    kept = kept and Kept(kept, EPOCH - age)
+    book = RetentionPolicies(default=RetentionPolicy(rows=True, **policy))
+    kept = kept and RetainedRecord(kept, EPOCH - age)
     return judge(book, "", kept, before, EPOCH, lost_for, lives, mine, lambda: room)[0]
 
 
 def test_verdict_on_each_thing_known():
-    out = record(state=OUT, rows=None)
-    assert verdict() is Verdict.RUN
-    assert verdict(record()) is Verdict.ANSWER
-    assert verdict(record(), replay=False) is Verdict.KILL
-    assert verdict(record(rows=None)) is Verdict.KILL
-    assert verdict(record(state=KILLED)) is Verdict.KILL
-    assert verdict(record(state=FREED)) is Verdict.RUN
-    assert verdict(record(), age=3_600_001 * MS) is Verdict.KILL  # nothing is run that is known to have run
-    assert verdict(out) is Verdict.WAIT
-    assert verdict(out, mine=True) is Verdict.RUN
-    assert verdict(out, lives=False) is Verdict.DEFER
+    out = record(state=RecordState.RUNNING, rows=None)
+    assert verdict() is ClaimDecision.RUN
+    assert verdict(record()) is ClaimDecision.REPLAY
+    assert verdict(record(), replay=False) is ClaimDecision.FAIL
+    assert verdict(record(rows=None)) is ClaimDecision.FAIL
+    assert verdict(record(state=RecordState.FAILED)) is ClaimDecision.FAIL
+    assert verdict(record(state=RecordState.NOT_RUN)) is ClaimDecision.RUN
+    assert (
+        verdict(record(), age=3_600_001 * MS) is ClaimDecision.FAIL
+    )  # nothing is run that is known to have run
+    assert verdict(out) is ClaimDecision.WAIT
+    assert verdict(out, mine=True) is ClaimDecision.RUN
+    assert verdict(out, lives=False) is ClaimDecision.REJECT
     for lives in (True, False):
-        assert verdict(out, lives=lives, age=out.patience + STILL_OUT + 1) is Verdict.KILL
-    assert verdict(before=Kept(out, EPOCH)) is Verdict.WAIT
-    assert verdict(room=False) is Verdict.DEFER
-    assert verdict(lost_for=0) is Verdict.DEFER
-    assert verdict(lost_for=0, lost="run") is Verdict.RUN
-    assert verdict(lost_for=600_000 * MS) is Verdict.RUN
-    assert verdict(record(), lost_for=0) is Verdict.ANSWER
+        assert verdict(out, lives=lives, age=out.patience + COMPLETION_GRACE + 1) is ClaimDecision.FAIL
+    assert verdict(before=RetainedRecord(out, EPOCH)) is ClaimDecision.WAIT
+    assert verdict(room=False) is ClaimDecision.REJECT
+    assert verdict(lost_for=0) is ClaimDecision.REJECT
+    assert verdict(lost_for=0, lost="run") is ClaimDecision.RUN
+    assert verdict(lost_for=600_000 * MS) is ClaimDecision.RUN
+    assert verdict(record(), lost_for=0) is ClaimDecision.REPLAY
 
 
 # ---- what one holder has ----
@@ -93,7 +97,7 @@
 versions = st.builds(
     record,
     token=st.sampled_from("ab"),
-    state=st.sampled_from((OUT, FREED, FINISHED, KILLED)),
+    state=st.sampled_from((RecordState.RUNNING, RecordState.NOT_RUN, RecordState.SERVED, RecordState.FAILED)),
     attempt=st.integers(1, 3),
     rows=st.just(None),
 )
@@ -101,12 +105,12 @@
 
 @given(st.lists(versions, max_size=12), st.randoms(use_true_random=False))
 def test_versions_become_one_whatever_their_order_and_number(some, chance):
-    shelves = Shelf(), Shelf()
+    shelves = RecordStore(), RecordStore()
     again = some + some[:3]
     chance.shuffle(again)
     for shelf, line in zip(shelves, (some, again), strict=True):
         for one in line:
-            shelf.put(one, EPOCH, 0, Book())
+            shelf.put(one, EPOCH, 0, RetentionPolicies())
     first, second = ({k.record.token: k.record for k in shelf.all()} for shelf in shelves)
     assert first == second
     assert shelves[0].bytes == sum(r.size for r in first.values())
@@ -114,32 +118,32 @@
 
 
 def test_late_copy_does_not_bring_back_what_was_forgotten():
-    shelf, book = Shelf(), Book(default=KEEPS, forgets=(Forget(EPOCH + 1),))
-    assert shelf.put(record(), EPOCH, 0, Book(default=KEEPS))
+    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, forgets=(ErasureRequest(EPOCH + 1),))
+    assert shelf.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
     assert shelf.sweep(EPOCH, book) == 1
     assert not shelf.put(record(), EPOCH, 0, book)
     assert not list(shelf.all())
 
 
 def test_run_that_is_out_is_forgotten_when_it_ends():
-    shelf, book = Shelf(), Book(default=KEEPS, forgets=(Forget(EPOCH + 1),))
-    shelf.put(record(state=OUT, rows=None), EPOCH, 0, book)
+    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, forgets=(ErasureRequest(EPOCH + 1),))
+    shelf.put(record(state=RecordState.RUNNING, rows=None), EPOCH, 0, book)
     assert shelf.sweep(EPOCH, book) == 0 and len(list(shelf.all())) == 1
     assert not shelf.put(record(), EPOCH, 0, book)
     assert not list(shelf.all()) and shelf.bytes == 0
 
 
 def test_rows_go_where_the_ending_alone_is_kept():
-    shelf = Shelf()
-    shelf.put(record(), EPOCH, 0, Book(default=KEEPS))
-    assert shelf.sweep(EPOCH, Book(default=Policy(rows=False))) == 1
+    shelf = RecordStore()
+    shelf.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
+    assert shelf.sweep(EPOCH, RetentionPolicies(default=RetentionPolicy(rows=False))) == 1
     assert [k.record.rows for k in shelf.all()] == [None]
     assert shelf.bytes == sum(k.record.size for k in shelf.all())
 
 
 def test_flood_of_one_customer_pushes_out_nothing_within_a_least_time():
-    few = Policy(least_ms=20_000, most_ms=60_000, most=2, most_records=4)
-    shelf, book = Shelf(), Book(default=KEEPS, customers={"flood": few})
+    few = RetentionPolicy(least_ms=20_000, most_ms=60_000, most=2, most_records=4)
+    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, customers={"flood": few})
     for n in range(3):
         shelf.put(record(f"x{n}", key="x", customer="other"), EPOCH, 0, book)
     taken = 0
@@ -153,8 +157,8 @@
 
 
 def test_rows_that_a_key_has_no_room_for_leave_their_ending():
-    few = Book(default=msgspec.structs.replace(KEEPS, most_bytes=3_000))
-    shelf = Shelf()
+    few = RetentionPolicies(default=msgspec.structs.replace(KEEPS, most_bytes=3_000))
+    shelf = RecordStore()
     for n, size in enumerate((1_000, 2_000, 5_000)):
         one = shelf.fitting(record(f"t{n}", rows=b"x" * size), EPOCH, few)
         assert (one.rows is None) == (n > 0)
@@ -174,10 +178,10 @@
     while not net.runs["t"]:
         net.advance(0.05)
     net.endings.clear()
-    net.ended(("n0", net.lives["n0"], number), FINISHED, b"x" * (5 << 20))
+    net.ended(("n0", net.lives["n0"], number), RecordState.SERVED, b"x" * (5 << 20))
     net.advance(2)
     assert not keeper.mine and len(net.held("t")) == 2
-    assert asked(net, "n3", "t", "k") == "KILL"
+    assert asked(net, "n3", "t", "k") == "FAIL"
 
 
 # ---- who holds what ----
@@ -347,7 +351,7 @@
         (codec.Store((1, "n"), 1, record(key="k" * 129), 0), "key"),
         (codec.Data((1, "n"), 1, 0, 1, (record(),), (), None), "ages"),
         (codec.Text(View(1, "n", {"": 1})), "members"),
-        (codec.BookIs(Book(copies=99)), "copies"),
+        (codec.BookIs(RetentionPolicies(copies=99)), "copies"),
     ],
 )
 def test_field_out_of_bounds_is_named(message, field):
@@ -378,14 +382,14 @@
     before = net.said.copy()
     net.ask(name, token, key)
     net.advance(5)
-    (said,) = [v.name for v in Verdict if net.said[v.name] > before[v.name]] or ["NONE"]
+    (said,) = [v.name for v in ClaimDecision if net.said[v.name] > before[v.name]] or ["NONE"]
     return said
 
 
 def test_resend_is_answered_on_whichever_router_it_arrives():
     net = net_of(loss=0.05, twice=0.05)
     assert asked(net, "n0", "t", "k") == "RUN"
-    assert [asked(net, name, "t", "k") for name in net.names] == ["ANSWER"] * 5
+    assert [asked(net, name, "t", "k") for name in net.names] == ["REPLAY"] * 5
     assert len(net.runs["t"]) == 1 and not net.rule
 
 
@@ -398,7 +402,7 @@
         net.kill(first[0])
         assert net.settled()
         assert len(net.held("t")) == 2, name
-    assert asked(net, next(iter(net.keepers)), "t", key) == "ANSWER"
+    assert asked(net, next(iter(net.keepers)), "t", key) == "REPLAY"
     assert not net.rule
 
 
@@ -408,7 +412,7 @@
     assert asked(net, "n0", "t", key) == "RUN"
     net.kill("n2")
     assert net.settled()
-    assert asked(net, "n0", "t", key) == "DEFER"
+    assert asked(net, "n0", "t", key) == "REJECT"
     net.advance(30)
     assert asked(net, "n0", "t", key) == "RUN"  # twenty seconds: the policy's least time
     assert not net.rule
@@ -423,10 +427,10 @@
     net.leave("n4")
     net.seen[other]["n4"] = net.lives["n4"]
     net.advance(15)
-    assert net.keepers[other].wanting and asked(net, "n1", "t", key) == "DEFER"
+    assert net.keepers[other].wanting and asked(net, "n1", "t", key) == "REJECT"
     net.cuts.clear()
     net.advance(3)
-    assert not net.keepers[other].wanting and asked(net, "n1", "t", key) == "ANSWER"
+    assert not net.keepers[other].wanting and asked(net, "n1", "t", key) == "REPLAY"
 
 
 def test_run_whose_router_died_runs_nowhere_else():
@@ -436,9 +440,9 @@
         net.advance(0.05)
     net.kill("n4")
     key = next(about for about in net.keys)
-    assert asked(net, "n1", "t", key) == "DEFER"
-    net.advance(STILL_OUT / SECOND + 10)
-    assert asked(net, "n1", "t", key) == "KILL"
+    assert asked(net, "n1", "t", key) == "REJECT"
+    net.advance(COMPLETION_GRACE / SECOND + 10)
+    assert asked(net, "n1", "t", key) == "FAIL"
     assert len(net.runs["t"]) == 1
 
 
@@ -448,12 +452,12 @@
     assert asked(net, "n4", "t", key) == "RUN"
     net.cut(["n3", "n4"], ["n0", "n1", "n2"])
     net.advance(20)
-    assert asked(net, "n4", "t", key) == "DEFER"
+    assert asked(net, "n4", "t", key) == "REJECT"
     assert asked(net, "n0", "new", key) == "RUN"  # its least time is over for what may have been lost
-    assert asked(net, "n4", "new", key) == "DEFER"
+    assert asked(net, "n4", "new", key) == "REJECT"
     net.mend()
     assert net.settled()
-    assert asked(net, "n4", "new", key) == "ANSWER"
+    assert asked(net, "n4", "new", key) == "REPLAY"
     assert not net.rule
 
 
@@ -487,7 +491,7 @@
     for name in ("n0", "n1", "n2", "n3"):
         net.start(name)
     assert net.settled()
-    assert asked(net, "n0", "t", key) == "DEFER"
+    assert asked(net, "n0", "t", key) == "REJECT"
     assert not net.rule
 
 
@@ -517,7 +521,16 @@
     net = net_of(copies=1)
     key = key_held_by(net, "n2")
     held = holders(slot_of("", key), net.names, 2)
-    lost = record("lost", OUT, key=key, owner="n1", life=net.lives["n1"], claim=99, taken=net.now, rows=None)
+    lost = record(
+        "lost",
+        RecordState.RUNNING,
+        key=key,
+        owner="n1",
+        life=net.lives["n1"],
+        claim=99,
+        taken=net.now,
+        rows=None,
+    )
     for name in held:
         net.keepers[name].shelf.put(lost, net.now, 0, net.book)
     net.ask("n0", "t", key)
@@ -527,8 +540,8 @@
     states = {
         k.record.state for name in held for k in net.keepers[name].shelf.all() if k.record.token == "lost"
     }
-    assert states == {FREED}
-    assert asked(net, "n3", "t", key) in ("RUN", "ANSWER") and not net.rule
+    assert states == {RecordState.NOT_RUN}
+    assert asked(net, "n3", "t", key) in ("RUN", "REPLAY") and not net.rule
 
 
 def test_forget_holds_over_a_cut_and_a_return():
@@ -542,7 +555,7 @@
     net.forget(next(n for n in kept_by if n != away))
     net.advance(LEASE / SECOND + 3)
     assert net.held("t") == [away]  # it can't know; it answers nothing either
-    assert asked(net, away, "t", "k") == "DEFER"
+    assert asked(net, away, "t", "k") == "REJECT"
     net.mend()
     assert net.settled()
     assert net.held("t") == []
@@ -585,7 +598,7 @@
     keeper.apply = lambda now, book: False  # it does not take the new one up
     net.forget("n0")
     net.advance(5)
-    assert asked(net, "n0", "t", key) == "DEFER"
+    assert asked(net, "n0", "t", key) == "REJECT"
     (late,) = net.keepers["n0"].not_applied()
     assert late.where == "n2" and "policies 1, not 2" in str(late)
 
@@ -614,7 +627,7 @@
     assert asked(net, "n0", "t", "k") == "RUN"
     net.kill(net.held("t")[0])
     assert net.settled()
-    assert asked(net, next(iter(net.keepers)), "t", "k") == "ANSWER"
+    assert asked(net, next(iter(net.keepers)), "t", "k") == "REPLAY"
     net.advance(KEEPS.most_ms / 1000 + 1)
     assert net.held("t") == []
 
@@ -631,7 +644,7 @@
     assert keeper.handed_over and net.keepers["n1"].counts["views"] == views + 1
     net.kill(name)
     assert net.settled()
-    assert asked(net, "n3", "t", key) == "ANSWER"
+    assert asked(net, "n3", "t", key) == "REPLAY"
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -639,12 +652,12 @@
     policy = msgspec.structs.replace(KEEPS, least_ms=8_000)
     net = net_of(6, seed % 3, seed, policy, loss=0.05, twice=0.05, never=0.05)
     assert storm(net, seed, 90, forgets=seed % 2 == 0)
-    assert net.said["RUN"] > 30 and net.said["ANSWER"] > 10
+    assert net.said["RUN"] > 30 and net.said["REPLAY"] > 10
     assert not net.rule
 
 
 def test_messages_of_a_router_that_knows_no_view_harm_nobody():
-    keeper = Keeper("a", 1, ["a", "b", "c"], Book(), EPOCH, lambda: {"a": 1})
+    keeper = Replica("a", 1, ["a", "b", "c"], RetentionPolicies(), EPOCH, lambda: {"a": 1})
     claim = codec.Claim((1, "b"), 1, 1, "", "k", "t", SECOND, False)
     for message in (
         claim,
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -5,8 +5,8 @@
 import test_history as tests
 
 from hillchute.history import records, replica, retention, view_change
-from hillchute.history.records import OUT, Record
-from hillchute.history.replica import Keeper
+from hillchute.history.records import Record, RecordState
+from hillchute.history.replica import Replica
 from hillchute.history.view_change import Views
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
@@ -54,7 +54,11 @@
 
 def dead_runs_again(self, sender, claim):
     verdict, why, kept = JUDGE(self, sender, claim)
-    if kept is not None and kept.record.state == OUT and kept.record.owner not in self.living():
+    if (
+        kept is not None
+        and kept.record.state == RecordState.RUNNING
+        and kept.record.owner not in self.living()
+    ):
         self.shelf.drop(kept.record)
         return JUDGE(self, sender, claim)
     return verdict, why, kept
@@ -68,19 +72,19 @@
     self.say(sender, replica.Stored(store.view, store.number, True))
 
 
-ENTER, LOSE, JUDGE, CHOOSE = Keeper.enter, Keeper.lose, Keeper.judge, replica.judge
+ENTER, LOSE, JUDGE, CHOOSE = Replica.enter, Replica.lose, Replica.judge, replica.judge
 
 
 @pytest.mark.parametrize(
     ("owner", "name", "fault", "rule"),
     [
-        (Keeper, "copy", without_copies, "ran twice"),
-        (Keeper, "store", unkept, "ran twice"),
-        (Keeper, "enter", unfetched, "ran twice"),
-        (Keeper, "lose", lost_unsaid, "ran twice"),
-        (Keeper, "judge", dead_runs_again, "ran twice"),
+        (Replica, "copy", without_copies, "ran twice"),
+        (Replica, "store", unkept, "ran twice"),
+        (Replica, "enter", unfetched, "ran twice"),
+        (Replica, "lose", lost_unsaid, "ran twice"),
+        (Replica, "judge", dead_runs_again, "ran twice"),
         (replica, "judge", unordered, "out of order"),
-        (retention.Book, "forgotten", lambda self, *about: False, "kept too long"),
+        (retention.RetentionPolicies, "forgotten", lambda self, *about: False, "kept too long"),
     ],
 )
 def test_fault_planted_in_the_code_shows_in_the_script(monkeypatch, owner, name, fault, rule):
@@ -91,7 +95,9 @@
 
 def test_version_that_is_not_compared_shows_in_the_end(monkeypatch):
     end = Net(1).script().end()
-    monkeypatch.setattr(Record, "version", property(lambda self: (self.attempt, self.state == OUT)))
+    monkeypatch.setattr(
+        Record, "version", property(lambda self: (self.attempt, self.state == RecordState.RUNNING))
+    )
     assert Net(1).script().end() != end
 
 
@@ -162,8 +168,10 @@
 def test_fault_planted_in_the_records_is_found(monkeypatch, fault, found_by):
     found_by()
     if fault is None:
-        monkeypatch.setattr(records.Shelf, "may_go", staticmethod(lambda *about: True))
+        monkeypatch.setattr(records.RecordStore, "may_go", staticmethod(lambda *about: True))
     else:
-        monkeypatch.setattr(retention.Book, "erased", lambda self, customer, key, taken, age: False)
+        monkeypatch.setattr(
+            retention.RetentionPolicies, "erased", lambda self, customer, key, taken, age: False
+        )
     with pytest.raises(AssertionError):
         found_by()
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -8,7 +8,7 @@
 
 from hillchute.errors import MarksNotKept
 from hillchute.history.records import Record
-from hillchute.history.sqlite_store import Disk
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab.history_net import EPOCH
 from hillchute.partners import kept
 from hillchute.partners.kept import MarksFile
@@ -157,7 +157,7 @@
     while True:
         number += 1
         path = tmp_path / f"{number}.db"
-        disk = Disk(path)
+        disk = SqliteStore(path)
         first, second, third = (some_record(n) for n in range(3))
         assert disk.write({first.name: first}, {first.name: EPOCH})
         sound, disk.db = disk.db, Faulty(disk.db, number, error)
@@ -167,7 +167,7 @@
         disk.db = sound
         assert acknowledged != (reached and bool(disk.faults()))
         assert disk.write({third.name: third}, {third.name: EPOCH})  # it goes on without a restart
-        known = {record.name for record, _ in Disk(path).read()}
+        known = {record.name for record, _ in SqliteStore(path).read()}
         assert third.name in known
         if acknowledged:
             assert second.name in known and first.name not in known
@@ -179,7 +179,7 @@
 
 
 def test_disk_that_is_full_is_no_acknowledgement_and_serves_again_with_room(tmp_path, some_record):
-    disk = Disk(tmp_path / "h.db")
+    disk = SqliteStore(tmp_path / "h.db")
     one = some_record(1)
     assert disk.write({one.name: one}, {one.name: EPOCH})
     (pages,) = disk.db.execute("PRAGMA page_count").fetchone()
@@ -189,12 +189,12 @@
     assert disk.faults()[0].remedy
     disk.db.execute("PRAGMA max_page_count = 1000000")
     assert disk.write({r.name: r for r in many}, {r.name: EPOCH for r in many})
-    assert len(list(Disk(tmp_path / "h.db").read())) == 399
+    assert len(list(SqliteStore(tmp_path / "h.db").read())) == 399
 
 
 def test_file_that_another_process_holds_is_no_acknowledgement(tmp_path, some_record, monkeypatch):
     monkeypatch.setattr("hillchute.history.sqlite_store.BUSY", 0.01)
-    disk = Disk(tmp_path / "h.db")
+    disk = SqliteStore(tmp_path / "h.db")
     other = sqlite3.connect(tmp_path / "h.db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     one = some_record(1)
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -11,10 +11,10 @@
 
 from hillchute.decision.teamwork import SECOND, Teamwork
 from hillchute.errors import DatagramDropped, DiskNotUsable
-from hillchute.history.records import FINISHED, OUT, Record
-from hillchute.history.replica import Keeper
-from hillchute.history.retention import Book, Forget, Policy
-from hillchute.history.sqlite_store import Disk
+from hillchute.history.records import Record, RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.retention import ErasureRequest, RetentionPolicies, RetentionPolicy
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import processes
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
@@ -25,10 +25,10 @@
 from hillchute.router.remembering import book_of
 from hillchute.statements.request import Request
 
-DISK = Policy(rows=True, disk=True, least_ms=20_000, most_ms=60_000)
+DISK = RetentionPolicy(rows=True, disk=True, least_ms=20_000, most_ms=60_000)
 
 
-def record(token="t", state=FINISHED, rows=b"rows", key="k", **about):
+def record(token="t", state=RecordState.SERVED, rows=b"rows", key="k", **about):
     whose = {"owner": "n0", "life": 1, "claim": 1, "patience": SECOND} | about
     return Record("", key, token, EPOCH, 1, 1, state=state, rows=rows, **whose)
 
@@ -145,13 +145,13 @@
       peers: {name: "a", listen: "127.0.0.1:1", others: []}"""
     book = book_of(reading.hold(text)["history"])
     assert (book.number, book.copies, book.founded) == (3, 1, 50)
-    assert book.default == Policy(rows=True, least_ms=5000) and book.of("a").hold
-    assert book.forgets == (Forget(70, "a", "k"),)
+    assert book.default == RetentionPolicy(rows=True, least_ms=5000) and book.of("a").hold
+    assert book.forgets == (ErasureRequest(70, "a", "k"),)
 
 
 def test_defaults_of_the_operator_file_are_those_of_the_book():
     text = 'history: {number: 1, default: {}}\npeers: {name: "a", listen: "127.0.0.1:1", others: []}'
-    assert book_of(reading.hold(text)["history"]) == Book(number=1)
+    assert book_of(reading.hold(text)["history"]) == RetentionPolicies(number=1)
 
 
 @pytest.mark.parametrize(
@@ -198,9 +198,9 @@
 # ---- the disk ----
 
 
-def keeper_on(path, book=None, now=EPOCH) -> Keeper:
-    keeper = Keeper(
-        "n0", 1, ["n0"], book or founded(copies=0, default=DISK), now, lambda: {"n0": 1}, Disk(path)
+def keeper_on(path, book=None, now=EPOCH) -> Replica:
+    keeper = Replica(
+        "n0", 1, ["n0"], book or founded(copies=0, default=DISK), now, lambda: {"n0": 1}, SqliteStore(path)
     )
     keeper.recall(now, keeper.disk.read())
     return keeper
@@ -223,7 +223,7 @@
     for n in range(300):
         keeper.shelf.put(record(f"t{n}", rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
     assert keeper.save() and b"seldom-seen" in bytes_of(tmp_path)
-    assert keeper.apply(EPOCH, Book(2, 0, default=DISK, forgets=(Forget(EPOCH + 1),)))
+    assert keeper.apply(EPOCH, RetentionPolicies(2, 0, default=DISK, forgets=(ErasureRequest(EPOCH + 1),)))
     for after in range(1, 21):  # two seconds, the book's time for erasing
         keeper.tick(EPOCH + after * SECOND // 10)
     assert b"seldom-seen" not in bytes_of(tmp_path)
@@ -234,7 +234,7 @@
     keeper = keeper_on(tmp_path / "h.db")
     keeper.shelf.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
     assert keeper.save() and b"seldom-seen" in bytes_of(tmp_path)
-    book = msgspec.structs.replace(keeper.book, number=2, forgets=(Forget(EPOCH + 1),))
+    book = msgspec.structs.replace(keeper.book, number=2, forgets=(ErasureRequest(EPOCH + 1),))
     keeper.disk.db.close()
     assert not list(keeper_on(tmp_path / "h.db", book, EPOCH + SECOND).shelf.all())
     assert b"seldom-seen" not in bytes_of(tmp_path)
@@ -244,14 +244,14 @@
     keeper = keeper_on(tmp_path / "h.db")
     keeper.shelf.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
     assert keeper.save()
-    keeper.apply(EPOCH, Book(2, 0, default=Policy(rows=True, least_ms=20_000)))
+    keeper.apply(EPOCH, RetentionPolicies(2, 0, default=RetentionPolicy(rows=True, least_ms=20_000)))
     keeper.tick(EPOCH + 1000)
     assert b"seldom-seen" not in bytes_of(tmp_path) and len(list(keeper.shelf.all())) == 1
 
 
 def test_copy_of_yesterday_knows_less_and_runs_nothing_for_it(tmp_path):
     path, net = tmp_path / "h.db", HistoryNet(1, 1, founded(copies=0, default=DISK))
-    disk = Disk(path)
+    disk = SqliteStore(path)
     net.keepers["n0"].disk = disk
     assert net.settled()
     net.advance(61)  # past the founding: until then what nobody holds is what nobody had
@@ -269,46 +269,46 @@
     path.write_bytes(yesterday)
     net.start("n0")
     keeper = net.keepers["n0"]
-    keeper.disk = Disk(path)
+    keeper.disk = SqliteStore(path)
     keeper.recall(net.now, keeper.disk.read())
     assert net.settled()
     net.ask("n0", "first", "k")
     net.ask("n0", "second", "k")
     net.advance(6)
-    assert net.said["RUN"] == 2 and net.said["DEFER"] >= 1 and not net.rule
-    assert keeper.shelf.find("", "k", "first").record.state == FINISHED and net.said["ANSWER"] == 1
+    assert net.said["RUN"] == 2 and net.said["REJECT"] >= 1 and not net.rule
+    assert keeper.shelf.find("", "k", "first").record.state == RecordState.SERVED and net.said["REPLAY"] == 1
 
 
 def test_full_disk_grants_nothing_that_wants_it_and_goes_on_once_there_is_room(tmp_path):
     net = HistoryNet(1, 1, founded(copies=0, default=DISK))
-    disk = net.keepers["n0"].disk = Disk(tmp_path / "h.db")
+    disk = net.keepers["n0"].disk = SqliteStore(tmp_path / "h.db")
     assert net.settled()
     (pages,) = disk.db.execute("PRAGMA page_count").fetchone()
     disk.db.execute(f"PRAGMA max_page_count = {pages}")
     for n in range(40):
         net.ask("n0", f"t{n}", f"k{n}" + "x" * 100)
     net.advance(6)
-    refused = net.said["DEFER"]
+    refused = net.said["REJECT"]
     assert refused > 0 and net.said["RUN"] + refused == 40
     (fault,) = disk.faults()
     assert "full" in str(fault) and fault.remedy and not disk.faults()
     disk.db.execute("PRAGMA max_page_count = 100000")
     net.ask("n0", "late", "k")
     net.advance(3)
-    assert net.said["DEFER"] == refused and not net.rule
+    assert net.said["REJECT"] == refused and not net.rule
 
 
 def test_disk_that_is_read_only_or_damaged_is_said_so(tmp_path):
     path = tmp_path / "h.db"
-    Disk(path).close()
+    SqliteStore(path).close()
     path.write_bytes(b"no database at all" * 500)
     with pytest.raises(DiskNotUsable) as fault:
-        Disk(path)
+        SqliteStore(path)
     assert str(path) in str(fault.value)
     with pytest.raises(DiskNotUsable):
-        Disk(tmp_path / "no folder" / "h.db")
+        SqliteStore(tmp_path / "no folder" / "h.db")
     other = tmp_path / "o.db"
-    disk = Disk(other)
+    disk = SqliteStore(other)
     disk.db.execute("PRAGMA query_only = ON")  # as a file system that turns read-only
     assert not disk.write({("", "k", "t"): record()}, {("", "k", "t"): EPOCH})
     assert len(disk.faults()) == 1
@@ -334,12 +334,12 @@
     assert net.settled()
     net.ask("n0", "t", "k")
     net.advance(6)
-    assert not net.runs["t"] and net.said["DEFER"] == 1
+    assert not net.runs["t"] and net.said["REJECT"] == 1
 
 
 def test_run_that_was_out_when_the_only_router_ended_is_not_run_again(tmp_path):
     path, net = tmp_path / "h.db", HistoryNet(2, 1, founded(copies=0, default=DISK))
-    net.keepers["n0"].disk = Disk(path)
+    net.keepers["n0"].disk = SqliteStore(path)
     assert net.settled()
     net.ask("n0", "t", "k")
     while not net.runs["t"]:
@@ -347,15 +347,15 @@
     net.kill("n0")
     net.start("n0")
     keeper = net.keepers["n0"]
-    keeper.disk = Disk(path)
+    keeper.disk = SqliteStore(path)
     keeper.recall(net.now, keeper.disk.read())
-    assert [k.record.state for k in keeper.shelf.all()] == [OUT]
+    assert [k.record.state for k in keeper.shelf.all()] == [RecordState.RUNNING]
     assert net.settled()
     net.ask("n0", "t", "k")
     net.advance(40)
     net.ask("n0", "t", "k")
     net.advance(6)
-    assert (net.said["RUN"], net.said["DEFER"], net.said["KILL"]) == (1, 1, 1)
+    assert (net.said["RUN"], net.said["REJECT"], net.said["FAIL"]) == (1, 1, 1)
 
 
 # ---- processes ----
