--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -28,8 +28,8 @@
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
 from hillchute.fronts.mysql import packets as mysql
+from hillchute.history import claim_decision, ownership_leases, records, retention, view_change
 from hillchute.history import codec as history
-from hillchute.history import policy, records, titles, verdict, views
 from hillchute.membership import event_bus
 from hillchute.partners import agreement, marks
 from hillchute.partners import codec as partners
@@ -130,7 +130,7 @@
         )
 
     one, two, three = (1001, "router-a"), (1002, "router-b"), (1003, "router-c")
-    view = views.View(
+    view = view_change.View(
         number=1001,
         speaker="router-a",
         members={"router-b": 5, "router-a": 4},
@@ -140,7 +140,7 @@
         had=2,
         first=True,
     )
-    base = policy.Policy(
+    base = retention.RetentionPolicy(
         least_ms=1100,
         most_ms=2200,
         most=33,
@@ -157,8 +157,11 @@
         "customer-c": msgspec.structs.replace(base, hold=False),
         "customer-d": msgspec.structs.replace(base, rows=False, replay=True),
     }
-    forgets = (policy.Forget(before=91, customer="customer-f", key="key-f"), policy.Forget(before=92))
-    book = policy.Book(
+    forgets = (
+        retention.ErasureRequest(before=91, customer="customer-f", key="key-f"),
+        retention.ErasureRequest(before=92),
+    )
+    book = retention.RetentionPolicies(
         number=81, copies=3, erase_ms=4000, founded=82, default=base, customers=customers, forgets=forgets
     )
     record = records.Record(
@@ -188,19 +191,21 @@
         claim=205,
         patience=206,
     )
-    title = titles.Title(number=301, owner="partner-t")
+    title = ownership_leases.OwnershipLease(number=301, owner="partner-t")
 
     yield example("prepare", history.Ask(view=one, have=two))
     yield example(
         "promise",
         history.Promised(
-            promise=views.Promise(asked=one, given=True, highest=two, remembers=False, adopted=view)
+            promise=view_change.Promise(asked=one, given=True, highest=two, remembers=False, adopted=view)
         ),
     )
     yield example(
         "promise, optional fields absent",
         history.Promised(
-            promise=views.Promise(asked=one, given=False, highest=two, remembers=False, adopted=views.View())
+            promise=view_change.Promise(
+                asked=one, given=False, highest=two, remembers=False, adopted=view_change.View()
+            )
         ),
     )
     yield example("lease-request", history.Call(view=one, sent=401, echo=402, rest=403, book=404, text=405))
@@ -211,7 +216,7 @@
     yield example(
         "lease-grant",
         history.Granted(
-            grant=views.Grant(
+            grant=view_change.Grant(
                 view=one,
                 sent=411,
                 at=412,
@@ -227,20 +232,20 @@
     yield example(
         "lease-grant, optional fields absent",
         history.Granted(
-            grant=views.Grant(
+            grant=view_change.Grant(
                 view=one, sent=411, at=412, given=False, lacks=False, have=two, highest=three, book=413
             )
         ),
     )
     yield example("view", history.Text(view=view))
-    yield example("view, optional fields absent", history.Text(view=views.View()))
+    yield example("view, optional fields absent", history.Text(view=view_change.View()))
     yield example(
         "view-change",
         history.Change(view=one, base=two, copies=4, gone=("router-x", "router-y"), come={"router-z": 421}),
     )
     yield example("policies-request", history.WantBook(above=431))
     yield example("policies", history.BookIs(book=book))
-    yield example("policies, optional fields absent", history.BookIs(book=policy.Book()))
+    yield example("policies, optional fields absent", history.BookIs(book=retention.RetentionPolicies()))
     yield example(
         "claim-request",
         history.Claim(
@@ -272,12 +277,12 @@
         "claim-verdict", history.Judged(number=451, life=452, verdict=5, why="a reason", record=record)
     )
     verdicts = {
-        "run": verdict.Verdict.RUN,
-        "answer": verdict.Verdict.ANSWER,
-        "wait": verdict.Verdict.WAIT,
-        "reject": verdict.Verdict.DEFER,
-        "fail": verdict.Verdict.KILL,
-        "forward": verdict.Verdict.PASS,
+        "run": claim_decision.ClaimDecision.RUN,
+        "answer": claim_decision.ClaimDecision.REPLAY,
+        "wait": claim_decision.ClaimDecision.WAIT,
+        "reject": claim_decision.ClaimDecision.REJECT,
+        "fail": claim_decision.ClaimDecision.FAIL,
+        "forward": claim_decision.ClaimDecision.FORWARD,
     }
     for name, each in verdicts.items():
         yield example(
@@ -286,10 +291,10 @@
         )
     yield example("run-ended", history.End(view=one, record=record))
     states = {
-        "out": records.OUT,
-        "freed": records.FREED,
-        "finished": records.FINISHED,
-        "killed": records.KILLED,
+        "out": records.RecordState.RUNNING,
+        "freed": records.RecordState.NOT_RUN,
+        "finished": records.RecordState.SERVED,
+        "killed": records.RecordState.FAILED,
     }
     for name, state in states.items():
         ended = msgspec.structs.replace(bare, state=state)
@@ -680,9 +685,9 @@
 def test_each_verdict_and_state_of_a_record_has_an_example():
     values = example_values("history/")
     verdicts = {value.verdict for value in values if isinstance(value, history.Judged)}
-    assert verdicts == {each.value for each in verdict.Verdict}
+    assert verdicts == {each.value for each in claim_decision.ClaimDecision}
     states = {value.record.state for value in values if isinstance(value, history.End)}
-    assert states == set(range(records.KILLED + 1))
+    assert states == set(range(records.RecordState.FAILED + 1))
 
 
 def test_each_command_to_an_engine_has_an_example():
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -13,8 +13,8 @@
 import msgspec
 import pytest
 
-from hillchute.history.disk import Disk
-from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Record
+from hillchute.history.records import Record, RecordState
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.partners.kept import MarksFile, key_in
 
 DATA = Path(__file__).parent / "data"
@@ -42,19 +42,25 @@
 # By customer, key and token: the record, and the Unix time since when it is kept.
 RECORDS = {
     ("customer-\u00e4", "key-1", "token-1"): (
-        record("key-1", "token-1", 10, OUT, None, 0),
+        record("key-1", "token-1", 10, RecordState.RUNNING, None, 0),
         17_000_000_000_101,
     ),
     ("customer-\u00e4", "key-1", "token-2"): (
-        record("key-1", "token-2", 20, FREED, None, 5),
+        record("key-1", "token-2", 20, RecordState.NOT_RUN, None, 5),
         17_000_000_000_102,
     ),
     ("customer-\u00e4", "key-2", "token-1"): (
-        record("key-2", "token-1", 30, FINISHED, b"\x00rows\xff\n", 6),
+        record("key-2", "token-1", 30, RecordState.SERVED, b"\x00rows\xff\n", 6),
         17_000_000_000_103,
     ),
-    ("customer-\u00e4", "key-2", ""): (record("key-2", "", 40, FINISHED, None, 7), 17_000_000_000_104),
-    ("customer-\u00e4", "", "token-1"): (record("", "token-1", 50, KILLED, b"", 8), 17_000_000_000_105),
+    ("customer-\u00e4", "key-2", ""): (
+        record("key-2", "", 40, RecordState.SERVED, None, 7),
+        17_000_000_000_104,
+    ),
+    ("customer-\u00e4", "", "token-1"): (
+        record("", "token-1", 50, RecordState.FAILED, b"", 8),
+        17_000_000_000_105,
+    ),
 }
 # By an agreement's number, the digest that was signed. That of 613 is the digest of a whole agreement.
 AGREEMENT = "partners/signed-digest of agreement"
@@ -67,7 +73,7 @@
 
 def write_files(folder: Path) -> None:
     """How the files were made; nothing runs this but `python tests/test_stored_files.py FOLDER`."""
-    disk = Disk(folder / HISTORY)
+    disk = SqliteStore(folder / HISTORY)
     for name, (written, since) in RECORDS.items():
         assert disk.write({name: written}, {name: since})
     disk.close()
@@ -99,7 +105,7 @@
 
 
 def test_stored_history_is_read(history):
-    disk = Disk(history)
+    disk = SqliteStore(history)
     found = {written.name: (written, since) for written, since in disk.read()}
     assert found == RECORDS
     assert disk.counts["unreadable"] == 0 and not disk.faults()
@@ -107,12 +113,12 @@
 
 
 def test_stored_history_is_gone_on_with(history):
-    disk = Disk(history)
+    disk = SqliteStore(history)
     first, second, *others = RECORDS
-    changed = msgspec.structs.replace(RECORDS[first][0], state=KILLED)
+    changed = msgspec.structs.replace(RECORDS[first][0], state=RecordState.FAILED)
     assert disk.write({first: changed, second: None}, {first: 17_000_000_000_999})
     disk.close()
-    disk = Disk(history)
+    disk = SqliteStore(history)
     found = {written.name: (written, since) for written, since in disk.read()}
     assert found == {
         first: (changed, 17_000_000_000_999),
@@ -123,7 +129,7 @@
 
 def test_history_is_written_as_it_was(tmp_path, history):
     """A router of the earlier version reads what this one writes, after a downgrade."""
-    disk = Disk(tmp_path / "new.sqlite")
+    disk = SqliteStore(tmp_path / "new.sqlite")
     assert disk.write(
         {name: written for name, (written, _) in RECORDS.items()},
         {name: since for name, (_, since) in RECORDS.items()},
