--- a/hillchute/history/__init__.py
+++ b/hillchute/history/__init__.py
@@ -1,1 +1,1 @@
-"""The answer history: the keyed queries taken, in their order, and how they ended, as each customer wants."""
+"""The answer history: records of keyed queries, kept by the routers together as each policy wants."""
--- a/hillchute/history/retention.py
+++ b/hillchute/history/retention.py
@@ -1,10 +1,11 @@
-"""What each customer wants of the history: how long, how much, whether a resend is answered from it.
+"""What each customer wants of the history: how long, how much, and whether a retry is answered from it.
 
-Owns policies, the numbered book of them, and what they allow at an instant. Pure: the time comes in. Must
-never hold a record, decide what a router does with a query, or read a file.
+Owns the policies, the numbered set of all of them, and what they allow at an instant. Pure: the time comes
+in. It holds no record, does not decide what a router does with a query, and reads no file.
 
-Times are whole tenths of a millisecond. `taken` is Unix time as the holder that took the query saw it, and is
-what `forget` names; how long something is kept is counted in durations, which no clock's offset changes.
+Times are whole tenths of a millisecond. `granted_at` is Unix time as the holder that granted the query saw
+it, and is what an erasure request compares with; how long something is kept is counted in durations, which no
+clock's offset changes.
 """
 
 from collections.abc import Mapping
@@ -13,116 +14,141 @@
 
 from hillchute.decision.interface import Time
 
-MS = 10
-NAMES = 1024  # customers with a policy of their own, and forgets remembered, in one book
-TEXT = 128  # characters of a customer's name or of a key
+MS = 10  # units of Time in a millisecond
+MAX_ENTRIES = 1024  # customers with a policy of their own, and erasure requests, in one set of policies
+MAX_TEXT = 128  # characters of a customer's name or of a key
+MAX_NUMBER = 1_000_000_000
+MAX_COPIES = 8
+MIN_ERASE_MS = 100
+MAX_ERASE_MS = 3_600_000
+MIN_LEAST_MS = 1_000
+MAX_MOST_MS = 31_622_400_000  # 366 days
+MAX_UNIX_TIME: Time = 1 << 60
+COUNT_BOUNDS = {"most": 1 << 20, "most_bytes": 1 << 30, "most_records": 1 << 24}
 
 
 class RetentionPolicy(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One customer's. The defaults are those of the operator file."""
+    """One customer's policy. Field names and defaults are those of the operator file."""
 
-    least_ms: int = 600_000  # nothing is forgotten before, while a holder lives
-    most_ms: int = 3_600_000  # nothing is answered, or kept, beyond
+    least_ms: int = 600_000  # nothing is forgotten earlier, while a holder lives
+    most_ms: int = 3_600_000  # nothing is answered, or kept, for longer
     most: int = 256  # queries of one key
     most_bytes: int = 1_048_576  # of one key, rows included
     most_records: int = 100_000  # of the customer, at one holder
-    rows: bool = False  # kept with the ending
-    replay: bool = True  # a resend is answered from the history
+    rows: bool = False  # the result's rows are kept with the outcome
+    replay: bool = True  # a retry is answered from the history
     hold: bool = False  # nothing is forgotten
-    disk: bool = False  # a record is on the disk, too, before its first submission leaves
-    lost: str = "defer"  # "run": what a query gets whose history may have been lost with all its holders
+    disk: bool = False  # a record is on the disk, too, before its first attempt leaves
+    lost: str = "defer"  # or "run": what a query gets whose record may have been lost with all its holders
 
 
 class ErasureRequest(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """All that was taken before a time, of a customer or of one of its keys."""
+    """Names all that was granted before a time, of a customer or of one of its keys."""
 
     before: Time
     customer: str = ""
-    key: str | None = None
+    ordering_key: str | None = None  # None: all of the customer's keys
 
-    def names(self, customer: str, key: str, taken: Time) -> bool:
-        return taken < self.before and self.customer == customer and self.key in (None, key)
+    def covers(self, customer: str, ordering_key: str, granted_at: Time) -> bool:
+        """Whether a record falls under this request."""
+        if granted_at >= self.before or self.customer != customer:
+            return False
+        return self.ordering_key in (None, ordering_key)
 
 
 class RetentionPolicies(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """All policies under one number; of two books the higher number holds."""
+    """All policies under one number; of two sets the higher number holds."""
 
     number: int = 0
     copies: int = 2  # holders of a record beside the first
-    erase_ms: int = 2000  # within this what is forbidden is gone from every living holder
-    founded: Time = 0  # until a minute after, a history that nobody holds is one that nobody has had
+    erase_ms: int = 2000  # within this what must be erased is gone from every living holder
+    founded: Time = 0  # until a minute after, records that nobody holds are taken for never having been
     default: RetentionPolicy = RetentionPolicy()
     customers: dict[str, RetentionPolicy] = {}
-    forgets: tuple[ErasureRequest, ...] = ()
+    erasure_requests: tuple[ErasureRequest, ...] = ()
 
-    def of(self, customer: str) -> RetentionPolicy:
+    def policy_for(self, customer: str) -> RetentionPolicy:
+        """The customer's own policy, or the default."""
         return self.customers.get(customer, self.default)
 
-    def forgotten(self, customer: str, key: str, taken: Time) -> bool:
-        """Whether somebody wanted it forgotten and no hold stands before that."""
-        if self.of(customer).hold:
+    def is_erasure_requested(self, customer: str, ordering_key: str, granted_at: Time) -> bool:
+        """Whether the operator asked for the erasure of a record, and no hold stands before that."""
+        if self.policy_for(customer).hold:
             return False
-        return any(forget.names(customer, key, taken) for forget in self.forgets)
+        return any(each.covers(customer, ordering_key, granted_at) for each in self.erasure_requests)
 
-    def erased(self, customer: str, key: str, taken: Time, age: Time) -> bool:
-        """Whether it must be gone."""
-        policy = self.of(customer)
+    def must_be_erased(self, customer: str, ordering_key: str, granted_at: Time, age: Time) -> bool:
+        """Whether a record of this age must be gone."""
+        policy = self.policy_for(customer)
         if policy.hold:
             return False
-        return age > policy.most_ms * MS or self.forgotten(customer, key, taken)
-
-    def answers(self, customer: str, key: str, taken: Time, age: Time) -> bool:
-        """Whether a resend may be answered from it. A hold keeps what is too old, but doesn't answer from
-        it."""
-        policy = self.of(customer)
-        fresh = age <= policy.most_ms * MS and not self.forgotten(customer, key, taken)
-        return policy.replay and fresh
-
-    def due(self, customer: str, age: Time) -> bool:
-        """Whether its least time is over: then it may go where room is short."""
-        policy = self.of(customer)
+        if age > policy.most_ms * MS:
+            return True
+        return self.is_erasure_requested(customer, ordering_key, granted_at)
+
+    def may_replay(self, customer: str, ordering_key: str, granted_at: Time, age: Time) -> bool:
+        """Whether a retry may be answered from a record. A hold keeps what is too old, but does not answer
+        from it."""
+        policy = self.policy_for(customer)
+        if not policy.replay or age > policy.most_ms * MS:
+            return False
+        return not self.is_erasure_requested(customer, ordering_key, granted_at)
+
+    def may_evict(self, customer: str, age: Time) -> bool:
+        """Whether the least time is over: then a record may go where capacity is short."""
+        policy = self.policy_for(customer)
         return age > policy.least_ms * MS and not policy.hold
 
-    def began_lately(self, lost: Time, grace: Time) -> bool:
-        """Whether a loss at that Unix time is none: the operator says that nothing was there to be lost."""
-        return self.founded > 0 and lost <= self.founded + grace
+    def was_empty_at(self, lost_at: Time, grace: Time) -> bool:
+        """Whether a loss at that Unix time lost nothing: the operator says that there was no record yet."""
+        return self.founded > 0 and lost_at <= self.founded + grace
 
 
-def unfit(book: RetentionPolicies) -> str:
-    """The first field that no holder could honour; empty for a sound book."""
-    if not 0 <= book.number <= 1_000_000_000 or not 0 <= book.founded < 1 << 60:
+def first_invalid_field(policies: RetentionPolicies) -> str:
+    """The first field, by the operator file's name, that no holder could honour; "" for sound policies."""
+    if not 0 <= policies.number <= MAX_NUMBER or not 0 <= policies.founded < MAX_UNIX_TIME:
         return "number"
-    if not 0 <= book.copies <= 8:
+    if not 0 <= policies.copies <= MAX_COPIES:
         return "copies"
-    if not 100 <= book.erase_ms <= 3_600_000:
+    if not MIN_ERASE_MS <= policies.erase_ms <= MAX_ERASE_MS:
         return "erase_ms"
-    if len(book.customers) > NAMES:
+    return _first_invalid_policy(policies) or _first_invalid_request(policies)
+
+
+def _first_invalid_policy(policies: RetentionPolicies) -> str:
+    if len(policies.customers) > MAX_ENTRIES:
         return "customers"
-    for name, policy in [("default", book.default), *book.customers.items()]:
-        if len(name) > TEXT:
+    for name, policy in [("default", policies.default), *policies.customers.items()]:
+        if len(name) > MAX_TEXT:
             return "customers"
-        if fault := unfit_policy(policy):
-            return f"{name}.{fault}"
-    if len(book.forgets) > NAMES:
-        return "forget"
-    for forget in book.forgets:
-        if max(len(forget.customer), len(forget.key or "")) > TEXT or not 0 <= forget.before < 1 << 60:
-            return "forget"
+        if field := _first_invalid_policy_field(policy):
+            return f"{name}.{field}"
     return ""
 
 
-def unfit_policy(policy: RetentionPolicy) -> str:
-    if not 1000 <= policy.least_ms <= policy.most_ms <= 31_622_400_000:
+def _first_invalid_policy_field(policy: RetentionPolicy) -> str:
+    if not MIN_LEAST_MS <= policy.least_ms <= policy.most_ms <= MAX_MOST_MS:
         return "least_ms"
-    for name, most in (("most", 1 << 20), ("most_bytes", 1 << 30), ("most_records", 1 << 24)):
-        if not 1 <= getattr(policy, name) <= most:
+    for name, highest in COUNT_BOUNDS.items():
+        if not 1 <= getattr(policy, name) <= highest:
             return name
     return "" if policy.lost in ("defer", "run") else "lost"
 
 
-def changed(
+def _first_invalid_request(policies: RetentionPolicies) -> str:
+    if len(policies.erasure_requests) > MAX_ENTRIES:
+        return "forget"
+    for request in policies.erasure_requests:
+        longest = max(len(request.customer), len(request.ordering_key or ""))
+        if longest > MAX_TEXT or not 0 <= request.before < MAX_UNIX_TIME:
+            return "forget"
+    return ""
+
+
+def changed_policies(
     old: RetentionPolicies, new: RetentionPolicies
 ) -> Mapping[str, tuple[RetentionPolicy, RetentionPolicy]]:
-    """Whose policy is another now."""
-    names = {"", *old.customers, *new.customers}
-    return {n: (old.of(n), new.of(n)) for n in sorted(names) if old.of(n) != new.of(n)}
+    """By customer, in the order of their names: the old and the new policy, where they differ."""
+    names = sorted({"", *old.customers, *new.customers})
+    pairs = {name: (old.policy_for(name), new.policy_for(name)) for name in names}
+    return {name: pair for name, pair in pairs.items() if pair[0] != pair[1]}
--- a/hillchute/history/sqlite_store.py
+++ b/hillchute/history/sqlite_store.py
@@ -1,8 +1,8 @@
 """Records on a disk that lasts, in sqlite3: written before they are relied on, erased so that their bytes go.
 
-Owns the file, its layout, and what a fault of the disk does. Must never decide what is kept, nor make a slot
-whole: what a disk holds is known, but whether it is all that there was, no disk can say. A copy of yesterday
-that was put in its place is no danger, therefore: it knows less, and what it does not know is not run for it.
+Owns the file, its layout, and what a fault of the disk does. It does not decide what is kept, and makes no
+slot complete: what a disk holds is known, but whether it is all that there was, no disk can say. Therefore an
+old copy of the file is no danger: it knows less, and what it does not know is not run because of it.
 """
 
 import sqlite3
@@ -14,104 +14,134 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DiskNotUsable
-from hillchute.history.codec import unfit_record
-from hillchute.history.records import Name, Record
+from hillchute.history.codec import first_record_field_out_of_bounds
+from hillchute.history.records import Record, RecordId
 
-LAYOUT = 1
-BUSY = 1.0  # seconds that another process may hold the file before a write is given up
-LARGEST_LOG = 4 << 20  # bytes of the write-ahead log that stand after a checkpoint
+LAYOUT = 1  # the file's; of others nothing is read
+LOCK_TIMEOUT = 1.0  # seconds that another process may hold the file before a write is given up
+MAX_LOG_SIZE = 4 << 20  # bytes of the write-ahead log that stay after a checkpoint
 
-encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Record)
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(Record)
+
+# The columns' names are those of stored files.
+CREATE_TABLE = (
+    "CREATE TABLE IF NOT EXISTS records (customer TEXT, key TEXT, token TEXT, since INTEGER,"
+    " body BLOB, PRIMARY KEY (customer, key, token)) WITHOUT ROWID"
+)
+SELECT_ALL = "SELECT customer, key, token, body, since FROM records"
+DELETE_ONE = "DELETE FROM records WHERE customer = ? AND key = ? AND token = ?"
+INSERT_ONE = "INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?)"
 
 
 class SqliteStore:
+    """The durable store of one replica's records."""
+
     def __init__(self, path: str | Path) -> None:
-        """Raises DiskNotUsable for one that can't be opened, is read-only, or is damaged."""
-        self.path, self.counts = Path(path), Counter()
-        self.told, self.last = 0, ""
+        """Opens the file, or creates it. Raises DiskNotUsable if it can't be opened, is read-only, or is
+        damaged."""
+        self.path = Path(path)
+        self.counters: Counter[str] = Counter()
+        self._reported_faults = 0
+        self._last_fault = ""
         try:
-            self.db = sqlite3.connect(self.path, timeout=BUSY, isolation_level=None)
-            self.db.execute("PRAGMA journal_mode = WAL")
-            self.db.execute("PRAGMA synchronous = FULL")  # it is there before anybody relies on it
-            self.db.execute("PRAGMA secure_delete = ON")  # what is erased is overwritten
-            self.db.execute(f"PRAGMA journal_size_limit = {LARGEST_LOG}")
-            (sound,) = self.db.execute("PRAGMA quick_check(1)").fetchone()
-            if sound != "ok":
-                raise sqlite3.DatabaseError(sound)
-            (layout,) = self.db.execute("PRAGMA user_version").fetchone()
-            if layout not in (0, LAYOUT):
-                raise sqlite3.DatabaseError(f"layout {layout}, {LAYOUT} is known")
-            self.db.execute(
-                "CREATE TABLE IF NOT EXISTS records (customer TEXT, key TEXT, token TEXT, since INTEGER,"
-                " body BLOB, PRIMARY KEY (customer, key, token)) WITHOUT ROWID"
-            )
-            self.db.execute(f"PRAGMA user_version = {LAYOUT}")
-        except (sqlite3.Error, OSError) as fault:
-            raise DiskNotUsable(str(fault), str(self.path)) from None
+            self.connection = sqlite3.connect(self.path, timeout=LOCK_TIMEOUT, isolation_level=None)
+            self._prepare()
+        except (sqlite3.Error, OSError) as error:
+            raise DiskNotUsable(str(error), str(self.path)) from error
+
+    def _prepare(self) -> None:
+        execute = self.connection.execute
+        execute("PRAGMA journal_mode = WAL")
+        execute("PRAGMA synchronous = FULL")  # it is there before anybody relies on it
+        execute("PRAGMA secure_delete = ON")  # what is erased is overwritten
+        execute(f"PRAGMA journal_size_limit = {MAX_LOG_SIZE}")
+        (check,) = execute("PRAGMA quick_check(1)").fetchone()
+        if check != "ok":
+            raise sqlite3.DatabaseError(check)
+        (layout,) = execute("PRAGMA user_version").fetchone()
+        if layout not in (0, LAYOUT):
+            raise sqlite3.DatabaseError(f"layout {layout}, {LAYOUT} is known")
+        execute(CREATE_TABLE)
+        execute(f"PRAGMA user_version = {LAYOUT}")
 
     def read(self) -> Iterator[tuple[Record, Time]]:
-        """All that is there, with the Unix time since when it is kept. What can't be read is passed over: a
-        record less is a query that is not answered, never one that runs twice."""
+        """All records that are there, with the Unix time since when each is kept. What can't be read is
+        removed: a record less is a query that is not answered, never one that runs twice."""
         try:
-            rows = self.db.execute("SELECT customer, key, token, body, since FROM records").fetchall()
-        except sqlite3.Error as fault:
-            self.fault(fault)
+            rows = self.connection.execute(SELECT_ALL).fetchall()
+        except sqlite3.Error as error:
+            self._note_fault(error)
             return
-        spoilt: dict[Name, None] = {}
-        for *name, body, since in rows:
-            try:
-                record = decoder.decode(body)
-            except (msgspec.DecodeError, TypeError):
-                record = None
-            if record is None or unfit_record(record) or not isinstance(since, int):
-                spoilt[tuple(name)] = None  # nobody could tell when it is to be erased
-                self.counts["unreadable"] += 1
+        unreadable: dict[RecordId, Record | None] = {}
+        for customer, ordering_key, idempotency_key, body, since in rows:
+            record = _decoded(body)
+            if record is None or not isinstance(since, int):
+                # Nobody could tell when it has to be erased.
+                unreadable[RecordId(customer, ordering_key, idempotency_key)] = None
+                self.counters["unreadable"] += 1
             else:
                 yield record, since
-        if spoilt:
-            self.write(spoilt, {})
+        if unreadable:
+            self.write(unreadable, {})
 
-    def write(self, moved: Mapping[Name, Record | None], since: Mapping[Name, Time]) -> bool:
-        """What has changed, whole or not at all; whether it is there. None: it is gone, its bytes too."""
+    def write(self, changes: Mapping[RecordId, Record | None], since: Mapping[RecordId, Time]) -> bool:
+        """Writes all changes or none; whether they are there. None is a removal, of the bytes, too."""
         try:
-            self.db.execute("BEGIN IMMEDIATE")
-            try:
-                for name, record in moved.items():
-                    if record is None:
-                        self.db.execute(
-                            "DELETE FROM records WHERE customer = ? AND key = ? AND token = ?", name
-                        )
-                    else:
-                        row = (*name, since[name], encoder.encode(record))
-                        self.db.execute("INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?)", row)
-                self.db.execute("COMMIT")
-            except sqlite3.Error:
-                if self.db.in_transaction:
-                    self.db.execute("ROLLBACK")
-                raise
-            if None in moved.values():
-                self.scrub()
-        except sqlite3.Error as fault:
-            self.fault(fault)
+            self._write_transaction(changes, since)
+            if None in changes.values():
+                self._scrub()
+        except sqlite3.Error as error:
+            self._note_fault(error)
             return False
-        self.counts["written"] += len(moved)
+        self.counters["written"] += len(changes)
         return True
 
-    def scrub(self) -> None:
-        """What was erased is overwritten in the file; until this it stands in the write-ahead log."""
-        busy, *_ = self.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()
-        self.counts["scrub put off"] += bool(busy)
+    def _write_transaction(
+        self, changes: Mapping[RecordId, Record | None], since: Mapping[RecordId, Time]
+    ) -> None:
+        self.connection.execute("BEGIN IMMEDIATE")
+        try:
+            for record_id, record in changes.items():
+                if record is None:
+                    self.connection.execute(DELETE_ONE, record_id)
+                else:
+                    row = (*record_id, since[record_id], _encoder.encode(record))
+                    self.connection.execute(INSERT_ONE, row)
+            self.connection.execute("COMMIT")
+        except sqlite3.Error:
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
+            raise
 
-    def fault(self, fault: Exception) -> None:
-        self.counts["faults"] += 1
-        self.last = str(fault)
+    def _scrub(self) -> None:
+        """Overwrites in the file what was erased; until then it stands in the write-ahead log."""
+        busy, *_ = self.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()
+        self.counters["scrub put off"] += bool(busy)
+
+    def _note_fault(self, error: Exception) -> None:
+        self.counters["faults"] += 1
+        self._last_fault = str(error)
 
     def faults(self) -> list[DiskNotUsable]:
-        """What has gone wrong since this was last asked."""
-        if self.counts["faults"] == self.told:
+        """What has gone wrong since the last call, as one error."""
+        new = self.counters["faults"] - self._reported_faults
+        if new == 0:
             return []
-        new, self.told = self.counts["faults"] - self.told, self.counts["faults"]
-        return [DiskNotUsable(f"{self.last}, {new} times", str(self.path))]
+        self._reported_faults = self.counters["faults"]
+        return [DiskNotUsable(f"{self._last_fault}, {new} times", str(self.path))]
 
     def close(self) -> None:
-        self.db.close()
+        """Closes the file."""
+        self.connection.close()
+
+
+def _decoded(body: object) -> Record | None:
+    """A record from a file; None if it can't be read or has a field out of its bounds."""
+    if not isinstance(body, bytes):
+        return None
+    try:
+        record = _decoder.decode(body)
+    except msgspec.DecodeError:
+        return None
+    return None if first_record_field_out_of_bounds(record) else record
--- a/hillchute/history/view_change.py
+++ b/hillchute/history/view_change.py
@@ -1,221 +1,200 @@
-"""Which routers hold the history now: numbered views, each in force while most of the named routers say so.
-
-Owns who calls a view, what a router promises and grants, how long a view is in force for it, and from which
-view the next one goes on. Pure: events and the time in, values out. Must never know a record, or send
-anything.
-
-One who wants a new view asks with a number; a router that answers promises to grant nothing lower and says
-which view it took up last; with more than half of the named, the new view goes on from the highest of those
-(Paxos, of the views alone). A view is in force while more than half granted it within LEASE: any two such
-halves share a router, so an earlier view can't be renewed once a later one is in force, and ends within LEASE
-at every router, cut off or not.
-
-A router that restarts has forgotten what it promised. Guards: it grants and promises nothing for twice LEASE
-and a drift; a speaker drops a view that was not in force for LEASE; and a view goes on from the one before
-only where more than half of the named remember, that is have granted a view in this life. Otherwise the
-history of all slots counts as lost, as of the new view.
+"""The messages by which routers agree on views and keep them in force.
+
+Owns when promises are requested and heartbeats sent, and what a message changes in the protocol's state
+(view_protocol.py decides).
 """
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable
 
 import msgspec
 
-from hillchute.decision.interface import Time
-
-LEASE: Time = 40_000  # four seconds: rides out three beats that the network lost
-DRIFT = 0.01  # part by which two monotonic clocks may differ over one lease; crystals keep to 0.0001
-BEAT: Time = 10_000  # between two calls
-ASKS = 4  # times that all are asked before a view begins without those who may remember
-AHEAD = 3_600_000  # milliseconds that a view's number, a time, may lie ahead of our clock
-STEADY: Time = 10_000  # so long who lives must be the same before a view is asked for: deaths come in crowds
-
-Id = tuple[int, str]  # of a view: a number that rises, and its speaker
-
-
-class View(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    number: int = 0  # 0 is none
-    speaker: str = ""
-    members: dict[str, int] = {}  # name: life
-    copies: int = 0
-    before: Id | None = None  # the view that it goes on from; none: all is lost
-    were: dict[str, int] = {}  # the members of that
-    had: int = 0  # and its copies
-    first: bool = False  # nobody who promised remembers any view
-
-    @property
-    def id(self) -> Id:
-        return self.number, self.speaker
-
-
-NONE = View()
-
-
-class Promise(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The answer to one who asks."""
-
-    asked: Id
-    given: bool
-    highest: Id  # that it has promised or granted
-    remembers: bool  # it has granted a view in this life
-    adopted: View  # the last that it took up
-
-
-class Grant(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The answer to a call. `sent` is the call's, by the speaker's clock; `at` by the granter's."""
-
-    view: Id
-    sent: Time
-    at: Time
-    given: bool
-    lacks: bool  # it has not seen the view's text
-    have: Id  # the view that it took up last
-    highest: Id
-    book: int  # the number of the policies that it has applied
-    text: int = 0  # the number of the partners' text that it goes by
-
-
-def most_of(named: int) -> int:
-    return named // 2 + 1
-
-
-class Views:
-    """One router's."""
-
-    def __init__(self, me: str, life: int, named: Iterable[str], now: Time) -> None:
-        self.me, self.life, self.named, self.born = me, life, frozenset(named) | {me}, now
-        self.view = NONE  # the last one that was taken up
-        self.highest: Id = (0, "")
-        self.remembers = False
-        self.until: Time = 0  # in force for this router until then
-        # As a speaker:
-        self.seen: tuple[frozenset, Time] = frozenset(), now  # who lived, and since when
-        self.asking: Id | None = None
-        self.asked_at: Time = now
-        self.asks = 0  # since a view was called
-        self.promises: dict[str, Promise] = {}
-        self.proposed: View | None = None
-        self.proposed_at: Time = now
-        self.granted: dict[str, Time] = {}  # until when each grants what is proposed
-        self.echoes: dict[str, Time] = {}  # `at` of each one's last grant
-        self.books: dict[str, int] = {}
-
-    # ---- as one who promises and grants -----------------------------------------------------------
-
-    def may_grant(self, now: Time) -> bool:
-        """Guards against what a life before this one promised and this one forgot."""
-        return now >= self.born + 2 * LEASE * (1 + DRIFT)
-
-    def believable(self, now: Time, id: Id) -> bool:
-        """Guards against one that names the highest number of all, after which there could be no view."""
-        return id[0] <= now // 10 + AHEAD and id[1] in self.named
-
-    def ask(self, now: Time, id: Id, have: Id = (0, "")) -> Promise:
-        """`have`: the view that who asks took up last; of that its name is enough."""
-        given = id > self.highest and self.may_grant(now) and self.believable(now, id)
-        if given:
-            self.highest = id
-        adopted = View(*have) if have == self.view.id else self.view
-        return Promise(id, given, max(self.highest, self.view.id), self.remembers, adopted)
-
-    def called(self, now: Time, id: Id, sent: Time, book: int, text: int = 0) -> Grant:
-        lacks = id != self.view.id
-        given = not lacks and id >= self.highest and self.may_grant(now)
-        if given:
-            self.highest, self.remembers = id, True
-        # Guards against a view here that nobody calls: who does call learns that it needs a higher number.
-        highest = max(self.highest, self.view.id)
-        return Grant(id, sent, now, given, lacks, self.view.id, highest, book, text)
-
-    def take_up(self, now: Time, view: View) -> bool:
-        """A view's text has come. Whether it holds now where another did; a lower one is none any more."""
-        if view.id < self.highest or view.id <= self.view.id or not self.believable(now, view.id):
-            return False
-        if view.speaker not in view.members or len(view.members) < most_of(len(self.named)):
-            return False  # no speaker calls such a one
-        self.view, self.until = view, 0
-        return True
-
-    def forced(self, now: Time, id: Id, at: Time, rest: Time) -> None:
-        """The speaker says that the view was in force for so long still, after we granted it at `at`."""
-        if at <= now and id == self.view.id and self.view.members.get(self.me) == self.life:
-            self.until = max(self.until, at + min(rest, LEASE))
-
-    def in_force(self, now: Time) -> bool:
-        return now < self.until
-
-    # ---- as a speaker ---------------------------------------------------------------------------------
-
-    def look(self, now: Time, living: Mapping[str, int]) -> str:
-        """What this router is to do for all: "", "ask" with `asking`, or "call" what is proposed. `living`
-        holds this router too, and the life of each. The first of them by name speaks, if most of the named
-        live."""
-        names = frozenset(living.items())
-        if names != self.seen[0]:
-            self.seen = names, now
-        if len(living) < most_of(len(self.named)) or min(living) != self.me:
-            self.proposed = self.asking = None
-            return ""
-        if self.proposed and self.proposed.id < self.highest:
-            self.proposed = None  # somebody else asked with a higher number
-        if self.proposed and now - self.last_forced() > LEASE:
-            self.proposed = None  # guards against one that routers which forgot a later one would bring back
-        if self.proposed and self.proposed.members == dict(living):
-            self.asking = None
-            return "call"
-        if now - self.seen[1] >= STEADY and self.may_grant(now):
-            if self.asking is None or now - self.asked_at > BEAT:
-                # Milliseconds: no life of this router that has been forgotten asked with the same number.
-                number = max(self.highest[0] + 1, now // 10)
-                self.asking, self.asked_at, self.promises = (number, self.me), now, {}
-                self.asks += 1
-            return "ask"
-        return "call" if self.proposed else ""
-
-    def last_forced(self) -> Time:
-        """When what is proposed ends, or ended, to be in force; when it was proposed, if it never was."""
-        ends = sorted(self.granted.values(), reverse=True)
-        need = most_of(len(self.named))
-        return ends[need - 1] if len(ends) >= need else self.proposed_at
-
-    def promised(
-        self, now: Time, sender: str, promise: Promise, living: Mapping[str, int], copies: int
-    ) -> bool:
-        """Whether there is a view to be called now."""
-        if sender not in self.named or promise.asked != self.asking:
-            return False
-        if not promise.given:
-            if promise.highest > self.asking and self.believable(now, promise.highest):
-                self.highest = max(self.highest, (promise.highest[0], ""))
-                self.asking = None
-            return False
-        self.promises[sender] = promise
-        if len(self.promises) < most_of(len(self.named)) or self.me not in self.promises:
-            return False
-        adopted = [self.view if p.adopted.id == self.view.id else p.adopted for p in self.promises.values()]
-        believed = [view for view in adopted if self.believable(now, view.id)]
-        last = max((*believed, NONE), key=lambda view: view.id)
-        known = sum(p.remembers for p in self.promises.values()) >= most_of(len(self.named))
-        # Those that restarted answer as soon as others: without those that remember all would be lost.
-        if not known and len(self.promises) < len(living) and self.asks < ASKS:
-            return False
-        went_on = (last.id, last.members, last.copies) if known and last.number else (None, {}, 0)
-        first = not any(p.remembers for p in self.promises.values())
-        self.proposed = View(self.asking[0], self.me, dict(living), copies, *went_on, first)
-        self.proposed_at, self.asking, self.asks = now, None, 0
-        self.granted, self.echoes, self.promises = {}, {}, {}
-        return True
-
-    def answered(self, now: Time, sender: str, grant: Grant) -> None:
-        if sender not in self.named or grant.sent > now:
+from hillchute.history.messages import (
+    Heartbeat,
+    HeartbeatReply,
+    PromiseReply,
+    PromiseRequest,
+    ViewAnnouncement,
+    ViewUpdate,
+)
+from hillchute.history.ownership_leases import PartnerAgreement
+from hillchute.history.policy_distribution import PolicyDistribution
+from hillchute.history.replica_context import ReplicaContext
+from hillchute.history.view_protocol import ProposerAction
+from hillchute.history.views import (
+    HEARTBEAT_INTERVAL,
+    Grant,
+    View,
+    ViewDelta,
+    ViewId,
+    apply_delta,
+    delta_of,
+)
+
+
+def announcement_of(view: View, adopted: ViewId | None) -> ViewAnnouncement | ViewUpdate:
+    """A view for a router that adopted the view `adopted` last: what changed, where it takes over from that,
+    else the whole view."""
+    if adopted is None or adopted != view.predecessor:
+        return ViewAnnouncement(view)
+    delta = delta_of(view)
+    return ViewUpdate(view.id, adopted, delta.copies, delta.removed, delta.added)
+
+
+class ViewChange:
+    """One replica's part in changes of the view."""
+
+    def __init__(
+        self,
+        context: ReplicaContext,
+        policies: PolicyDistribution,
+        agreement: PartnerAgreement | None,
+        view_adopted: Callable[[View], None],
+    ) -> None:
+        """`view_adopted` is called whenever another view becomes this router's own."""
+        self._context = context
+        self._policies = policies
+        self._agreement = agreement
+        self._view_adopted = view_adopted
+        self.is_leaving = False  # it shuts down: it gives what it has, and proposes no view
+        self._next_heartbeat_at = context.now
+
+    def receive(
+        self,
+        sender: str,
+        message: PromiseRequest | PromiseReply | Heartbeat | HeartbeatReply | ViewAnnouncement | ViewUpdate,
+    ) -> None:
+        """A message about views came."""
+        match message:
+            case PromiseRequest():
+                self.answer_promise_request(sender, message)
+            case PromiseReply():
+                self.take_promise(sender, message)
+            case Heartbeat():
+                self.answer_heartbeat(sender, message)
+            case HeartbeatReply():
+                self.take_heartbeat_reply(sender, message)
+            case ViewAnnouncement():
+                self.take_announcement(sender, message)
+            case ViewUpdate():
+                self.take_update(sender, message)
+
+    # ---- as a router that promises and grants ---------------------------------------------------------
+
+    def answer_promise_request(self, sender: str, request: PromiseRequest) -> None:
+        """A router wants to propose a view."""
+        if sender == request.view.coordinator:
+            context = self._context
+            promise = context.views.answer_request(context.now, request.view, request.adopted)
+            context.send(sender, PromiseReply(promise))
+
+    def answer_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        """A coordinator wants its view's lease renewed."""
+        if sender != heartbeat.view.coordinator:
+            return
+        context = self._context
+        agreement = self._agreement
+        if self._policies.note_heartbeat(heartbeat) and agreement is not None:
+            agreement.told(context.now, heartbeat.agreement_number)
+        grant = context.views.answer_heartbeat(
+            context.now,
+            heartbeat.view,
+            heartbeat.sent_at,
+            context.policies.number,
+            agreement.held() if agreement is not None else 0,
+        )
+        if grant.given and heartbeat.echo:
+            remaining = heartbeat.lease_remaining
+            context.views.extend_lease(context.now, heartbeat.view, heartbeat.echo, remaining)
+        context.send(sender, HeartbeatReply(grant))
+        self._policies.request_if_outdated(sender)
+
+    def take_announcement(self, sender: str, message: ViewAnnouncement) -> None:
+        """A whole view has come."""
+        if sender == message.view.coordinator:
+            self._adopt(message.view)
+
+    def take_update(self, sender: str, message: ViewUpdate) -> None:
+        """A view has come as what it changes in the one before."""
+        adopted = self._context.views.view
+        if sender == message.view.coordinator and message.base == adopted.id:
+            delta = ViewDelta(message.copies, message.removed, message.added)
+            self._adopt(apply_delta(adopted, message.view, delta))
+
+    def _adopt(self, view: View) -> None:
+        if self._context.views.adopt(self._context.now, view):
+            self._context.counters["views"] += 1
+            self._view_adopted(view)
+
+    # ---- as a proposer and coordinator ----------------------------------------------------------------
+
+    def take_promise(self, sender: str, reply: PromiseReply) -> None:
+        """A router has answered a request; the view is proposed once enough have promised."""
+        context = self._context
+        view = context.views.take_promise(
+            context.now, sender, reply.promise, context.living(), context.policies.copies
+        )
+        if view is None:
+            return
+        self._adopt(view)
+        for name in view.members:
+            if name != context.name:
+                context.send(name, announcement_of(view, view.predecessor))
+        self._next_heartbeat_at = context.now
+        self._send_heartbeats(view)
+
+    def _send_heartbeats(self, view: View) -> None:
+        context = self._context
+        agreement_number = 0
+        if self._agreement is not None:
+            agreement_number = self._agreement.named(context.now)
+            self._agreement.told(context.now, agreement_number)
+        policies_number = context.policies.number
+        remaining = context.views.lease_remaining(context.now)
+        for name in context.living():
+            echo = context.views.last_grants.get(name, 0)
+            heartbeat = Heartbeat(
+                view=view.id,
+                sent_at=context.now,
+                echo=echo,
+                lease_remaining=remaining if echo else 0,
+                policies_number=policies_number,
+                agreement_number=agreement_number,
+            )
+            context.send(name, heartbeat)
+
+    def take_heartbeat_reply(self, sender: str, reply: HeartbeatReply) -> None:
+        """A router has granted this one's view, or says why it does not."""
+        context = self._context
+        grant = reply.grant
+        if grant.policies_number > context.policies.number:
+            # It counts once what it knows is known here, and so announced to all with the next heartbeat.
+            self._policies.request_from(sender)
+            grant = msgspec.structs.replace(grant, given=False)
+        if self._agreement is not None and grant.agreement_number > self._agreement.named(context.now):
+            # The same of the partners' agreement, which they send each other on their own way.
+            grant = msgspec.structs.replace(grant, given=False)
+        context.views.take_grant(context.now, sender, grant)
+        self._send_missing_view(sender, grant)
+
+    def _send_missing_view(self, router: str, grant: Grant) -> None:
+        view = self._context.views.proposed
+        if grant.lacks_view and view is not None and grant.view == view.id:
+            self._context.send(router, announcement_of(view, grant.adopted))
+
+    def tick(self) -> None:
+        """Requests promises or sends heartbeats, if it falls to this router and is due."""
+        context = self._context
+        if self.is_leaving:
+            return
+        action = context.views.next_action(context.now, context.living())
+        if action is ProposerAction.NOTHING or context.now < self._next_heartbeat_at:
             return
-        self.books[sender] = grant.book
-        if grant.highest > self.highest and self.believable(now, grant.highest):
-            self.highest = (grant.highest[0], "")  # known of, not promised
-        if self.proposed and grant.view == self.proposed.id and grant.given:
-            until = int(grant.sent + LEASE * (1 - DRIFT))
-            if until >= self.granted.get(sender, 0):
-                self.granted[sender], self.echoes[sender] = until, grant.at
-
-    def rest(self, now: Time) -> Time:
-        """How long what is proposed is in force still: by the grant that makes more than half."""
-        return max(0, self.last_forced() - now) if self.proposed else 0
+        self._next_heartbeat_at = context.now + HEARTBEAT_INTERVAL
+        if action is ProposerAction.SEND_HEARTBEATS and context.views.proposed is not None:
+            self._send_heartbeats(context.views.proposed)
+        elif action is ProposerAction.REQUEST_PROMISES and context.views.requesting is not None:
+            self._request_promises(context.views.requesting)
+
+    def _request_promises(self, view_id: ViewId) -> None:
+        for name in self._context.living():
+            self._context.send(name, PromiseRequest(view_id, self._context.views.view.id))
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -18,7 +18,8 @@
 import anyio
 import orjson
 
-from hillchute.history.records import Record, RecordState, RecordStore
+from hillchute.history.record_store import RecordStore
+from hillchute.history.records import Record, RecordState
 from hillchute.history.retention import RetentionPolicies, RetentionPolicy
 from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
@@ -113,19 +114,19 @@
     net = HistoryNet(seed, routers, founded(copies=1, default=RetentionPolicy(most=1000)))
     if not net.settled():
         raise RuntimeError("no view came into force")
-    view = net.keepers["n0"].views.view
+    view = net.replicas["n0"].views.view
     for n in range(RECORDS):
         record = a_record(n)
-        for keeper in net.keepers.values():
-            if keeper.me in keeper.holders_of(slot_of(record.customer, record.key)):
-                keeper.shelf.put(record, net.now, 0, net.book)
-    for keeper in net.keepers.values():
-        keeper.shelf.moved.clear()
-    held = sum(k.shelf.of.total() for k in net.keepers.values())
+        for replica in net.replicas.values():
+            if replica.name in replica.authority.holders_of(slot_of(record.customer, record.ordering_key)):
+                replica.records.put(record, net.now, 0, net.book)
+    for replica in net.replicas.values():
+        replica.records.unsaved.clear()
+    held = sum(k.records.count_by_customer.total() for k in net.replicas.values())
     net.kill("n5")
     began, cpu = net.now, time.process_time()
     settled = net.settled(120)
-    again = sum(k.shelf.of.total() for k in net.keepers.values())
+    again = sum(k.records.count_by_customer.total() for k in net.replicas.values())
     return {
         "records": RECORDS,
         "members_before": len(view.members),
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -22,7 +22,8 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
-from hillchute.history.codec import KINDS, Message, encoder
+from hillchute.history.codec import encoder
+from hillchute.history.messages import MESSAGE_TYPES, Message
 from hillchute.history.records import RecordState
 from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
@@ -218,13 +219,15 @@
         kept = {}
         for n in range(TOKENS):
             token = f"t{n}"
-            records = [k.record for keeper in self.keepers.values() for k in keeper.shelf.all()]
+            records = [k.record for replica in self.replicas.values() for k in replica.records.all_records()]
             # One that was freed says that nothing ran: whether it is still there is no matter.
             states = [
-                (r.state, r.rows) for r in records if r.token == token and r.state != RecordState.NOT_RUN
+                (r.state, r.rows)
+                for r in records
+                if r.idempotency_key == token and r.state != RecordState.NOT_RUN
             ]
             kept[token] = len(self.runs[token]), len(states), sorted(set(states))
-        return {"kept": kept, "books": sorted(k.book.number for k in self.keepers.values())}
+        return {"kept": kept, "books": sorted(k.policies.number for k in self.replicas.values())}
 
 
 def places(plain: Changing, lies: bool = True) -> list[tuple[int, str, tuple]]:
@@ -238,7 +241,7 @@
 
 
 def drawn(
-    plain: Changing, seed: int, most: int | None, kinds: tuple[type, ...] = KINDS
+    plain: Changing, seed: int, most: int | None, kinds: tuple[type, ...] = MESSAGE_TYPES
 ) -> list[tuple[int, str, tuple]]:
     """All, or so many by chance, of each kind of message as many: most of all are slots on their way."""
     some = [place for place in places(plain) if isinstance(plain.messages[place[0]], kinds)]
@@ -268,7 +271,7 @@
     most: int | None = None,
     jobs: int | None = None,
     net: type = Net,
-    kinds: tuple[type, ...] = KINDS,
+    kinds: tuple[type, ...] = MESSAGE_TYPES,
     harmless: tuple[str, ...] = HARMLESS,
 ) -> dict[str, object]:
     plain = net(seed).script()
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -13,11 +13,12 @@
 
 from hillchute.decision.interface import Time
 from hillchute.history.claim_decision import ClaimDecision
-from hillchute.history.codec import Message, decode, encode
+from hillchute.history.codec import decode, encode
+from hillchute.history.messages import Message
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
 from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies
-from hillchute.history.view_change import LEASE
+from hillchute.history.views import LEASE
 
 SECOND = 10_000
 STEP: Time = 500
@@ -44,7 +45,7 @@
         self.seed, self.chance, self.now, self.fails = seed, random.Random(seed), EPOCH, fails
         self.loss, self.twice, self.never, self.book = loss, twice, never, book
         self.names = [f"n{n}" for n in range(count)]
-        self.keepers: dict[str, Replica] = {}
+        self.replicas: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.stopped: dict[str, list] = {}  # who stands still, and what came meanwhile
         self.offset: dict[str, Time] = defaultdict(int)  # of its clock
@@ -79,26 +80,26 @@
             return {**self.seen[name], name: self.lives[name]}
 
         now = self.clock(name)
-        self.keepers[name] = self.keeper(name, now, living)
+        self.replicas[name] = self.new_replica(name, now, living)
         self.notice()
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
+    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
         return Replica(name, self.lives[name], self.names, self.book, now, living)
 
     def kill(self, name: str) -> None:
-        self.keepers.pop(name, None)
+        self.replicas.pop(name, None)
         self.stopped.pop(name, None)
         self.open = {claim: about for claim, about in self.open.items() if claim[0] != name}
         self.notice()
 
     def leave(self, name: str) -> None:
         """It says farewell: no other counts it as living, and it still answers."""
-        self.keepers[name].leaving = True
+        self.replicas[name].prepare_to_leave()
         for other in self.names:
             self.seen[other].pop(name, None)
 
     def stop(self, name: str) -> None:
-        if name in self.keepers:
+        if name in self.replicas:
             self.stopped.setdefault(name, [])
             self.notice()
 
@@ -127,7 +128,7 @@
                     heappush(self.changes, (at, self.order, name, other))
 
     def look(self, name: str, other: str) -> None:
-        lives = other in self.keepers and other not in self.stopped
+        lives = other in self.replicas and other not in self.stopped
         if lives and not {(name, other), (other, name)} & self.cuts:
             self.seen[name][other] = self.lives[other]
         else:
@@ -136,13 +137,12 @@
     # ---- the network ------------------------------------------------------------------------------
 
     def post(self, name: str) -> None:
-        keeper = self.keepers.get(name)
-        if keeper is None:
+        replica = self.replicas.get(name)
+        if replica is None:
             return
-        out, keeper.out = keeper.out, []
-        for to, message in out:
+        for to, message in replica.take_messages():
             self.send(name, to, message)
-        self.judged(name, keeper)
+        self.judged(name, replica)
 
     def send(self, name: str, to: str, message: Message) -> None:
         for after, data in self.carried(message):
@@ -162,8 +162,8 @@
     def arrive(self, sender: str, to: str, data: bytes) -> None:
         if to in self.stopped:
             self.stopped[to].append((sender, data))
-        elif to in self.keepers:
-            self.keepers[to].receive(self.clock(to), sender, decode(data, sender))
+        elif to in self.replicas:
+            self.replicas[to].receive(self.clock(to), sender, decode(data, sender))
             self.post(to)
 
     def play(self, seconds: float) -> None:
@@ -176,29 +176,28 @@
             while self.line and self.line[0][0] <= self.now:
                 _, _, sender, to, data = heappop(self.line)
                 self.arrive(sender, to, data)
-            for name in list(self.keepers):
+            for name in list(self.replicas):
                 if name not in self.stopped:
                     self.tick(name)
                     self.post(name)
 
     def tick(self, name: str) -> None:
-        self.keepers[name].tick(self.clock(name))
+        self.replicas[name].tick(self.clock(name))
 
     # ---- clients and engines ----------------------------------------------------------------------
 
     def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
-        keeper = self.keepers.get(name)
-        if keeper is None or name in self.stopped:
+        replica = self.replicas.get(name)
+        if replica is None or name in self.stopped:
             self.said["nobody there"] += 1
             return
         due = self.clock(name) + patience
-        number = keeper.claim(self.clock(name), "", key, token, due, True)
+        number = replica.claim(self.clock(name), "", key, token, due, True)
         self.open[name, self.lives[name], number] = token, key, self.now
         self.post(name)
 
-    def judged(self, name: str, keeper: Replica) -> None:
-        verdicts, keeper.verdicts = keeper.verdicts, []
-        for number, verdict, why, rows in verdicts:
+    def judged(self, name: str, replica: Replica) -> None:
+        for number, verdict, why, rows in replica.take_decided():
             claim = name, self.lives[name], number
             if claim not in self.open:
                 self.rule["answered twice"] += 1
@@ -263,7 +262,7 @@
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         name, _, number = claim
         self.open.pop(claim, None)
-        self.keepers[name].ended(self.clock(name), number, state, rows)
+        self.replicas[name].end_claim(self.clock(name), number, state, rows)
         self.post(name)
 
     def bound(self, token: str) -> bool:
@@ -281,15 +280,19 @@
     def forget(self, name: str) -> None:
         """The operator wants all forgotten that was taken until now, and tells one router."""
         self.book = msgspec.structs.replace(
-            self.book, number=self.book.number + 1, forgets=(*self.book.forgets, ErasureRequest(self.now))
+            self.book,
+            number=self.book.number + 1,
+            erasure_requests=(*self.book.erasure_requests, ErasureRequest(self.now)),
         )
         self.forgotten.append((self.now, None))
-        self.keepers[name].apply(self.clock(name), self.book)
+        self.replicas[name].apply_policies(self.clock(name), self.book)
         self.post(name)
 
     def known(self) -> None:
         """Since when most of the named know of the last book."""
-        most = sum(k.book.number >= self.book.number for k in self.keepers.values()) > len(self.names) // 2
+        most = (
+            sum(k.policies.number >= self.book.number for k in self.replicas.values()) > len(self.names) // 2
+        )
         if self.forgotten and self.forgotten[-1][1] is None and most:
             self.forgotten[-1] = self.forgotten[-1][0], self.now
 
@@ -297,18 +300,25 @@
 
     def held(self, token: str) -> list[str]:
         """Who has a record of a token: the one place that looks into holders, for erasing is about them."""
-        return [n for n, k in self.keepers.items() if any(x.record.token == token for x in k.shelf.all())]
+        return [
+            n
+            for n, k in self.replicas.items()
+            if any(x.record.idempotency_key == token for x in k.records.all_records())
+        ]
 
     def settled(self, most: float = 30) -> bool:
         """Plays until every router is in a view in force with all of its slots there."""
         since = self.now
         while self.now - since < most * SECOND:
             self.advance(0.5)
-            keepers = [k for n, k in self.keepers.items() if n not in self.stopped]
-            fine = all(k.views.in_force(k.now) and not k.wanting and not k.behind for k in keepers)
-            if fine and len({k.views.view.id for k in keepers}) == 1:
-                members = {n: self.lives[n] for n in self.keepers if n not in self.stopped}
-                if keepers[0].views.view.members == members:
+            replicas = [k for n, k in self.replicas.items() if n not in self.stopped]
+            fine = all(
+                k.views.in_force(k.context.now) and not k.slots.wanted and not k.slots.outdated
+                for k in replicas
+            )
+            if fine and len({k.views.view.id for k in replicas}) == 1:
+                members = {n: self.lives[n] for n in self.replicas if n not in self.stopped}
+                if replicas[0].views.view.members == members:
                     return True
         return False
 
@@ -345,7 +355,7 @@
     for name in net.names:
         if name in net.stopped:
             net.go_on(name)
-        if name not in net.keepers:
+        if name not in net.replicas:
             net.start(name)
     return net.settled(60)
 
@@ -357,7 +367,7 @@
             net.kill(name)
     elif what < 0.5:
         for name in names:
-            if name not in net.keepers:
+            if name not in net.replicas:
                 net.start(name)
     elif what < 0.6:
         half = chance.randint(1, len(names) - 1)
@@ -369,7 +379,7 @@
     elif what < 0.92:
         for name in list(net.stopped):
             net.go_on(name)
-    elif forgets and names[0] in net.keepers and names[0] not in net.stopped:
+    elif forgets and names[0] in net.replicas and names[0] not in net.stopped:
         net.forget(names[0])
 
 
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -16,9 +16,9 @@
 
 from hillchute.accord.quotas import Quotas
 from hillchute.decision.interface import Time
-from hillchute.history.codec import Claim
-from hillchute.history.ownership_leases import LeaseTransfer
-from hillchute.history.records import COMPLETION_GRACE
+from hillchute.history.lease_transfer import LeaseTransfer
+from hillchute.history.messages import ClaimRequest
+from hillchute.history.records import COMPLETION_GRACE, ClaimId
 from hillchute.history.replica import Replica
 from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
@@ -75,35 +75,39 @@
 # ---- time without an owner ------------------------------------------------------------------------
 
 
-class Watched(Replica):
-    """Notes how long a title moves, and what waits for a run of the owner before."""
+class LeaseWatch:
+    """Notes at one replica how long leases move, and how long claims wait for runs under earlier leases."""
 
-    gaps: list[Time]
-    waited: list[Time]
-    waits: dict[tuple[str, int, int], Time]
-    had_owner: dict[int, bool]
+    def __init__(self, replica: Replica, gaps: list[Time], waited: list[Time]) -> None:
+        self.replica, self.gaps, self.waited = replica, gaps, waited
+        self.waits: dict[ClaimId, Time] = {}
+        self.had_owner: set[int] = set()
+        self.complete_unwatched, replica.leases.complete = replica.leases.complete, self.complete
+        self.tick_unwatched, replica.leases.tick = replica.leases.tick, self.tick
+        self.take_unwatched, replica.claims.take_claim = replica.claims.take_claim, self.take_claim
 
-    def title_stands(self, number: int, moving: LeaseTransfer) -> None:
-        super().title_stands(number, moving)
-        if self.had_owner.pop(number, False):
-            self.gaps.append(self.now - moving.began)
+    def complete(self, number: int, transfer: LeaseTransfer) -> None:
+        self.complete_unwatched(number, transfer)
+        if number in self.had_owner:
+            self.had_owner.remove(number)
+            self.gaps.append(self.replica.context.now - transfer.began_at)
 
-    def look_at_titles(self) -> None:
-        before = {n: slot.title for n, slot in enumerate(self.slots) if slot.title is not None}
-        super().look_at_titles()
-        for number in self.moving:
-            if number in before:
-                self.had_owner[number] = True
+    def tick(self) -> None:
+        before = {n for n, slot in enumerate(self.replica.slots.slots) if slot.lease is not None}
+        self.tick_unwatched()
+        self.had_owner |= before & self.replica.leases.transfers.keys()
 
-    def claimed(self, sender: str, claim: Claim) -> None:
+    def take_claim(self, sender: str, claim: ClaimRequest) -> None:
         """What waits for something of the owner before, and for how long."""
-        number = slot_of(claim.customer, claim.key)
-        title, about = self.slots[number].title, (sender, claim.life, claim.number)
-        if title is not None and self.others_out(claim.customer, claim.key, title):
-            self.waits.setdefault(about, self.now)
+        number, now = slot_of(claim.customer, claim.ordering_key), self.replica.context.now
+        lease, about = self.replica.slots.slots[number].lease, claim.claim_id(sender)
+        if lease is not None and self.replica.leases.is_earlier_running(
+            claim.customer, claim.ordering_key, lease
+        ):
+            self.waits.setdefault(about, now)
         elif about in self.waits:
-            self.waited.append(self.now - self.waits.pop(about))
-        super().claimed(sender, claim)
+            self.waited.append(now - self.waits.pop(about))
+        self.take_unwatched(sender, claim)
 
 
 class Timed(PartnersNet):
@@ -112,12 +116,10 @@
         self.waited_for: list[Time] = []
         super().__init__(*about, **faults)
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
-        plain = super().keeper(name, now, living)
-        keeper = Watched(name, plain.life, self.names, self.book, now, living, deeds=plain.deeds)
-        keeper.gaps, keeper.waited = self.gaps, self.waited_for
-        keeper.waits, keeper.had_owner = {}, {}
-        return keeper
+    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
+        replica = super().new_replica(name, now, living)
+        LeaseWatch(replica, self.gaps, self.waited_for)
+        return replica
 
 
 def unowned(seed: int, swings: int = 8) -> dict[str, object]:
@@ -157,7 +159,7 @@
         net.claim(victims[1], f"t{n}", f"k{n}", PATIENCE)
     net.post(victims[1])
     net.play(0.4)
-    out = {k.record.key for keeper in net.keepers.values() for k in keeper.shelf.all()}
+    out = {k.record.ordering_key for replica in net.replicas.values() for k in replica.records.all_records()}
     net.kill(victims[1])
     died = net.now
     net.offer("a", 500)
@@ -165,13 +167,13 @@
         net.offer(partner, 7000)
     net.agreed()
     led, owners = {}, net.owners()
-    first = {slot: holders(slot, net.keepers["n1"].views.view.members, 1)[0] for slot in range(SLOTS)}
+    first = {slot: holders(slot, net.replicas["n1"].views.view.members, 1)[0] for slot in range(SLOTS)}
     moved = [key for key in sorted(out) if owners[slot_of("", key)] != "a"]
     while net.now < died + 2 * COMPLETION_GRACE and len(led) < len(moved):
         net.advance(0.5)
         for key in set(moved) - led.keys():
-            keeper, slot = net.keepers[first[slot_of("", key)]], slot_of("", key)
-            if not keeper.others_out("", key, keeper.slots[slot].title):
+            replica, slot = net.replicas[first[slot_of("", key)]], slot_of("", key)
+            if not replica.leases.is_earlier_running("", key, replica.slots.slots[slot].lease):
                 led[key] = net.now - died
     waits = sorted(led.values())
     return {
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -11,7 +11,7 @@
 and no text hold that not all have marked.
 """
 
-from hillchute.history import codec as history
+from hillchute.history import messages as history
 from hillchute.history.codec import encoder as history_encoder
 from hillchute.history.retention import RetentionPolicy
 from hillchute.lab import history_mutants
@@ -21,8 +21,15 @@
 from hillchute.partners.agreement import Text, digest, words
 
 ROUTERS = 6
-TITLES = history.Entitle, history.Entitled, history.Call, history.Granted, history.Claim, history.Judged
-KINDS = (*codec.KINDS, *TITLES)
+LEASES = (
+    history.LeaseUpdate,
+    history.LeaseReply,
+    history.Heartbeat,
+    history.HeartbeatReply,
+    history.ClaimRequest,
+    history.ClaimReply,
+)
+KINDS = (*codec.KINDS, *LEASES)
 MAY_BE = (*HARMLESS, "two owners", "deferred and ran", "overtaken")  # what a router that lies may bring about
 
 
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -15,9 +15,9 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped, TextNotTaken
 from hillchute.history.claim_decision import ClaimDecision
-from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
+from hillchute.history.messages import Message
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
 from hillchute.history.retention import RetentionPolicies
@@ -71,7 +71,7 @@
 
     # ---- routers ------------------------------------------------------------------------------------
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
+    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
         life, partner = self.lives[name], self.partner_of[name]
         council = Council(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
         self.councils[name] = council
@@ -82,7 +82,7 @@
             return living().get(other) != other_life
 
         self.passings[name] = Passing(name, life, living, over)
-        return Replica(name, life, self.names, self.book, now, living, deeds=council)
+        return Replica(name, life, self.names, self.book, now, living, agreement=council)
 
     def hand(self, name: str) -> Marker | None:
         partner = self.partner_of[name]
@@ -138,11 +138,11 @@
         if to in self.stopped:
             self.stopped[to].append((sender, data))
             return
-        if to not in self.keepers:
+        if to not in self.replicas:
             return
         now = self.clock(to)
         if data[:1] == HISTORY:
-            self.keepers[to].receive(now, sender, history_decode(data[1:], sender))
+            self.replicas[to].receive(now, sender, history_decode(data[1:], sender))
         elif data[:1] == PARTNERS:
             message = codec.decode(data[1:], sender)
             if isinstance(message, codec.Have | codec.Know):
@@ -161,7 +161,7 @@
 
     def post(self, name: str) -> None:
         super().post(name)
-        if name not in self.keepers:
+        if name not in self.replicas:
             return
         self.take_guests(name)
         for part in (self.councils[name], self.passings[name]):
@@ -173,7 +173,7 @@
 
     def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
         self.numbers += 1
-        if name not in self.keepers or name in self.stopped:
+        if name not in self.replicas or name in self.stopped:
             self.said["nobody there"] += 1
             return
         self.asks[self.numbers] = [name, self.lives[name], self.now, patience, 0]
@@ -183,7 +183,7 @@
 
     def claim(self, name: str, token: str, key: str, patience: Time) -> tuple[str, int, int]:
         once, now = key.startswith(TABLES), self.clock(name)
-        number = self.keepers[name].claim(now, "", key, token, now + patience, not once, once)
+        number = self.replicas[name].claim(now, "", key, token, now + patience, not once, once)
         claim = name, self.lives[name], number
         self.open[claim] = token, key, self.now
         return claim
@@ -217,7 +217,7 @@
         how = {ClaimDecision.REPLAY: "finished", ClaimDecision.FAIL: "killed"}.get(verdict, "deferred")
         if session is not None:
             if verdict is ClaimDecision.FORWARD:
-                self.keepers[name].ended(self.clock(name), claim[2], RecordState.NOT_RUN)
+                self.replicas[name].end_claim(self.clock(name), claim[2], RecordState.NOT_RUN)
             self.passings[name].answered(self.clock(name), session, how, why, rows)
             return
         if verdict is ClaimDecision.FORWARD:
@@ -234,7 +234,7 @@
                 self.errand_of[name, life, errand] = ask, claim[2]
                 self.errands[name, life, errand] = ask
                 return
-            self.keepers[name].ended(now, claim[2], RecordState.NOT_RUN)
+            self.replicas[name].end_claim(now, claim[2], RecordState.NOT_RUN)
         self.answered(ask, how)
 
     def take_guests(self, name: str) -> None:
@@ -250,7 +250,7 @@
             ask, mine = self.errand_of.pop((name, life, number), (None, 0))
             self.rule["ended twice"] += ask is None
             if mine:
-                self.keepers[name].ended(self.clock(name), mine, RecordState.NOT_RUN)
+                self.replicas[name].end_claim(self.clock(name), mine, RecordState.NOT_RUN)
             if how == "finished" and rows is None:
                 self.rule["wrong answer"] += 1
             if ask is not None:
@@ -301,16 +301,16 @@
         return sum(
             not answers and self.now > asked + patience + ANSWERED_BY
             for name, life, asked, patience, answers in self.asks.values()
-            if self.lives[name] == life and name in self.keepers and name not in self.stopped
+            if self.lives[name] == life and name in self.replicas and name not in self.stopped
         )
 
     def owners(self) -> list[str]:
         """By the titles at the slots' first holders; "" where there is none."""
-        some = next(iter(self.keepers.values())).views.view
+        some = next(iter(self.replicas.values())).views.view
         found = []
         for slot in range(SLOTS):
             first = holders(slot, some.members, 1)[0]
-            title = self.keepers[first].slots[slot].title if first in self.keepers else None
+            title = self.replicas[first].slots.slots[slot].lease if first in self.replicas else None
             found.append(title.owner if title is not None else "")
         return found
 
@@ -353,12 +353,12 @@
         killer = chance.random() < 0.5
         while net.now < until:
             crowd(net, chance, 3, 5)
-            moved = [n for n, k in net.keepers.items() if k.counts["titles moved"] or k.moving]
-            if killer and net.now > until - 2 * SECOND and moved and len(net.keepers) == len(net.names):
+            moved = [n for n, k in net.replicas.items() if k.counters["leases moved"] or k.leases.transfers]
+            if killer and net.now > until - 2 * SECOND and moved and len(net.replicas) == len(net.names):
                 net.kill(chance.choice(moved))
         net.advance(6)
         for name in net.names:
-            if name not in net.keepers:
+            if name not in net.replicas:
                 net.start(name)
     return net.settled(60) and net.agreed(60)
 
@@ -389,7 +389,7 @@
     for name in net.names:
         if name in net.stopped:
             net.go_on(name)
-        if name not in net.keepers:
+        if name not in net.replicas:
             net.start(name)
     return net.settled(60) and net.agreed(60)
 
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -505,7 +505,9 @@
             return set()
         records = [record for record, _ in SqliteStore(member.disk).read()]
         return {
-            r.token for r in records if r.state == RecordState.RUNNING or r.taken / 10_000 >= before - SKEW
+            r.idempotency_key
+            for r in records
+            if r.state == RecordState.RUNNING or r.granted_at / 10_000 >= before - SKEW
         }
 
     def kept_too_long(self, replayed: list[Query]) -> list[str]:
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.retention import TEXT
+from hillchute.history.retention import MAX_TEXT
 from hillchute.partners.agreement import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
 from hillchute.peers.messages import Codec
 
@@ -104,16 +104,16 @@
         case Know():
             return unfit_know(message)
         case Pass():
-            if not (0 < len(message.id) <= TEXT and 0 < len(message.group) <= TEXT):
+            if not (0 < len(message.id) <= MAX_TEXT and 0 < len(message.group) <= MAX_TEXT):
                 return "id"
-            if max(len(message.token or ""), len(message.key or ""), len(message.customer)) > TEXT:
+            if max(len(message.token or ""), len(message.key or ""), len(message.customer)) > MAX_TEXT:
                 return "token"
             if not 0 <= (message.cost or 0) <= WHOLE or not 0 <= message.memory <= WHOLE:
                 return "cost"
             if not 0 <= message.left <= DAY:
                 return "left"
         case Answer():
-            if message.how not in HOW or len(message.why) > 4 * TEXT:
+            if message.how not in HOW or len(message.why) > 4 * MAX_TEXT:
                 return "how"
     return "" if 0 <= message.number < WHOLE and 0 <= message.life < WHOLE else "number"
 
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -16,7 +16,7 @@
 from hillchute.fronts.events import Asked, Left, Spoilt
 from hillchute.history.replica import Replica
 from hillchute.history.retention import MS
-from hillchute.history.view_change import DRIFT, LEASE
+from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
 from hillchute.partners.agreement import Marker, Offer
 from hillchute.partners.codec import Have, Know, Message, Pass, codec
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -76,7 +76,7 @@
             about = (operator["history"], self.node, self.clock, log, judged, self.ride, deeds)
             self.remembering = Remembering(*about)
             if self.partnering is not None:
-                self.partnering.views = self.remembering.keeper
+                self.partnering.views = self.remembering.replica
         self.settings = settings
         self.logged = now
         self.known: list[str] = []
@@ -90,7 +90,7 @@
         """This router ends: it says farewell, and calls no more views."""
         self.link.leave()
         if self.remembering is not None:
-            self.remembering.keeper.leaving = True
+            self.remembering.replica.prepare_to_leave()
 
     async def hand_over(self) -> None:
         """A router that ends stays until others have what it alone holds, and the answers that it owes them,
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -1,7 +1,7 @@
-"""A router's part in the answer history: puts keeper, disk and the peers' node together from the operator
+"""A router's part in the answer history: puts replica, disk and the peers' node together from the operator
 file's `history`.
 
-Owns that wiring, the way between the reducer's queries and the keeper's claims, and what is logged of it.
+Owns that wiring, the way between the reducer's queries and the replica's claims, and what is logged of it.
 Must never decide; imported only where the operator file has `history`.
 """
 
@@ -12,13 +12,19 @@
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
 from hillchute.errors import BookNotTaken, DiskNotUsable
-from hillchute.history import retention
 from hillchute.history.claim_decision import ClaimDecision
-from hillchute.history.codec import Message, codec
+from hillchute.history.codec import codec
+from hillchute.history.messages import Message
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
-from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies, RetentionPolicy
+from hillchute.history.retention import (
+    MS,
+    ErasureRequest,
+    RetentionPolicies,
+    RetentionPolicy,
+    changed_policies,
+)
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.log import Log
 from hillchute.peers.node import HISTORY, Node
@@ -56,12 +62,12 @@
                 self.disk = SqliteStore(settings["disk"])
             except DiskNotUsable as fault:  # the history goes on in memory: no record rests on this disk
                 log.write("history_disk", **fault.told)
-        self.keeper = Replica(
+        self.replica = Replica(
             node.me, node.born, [node.me, *node.keys], book_of(settings), now, node.lives, self.disk, deeds
         )
         if self.disk is not None:
-            self.keeper.recall(now, self.disk.read())
-        self.numbers: dict[tuple[str, int], int] = {}  # the keeper's, of each of the reducer's
+            self.replica.recall(now, self.disk.read())
+        self.numbers: dict[tuple[str, int], int] = {}  # the replica's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
         self.logged = now
 
@@ -79,7 +85,7 @@
         once: bool = False,
     ) -> None:
         now = self.clock()
-        mine = self.keeper.claim(now, customer, key, token, now + left, ordered, once)
+        mine = self.replica.claim(now, customer, key, token, now + left, ordered, once)
         self.numbers[id, number], self.queries[mine] = mine, (id, number)
         self.pass_on()
 
@@ -89,12 +95,13 @@
         if mine is None:
             return
         self.queries.pop(mine, None)
-        self.keeper.ended(self.clock(), mine, STATES[how], None if rows is None else rows_in.encode(rows))
+        self.replica.end_claim(
+            self.clock(), mine, STATES[how], None if rows is None else rows_in.encode(rows)
+        )
         self.pass_on()
 
     def pass_on(self) -> None:
-        verdicts, self.keeper.verdicts = self.keeper.verdicts, []
-        for mine, verdict, why, rows in verdicts:
+        for mine, verdict, why, rows in self.replica.take_decided():
             query = self.queries.get(mine)
             if query is None:
                 continue
@@ -104,43 +111,42 @@
                 self.judged(*query, DECISIONS[verdict], why, None if rows is None else rows_out.decode(rows))
             except msgspec.DecodeError:
                 self.judged(*query, "KILL", "its rows can't be read", None)
-        if self.keeper.out:
+        if self.replica.has_messages:
             self.soon()
 
     # ---- a rider of the node ---------------------------------------------------------------------------
 
     def take(self, now: Time, sender: str, message: Message) -> None:
-        self.keeper.receive(now, sender, message)
+        self.replica.receive(now, sender, message)
         self.pass_on()
 
     def tick(self, now: Time) -> None:
-        self.keeper.tick(now)
+        self.replica.tick(now)
         self.pass_on()
         if now - self.logged >= LOGGED:
             self.logged = now
             self.tell(now)
 
     def said(self) -> list[tuple[str, Message]]:
-        out, self.keeper.out = self.keeper.out, []
-        return out
+        return self.replica.take_messages()
 
     # ---- log, reload, end -------------------------------------------------------------------------
 
     def tell(self, now: Time) -> None:
-        keeper = self.keeper
+        replica = self.replica
         self.log.write(
             "history",
-            policies=keeper.book.number,
-            view=keeper.views.view.number,
-            members=len(keeper.views.view.members),
-            in_force=keeper.views.in_force(now),
-            records=keeper.shelf.of.total(),
-            bytes=keeper.shelf.bytes,
-            fetching=len(keeper.wanting),
-            claims=len(keeper.mine),
-            **dict(keeper.counts),
+            policies=replica.policies.number,
+            view=replica.views.view.number,
+            members=len(replica.views.view.members),
+            in_force=replica.views.in_force(now),
+            records=replica.records.count_by_customer.total(),
+            bytes=replica.records.size_bytes,
+            fetching=len(replica.slots.wanted),
+            claims=len(replica.own_claims.claims),
+            **dict(replica.counters),
         )
-        for fault in keeper.not_applied():
+        for fault in replica.outdated_routers():
             self.log.write("history_policies", **fault.told)
         if self.disk is not None:
             for fault in self.disk.faults():
@@ -150,25 +156,25 @@
         """The operator file's history read again: a book with a higher number holds at once, here and soon
         everywhere; another of the same number is no book."""
         book = book_of(settings)
-        if book.number == self.keeper.book.number and book == self.keeper.book:
+        if book.number == self.replica.policies.number and book == self.replica.policies:
             return
-        before = self.keeper.book
-        if self.keeper.apply(self.clock(), book):
-            changed = sorted(retention.changed(before, book))
-            new = len(set(book.forgets) - set(before.forgets))
+        before = self.replica.policies
+        if self.replica.apply_policies(self.clock(), book):
+            changed = sorted(changed_policies(before, book))
+            new = len(set(book.erasure_requests) - set(before.erasure_requests))
             self.log.write("history_policies", policies=book.number, changed=changed, forgets=new)
         else:
-            what = f"policies {book.number}; {self.keeper.book.number} hold"
+            what = f"policies {book.number}; {self.replica.policies.number} hold"
             self.log.write("history_policies", **BookNotTaken(what, "history.number").told)
 
     def named(self) -> None:
         """The operator names other routers: half of them is another number, so all is asked anew."""
-        self.keeper.named([self.node.me, *self.node.keys], self.clock())
+        self.replica.name_routers([self.node.me, *self.node.keys], self.clock())
 
     @property
     def handed_over(self) -> bool:
         alone = len(self.node.keys) == 0 or not self.node.living()
-        return alone or self.keeper.handed_over
+        return alone or self.replica.is_handed_over
 
 
 def book_of(settings: Mapping[str, object]) -> RetentionPolicies:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -147,8 +147,8 @@
 
 def book_not_current(log, tmp_path):
     held, _ = remembering(log, tmp_path)
-    held.keeper.living = lambda: {"a": 1, "b": 1}
-    held.keeper.views.proposed, held.keeper.views.books = object(), {"b": 1}
+    held.replica.context.living = lambda: {"a": 1, "b": 1}
+    held.replica.views.proposed, held.replica.views.policies_numbers = object(), {"b": 1}
     held.tell(EPOCH)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from hillchute.history import replica
 from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.lease_transfer import LeaseTransfers
 from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.history.records import COMPLETION_GRACE
 from hillchute.history.retention import RetentionPolicy
@@ -28,7 +28,7 @@
 
 def key_of(net, partner, avoid=()):
     """A key whose slot is a partner's, first held by none of `avoid`."""
-    owners, view = net.owners(), next(iter(net.keepers.values())).views.view
+    owners, view = net.owners(), next(iter(net.replicas.values())).views.view
     keys = (f"k{n}" for n in range(5000))
     for key in keys:
         slot = slot_of("", key)
@@ -90,9 +90,13 @@
         net.change("n0", tables)
     net.advance(4)
     assert net.said["answered finished"] + net.said["answered killed"] == 9 and net.hops["passed on"]
-    assert any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
+    assert any(
+        k.record.is_transient for replica in net.replicas.values() for k in replica.records.all_records()
+    )
     net.advance((COMPLETION_GRACE + 6 * SECOND) / SECOND)
-    assert not any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
+    assert not any(
+        k.record.is_transient for replica in net.replicas.values() for k in replica.records.all_records()
+    )
     clean(net)
 
 
@@ -131,7 +135,11 @@
     key = key_of(net, "a", avoid=("n0", "n3"))
     claim = net.claim("n0", "t0", key, 4 * SECOND)  # granted, and then its router dies
     net.post("n0")
-    while not any(k.record.token == "t0" for keeper in net.keepers.values() for k in keeper.shelf.all()):
+    while not any(
+        k.record.idempotency_key == "t0"
+        for replica in net.replicas.values()
+        for k in replica.records.all_records()
+    ):
         net.play(0.05)
     died, slot = net.now, slot_of("", key)
     net.kill("n0")
@@ -162,9 +170,9 @@
 def test_first_holder_that_dies_while_a_title_moves_leaves_one_title():
     net = net_of(copies=2)
     net.offer("a", 8000)
-    while not any(keeper.moving for keeper in net.keepers.values()):
+    while not any(replica.leases.transfers for replica in net.replicas.values()):
         net.play(0.05)
-    mover = next(name for name, keeper in net.keepers.items() if keeper.moving)
+    mover = next(name for name, replica in net.replicas.items() if replica.leases.transfers)
     net.kill(mover)
     net.play(10)
     for n in range(40):
@@ -393,7 +401,7 @@
 
 
 PLANTED = {
-    "nobody waits for what is out": (replica.Replica, "others_out", lambda self, *about: False),
+    "nobody waits for what is out": (LeaseTransfers, "is_earlier_running", lambda self, *about: False),
     "anybody leads": (handover, "leads", anybody_leads),
     "what may have run is deferred": (Passing, "end", has_not_run),
     "what has no answer ends without one": (Passing, "end", is_no_answer),
@@ -428,6 +436,6 @@
     key = key_of(net, "b")
     net.ask("n1", "t0", key)
     net.play(0.3)
-    titles = {k.slots[slot_of("", key)].title for k in net.keepers.values()} - {None}
-    led = {kept.record.title for k in net.keepers.values() for kept in k.shelf.all()}
+    titles = {k.slots.slots[slot_of("", key)].lease for k in net.replicas.values()} - {None}
+    led = {kept.record.lease_number for k in net.replicas.values() for kept in k.records.all_records()}
     assert led == {title.number for title in titles} and len(led) == 1
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,13 +6,27 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import DatagramDropped
-from hillchute.history import codec
-from hillchute.history.claim_decision import COMPLETION_GRACE, ClaimDecision, judge
-from hillchute.history.records import Record, RecordState, RecordStore, RetainedRecord
+from hillchute.history import codec, messages
+from hillchute.history.claim_decision import ClaimDecision, ClaimFacts, decide
+from hillchute.history.record_store import RecordStore
+from hillchute.history.records import COMPLETION_GRACE, Record, RecordState, RetainedRecord
 from hillchute.history.replica import Replica
-from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies, RetentionPolicy, unfit
+from hillchute.history.retention import (
+    MS,
+    ErasureRequest,
+    RetentionPolicies,
+    RetentionPolicy,
+    first_invalid_field,
+)
 from hillchute.history.slot_placement import SLOTS, holders, slot_of
-from hillchute.history.view_change import AHEAD, ASKS, BEAT, DRIFT, LEASE, NONE, STEADY, View, Views, most_of
+from hillchute.history.view_protocol import (
+    MAX_ATTEMPTS,
+    MAX_NUMBER_AHEAD,
+    SETTLE_TIME,
+    ProposerAction,
+    ViewProtocol,
+)
+from hillchute.history.views import DRIFT, HEARTBEAT_INTERVAL, LEASE, NO_VIEW, View, ViewId, majority_of
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded, storm
 
 KEEPS = RetentionPolicy(rows=True, least_ms=20_000, most_ms=60_000)
@@ -21,7 +35,7 @@
 def record(
     token="t", state=RecordState.SERVED, attempt=1, taken=EPOCH, key="k", customer="", rows=b"rows", **about
 ):
-    whose = {"owner": "n0", "life": 1, "claim": 1, "patience": SECOND} | about
+    whose = {"router": "n0", "incarnation": 1, "claim_number": 1, "timeout": SECOND} | about
     return Record(customer, key, token, taken, 1, attempt, state=state, rows=rows, **whose)
 
 
@@ -30,19 +44,21 @@
 
 def test_hold_goes_before_forget_and_age_but_nothing_old_is_answered():
     forgets = (ErasureRequest(EPOCH + 1),)
-    book = RetentionPolicies(default=KEEPS, forgets=forgets)
-    held = RetentionPolicies(default=msgspec.structs.replace(KEEPS, hold=True), forgets=forgets)
-    assert book.erased("", "k", EPOCH, 0) and not held.erased("", "k", EPOCH, 0)
-    assert not book.erased("", "k", EPOCH + 1, 0)
+    book = RetentionPolicies(default=KEEPS, erasure_requests=forgets)
+    held = RetentionPolicies(default=msgspec.structs.replace(KEEPS, hold=True), erasure_requests=forgets)
+    assert book.must_be_erased("", "k", EPOCH, 0) and not held.must_be_erased("", "k", EPOCH, 0)
+    assert not book.must_be_erased("", "k", EPOCH + 1, 0)
     old = KEEPS.most_ms * MS + 1
-    assert book.erased("", "k", EPOCH + 1, old) and not held.erased("", "k", EPOCH + 1, old)
-    assert not held.answers("", "k", EPOCH + 1, old)
-    assert held.answers("", "k", EPOCH, 0)  # the forget waits until the hold ends
+    assert book.must_be_erased("", "k", EPOCH + 1, old) and not held.must_be_erased("", "k", EPOCH + 1, old)
+    assert not held.may_replay("", "k", EPOCH + 1, old)
+    assert held.may_replay("", "k", EPOCH, 0)  # the forget waits until the hold ends
 
 
 def test_forget_names_a_customer_or_one_of_its_keys():
-    book = RetentionPolicies(forgets=(ErasureRequest(EPOCH, "a"), ErasureRequest(EPOCH, "b", "k")))
-    told = [book.forgotten(c, k, EPOCH - 1) for c, k in (("a", "x"), ("b", "k"), ("b", "x"), ("", "k"))]
+    book = RetentionPolicies(erasure_requests=(ErasureRequest(EPOCH, "a"), ErasureRequest(EPOCH, "b", "k")))
+    told = [
+        book.is_erasure_requested(c, k, EPOCH - 1) for c, k in (("a", "x"), ("b", "k"), ("b", "x"), ("", "k"))
+    ]
     assert told == [True, True, False, False]
 
 
@@ -53,19 +69,27 @@
         (RetentionPolicies(customers={"a": RetentionPolicy(lost="perhaps")}), "a.lost"),
         (RetentionPolicies(copies=9), "copies"),
         (RetentionPolicies(erase_ms=1), "erase_ms"),
-        (RetentionPolicies(forgets=(ErasureRequest(-1),)), "forget"),
+        (RetentionPolicies(erasure_requests=(ErasureRequest(-1),)), "forget"),
         (RetentionPolicies(number=-1), "number"),
     ],
 )
 def test_book_that_nobody_could_honour_names_the_field(book, field):
-    assert unfit(book) == field
-    assert unfit(RetentionPolicies()) == ""
+    assert first_invalid_field(book) == field
+    assert first_invalid_field(RetentionPolicies()) == ""
 
 
 def verdict(kept=None, before=None, lost_for=None, lives=True, mine=False, room=True, age=0, **policy):
     book = RetentionPolicies(default=RetentionPolicy(rows=True, **policy))
     kept = kept and RetainedRecord(kept, EPOCH - age)
-    return judge(book, "", kept, before, EPOCH, lost_for, lives, mine, lambda: room)[0]
+    facts = ClaimFacts(
+        customer="",
+        known=kept,
+        earlier_running=before,
+        lost_for=lost_for,
+        router_lives=lives,
+        is_repeated=mine,
+    )
+    return decide(book, facts, EPOCH, lambda: room).decision
 
 
 def test_verdict_on_each_thing_known():
@@ -83,7 +107,7 @@
     assert verdict(out, mine=True) is ClaimDecision.RUN
     assert verdict(out, lives=False) is ClaimDecision.REJECT
     for lives in (True, False):
-        assert verdict(out, lives=lives, age=out.patience + COMPLETION_GRACE + 1) is ClaimDecision.FAIL
+        assert verdict(out, lives=lives, age=out.timeout + COMPLETION_GRACE + 1) is ClaimDecision.FAIL
     assert verdict(before=RetainedRecord(out, EPOCH)) is ClaimDecision.WAIT
     assert verdict(room=False) is ClaimDecision.REJECT
     assert verdict(lost_for=0) is ClaimDecision.REJECT
@@ -105,74 +129,80 @@
 
 @given(st.lists(versions, max_size=12), st.randoms(use_true_random=False))
 def test_versions_become_one_whatever_their_order_and_number(some, chance):
-    shelves = RecordStore(), RecordStore()
+    stores = RecordStore(), RecordStore()
     again = some + some[:3]
     chance.shuffle(again)
-    for shelf, line in zip(shelves, (some, again), strict=True):
+    for store, line in zip(stores, (some, again), strict=True):
         for one in line:
-            shelf.put(one, EPOCH, 0, RetentionPolicies())
-    first, second = ({k.record.token: k.record for k in shelf.all()} for shelf in shelves)
+            store.put(one, EPOCH, 0, RetentionPolicies())
+    first, second = ({k.record.idempotency_key: k.record for k in store.all_records()} for store in stores)
     assert first == second
-    assert shelves[0].bytes == sum(r.size for r in first.values())
-    assert shelves[0].of.total() == len(first)
+    assert stores[0].size_bytes == sum(r.size for r in first.values())
+    assert stores[0].count_by_customer.total() == len(first)
 
 
 def test_late_copy_does_not_bring_back_what_was_forgotten():
-    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, forgets=(ErasureRequest(EPOCH + 1),))
-    assert shelf.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
-    assert shelf.sweep(EPOCH, book) == 1
-    assert not shelf.put(record(), EPOCH, 0, book)
-    assert not list(shelf.all())
+    store, book = (
+        RecordStore(),
+        RetentionPolicies(default=KEEPS, erasure_requests=(ErasureRequest(EPOCH + 1),)),
+    )
+    assert store.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
+    assert store.erase_due(EPOCH, book) == 1
+    assert not store.put(record(), EPOCH, 0, book)
+    assert not list(store.all_records())
 
 
 def test_run_that_is_out_is_forgotten_when_it_ends():
-    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, forgets=(ErasureRequest(EPOCH + 1),))
-    shelf.put(record(state=RecordState.RUNNING, rows=None), EPOCH, 0, book)
-    assert shelf.sweep(EPOCH, book) == 0 and len(list(shelf.all())) == 1
-    assert not shelf.put(record(), EPOCH, 0, book)
-    assert not list(shelf.all()) and shelf.bytes == 0
+    store, book = (
+        RecordStore(),
+        RetentionPolicies(default=KEEPS, erasure_requests=(ErasureRequest(EPOCH + 1),)),
+    )
+    store.put(record(state=RecordState.RUNNING, rows=None), EPOCH, 0, book)
+    assert store.erase_due(EPOCH, book) == 0 and len(list(store.all_records())) == 1
+    assert not store.put(record(), EPOCH, 0, book)
+    assert not list(store.all_records()) and store.size_bytes == 0
 
 
 def test_rows_go_where_the_ending_alone_is_kept():
-    shelf = RecordStore()
-    shelf.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
-    assert shelf.sweep(EPOCH, RetentionPolicies(default=RetentionPolicy(rows=False))) == 1
-    assert [k.record.rows for k in shelf.all()] == [None]
-    assert shelf.bytes == sum(k.record.size for k in shelf.all())
+    store = RecordStore()
+    store.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
+    assert store.erase_due(EPOCH, RetentionPolicies(default=RetentionPolicy(rows=False))) == 1
+    assert [k.record.rows for k in store.all_records()] == [None]
+    assert store.size_bytes == sum(k.record.size for k in store.all_records())
 
 
 def test_flood_of_one_customer_pushes_out_nothing_within_a_least_time():
     few = RetentionPolicy(least_ms=20_000, most_ms=60_000, most=2, most_records=4)
-    shelf, book = RecordStore(), RetentionPolicies(default=KEEPS, customers={"flood": few})
+    store, book = RecordStore(), RetentionPolicies(default=KEEPS, customers={"flood": few})
     for n in range(3):
-        shelf.put(record(f"x{n}", key="x", customer="other"), EPOCH, 0, book)
+        store.put(record(f"x{n}", key="x", customer="other"), EPOCH, 0, book)
     taken = 0
     for n in range(40):
-        if shelf.room("flood", f"k{n % 8}", EPOCH, book):
-            taken += shelf.put(record(f"t{n}", key=f"k{n % 8}", customer="flood"), EPOCH, 0, book)
-    assert taken == 4 and shelf.of["other"] == 3
+        if store.has_capacity("flood", f"k{n % 8}", EPOCH, book):
+            taken += store.put(record(f"t{n}", key=f"k{n % 8}", customer="flood"), EPOCH, 0, book)
+    assert taken == 4 and store.count_by_customer["other"] == 3
     later = EPOCH + 20_000 * MS + 1
-    assert shelf.room("flood", "k0", later, book)  # past its least time the oldest gives way
-    assert shelf.of["flood"] < 4 and shelf.of["other"] == 3
+    assert store.has_capacity("flood", "k0", later, book)  # past its least time the oldest gives way
+    assert store.count_by_customer["flood"] < 4 and store.count_by_customer["other"] == 3
 
 
 def test_rows_that_a_key_has_no_room_for_leave_their_ending():
     few = RetentionPolicies(default=msgspec.structs.replace(KEEPS, most_bytes=3_000))
-    shelf = RecordStore()
+    store = RecordStore()
     for n, size in enumerate((1_000, 2_000, 5_000)):
-        one = shelf.fitting(record(f"t{n}", rows=b"x" * size), EPOCH, few)
+        one = store.fit_rows(record(f"t{n}", rows=b"x" * size), EPOCH, few)
         assert (one.rows is None) == (n > 0)
-        shelf.put(one, EPOCH, 0, few)
-    assert shelf.fitting(record("t3", rows=b"x" * 1_500), EPOCH, few).rows is None
+        store.put(one, EPOCH, 0, few)
+    assert store.fit_rows(record("t3", rows=b"x" * 1_500), EPOCH, few).rows is None
     later = EPOCH + KEEPS.least_ms * MS + 1
-    assert shelf.fitting(record("t3", rows=b"x" * 1_500), later, few).rows is not None
-    assert shelf.find("", "k", "t0") is None
+    assert store.fit_rows(record("t3", rows=b"x" * 1_500), later, few).rows is not None
+    assert store.find("", "k", "t0") is None
 
 
 def test_long_rows_leave_their_ending_and_nothing_is_stuck():
     net = net_of(copies=1, policy=msgspec.structs.replace(KEEPS, most_bytes=1 << 30))
-    keeper = net.keepers["n0"]
-    number = keeper.claim(net.clock("n0"), "", "k", "t", net.clock("n0") + 9 * SECOND)
+    replica = net.replicas["n0"]
+    number = replica.claim(net.clock("n0"), "", "k", "t", net.clock("n0") + 9 * SECOND)
     net.open["n0", net.lives["n0"], number] = "t", "k", net.now
     net.post("n0")
     while not net.runs["t"]:
@@ -180,7 +210,7 @@
     net.endings.clear()
     net.ended(("n0", net.lives["n0"], number), RecordState.SERVED, b"x" * (5 << 20))
     net.advance(2)
-    assert not keeper.mine and len(net.held("t")) == 2
+    assert not replica.own_claims.claims and len(net.held("t")) == 2
     assert asked(net, "n3", "t", "k") == "FAIL"
 
 
@@ -202,102 +232,107 @@
 
 
 def test_router_that_restarted_grants_nothing_for_two_leases():
-    views = Views("a", 2, ["a", "b", "c"], EPOCH)
-    assert views.take_up(EPOCH * 2, View(5, "b", {"a": 2, "b": 1}))
+    views = ViewProtocol("a", 2, ["a", "b", "c"], EPOCH)
+    assert views.adopt(EPOCH * 2, View(5, "b", {"a": 2, "b": 1}))
     soon, later = EPOCH + 2 * LEASE, int(EPOCH + 2 * LEASE * (1 + DRIFT)) + 1
-    assert not views.called(soon, (5, "b"), 0, 0).given
-    assert not views.ask(soon, (6, "b")).given
-    assert views.called(later, (5, "b"), 0, 0).given
-    assert views.ask(later, (6, "b")).given
+    assert not views.answer_heartbeat(soon, ViewId(5, "b"), 0, 0).given
+    assert not views.answer_request(soon, ViewId(6, "b")).given
+    assert views.answer_heartbeat(later, ViewId(5, "b"), 0, 0).given
+    assert views.answer_request(later, ViewId(6, "b")).given
 
 
 def test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one():
     now = EPOCH + 3 * LEASE
-    views = Views("a", 1, ["a", "b", "c"], EPOCH)
-    views.take_up(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
-    assert views.called(now, (5, "b"), 0, 0).given
-    assert views.ask(now, (7, "c")).given
-    assert not views.called(now, (5, "b"), 0, 0).given
-    assert not views.ask(now, (6, "b")).given
-    assert not views.take_up(EPOCH * 2, View(6, "b", {"a": 1, "b": 1}))
-    assert views.take_up(EPOCH * 2, View(7, "c", {"a": 1, "c": 1}))
+    views = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH)
+    views.adopt(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
+    assert views.answer_heartbeat(now, ViewId(5, "b"), 0, 0).given
+    assert views.answer_request(now, ViewId(7, "c")).given
+    assert not views.answer_heartbeat(now, ViewId(5, "b"), 0, 0).given
+    assert not views.answer_request(now, ViewId(6, "b")).given
+    assert not views.adopt(EPOCH * 2, View(6, "b", {"a": 1, "b": 1}))
+    assert views.adopt(EPOCH * 2, View(7, "c", {"a": 1, "c": 1}))
 
 
 def test_lease_is_counted_from_before_it_was_granted():
-    views = Views("a", 1, ["a", "b", "c"], EPOCH)
-    views.take_up(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
-    views.forced(EPOCH, (5, "b"), EPOCH, LEASE // 2)
+    views = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH)
+    views.adopt(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
+    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, LEASE // 2)
     assert views.in_force(EPOCH + LEASE // 2 - 1) and not views.in_force(EPOCH + LEASE // 2)
-    views.forced(EPOCH, (5, "b"), EPOCH, 100 * LEASE)
+    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, 100 * LEASE)
     assert not views.in_force(EPOCH + LEASE)
-    views.forced(EPOCH + LEASE, (4, "b"), EPOCH + LEASE, LEASE)
-    views.forced(EPOCH + LEASE, (5, "b"), EPOCH + 9 * LEASE, LEASE)
+    views.extend_lease(EPOCH + LEASE, ViewId(4, "b"), EPOCH + LEASE, LEASE)
+    views.extend_lease(EPOCH + LEASE, ViewId(5, "b"), EPOCH + 9 * LEASE, LEASE)
     assert not views.in_force(EPOCH + LEASE)
 
 
 def test_view_without_its_speaker_or_most_of_the_named_is_none():
-    views = Views("a", 1, ["a", "b", "c"], EPOCH)
+    views = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH)
     for members in ({}, {"b": 1}, {"a": 1, "c": 1}):
-        assert not views.take_up(EPOCH, View(5, "b", members))
-    assert views.take_up(EPOCH, View(5, "b", {"a": 1, "b": 1}))
+        assert not views.adopt(EPOCH, View(5, "b", members))
+    assert views.adopt(EPOCH, View(5, "b", {"a": 1, "b": 1}))
 
 
 def test_number_far_ahead_of_the_clock_ends_no_views():
-    views, far = Views("a", 1, ["a", "b", "c"], EPOCH), EPOCH // 10 + 2 * AHEAD
+    views, far = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH), EPOCH // 10 + 2 * MAX_NUMBER_AHEAD
     now = EPOCH + 3 * LEASE
-    assert not views.ask(now, (far, "b")).given
-    assert not views.take_up(now, View(far, "b", {"a": 1, "b": 1}))
-    assert not views.called(now, (far, "b"), now, 0).given
-    assert views.ask(now, (EPOCH // 10, "b")).given
+    assert not views.answer_request(now, ViewId(far, "b")).given
+    assert not views.adopt(now, View(far, "b", {"a": 1, "b": 1}))
+    assert not views.answer_heartbeat(now, ViewId(far, "b"), now, 0).given
+    assert views.answer_request(now, ViewId(EPOCH // 10, "b")).given
 
 
-def speaker(remembering: str, answers: str = "abcde") -> tuple[Views, View | None, int]:
+def speaker(remembering: str, answers: str = "abcde") -> tuple[ViewProtocol, View | None, int]:
     """One of five that has asked for a view, what comes of the answers, and after how many."""
     living = dict.fromkeys("abcde", 1)
-    views, now = Views("a", 1, living, EPOCH), EPOCH + 3 * LEASE
-    views.look(now, living)
-    assert views.look(now + STEADY, living) == "ask"
+    views, now = ViewProtocol("a", 1, living, EPOCH), EPOCH + 3 * LEASE
+    views.next_action(now, living)
+    assert views.next_action(now + SETTLE_TIME, living) is ProposerAction.REQUEST_PROMISES
     old = View(5, "e", living, 1)
     for n, name in enumerate(answers, 1):
-        granter = Views(name, 1, living, EPOCH)
+        granter = ViewProtocol(name, 1, living, EPOCH)
         if name in remembering:
-            granter.take_up(EPOCH * 2, old)
-            granter.called(now, (5, "e"), 0, 0)
-        if views.promised(now + STEADY, name, granter.ask(now + STEADY, views.asking), living, 2):
+            granter.adopt(EPOCH * 2, old)
+            granter.answer_heartbeat(now, ViewId(5, "e"), 0, 0)
+        if views.take_promise(
+            now + SETTLE_TIME, name, granter.answer_request(now + SETTLE_TIME, views.requesting), living, 2
+        ):
             return views, views.proposed, n
     return views, None, len(answers)
 
 
 def test_view_goes_on_from_the_last_only_where_most_remember():
     _, view, after = speaker("abc")
-    assert (view.before, view.had, view.copies, after) == ((5, "e"), 1, 2, 3)
-    assert view.were.keys() == set("abcde") and view.number > 5 and not view.first
+    assert (view.predecessor, view.predecessor_copies, view.copies, after) == (ViewId(5, "e"), 1, 2, 3)
+    assert view.predecessor_members.keys() == set("abcde") and view.number > 5 and not view.is_first
     _, view, after = speaker("ab")
-    assert view.before is None and not view.first and after == 5
+    assert view.predecessor is None and not view.is_first and after == 5
     _, view, after = speaker("")
-    assert view.before is None and view.first and after == 5
+    assert view.predecessor is None and view.is_first and after == 5
 
 
 def test_answers_of_those_that_restarted_do_not_hide_those_that_remember():
     _, view, after = speaker("cde", "abcde")
-    assert view.before == (5, "e") and after == 5
+    assert view.predecessor == ViewId(5, "e") and after == 5
     views, view, _ = speaker("cd", "abcd")
-    assert view is None and views.asking  # the fifth may remember: it is asked again
-    for _ in range(ASKS):
-        views.look(views.asked_at + BEAT + 1, dict.fromkeys("abcde", 1))
-    assert views.asks >= ASKS
+    assert view is None and views.requesting  # the fifth may remember: it is asked again
+    for _ in range(MAX_ATTEMPTS):
+        views.next_action(views.requested_at + HEARTBEAT_INTERVAL + 1, dict.fromkeys("abcde", 1))
+    assert views.attempts >= MAX_ATTEMPTS
 
 
 def test_view_that_was_not_in_force_for_a_lease_is_dropped():
     views, view, _ = speaker("abc")
     now, living = views.proposed_at, dict.fromkeys("abcde", 1)
     for name in "abc":
-        granter = Views(name, 1, living, EPOCH)
-        granter.take_up(EPOCH * 2, view)
-        views.answered(now, name, granter.called(now, view.id, now, 0))
-    assert 0 < views.rest(now) < LEASE and views.rest(now + LEASE) == 0
-    assert views.look(now + LEASE, living) == "call"
-    assert views.look(now + 2 * LEASE, living) == "ask" and views.proposed is None
+        granter = ViewProtocol(name, 1, living, EPOCH)
+        granter.adopt(EPOCH * 2, view)
+        views.take_grant(now, name, granter.answer_heartbeat(now, view.id, now, 0))
+    assert 0 < views.lease_remaining(now) < LEASE and views.lease_remaining(now + LEASE) == 0
+    assert views.next_action(now + LEASE, living) is ProposerAction.SEND_HEARTBEATS
+    assert (
+        views.next_action(now + 2 * LEASE, living) is ProposerAction.REQUEST_PROMISES
+        and views.proposed is None
+    )
 
 
 def test_view_that_goes_on_is_told_by_what_changed_and_whole_to_who_lacks_that():
@@ -307,25 +342,28 @@
     net.kill("n4")  # a second view that n3 misses
     net.advance(12)
     told = []
-    for keeper in net.keepers.values():
-        receive = keeper.receive
-        keeper.receive = lambda now, sender, message, receive=receive, to=keeper.me: (
+    for replica in net.replicas.values():
+        receive = replica.receive
+        replica.receive = lambda now, sender, message, receive=receive, to=replica.name: (
             told.append((to, type(message))),
             receive(now, sender, message),
         )
     net.mend()
     assert net.settled()
-    assert ("n1", codec.Change) in told and ("n1", codec.Text) not in told
-    assert ("n3", codec.Text) in told
-    views = [k.views.view for k in net.keepers.values()]
-    assert all(view == views[0] for view in views) and len(views[0].members) == 4 > len(views[0].were)
+    assert ("n1", messages.ViewUpdate) in told and ("n1", messages.ViewAnnouncement) not in told
+    assert ("n3", messages.ViewAnnouncement) in told
+    views = [k.views.view for k in net.replicas.values()]
+    assert all(view == views[0] for view in views) and len(views[0].members) == 4 > len(
+        views[0].predecessor_members
+    )
 
 
 def test_fewer_than_half_never_speak():
     living = {"a": 1, "b": 1}
-    views = Views("a", 1, "abcde", EPOCH)
-    assert views.look(EPOCH, living) == views.look(EPOCH + 9 * LEASE, living) == ""
-    assert most_of(5) == 3 and most_of(4) == 3 and NONE.id == (0, "")
+    views = ViewProtocol("a", 1, "abcde", EPOCH)
+    assert views.next_action(EPOCH, living) is ProposerAction.NOTHING
+    assert views.next_action(EPOCH + 9 * LEASE, living) is ProposerAction.NOTHING
+    assert majority_of(5) == 3 and majority_of(4) == 3 and NO_VIEW.id == ViewId(0, "")
 
 
 # ---- messages ----
@@ -343,15 +381,15 @@
 @pytest.mark.parametrize(
     ("message", "field"),
     [
-        (codec.Fetch((1, "n"), 1024, (1, "n")), "slot"),
-        (codec.Store((1, "n"), 1, record(state=9), 0), "state"),
-        (codec.Store((1, "n"), -1, record(), 0), "number"),
-        (codec.Judged(1, 1, 6, "", None), "verdict"),
-        (codec.Store((1, "n" * 65), 1, record(), 0), "view"),
-        (codec.Store((1, "n"), 1, record(key="k" * 129), 0), "key"),
-        (codec.Data((1, "n"), 1, 0, 1, (record(),), (), None), "ages"),
-        (codec.Text(View(1, "n", {"": 1})), "members"),
-        (codec.BookIs(RetentionPolicies(copies=99)), "copies"),
+        (messages.SlotRequest(ViewId(1, "n"), 1024, ViewId(1, "n")), "slot"),
+        (messages.ReplicateRequest(ViewId(1, "n"), 1, record(state=9), 0), "state"),
+        (messages.ReplicateRequest(ViewId(1, "n"), -1, record(), 0), "number"),
+        (messages.ClaimReply(1, 1, 6, "", None), "decision"),
+        (messages.ReplicateRequest(ViewId(1, "n" * 65), 1, record(), 0), "view"),
+        (messages.ReplicateRequest(ViewId(1, "n"), 1, record(key="k" * 129), 0), "ordering_key"),
+        (messages.SlotPart(ViewId(1, "n"), 1, 0, 1, (record(),), (), None), "ages"),
+        (messages.ViewAnnouncement(View(1, "n", {"": 1})), "members"),
+        (messages.PoliciesUpdate(RetentionPolicies(copies=99)), "copies"),
     ],
 )
 def test_field_out_of_bounds_is_named(message, field):
@@ -372,7 +410,7 @@
 
 def key_held_by(net: HistoryNet, name: str) -> str:
     """A key whose first holder is this router."""
-    (members,) = {tuple(k.views.view.members) for k in net.keepers.values()}
+    (members,) = {tuple(k.views.view.members) for k in net.replicas.values()}
     keys = (f"k{n}" for n in range(10_000))
     return next(k for k in keys if holders(slot_of("", k), members, 1) == (name,))
 
@@ -402,7 +440,7 @@
         net.kill(first[0])
         assert net.settled()
         assert len(net.held("t")) == 2, name
-    assert asked(net, next(iter(net.keepers)), "t", key) == "REPLAY"
+    assert asked(net, next(iter(net.replicas)), "t", key) == "REPLAY"
     assert not net.rule
 
 
@@ -427,10 +465,10 @@
     net.leave("n4")
     net.seen[other]["n4"] = net.lives["n4"]
     net.advance(15)
-    assert net.keepers[other].wanting and asked(net, "n1", "t", key) == "REJECT"
+    assert net.replicas[other].slots.wanted and asked(net, "n1", "t", key) == "REJECT"
     net.cuts.clear()
     net.advance(3)
-    assert not net.keepers[other].wanting and asked(net, "n1", "t", key) == "REPLAY"
+    assert not net.replicas[other].slots.wanted and asked(net, "n1", "t", key) == "REPLAY"
 
 
 def test_run_whose_router_died_runs_nowhere_else():
@@ -502,7 +540,9 @@
     net.advance(8)
     assert net.said["RUN"] >= 4 and not net.rule
     places = (
-        sorted(k.record.place for k in net.keepers[net.held("t0")[0]].shelf.all()) if net.held("t0") else []
+        sorted(k.record.sequence for k in net.replicas[net.held("t0")[0]].records.all_records())
+        if net.held("t0")
+        else []
     )
     assert len(places) == len(set(places))
 
@@ -525,20 +565,23 @@
         "lost",
         RecordState.RUNNING,
         key=key,
-        owner="n1",
-        life=net.lives["n1"],
-        claim=99,
+        router="n1",
+        incarnation=net.lives["n1"],
+        claim_number=99,
         taken=net.now,
         rows=None,
     )
     for name in held:
-        net.keepers[name].shelf.put(lost, net.now, 0, net.book)
+        net.replicas[name].records.put(lost, net.now, 0, net.book)
     net.ask("n0", "t", key)
     net.advance(1)
     assert not net.runs["t"]
     net.advance(LEASE / SECOND + 3)
     states = {
-        k.record.state for name in held for k in net.keepers[name].shelf.all() if k.record.token == "lost"
+        k.record.state
+        for name in held
+        for k in net.replicas[name].records.all_records()
+        if k.record.idempotency_key == "lost"
     }
     assert states == {RecordState.NOT_RUN}
     assert asked(net, "n3", "t", key) in ("RUN", "REPLAY") and not net.rule
@@ -571,7 +614,7 @@
     net.advance(5)
     assert len(net.held("t")) == 2
     net.book = msgspec.structs.replace(net.book, number=9, default=KEEPS)
-    net.keepers["n1"].apply(net.clock("n1"), net.book)
+    net.replicas["n1"].apply_policies(net.clock("n1"), net.book)
     net.advance(5)
     assert net.held("t") == []
 
@@ -594,12 +637,12 @@
     net = net_of(copies=0)
     key = key_held_by(net, "n2")
     assert asked(net, "n0", "t", key) == "RUN"
-    keeper = net.keepers["n2"]
-    keeper.apply = lambda now, book: False  # it does not take the new one up
+    replica = net.replicas["n2"]
+    replica.policy_distribution.apply = lambda policies: False  # it does not take the new one up
     net.forget("n0")
     net.advance(5)
     assert asked(net, "n0", "t", key) == "REJECT"
-    (late,) = net.keepers["n0"].not_applied()
+    (late,) = net.replicas["n0"].outdated_routers()
     assert late.where == "n2" and "policies 1, not 2" in str(late)
 
 
@@ -627,7 +670,7 @@
     assert asked(net, "n0", "t", "k") == "RUN"
     net.kill(net.held("t")[0])
     assert net.settled()
-    assert asked(net, next(iter(net.keepers)), "t", "k") == "REPLAY"
+    assert asked(net, next(iter(net.replicas)), "t", "k") == "REPLAY"
     net.advance(KEEPS.most_ms / 1000 + 1)
     assert net.held("t") == []
 
@@ -637,11 +680,11 @@
     net = net_of(copies=0)
     key = key_held_by(net, name)
     assert asked(net, "n1", "t", key) == "RUN"
-    keeper, views = net.keepers[name], net.keepers["n1"].counts["views"]
-    assert not keeper.handed_over
+    replica, views = net.replicas[name], net.replicas["n1"].counters["views"]
+    assert not replica.is_handed_over
     net.leave(name)
     net.advance(12)
-    assert keeper.handed_over and net.keepers["n1"].counts["views"] == views + 1
+    assert replica.is_handed_over and net.replicas["n1"].counters["views"] == views + 1
     net.kill(name)
     assert net.settled()
     assert asked(net, "n3", "t", key) == "REPLAY"
@@ -657,20 +700,22 @@
 
 
 def test_messages_of_a_router_that_knows_no_view_harm_nobody():
-    keeper = Replica("a", 1, ["a", "b", "c"], RetentionPolicies(), EPOCH, lambda: {"a": 1})
-    claim = codec.Claim((1, "b"), 1, 1, "", "k", "t", SECOND, False)
+    replica = Replica("a", 1, ["a", "b", "c"], RetentionPolicies(), EPOCH, lambda: {"a": 1})
+    claim = messages.ClaimRequest(ViewId(1, "b"), 1, 1, "", "k", "t", SECOND, False)
     for message in (
         claim,
-        codec.End((1, "b"), record(owner="b")),
-        codec.Store((1, "b"), 1, record(), 0),
-        codec.Stored((1, "b"), 1, True),
-        codec.Fetch((1, "b"), 3, (1, "b")),
-        codec.Data((1, "b"), 3, 0, 1, (record(),), (0,), None),
-        codec.Elsewhere((1, "b"), 3, (1, "b"), {}),
-        codec.Ended(1, 1),
-        codec.Judged(1, 1, 0, "new", record()),
-        codec.Call((1, "b"), 0, 0, 0, 7),
+        messages.Completion(ViewId(1, "b"), record(router="b")),
+        messages.ReplicateRequest(ViewId(1, "b"), 1, record(), 0),
+        messages.ReplicateReply(ViewId(1, "b"), 1, True),
+        messages.SlotRequest(ViewId(1, "b"), 3, ViewId(1, "b")),
+        messages.SlotPart(ViewId(1, "b"), 3, 0, 1, (record(),), (0,), None),
+        messages.SlotRedirect(ViewId(1, "b"), 3, ViewId(1, "b"), {}),
+        messages.CompletionReply(1, 1),
+        messages.ClaimReply(1, 1, 0, "new", record()),
+        messages.Heartbeat(ViewId(1, "b"), 0, 0, 0, 7),
     ):
-        keeper.receive(EPOCH, "b", message)
-    assert not list(keeper.shelf.all())
-    assert [type(m) for _, m in keeper.out if isinstance(m, codec.Judged)] == [codec.Judged]
+        replica.receive(EPOCH, "b", message)
+    assert not list(replica.records.all_records())
+    assert [type(m) for _, m in replica.take_messages() if isinstance(m, messages.ClaimReply)] == [
+        messages.ClaimReply
+    ]
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -4,11 +4,16 @@
 import pytest
 import test_history as tests
 
-from hillchute.history import records, replica, retention, view_change
+from hillchute.history import claims
+from hillchute.history.claims import Claims
+from hillchute.history.messages import MESSAGE_TYPES, LeaseReply, LeaseUpdate, ReplicateReply, SlotRedirect
+from hillchute.history.record_store import RecordStore
 from hillchute.history.records import Record, RecordState
-from hillchute.history.replica import Replica
-from hillchute.history.view_change import Views
-from hillchute.lab import history_mutants
+from hillchute.history.replication import Replication, ReplicationRound
+from hillchute.history.retention import RetentionPolicies
+from hillchute.history.slot_table import SlotTable
+from hillchute.history.view_protocol import ViewProtocol
+from hillchute.history.views import LEASE
 from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
 
 
@@ -26,11 +31,8 @@
 def test_every_kind_of_message_meets_every_kind_of_change():
     plain = Net(1).script()
     met = {(type(plain.messages[at]).__name__, change) for at, change, _ in drawn(plain, 1, None)}
-    kinds = {kind.__name__ for kind in history_mutants.KINDS} - {
-        "Elsewhere",
-        "Entitle",
-        "Entitled",
-    }  # nobody lacks what is asked, nor has partners
+    absent = {SlotRedirect, LeaseUpdate, LeaseReply}  # nobody lacks what is asked, nor has partners
+    kinds = {kind.__name__ for kind in MESSAGE_TYPES if kind not in absent}
     assert met >= {(kind, change) for kind in kinds for change in (*NETWORK, *LIES)}
 
 
@@ -38,53 +40,52 @@
 
 
 def without_copies(self, record):
-    self.copied(replica.Round(0, record, set(), self.now, self.now))
+    self.complete(ReplicationRound(0, record, set(), self._context.now, self._context.now))
 
 
 def unfetched(self, number, slot, view):
     ENTER(self, number, slot, view)
-    slot.whole, slot.wants = slot.holds, None
-    self.wanting.pop(number, None)
+    self.mark_complete(number, slot)
 
 
 def lost_unsaid(self, number, slot, view):
     LOSE(self, number, slot, view)
-    slot.lost = None
+    slot.lost_at = None
 
 
 def dead_runs_again(self, sender, claim):
-    verdict, why, kept = JUDGE(self, sender, claim)
+    decided, known = DECIDE(self, sender, claim)
     if (
-        kept is not None
-        and kept.record.state == RecordState.RUNNING
-        and kept.record.owner not in self.living()
+        known is not None
+        and known.record.state == RecordState.RUNNING
+        and known.record.router not in self._context.living()
     ):
-        self.shelf.drop(kept.record)
-        return JUDGE(self, sender, claim)
-    return verdict, why, kept
+        self._records.remove(known.record)
+        return DECIDE(self, sender, claim)
+    return decided, known
 
 
-def unordered(book, customer, kept, before, *about):
-    return CHOOSE(book, customer, kept, None, *about)
+def unordered(policies, facts, now, has_capacity):
+    return CHOOSE(policies, msgspec.structs.replace(facts, earlier_running=None), now, has_capacity)
 
 
-def unkept(self, sender, store):
-    self.say(sender, replica.Stored(store.view, store.number, True))
+def unkept(self, sender, request):
+    self._context.send(sender, ReplicateReply(request.view, request.number, True))
 
 
-ENTER, LOSE, JUDGE, CHOOSE = Replica.enter, Replica.lose, Replica.judge, replica.judge
+ENTER, LOSE, DECIDE, CHOOSE = SlotTable.enter, SlotTable.declare_lost, Claims.decide, claims.decide
 
 
 @pytest.mark.parametrize(
     ("owner", "name", "fault", "rule"),
     [
-        (Replica, "copy", without_copies, "ran twice"),
-        (Replica, "store", unkept, "ran twice"),
-        (Replica, "enter", unfetched, "ran twice"),
-        (Replica, "lose", lost_unsaid, "ran twice"),
-        (Replica, "judge", dead_runs_again, "ran twice"),
-        (replica, "judge", unordered, "out of order"),
-        (retention.RetentionPolicies, "forgotten", lambda self, *about: False, "kept too long"),
+        (Replication, "replicate", without_copies, "ran twice"),
+        (Replication, "answer_request", unkept, "ran twice"),
+        (SlotTable, "enter", unfetched, "ran twice"),
+        (SlotTable, "declare_lost", lost_unsaid, "ran twice"),
+        (Claims, "decide", dead_runs_again, "ran twice"),
+        (claims, "decide", unordered, "out of order"),
+        (RetentionPolicies, "is_erasure_requested", lambda self, *about: False, "kept too long"),
     ],
 )
 def test_fault_planted_in_the_code_shows_in_the_script(monkeypatch, owner, name, fault, rule):
@@ -119,15 +120,16 @@
     return promise
 
 
-def any_granted(self, now, id, sent, book):
-    return msgspec.structs.replace(CALLED(self, now, id, sent, book), given=True)
+def any_granted(self, now, view_id, sent_at, policies_number):
+    grant = CALLED(self, now, view_id, sent_at, policies_number)
+    return msgspec.structs.replace(grant, given=True)
 
 
 def for_ever(self, now):
-    return self.until > 0
+    return self.lease_until > 0
 
 
-PROMISED, ASK, CALLED = Views.promised, Views.ask, Views.called
+PROMISED, ASK, CALLED = ViewProtocol.take_promise, ViewProtocol.answer_request, ViewProtocol.answer_heartbeat
 
 
 @pytest.mark.parametrize(
@@ -138,22 +140,30 @@
             never_restarted,
             tests.test_router_that_restarted_grants_nothing_for_two_leases,
         ),
-        ("promised", remembering, tests.test_view_goes_on_from_the_last_only_where_most_remember),
-        ("ask", unpromised, tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one),
-        ("called", any_granted, tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one),
+        ("take_promise", remembering, tests.test_view_goes_on_from_the_last_only_where_most_remember),
+        (
+            "answer_request",
+            unpromised,
+            tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one,
+        ),
+        (
+            "answer_heartbeat",
+            any_granted,
+            tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one,
+        ),
         ("in_force", for_ever, tests.test_lease_is_counted_from_before_it_was_granted),
         ("in_force", for_ever, tests.test_side_of_a_cut_with_fewer_than_half_neither_answers_nor_runs),
-        ("believable", lambda *about: True, tests.test_number_far_ahead_of_the_clock_ends_no_views),
+        ("is_believable", lambda *about: True, tests.test_number_far_ahead_of_the_clock_ends_no_views),
         (
-            "rest",
-            lambda self, now: view_change.LEASE,
+            "lease_remaining",
+            lambda self, now: LEASE,
             tests.test_view_that_was_not_in_force_for_a_lease_is_dropped,
         ),
     ],
 )
 def test_fault_planted_in_the_views_is_found(monkeypatch, name, fault, found_by):
     found_by()
-    monkeypatch.setattr(Views, name, fault)
+    monkeypatch.setattr(ViewProtocol, name, fault)
     with pytest.raises(AssertionError):
         found_by()
 
@@ -168,10 +178,10 @@
 def test_fault_planted_in_the_records_is_found(monkeypatch, fault, found_by):
     found_by()
     if fault is None:
-        monkeypatch.setattr(records.RecordStore, "may_go", staticmethod(lambda *about: True))
+        monkeypatch.setattr(RecordStore, "may_evict", staticmethod(lambda *about: True))
     else:
         monkeypatch.setattr(
-            retention.RetentionPolicies, "erased", lambda self, customer, key, taken, age: False
+            RetentionPolicies, "must_be_erased", lambda self, customer, key, taken, age: False
         )
     with pytest.raises(AssertionError):
         found_by()
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -159,20 +159,20 @@
         path = tmp_path / f"{number}.db"
         disk = SqliteStore(path)
         first, second, third = (some_record(n) for n in range(3))
-        assert disk.write({first.name: first}, {first.name: EPOCH})
-        sound, disk.db = disk.db, Faulty(disk.db, number, error)
-        moved = {first.name: None, second.name: second}
-        acknowledged = disk.write(moved, {second.name: EPOCH})
-        reached = disk.db.count >= number
-        disk.db = sound
+        assert disk.write({first.id: first}, {first.id: EPOCH})
+        sound, disk.connection = disk.connection, Faulty(disk.connection, number, error)
+        moved = {first.id: None, second.id: second}
+        acknowledged = disk.write(moved, {second.id: EPOCH})
+        reached = disk.connection.count >= number
+        disk.connection = sound
         assert acknowledged != (reached and bool(disk.faults()))
-        assert disk.write({third.name: third}, {third.name: EPOCH})  # it goes on without a restart
-        known = {record.name for record, _ in SqliteStore(path).read()}
-        assert third.name in known
+        assert disk.write({third.id: third}, {third.id: EPOCH})  # it goes on without a restart
+        known = {record.id for record, _ in SqliteStore(path).read()}
+        assert third.id in known
         if acknowledged:
-            assert second.name in known and first.name not in known
+            assert second.id in known and first.id not in known
         else:
-            assert (first.name in known) != (second.name in known)  # whole or not at all
+            assert (first.id in known) != (second.id in known)  # whole or not at all
         if not reached:
             break
     assert number > 4
@@ -181,23 +181,23 @@
 def test_disk_that_is_full_is_no_acknowledgement_and_serves_again_with_room(tmp_path, some_record):
     disk = SqliteStore(tmp_path / "h.db")
     one = some_record(1)
-    assert disk.write({one.name: one}, {one.name: EPOCH})
-    (pages,) = disk.db.execute("PRAGMA page_count").fetchone()
-    disk.db.execute(f"PRAGMA max_page_count = {pages}")
+    assert disk.write({one.id: one}, {one.id: EPOCH})
+    (pages,) = disk.connection.execute("PRAGMA page_count").fetchone()
+    disk.connection.execute(f"PRAGMA max_page_count = {pages}")
     many = [some_record(n) for n in range(2, 400)]
-    assert not disk.write({r.name: r for r in many}, {r.name: EPOCH for r in many})
+    assert not disk.write({r.id: r for r in many}, {r.id: EPOCH for r in many})
     assert disk.faults()[0].remedy
-    disk.db.execute("PRAGMA max_page_count = 1000000")
-    assert disk.write({r.name: r for r in many}, {r.name: EPOCH for r in many})
+    disk.connection.execute("PRAGMA max_page_count = 1000000")
+    assert disk.write({r.id: r for r in many}, {r.id: EPOCH for r in many})
     assert len(list(SqliteStore(tmp_path / "h.db").read())) == 399
 
 
 def test_file_that_another_process_holds_is_no_acknowledgement(tmp_path, some_record, monkeypatch):
-    monkeypatch.setattr("hillchute.history.sqlite_store.BUSY", 0.01)
+    monkeypatch.setattr("hillchute.history.sqlite_store.LOCK_TIMEOUT", 0.01)
     disk = SqliteStore(tmp_path / "h.db")
     other = sqlite3.connect(tmp_path / "h.db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     one = some_record(1)
-    assert not disk.write({one.name: one}, {one.name: EPOCH})
+    assert not disk.write({one.id: one}, {one.id: EPOCH})
     other.execute("ROLLBACK")
-    assert disk.write({one.name: one}, {one.name: EPOCH})
+    assert disk.write({one.id: one}, {one.id: EPOCH})
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from hillchute.history import codec as history
-from hillchute.history.replica import Replica
+from hillchute.history import messages as history
+from hillchute.history.lease_transfer import LeaseTransfers
 from hillchute.lab import partners_mutants
 from hillchute.lab.history_mutants import drawn, mutant, paths
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
@@ -87,8 +87,22 @@
     "some marks are enough": (Ledger, "accept", some_marks, codec.Know, ("left out", "none"), 0),
     "an offer is not held against its mark": (Ledger, "hear_offer", any_turn, codec.Know, LIES, 4),
     "an answer is two": (Passing, "end", ends_again, codec.Answer, NETWORK[:2], 0),
-    "a title is not confirmed": (Replica, "entitled", says_nothing, history.Entitled, NETWORK[:1], 0),
-    "a title is sent once": (Replica, "entitle", says_nothing, history.Entitle, NETWORK[:1], 0),
+    "a lease is not confirmed": (
+        LeaseTransfers,
+        "take_reply",
+        says_nothing,
+        history.LeaseReply,
+        NETWORK[:1],
+        0,
+    ),
+    "a lease is sent once": (
+        LeaseTransfers,
+        "answer_update",
+        says_nothing,
+        history.LeaseUpdate,
+        NETWORK[:1],
+        0,
+    ),
     "who knows more is not asked": (
         council.Council,
         "state_digest",
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -28,7 +28,7 @@
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
 from hillchute.fronts.mysql import packets as mysql
-from hillchute.history import claim_decision, ownership_leases, records, retention, view_change
+from hillchute.history import claim_decision, messages, ownership_leases, records, retention, views
 from hillchute.history import codec as history
 from hillchute.membership import event_bus
 from hillchute.partners import agreement, marks
@@ -130,15 +130,15 @@
         )
 
     one, two, three = (1001, "router-a"), (1002, "router-b"), (1003, "router-c")
-    view = view_change.View(
+    view = views.View(
         number=1001,
-        speaker="router-a",
+        coordinator="router-a",
         members={"router-b": 5, "router-a": 4},
         copies=3,
-        before=two,
-        were={"router-c": 6},
-        had=2,
-        first=True,
+        predecessor=two,
+        predecessor_members={"router-c": 6},
+        predecessor_copies=2,
+        is_first=True,
     )
     base = retention.RetentionPolicy(
         least_ms=1100,
@@ -158,123 +158,146 @@
         "customer-d": msgspec.structs.replace(base, rows=False, replay=True),
     }
     forgets = (
-        retention.ErasureRequest(before=91, customer="customer-f", key="key-f"),
+        retention.ErasureRequest(before=91, customer="customer-f", ordering_key="key-f"),
         retention.ErasureRequest(before=92),
     )
     book = retention.RetentionPolicies(
-        number=81, copies=3, erase_ms=4000, founded=82, default=base, customers=customers, forgets=forgets
+        number=81,
+        copies=3,
+        erase_ms=4000,
+        founded=82,
+        default=base,
+        customers=customers,
+        erasure_requests=forgets,
     )
     record = records.Record(
         customer="customer-r",
-        key="key-r",
-        token="token-r",
-        taken=201,
-        place=202,
+        ordering_key="key-r",
+        idempotency_key="token-r",
+        granted_at=201,
+        sequence=202,
         attempt=203,
-        owner="router-o",
-        life=204,
-        claim=205,
-        patience=206,
+        router="router-o",
+        incarnation=204,
+        claim_number=205,
+        timeout=206,
         state=2,
         rows=b"\x00r\xff",
-        title=207,
+        lease_number=207,
     )
     bare = records.Record(
         customer="customer-r",
-        key="key-r",
-        token="token-r",
-        taken=201,
-        place=202,
+        ordering_key="key-r",
+        idempotency_key="token-r",
+        granted_at=201,
+        sequence=202,
         attempt=203,
-        owner="router-o",
-        life=204,
-        claim=205,
-        patience=206,
+        router="router-o",
+        incarnation=204,
+        claim_number=205,
+        timeout=206,
     )
     title = ownership_leases.OwnershipLease(number=301, owner="partner-t")
 
-    yield example("prepare", history.Ask(view=one, have=two))
+    yield example("prepare", messages.PromiseRequest(view=one, adopted=two))
     yield example(
         "promise",
-        history.Promised(
-            promise=view_change.Promise(asked=one, given=True, highest=two, remembers=False, adopted=view)
+        messages.PromiseReply(
+            promise=views.Promise(requested=one, given=True, highest=two, remembers=False, adopted=view)
         ),
     )
     yield example(
         "promise, optional fields absent",
-        history.Promised(
-            promise=view_change.Promise(
-                asked=one, given=False, highest=two, remembers=False, adopted=view_change.View()
+        messages.PromiseReply(
+            promise=views.Promise(
+                requested=one, given=False, highest=two, remembers=False, adopted=views.View()
             )
         ),
     )
-    yield example("lease-request", history.Call(view=one, sent=401, echo=402, rest=403, book=404, text=405))
+    yield example(
+        "lease-request",
+        messages.Heartbeat(
+            view=one, sent_at=401, echo=402, lease_remaining=403, policies_number=404, agreement_number=405
+        ),
+    )
     yield example(
         "lease-request, optional fields absent",
-        history.Call(view=one, sent=401, echo=402, rest=403, book=404),
+        messages.Heartbeat(view=one, sent_at=401, echo=402, lease_remaining=403, policies_number=404),
     )
     yield example(
         "lease-grant",
-        history.Granted(
-            grant=view_change.Grant(
+        messages.HeartbeatReply(
+            grant=views.Grant(
                 view=one,
-                sent=411,
-                at=412,
+                sent_at=411,
+                granted_at=412,
                 given=True,
-                lacks=False,
-                have=two,
+                lacks_view=False,
+                adopted=two,
                 highest=three,
-                book=413,
-                text=414,
+                policies_number=413,
+                agreement_number=414,
             )
         ),
     )
     yield example(
         "lease-grant, optional fields absent",
-        history.Granted(
-            grant=view_change.Grant(
-                view=one, sent=411, at=412, given=False, lacks=False, have=two, highest=three, book=413
+        messages.HeartbeatReply(
+            grant=views.Grant(
+                view=one,
+                sent_at=411,
+                granted_at=412,
+                given=False,
+                lacks_view=False,
+                adopted=two,
+                highest=three,
+                policies_number=413,
             )
         ),
     )
-    yield example("view", history.Text(view=view))
-    yield example("view, optional fields absent", history.Text(view=view_change.View()))
+    yield example("view", messages.ViewAnnouncement(view=view))
+    yield example("view, optional fields absent", messages.ViewAnnouncement(view=views.View()))
     yield example(
         "view-change",
-        history.Change(view=one, base=two, copies=4, gone=("router-x", "router-y"), come={"router-z": 421}),
+        messages.ViewUpdate(
+            view=one, base=two, copies=4, removed=("router-x", "router-y"), added={"router-z": 421}
+        ),
+    )
+    yield example("policies-request", messages.PoliciesRequest(above=431))
+    yield example("policies", messages.PoliciesUpdate(policies=book))
+    yield example(
+        "policies, optional fields absent", messages.PoliciesUpdate(policies=retention.RetentionPolicies())
     )
-    yield example("policies-request", history.WantBook(above=431))
-    yield example("policies", history.BookIs(book=book))
-    yield example("policies, optional fields absent", history.BookIs(book=retention.RetentionPolicies()))
     yield example(
         "claim-request",
-        history.Claim(
+        messages.ClaimRequest(
             view=one,
             number=441,
-            life=442,
+            incarnation=442,
             customer="customer-q",
-            key="key-q",
-            token="token-q",
-            left=443,
+            ordering_key="key-q",
+            idempotency_key="token-q",
+            time_left=443,
             ordered=False,
-            once=True,
+            is_transient=True,
         ),
     )
     yield example(
         "claim-request, optional fields absent",
-        history.Claim(
+        messages.ClaimRequest(
             view=one,
             number=441,
-            life=442,
+            incarnation=442,
             customer="customer-q",
-            key="key-q",
-            token="token-q",
-            left=443,
+            ordering_key="key-q",
+            idempotency_key="token-q",
+            time_left=443,
             ordered=True,
         ),
     )
     yield example(
-        "claim-verdict", history.Judged(number=451, life=452, verdict=5, why="a reason", record=record)
+        "claim-verdict",
+        messages.ClaimReply(number=451, incarnation=452, decision=5, reason="a reason", record=record),
     )
     verdicts = {
         "run": claim_decision.ClaimDecision.RUN,
@@ -287,9 +310,9 @@
     for name, each in verdicts.items():
         yield example(
             f"claim-verdict, {name}, optional fields absent",
-            history.Judged(number=451, life=452, verdict=each.value, why="a reason"),
+            messages.ClaimReply(number=451, incarnation=452, decision=each.value, reason="a reason"),
         )
-    yield example("run-ended", history.End(view=one, record=record))
+    yield example("run-ended", messages.Completion(view=one, record=record))
     states = {
         "out": records.RecordState.RUNNING,
         "freed": records.RecordState.NOT_RUN,
@@ -299,15 +322,15 @@
     for name, state in states.items():
         ended = msgspec.structs.replace(bare, state=state)
         yield example(
-            f"run-ended, record {name}, optional fields absent", history.End(view=one, record=ended)
+            f"run-ended, record {name}, optional fields absent", messages.Completion(view=one, record=ended)
         )
-    yield example("run-ended-acknowledgement", history.Ended(number=461, life=462))
-    yield example("replicate", history.Store(view=one, number=471, record=record, age=472))
-    yield example("replicate-acknowledgement", history.Stored(view=one, number=481, done=True))
-    yield example("slot-request", history.Fetch(view=one, slot=491, epoch=two))
+    yield example("run-ended-acknowledgement", messages.CompletionReply(number=461, incarnation=462))
+    yield example("replicate", messages.ReplicateRequest(view=one, number=471, record=record, age=472))
+    yield example("replicate-acknowledgement", messages.ReplicateReply(view=one, number=481, stored=True))
+    yield example("slot-request", messages.SlotRequest(view=one, slot=491, epoch=two))
     yield example(
         "slot-part",
-        history.Data(
+        messages.SlotPart(
             view=one,
             slot=501,
             part=1,
@@ -315,19 +338,19 @@
             records=(record, bare),
             ages=(504, 505),
             lost=506,
-            title=title,
+            lease=title,
         ),
     )
     yield example(
         "slot-part, optional fields absent",
-        history.Data(view=one, slot=501, part=0, parts=1, records=(), ages=(), lost=None),
+        messages.SlotPart(view=one, slot=501, part=0, parts=1, records=(), ages=(), lost=None),
     )
     yield example(
         "slot-redirect",
-        history.Elsewhere(view=one, slot=511, epoch=two, sources={"router-s": 512, "router-r": 513}),
+        messages.SlotRedirect(view=one, slot=511, epoch=two, sources={"router-s": 512, "router-r": 513}),
     )
-    yield example("ownership-lease", history.Entitle(view=one, slot=521, title=title))
-    yield example("ownership-lease-acknowledgement", history.Entitled(view=one, slot=531, number=532))
+    yield example("ownership-lease", messages.LeaseUpdate(view=one, slot=521, lease=title))
+    yield example("ownership-lease-acknowledgement", messages.LeaseReply(view=one, slot=531, number=532))
 
 
 # ---- partners: messages, and what is signed ----------------------------------------------------------
@@ -665,7 +688,7 @@
 
 @pytest.mark.parametrize(
     ("prefix", "messages"),
-    [("history/", get_args(history.Message)), ("partners/", get_args(partners.Message))],
+    [("history/", get_args(messages.Message)), ("partners/", get_args(partners.Message))],
     ids=["history", "partners"],
 )
 def test_each_message_type_has_an_example(prefix, messages):
@@ -684,10 +707,10 @@
 
 def test_each_verdict_and_state_of_a_record_has_an_example():
     values = example_values("history/")
-    verdicts = {value.verdict for value in values if isinstance(value, history.Judged)}
+    verdicts = {value.decision for value in values if isinstance(value, messages.ClaimReply)}
     assert verdicts == {each.value for each in claim_decision.ClaimDecision}
-    states = {value.record.state for value in values if isinstance(value, history.End)}
-    assert states == set(range(records.RecordState.FAILED + 1))
+    states = {value.record.state for value in values if isinstance(value, messages.Completion)}
+    assert states == set(records.RecordState)
 
 
 def test_each_command_to_an_engine_has_an_example():
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -29,7 +29,7 @@
 
 
 def record(token="t", state=RecordState.SERVED, rows=b"rows", key="k", **about):
-    whose = {"owner": "n0", "life": 1, "claim": 1, "patience": SECOND} | about
+    whose = {"router": "n0", "incarnation": 1, "claim_number": 1, "timeout": SECOND} | about
     return Record("", key, token, EPOCH, 1, 1, state=state, rows=rows, **whose)
 
 
@@ -145,8 +145,8 @@
       peers: {name: "a", listen: "127.0.0.1:1", others: []}"""
     book = book_of(reading.hold(text)["history"])
     assert (book.number, book.copies, book.founded) == (3, 1, 50)
-    assert book.default == RetentionPolicy(rows=True, least_ms=5000) and book.of("a").hold
-    assert book.forgets == (ErasureRequest(70, "a", "k"),)
+    assert book.default == RetentionPolicy(rows=True, least_ms=5000) and book.policy_for("a").hold
+    assert book.erasure_requests == (ErasureRequest(70, "a", "k"),)
 
 
 def test_defaults_of_the_operator_file_are_those_of_the_book():
@@ -198,12 +198,12 @@
 # ---- the disk ----
 
 
-def keeper_on(path, book=None, now=EPOCH) -> Replica:
-    keeper = Replica(
+def replica_on(path, book=None, now=EPOCH) -> Replica:
+    replica = Replica(
         "n0", 1, ["n0"], book or founded(copies=0, default=DISK), now, lambda: {"n0": 1}, SqliteStore(path)
     )
-    keeper.recall(now, keeper.disk.read())
-    return keeper
+    replica.recall(now, replica.durability.durable_store.read())
+    return replica
 
 
 def bytes_of(folder) -> bytes:
@@ -211,53 +211,59 @@
 
 
 def test_record_is_on_the_disk_and_comes_back(tmp_path):
-    keeper = keeper_on(tmp_path / "h.db")
-    keeper.shelf.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
-    assert keeper.save()
-    again = keeper_on(tmp_path / "h.db")
-    assert [k.record for k in again.shelf.all()] == [record(rows=b"seldom-seen-rows")]
+    replica = replica_on(tmp_path / "h.db")
+    replica.records.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, replica.policies)
+    assert replica.durability.save(record(rows=b"seldom-seen-rows"))
+    again = replica_on(tmp_path / "h.db")
+    assert [k.record for k in again.records.all_records()] == [record(rows=b"seldom-seen-rows")]
 
 
 def test_what_is_forgotten_is_in_none_of_the_files_bytes(tmp_path):
-    keeper = keeper_on(tmp_path / "h.db")
+    replica = replica_on(tmp_path / "h.db")
     for n in range(300):
-        keeper.shelf.put(record(f"t{n}", rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
-    assert keeper.save() and b"seldom-seen" in bytes_of(tmp_path)
-    assert keeper.apply(EPOCH, RetentionPolicies(2, 0, default=DISK, forgets=(ErasureRequest(EPOCH + 1),)))
+        replica.records.put(record(f"t{n}", rows=b"seldom-seen-rows"), EPOCH, 0, replica.policies)
+    replica.durability.save_changes()
+    assert not replica.records.unsaved and b"seldom-seen" in bytes_of(tmp_path)
+    assert replica.apply_policies(
+        EPOCH, RetentionPolicies(2, 0, default=DISK, erasure_requests=(ErasureRequest(EPOCH + 1),))
+    )
     for after in range(1, 21):  # two seconds, the book's time for erasing
-        keeper.tick(EPOCH + after * SECOND // 10)
+        replica.tick(EPOCH + after * SECOND // 10)
     assert b"seldom-seen" not in bytes_of(tmp_path)
-    assert not list(keeper_on(tmp_path / "h.db").shelf.all())
+    assert not list(replica_on(tmp_path / "h.db").records.all_records())
 
 
 def test_what_is_to_be_forgotten_when_a_router_starts_again_leaves_its_disk(tmp_path):
-    keeper = keeper_on(tmp_path / "h.db")
-    keeper.shelf.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
-    assert keeper.save() and b"seldom-seen" in bytes_of(tmp_path)
-    book = msgspec.structs.replace(keeper.book, number=2, forgets=(ErasureRequest(EPOCH + 1),))
-    keeper.disk.db.close()
-    assert not list(keeper_on(tmp_path / "h.db", book, EPOCH + SECOND).shelf.all())
+    replica = replica_on(tmp_path / "h.db")
+    replica.records.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, replica.policies)
+    replica.durability.save_changes()
+    assert not replica.records.unsaved and b"seldom-seen" in bytes_of(tmp_path)
+    book = msgspec.structs.replace(replica.policies, number=2, erasure_requests=(ErasureRequest(EPOCH + 1),))
+    replica.durability.durable_store.connection.close()
+    assert not list(replica_on(tmp_path / "h.db", book, EPOCH + SECOND).records.all_records())
     assert b"seldom-seen" not in bytes_of(tmp_path)
 
 
 def test_policy_that_wants_no_disk_takes_records_off_it(tmp_path):
-    keeper = keeper_on(tmp_path / "h.db")
-    keeper.shelf.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, keeper.book)
-    assert keeper.save()
-    keeper.apply(EPOCH, RetentionPolicies(2, 0, default=RetentionPolicy(rows=True, least_ms=20_000)))
-    keeper.tick(EPOCH + 1000)
-    assert b"seldom-seen" not in bytes_of(tmp_path) and len(list(keeper.shelf.all())) == 1
+    replica = replica_on(tmp_path / "h.db")
+    replica.records.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, replica.policies)
+    assert replica.durability.save(record(rows=b"seldom-seen-rows"))
+    replica.apply_policies(
+        EPOCH, RetentionPolicies(2, 0, default=RetentionPolicy(rows=True, least_ms=20_000))
+    )
+    replica.tick(EPOCH + 1000)
+    assert b"seldom-seen" not in bytes_of(tmp_path) and len(list(replica.records.all_records())) == 1
 
 
 def test_copy_of_yesterday_knows_less_and_runs_nothing_for_it(tmp_path):
     path, net = tmp_path / "h.db", HistoryNet(1, 1, founded(copies=0, default=DISK))
     disk = SqliteStore(path)
-    net.keepers["n0"].disk = disk
+    net.replicas["n0"].durability.durable_store = disk
     assert net.settled()
     net.advance(61)  # past the founding: until then what nobody holds is what nobody had
     net.ask("n0", "first", "k")
     net.advance(3)
-    disk.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    disk.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     yesterday = path.read_bytes()
     net.ask("n0", "second", "k")
     net.advance(3)
@@ -268,23 +274,25 @@
         file.unlink()
     path.write_bytes(yesterday)
     net.start("n0")
-    keeper = net.keepers["n0"]
-    keeper.disk = SqliteStore(path)
-    keeper.recall(net.now, keeper.disk.read())
+    replica = net.replicas["n0"]
+    replica.durability.durable_store = SqliteStore(path)
+    replica.recall(net.now, replica.durability.durable_store.read())
     assert net.settled()
     net.ask("n0", "first", "k")
     net.ask("n0", "second", "k")
     net.advance(6)
     assert net.said["RUN"] == 2 and net.said["REJECT"] >= 1 and not net.rule
-    assert keeper.shelf.find("", "k", "first").record.state == RecordState.SERVED and net.said["REPLAY"] == 1
+    assert (
+        replica.records.find("", "k", "first").record.state == RecordState.SERVED and net.said["REPLAY"] == 1
+    )
 
 
 def test_full_disk_grants_nothing_that_wants_it_and_goes_on_once_there_is_room(tmp_path):
     net = HistoryNet(1, 1, founded(copies=0, default=DISK))
-    disk = net.keepers["n0"].disk = SqliteStore(tmp_path / "h.db")
+    disk = net.replicas["n0"].durability.durable_store = SqliteStore(tmp_path / "h.db")
     assert net.settled()
-    (pages,) = disk.db.execute("PRAGMA page_count").fetchone()
-    disk.db.execute(f"PRAGMA max_page_count = {pages}")
+    (pages,) = disk.connection.execute("PRAGMA page_count").fetchone()
+    disk.connection.execute(f"PRAGMA max_page_count = {pages}")
     for n in range(40):
         net.ask("n0", f"t{n}", f"k{n}" + "x" * 100)
     net.advance(6)
@@ -292,7 +300,7 @@
     assert refused > 0 and net.said["RUN"] + refused == 40
     (fault,) = disk.faults()
     assert "full" in str(fault) and fault.remedy and not disk.faults()
-    disk.db.execute("PRAGMA max_page_count = 100000")
+    disk.connection.execute("PRAGMA max_page_count = 100000")
     net.ask("n0", "late", "k")
     net.advance(3)
     assert net.said["REJECT"] == refused and not net.rule
@@ -309,22 +317,22 @@
         SqliteStore(tmp_path / "no folder" / "h.db")
     other = tmp_path / "o.db"
     disk = SqliteStore(other)
-    disk.db.execute("PRAGMA query_only = ON")  # as a file system that turns read-only
+    disk.connection.execute("PRAGMA query_only = ON")  # as a file system that turns read-only
     assert not disk.write({("", "k", "t"): record()}, {("", "k", "t"): EPOCH})
     assert len(disk.faults()) == 1
     assert stat.S_ISREG(other.stat().st_mode)
 
 
 def test_rows_on_the_disk_that_cannot_be_read_are_erased(tmp_path):
-    keeper = keeper_on(tmp_path / "h.db")
+    replica = replica_on(tmp_path / "h.db")
     for token in ("a", "b"):
-        keeper.shelf.put(record(token), EPOCH, 0, keeper.book)
-    keeper.save()
+        replica.records.put(record(token), EPOCH, 0, replica.policies)
+    replica.durability.save_changes()
     with sqlite3.connect(tmp_path / "h.db") as db:
         db.execute("UPDATE records SET body = x'93c0' WHERE token = 'a'")
-    again = keeper_on(tmp_path / "h.db")
-    assert [k.record.token for k in again.shelf.all()] == ["b"]
-    assert again.disk.counts["unreadable"] == 1
+    again = replica_on(tmp_path / "h.db")
+    assert [k.record.idempotency_key for k in again.records.all_records()] == ["b"]
+    assert again.durability.durable_store.counters["unreadable"] == 1
     with sqlite3.connect(tmp_path / "h.db") as db:
         assert db.execute("SELECT token FROM records").fetchall() == [("b",)]
 
@@ -339,17 +347,17 @@
 
 def test_run_that_was_out_when_the_only_router_ended_is_not_run_again(tmp_path):
     path, net = tmp_path / "h.db", HistoryNet(2, 1, founded(copies=0, default=DISK))
-    net.keepers["n0"].disk = SqliteStore(path)
+    net.replicas["n0"].durability.durable_store = SqliteStore(path)
     assert net.settled()
     net.ask("n0", "t", "k")
     while not net.runs["t"]:
         net.advance(0.05)
     net.kill("n0")
     net.start("n0")
-    keeper = net.keepers["n0"]
-    keeper.disk = SqliteStore(path)
-    keeper.recall(net.now, keeper.disk.read())
-    assert [k.record.state for k in keeper.shelf.all()] == [RecordState.RUNNING]
+    replica = net.replicas["n0"]
+    replica.durability.durable_store = SqliteStore(path)
+    replica.recall(net.now, replica.durability.durable_store.read())
+    assert [k.record.state for k in replica.records.all_records()] == [RecordState.RUNNING]
     assert net.settled()
     net.ask("n0", "t", "k")
     net.advance(40)
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -24,18 +24,18 @@
 def record(key: str, token: str, number: int, state: int, rows: bytes | None, title: int) -> Record:
     return Record(
         customer="customer-\u00e4",
-        key=key,
-        token=token,
-        taken=17_000_000_000_000 + number,
-        place=number + 1,
+        ordering_key=key,
+        idempotency_key=token,
+        granted_at=17_000_000_000_000 + number,
+        sequence=number + 1,
         attempt=number + 2,
-        owner=f"router-{number}",
-        life=1_700_000_000_000 + number,
-        claim=number + 3,
-        patience=number + 4,
+        router=f"router-{number}",
+        incarnation=1_700_000_000_000 + number,
+        claim_number=number + 3,
+        timeout=number + 4,
         state=state,
         rows=rows,
-        title=title,
+        lease_number=title,
     )
 
 
@@ -106,9 +106,9 @@
 
 def test_stored_history_is_read(history):
     disk = SqliteStore(history)
-    found = {written.name: (written, since) for written, since in disk.read()}
+    found = {written.id: (written, since) for written, since in disk.read()}
     assert found == RECORDS
-    assert disk.counts["unreadable"] == 0 and not disk.faults()
+    assert disk.counters["unreadable"] == 0 and not disk.faults()
     disk.close()
 
 
@@ -119,7 +119,7 @@
     assert disk.write({first: changed, second: None}, {first: 17_000_000_000_999})
     disk.close()
     disk = SqliteStore(history)
-    found = {written.name: (written, since) for written, since in disk.read()}
+    found = {written.id: (written, since) for written, since in disk.read()}
     assert found == {
         first: (changed, 17_000_000_000_999),
         **{name: RECORDS[name] for name in others},
