--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -10,7 +10,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.history.claim_decision import ClaimDecision
-from hillchute.history.messages import Message, SlotPart
+from hillchute.history.messages import Message, SlotPart, TaggedMessage
 from hillchute.history.records import Record, RecordState
 from hillchute.history.retention import MAX_TEXT, RetentionPolicies, first_invalid_field
 from hillchute.history.slot_placement import SLOTS
@@ -33,9 +33,11 @@
 }  # by field name, of whichever message; other integers are bounded by MAX_INTEGER
 
 
-def first_out_of_bounds(message: Message) -> str:
+def first_out_of_bounds(message: object) -> str:
     """The name of a message's first field that is out of its bounds; "" for a sound message. Guards against
     a peer that may sign whatever it likes."""
+    if not isinstance(message, TaggedMessage):
+        return "type"
     if field := _first_field_out_of_bounds(message):
         return field
     if isinstance(message, SlotPart):
@@ -59,15 +61,15 @@
     """The name of the field, or of one inside its value, that is out of its bounds."""
     match value:
         case bool() | None | bytes():
-            return ""  # rows are bounded by the length of the whole message
+            fits = True  # rows are bounded by the length of the whole message
         case int():
-            return "" if 0 <= value <= BOUNDS.get(name, MAX_INTEGER) else name
+            fits = 0 <= value <= BOUNDS.get(name, MAX_INTEGER)
         case str():
-            return "" if len(value) <= MAX_TEXT else name
-        case (int() as number, str() as router):  # a ViewId, or what stands for one
-            return "" if 0 <= number < MAX_INTEGER and len(router) <= MAX_ROUTER_NAME else name
+            fits = len(value) <= MAX_TEXT
+        case (int() as number, str() as router):  # a ViewId
+            fits = 0 <= number < MAX_INTEGER and len(router) <= MAX_ROUTER_NAME
         case dict():
-            return "" if _are_members_in_bounds(value) else name
+            fits = _are_members_in_bounds(value)
         case RetentionPolicies():
             return first_invalid_field(value)
         case tuple():
@@ -76,6 +78,7 @@
             return _first_field_out_of_bounds(value)
         case _:
             raise TypeError(f"no message has a {type(value).__name__}")
+    return "" if fits else name
 
 
 def _are_members_in_bounds(members: Mapping[str, int]) -> bool:
--- a/hillchute/history/lease_transfer.py
+++ b/hillchute/history/lease_transfer.py
@@ -42,15 +42,13 @@
         slots: SlotTable,
         authority: SlotAuthority,
         agreement: PartnerAgreement,
-        lease_moved: Callable[[int], None],
     ) -> None:
-        """`lease_moved` is called with each slot whose lease has come to stand."""
         self._context = context
         self._records = records
         self._slots = slots
         self._authority = authority
         self._agreement = agreement
-        self._lease_moved = lease_moved
+        self.lease_moved: Callable[[int], None]  # set by the facade: called with a slot whose lease has moved
         self.transfers: dict[int, LeaseTransfer] = {}  # by slot
         self._unchecked: deque[int] = deque()  # slots to be compared with the agreement
         self._checked_revision = 0  # of the agreement
@@ -131,7 +129,7 @@
         del self.transfers[number]
         self._slots.slots[number].lease = transfer.lease
         self._context.counters["leases moved"] += 1
-        self._lease_moved(number)
+        self.lease_moved(number)
 
     def take_reply(self, sender: str, reply: LeaseReply) -> None:
         """Another holder has stored a lease."""
--- a/hillchute/history/messages.py
+++ b/hillchute/history/messages.py
@@ -22,20 +22,20 @@
     """What all messages have in common: a row on the wire, its tag first."""
 
 
-class PromiseRequest(TaggedMessage, tag=1):
+class PromiseRequest(TaggedMessage, frozen=True, tag=1):
     """Asks for a promise, to propose a new view. `adopted`: the one that the sender adopted last."""
 
     view: ViewId
     adopted: ViewId
 
 
-class PromiseReply(TaggedMessage, tag=2):
+class PromiseReply(TaggedMessage, frozen=True, tag=2):
     """Answers a PromiseRequest."""
 
     promise: Promise
 
 
-class Heartbeat(TaggedMessage, tag=3):
+class Heartbeat(TaggedMessage, frozen=True, tag=3):
     """The coordinator asks for the renewal of its view's lease, and says how long the view is in force.
 
     `lease_remaining` was left when this was made, for a router whose last grant was made at `echo` by that
@@ -51,19 +51,19 @@
     agreement_number: int = 0  # of the partners' agreement that holds
 
 
-class HeartbeatReply(TaggedMessage, tag=4):
+class HeartbeatReply(TaggedMessage, frozen=True, tag=4):
     """Answers a Heartbeat."""
 
     grant: Grant
 
 
-class ViewAnnouncement(TaggedMessage, tag=5):
+class ViewAnnouncement(TaggedMessage, frozen=True, tag=5):
     """A whole view."""
 
     view: View
 
 
-class ViewUpdate(TaggedMessage, tag=17):
+class ViewUpdate(TaggedMessage, frozen=True, tag=17):
     """A view, for a router that adopted the view `base` last, from which this one takes over."""
 
     view: ViewId
@@ -73,19 +73,19 @@
     added: dict[str, int]
 
 
-class PoliciesRequest(TaggedMessage, tag=6):
+class PoliciesRequest(TaggedMessage, frozen=True, tag=6):
     """Asks for retention policies of a higher number."""
 
     above: int
 
 
-class PoliciesUpdate(TaggedMessage, tag=7):
+class PoliciesUpdate(TaggedMessage, frozen=True, tag=7):
     """The sender's retention policies."""
 
     policies: RetentionPolicies
 
 
-class ClaimRequest(TaggedMessage, tag=8):
+class ClaimRequest(TaggedMessage, frozen=True, tag=8):
     """The sender asks whether it may run a query."""
 
     view: ViewId
@@ -103,7 +103,7 @@
         return ClaimId(sender, self.incarnation, self.number)
 
 
-class ClaimReply(TaggedMessage, tag=9):
+class ClaimReply(TaggedMessage, frozen=True, tag=9):
     """What becomes of a claim. With RUN the record as granted, with REPLAY the one that answers."""
 
     number: int
@@ -113,7 +113,7 @@
     record: Record | None = None
 
 
-class Completion(TaggedMessage, tag=10):
+class Completion(TaggedMessage, frozen=True, tag=10):
     """The sender's run has ended, as the record says: NOT_RUN if it never began. Repeated until a
     CompletionReply comes."""
 
@@ -121,14 +121,14 @@
     record: Record
 
 
-class CompletionReply(TaggedMessage, tag=11):
+class CompletionReply(TaggedMessage, frozen=True, tag=11):
     """All holders have the outcome of a claim's run."""
 
     number: int
     incarnation: int
 
 
-class ReplicateRequest(TaggedMessage, tag=12):
+class ReplicateRequest(TaggedMessage, frozen=True, tag=12):
     """From a slot's first holder to the others: a record to be stored."""
 
     view: ViewId
@@ -137,7 +137,7 @@
     age: Time
 
 
-class ReplicateReply(TaggedMessage, tag=13):
+class ReplicateReply(TaggedMessage, frozen=True, tag=13):
     """Answers a ReplicateRequest."""
 
     view: ViewId
@@ -145,7 +145,7 @@
     stored: bool
 
 
-class SlotRequest(TaggedMessage, tag=14):
+class SlotRequest(TaggedMessage, frozen=True, tag=14):
     """The sender holds a slot in this view and wants its records as of the end of the view `epoch`."""
 
     view: ViewId
@@ -153,7 +153,7 @@
     epoch: ViewId
 
 
-class SlotPart(TaggedMessage, tag=15):
+class SlotPart(TaggedMessage, frozen=True, tag=15):
     """One part of a slot's records, of `parts`."""
 
     view: ViewId
@@ -166,7 +166,7 @@
     lease: OwnershipLease | None = None
 
 
-class SlotRedirect(TaggedMessage, tag=16):
+class SlotRedirect(TaggedMessage, frozen=True, tag=16):
     """The sender has not got the slot itself yet: whom it asks, and for which epoch. Without sources: it
     never will."""
 
@@ -176,7 +176,7 @@
     sources: dict[str, int]  # router: its incarnation
 
 
-class LeaseUpdate(TaggedMessage, tag=18):
+class LeaseUpdate(TaggedMessage, frozen=True, tag=18):
     """From a slot's first holder to the others: the slot's ownership lease from now on."""
 
     view: ViewId
@@ -184,7 +184,7 @@
     lease: OwnershipLease
 
 
-class LeaseReply(TaggedMessage, tag=19):
+class LeaseReply(TaggedMessage, frozen=True, tag=19):
     """Answers a LeaseUpdate, which was stored."""
 
     view: ViewId
--- a/hillchute/history/own_claims.py
+++ b/hillchute/history/own_claims.py
@@ -31,28 +31,32 @@
     rows: bytes | None
 
 
+class KeyedQuery(msgspec.Struct, frozen=True, kw_only=True):
+    """A query that the history is asked about."""
+
+    customer: str = ""
+    ordering_key: str
+    idempotency_key: str
+    deadline: Time  # without a decision by then its claim is given up
+    ordered: bool = False  # runs of its key follow one another
+    is_transient: bool = False  # it has no idempotency key of its own: it is listed only while it runs
+
+    @property
+    def key(self) -> tuple[str, str]:
+        """Ordered queries of one key are claimed one after another."""
+        return self.customer, self.ordering_key
+
+
 class OwnClaim(msgspec.Struct):
     """A claim of this router's own."""
 
     number: int
-    customer: str
-    ordering_key: str
-    idempotency_key: str
-    deadline: Time  # without a decision by then it is given up
-    ordered: bool
-    is_transient: bool = False
+    query: KeyedQuery
     granted: Record | None = None
     outcome: Record | None = None  # how its run ended, until all holders have that
     sent_at: Time = 0
     tries: int = 0
-    is_forwarded: bool = (
-        False  # another partner's router runs it; no other claim of its key is made meanwhile
-    )
-
-    @property
-    def key(self) -> tuple[str, str]:
-        """Claims of one key are made one after another."""
-        return self.customer, self.ordering_key
+    is_forwarded: bool = False  # another partner's router runs it; other claims of its key wait for it
 
     @property
     def is_decided(self) -> bool:
@@ -83,29 +87,12 @@
 
     # ---- the router's side ----------------------------------------------------------------------------
 
-    def add(
-        self,
-        customer: str,
-        ordering_key: str,
-        idempotency_key: str,
-        deadline: Time,
-        *,
-        ordered: bool,
-        is_transient: bool,
-    ) -> int:
+    def add(self, query: KeyedQuery) -> int:
         """Makes a claim; returns its number, under which what becomes of it is said by the deadline."""
-        claim = OwnClaim(
-            number=self._context.next_number(),
-            customer=customer,
-            ordering_key=ordering_key,
-            idempotency_key=idempotency_key,
-            deadline=deadline,
-            ordered=ordered,
-            is_transient=is_transient,
-        )
+        claim = OwnClaim(self._context.next_number(), query)
         self.claims[claim.number] = claim
-        if ordered:
-            self._queues.setdefault(claim.key, deque()).append(claim.number)
+        if query.ordered:
+            self._queues.setdefault(query.key, deque()).append(claim.number)
         if self._has_turn(claim):
             self._send_claim(claim)
         return claim.number
@@ -128,17 +115,21 @@
         self._send_completion(claim)
 
     def _keeps_rows(self, claim: OwnClaim, rows: bytes) -> bool:
-        policy = self._context.policies.policy_for(claim.customer)
-        return policy.rows and not claim.is_transient and len(rows) <= min(MAX_ROWS_SIZE, policy.most_bytes)
+        policy = self._context.policies.policy_for(claim.query.customer)
+        return (
+            policy.rows
+            and not claim.query.is_transient
+            and len(rows) <= min(MAX_ROWS_SIZE, policy.most_bytes)
+        )
 
     def _never_granted(self, claim: OwnClaim) -> Record:
         """The record of a claim that was given up before it was decided on: its attempt is 0."""
         return Record(
-            customer=claim.customer,
-            ordering_key=claim.ordering_key,
-            idempotency_key=claim.idempotency_key,
+            customer=claim.query.customer,
+            ordering_key=claim.query.ordering_key,
+            idempotency_key=claim.query.idempotency_key,
             granted_at=0,
-            sequence=0 if claim.is_transient else 1,
+            sequence=0 if claim.query.is_transient else 1,
             attempt=0,
             router=self._context.name,
             incarnation=self._context.incarnation,
@@ -150,16 +141,16 @@
 
     def _has_turn(self, claim: OwnClaim) -> bool:
         """Of one key, claims are made one at a time, in the order in which their queries came."""
-        return not claim.ordered or self._queues[claim.key][0] == claim.number
+        return not claim.query.ordered or self._queues[claim.query.key][0] == claim.number
 
     def _leave_queue(self, claim: OwnClaim) -> None:
-        queue = self._queues.get(claim.key)
-        if not claim.ordered or queue is None or claim.number not in queue:
+        queue = self._queues.get(claim.query.key)
+        if not claim.query.ordered or queue is None or claim.number not in queue:
             return
         was_first = queue[0] == claim.number
         queue.remove(claim.number)
         if not queue:
-            del self._queues[claim.key]
+            del self._queues[claim.query.key]
         elif was_first:
             self._send_claim(self.claims[queue[0]])
 
@@ -169,26 +160,26 @@
         context = self._context
         claim.sent_at = context.now
         claim.tries += 1
-        holder = self._authority.first_holder(claim.customer, claim.ordering_key)
+        holder = self._authority.first_holder(claim.query.customer, claim.query.ordering_key)
         if holder is None:
             return
         request = ClaimRequest(
             view=context.views.view.id,
             number=claim.number,
             incarnation=context.incarnation,
-            customer=claim.customer,
-            ordering_key=claim.ordering_key,
-            idempotency_key=claim.idempotency_key,
-            time_left=max(0, claim.deadline - context.now),
-            ordered=claim.ordered,
-            is_transient=claim.is_transient,
+            customer=claim.query.customer,
+            ordering_key=claim.query.ordering_key,
+            idempotency_key=claim.query.idempotency_key,
+            time_left=max(0, claim.query.deadline - context.now),
+            ordered=claim.query.ordered,
+            is_transient=claim.query.is_transient,
         )
         context.send(holder, request)
 
     def _send_completion(self, claim: OwnClaim) -> None:
         claim.sent_at = self._context.now
         claim.tries += 1
-        holder = self._authority.first_holder(claim.customer, claim.ordering_key)
+        holder = self._authority.first_holder(claim.query.customer, claim.query.ordering_key)
         if holder is not None and claim.outcome is not None:
             self._context.send(holder, Completion(self._context.views.view.id, claim.outcome))
 
@@ -221,7 +212,7 @@
     def _settle(self, claim: OwnClaim, decision: ClaimDecision, reply: ClaimReply) -> None:
         rows: bytes | None = None
         if decision is ClaimDecision.RUN:
-            if reply.record is None or self._context.now >= claim.deadline:
+            if reply.record is None or self._context.now >= claim.query.deadline:
                 return  # it is given up at its deadline
             claim.granted = reply.record
             self._leave_queue(claim)
@@ -239,17 +230,14 @@
     def _release(self, number: int, granted: Record) -> None:
         """Ends a claim that was granted when it was over here: nobody else would."""
         record = msgspec.structs.replace(granted, state=RecordState.NOT_RUN)
-        claim = OwnClaim(
-            number=number,
+        query = KeyedQuery(
             customer=record.customer,
             ordering_key=record.ordering_key,
             idempotency_key=record.idempotency_key,
             deadline=self._context.now,
-            ordered=False,
             is_transient=record.is_transient,
-            granted=record,
-            outcome=record,
         )
+        claim = OwnClaim(number, query, granted=record, outcome=record)
         self.claims[number] = claim
         self._send_completion(claim)
 
@@ -274,14 +262,14 @@
         if claim.outcome is not None:
             if self._is_due(claim, MAX_COMPLETION_BACKOFF):
                 self._send_completion(claim)
-            if claim.granted is None and now - claim.deadline > ABANDON_TIME:
+            if claim.granted is None and now - claim.query.deadline > ABANDON_TIME:
                 self.claims.pop(claim.number, None)  # by now the holders take its run, if any, for over
         elif claim.is_forwarded:
-            if now - claim.deadline > ABANDON_TIME:
+            if now - claim.query.deadline > ABANDON_TIME:
                 self._end(claim, RecordState.NOT_RUN)
         elif claim.granted is not None:
             return
-        elif now >= claim.deadline:
+        elif now >= claim.query.deadline:
             self.decided.append(Decided(claim.number, ClaimDecision.REJECT, "no verdict in time", None))
             self._end(claim, RecordState.NOT_RUN)
         elif self._is_due(claim, MAX_CLAIM_BACKOFF) and self._has_turn(claim):
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -13,7 +13,7 @@
 """
 
 from collections import Counter
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Iterable
 
 from hillchute.decision.interface import Time
 from hillchute.errors import BookNotCurrent
@@ -42,12 +42,12 @@
     ViewAnnouncement,
     ViewUpdate,
 )
-from hillchute.history.own_claims import Decided, OwnClaims
+from hillchute.history.own_claims import Decided, KeyedQuery, OwnClaims
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.policy_distribution import PolicyDistribution
 from hillchute.history.record_store import RecordStore
 from hillchute.history.records import Record
-from hillchute.history.replica_context import ReplicaContext
+from hillchute.history.replica_context import Membership, ReplicaContext
 from hillchute.history.replication import Replication
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.retention_sweep import RetentionSweep
@@ -64,19 +64,15 @@
 
     def __init__(
         self,
-        name: str,
-        incarnation: int,
-        named: Iterable[str],
+        membership: Membership,
         policies: RetentionPolicies,
         now: Time,
-        living: Callable[[], Mapping[str, int]],
         durable_store: DurableStore | None = None,
         agreement: PartnerAgreement | None = None,
     ) -> None:
-        """`named`: the routers that the operator named, among whom a majority is counted. `living` says which
-        of them live, this one too, with their incarnations. `agreement`: where there are partners."""
-        views = ViewProtocol(name, incarnation, named, now)
-        self.context = context = ReplicaContext(name, incarnation, now, living, policies, views)
+        """`durable_store`: where there is a disk; `agreement`: where there are partners."""
+        views = ViewProtocol(membership.name, membership.incarnation, membership.named, now)
+        self.context = context = ReplicaContext(membership, now, policies, views)
         context.deliver_to_self = self._deliver_to_self
         self.records = RecordStore()
         self.durability = Durability(context, self.records, durable_store)
@@ -89,14 +85,8 @@
         self.slot_transfer = SlotTransfer(context, self.records, self.slots, self.authority, self.durability)
         self.leases: LeaseTransfers | None = None
         if agreement is not None:
-            self.leases = LeaseTransfers(
-                context,
-                self.records,
-                self.slots,
-                self.authority,
-                agreement,
-                self.claims.decide_waiting_of_slot,
-            )
+            self.leases = LeaseTransfers(context, self.records, self.slots, self.authority, agreement)
+            self.leases.lease_moved = self.claims.decide_waiting_of_slot
             self.claims.leases = self.leases
         self.view_change = ViewChange(context, self.policy_distribution, agreement, self._view_adopted)
         self.sweep = RetentionSweep(context, self.records, self.slots, self.replication, self.durability)
@@ -162,28 +152,11 @@
 
     # ---- this router's own queries --------------------------------------------------------------------
 
-    def claim(
-        self,
-        now: Time,
-        customer: str,
-        ordering_key: str,
-        idempotency_key: str,
-        deadline: Time,
-        ordered: bool = False,
-        is_transient: bool = False,
-    ) -> int:
+    def claim(self, now: Time, query: KeyedQuery) -> int:
         """Asks whether a query may run; what becomes of it comes with `take_decided`, under the number that
-        is returned, by `deadline`. `ordered`: runs of its key follow one another. `is_transient`: it has no
-        idempotency key of its own, and is listed only while it runs."""
+        is returned, by its deadline."""
         self.context.now = now
-        return self.own_claims.add(
-            customer,
-            ordering_key,
-            idempotency_key,
-            deadline,
-            ordered=ordered,
-            is_transient=is_transient,
-        )
+        return self.own_claims.add(query)
 
     def end_claim(self, now: Time, number: int, state: int, rows: bytes | None = None) -> None:
         """The query of a claim is over, granted or not: NOT_RUN if no attempt can have had an effect."""
--- a/hillchute/history/replica_context.py
+++ b/hillchute/history/replica_context.py
@@ -5,7 +5,8 @@
 """
 
 from collections import Counter
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Collection, Mapping
+from typing import NamedTuple
 
 from hillchute.decision.interface import Time
 from hillchute.history.messages import Message
@@ -15,23 +16,29 @@
 RETRY_INTERVAL: Time = 1_000  # a message without an answer goes again after 0.1 s: some network round trips
 
 
+class Membership(NamedTuple):
+    """Which router a replica is, and which other routers there are."""
+
+    name: str
+    incarnation: int  # its start: a router that restarts has a higher one
+    named: Collection[str]  # the routers that the operator named, among whom a majority is counted
+    living: Callable[[], Mapping[str, int]]  # routers that live, this one among them, with their incarnations
+
+
 class ReplicaContext:
     """The shared state of one replica. `now` is set by the facade with each event."""
 
     def __init__(
         self,
-        name: str,
-        incarnation: int,
+        membership: Membership,
         now: Time,
-        living: Callable[[], Mapping[str, int]],
         policies: RetentionPolicies,
         views: ViewProtocol,
     ) -> None:
-        """`living` says which routers live, this one among them, each with its incarnation."""
-        self.name = name
-        self.incarnation = incarnation
+        self.name = membership.name
+        self.incarnation = membership.incarnation
+        self.living = membership.living
         self.now = now
-        self.living = living
         self.policies = policies
         self.views = views
         self.outbox: list[tuple[str, Message]] = []
--- a/hillchute/history/slot_table.py
+++ b/hillchute/history/slot_table.py
@@ -24,9 +24,7 @@
 
     views_entered: int = 0  # of all views that were ever adopted here
     held_in: ViewId | None = None  # the view in which this router last was a holder
-    complete_in: ViewId | None = (
-        None  # it has all records as of this view; it may grant where that is `held_in`
-    )
+    complete_in: ViewId | None = None  # it has all records as of this view
     lost_at: Time | None = None  # when records may have been lost, by this router's clock
     wanted_epoch: ViewId | None = None  # the view as of whose end its records are requested
     sources: dict[str, int] = {}  # routers that may have them, with their incarnations
--- a/hillchute/history/slot_transfer.py
+++ b/hillchute/history/slot_transfer.py
@@ -14,9 +14,8 @@
 from hillchute.history.slot_table import SlotState, SlotTable
 from hillchute.history.views import LEASE
 
-SLOTS_PER_TICK = (
-    64  # brought to the last view, or requested: a quarter of a second of a loaded loop's messages
-)
+# Brought to the last view, or requested: about a quarter of a second of a loaded loop's messages.
+SLOTS_PER_TICK = 64
 SOURCE_TIMEOUT: Time = 600_000  # for a source that lives: it may have much to send, or a slow network
 REQUEST_INTERVAL: Time = 4 * RETRY_INTERVAL
 PART_SIZE = 1 << 20  # bytes of a slot's records that go in one message
--- a/hillchute/history/view_protocol.py
+++ b/hillchute/history/view_protocol.py
@@ -35,9 +35,8 @@
 
 MAX_ATTEMPTS = 4  # requests before a view is proposed without those who may remember an earlier one
 MAX_NUMBER_AHEAD = 3_600_000  # milliseconds that a view's number, a time, may lie ahead of our clock
-SETTLE_TIME: Time = (
-    10_000  # the living must be the same so long before a view is proposed: deaths come in groups
-)
+# The living must be the same for so long before a view is proposed: routers die in groups.
+SETTLE_TIME: Time = 10_000
 TIME_PER_MILLISECOND = 10  # views are numbered by milliseconds
 
 
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -95,13 +95,13 @@
 
 def memory() -> float:
     """Bytes that a record without rows takes."""
-    book, shelf = RetentionPolicies(default=RetentionPolicy(most=1000)), RecordStore()
+    policies, store = RetentionPolicies(default=RetentionPolicy(most=1000)), RecordStore()
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for n in range(RECORDS):
-        shelf.put(a_record(n), EPOCH + n, 0, book)
-    shelf.moved.clear()  # nobody reads it here: with a disk it is emptied at each write
+        store.put(a_record(n), EPOCH + n, 0, policies)
+    store.unsaved.clear()  # nobody reads it here: with a disk it is emptied at each write
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -119,7 +119,7 @@
         record = a_record(n)
         for replica in net.replicas.values():
             if replica.name in replica.authority.holders_of(slot_of(record.customer, record.ordering_key)):
-                replica.records.put(record, net.now, 0, net.book)
+                replica.records.put(record, net.now, 0, net.policies)
     for replica in net.replicas.values():
         replica.records.unsaved.clear()
     held = sum(k.records.count_by_customer.total() for k in net.replicas.values())
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -227,7 +227,7 @@
                 if r.idempotency_key == token and r.state != RecordState.NOT_RUN
             ]
             kept[token] = len(self.runs[token]), len(states), sorted(set(states))
-        return {"kept": kept, "books": sorted(k.policies.number for k in self.replicas.values())}
+        return {"kept": kept, "policies": sorted(k.policies.number for k in self.replicas.values())}
 
 
 def places(plain: Changing, lies: bool = True) -> list[tuple[int, str, tuple]]:
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -15,8 +15,10 @@
 from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import decode, encode
 from hillchute.history.messages import Message
+from hillchute.history.own_claims import KeyedQuery
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
 from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies
 from hillchute.history.views import LEASE
 
@@ -36,14 +38,14 @@
         self,
         seed: int,
         count: int,
-        book: RetentionPolicies,
+        policies: RetentionPolicies,
         loss: float = 0.0,
         twice: float = 0.0,
         never: float = 0.0,
         fails: float = 0.05,
     ) -> None:
         self.seed, self.chance, self.now, self.fails = seed, random.Random(seed), EPOCH, fails
-        self.loss, self.twice, self.never, self.book = loss, twice, never, book
+        self.loss, self.twice, self.never, self.policies = loss, twice, never, policies
         self.names = [f"n{n}" for n in range(count)]
         self.replicas: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
@@ -84,7 +86,8 @@
         self.notice()
 
     def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
-        return Replica(name, self.lives[name], self.names, self.book, now, living)
+        membership = Membership(name, self.lives[name], self.names, living)
+        return Replica(membership, self.policies, now)
 
     def kill(self, name: str) -> None:
         self.replicas.pop(name, None)
@@ -192,7 +195,8 @@
             self.said["nobody there"] += 1
             return
         due = self.clock(name) + patience
-        number = replica.claim(self.clock(name), "", key, token, due, True)
+        query = KeyedQuery(ordering_key=key, idempotency_key=token, deadline=due, ordered=True)
+        number = replica.claim(self.clock(name), query)
         self.open[name, self.lives[name], number] = token, key, self.now
         self.post(name)
 
@@ -267,7 +271,7 @@
 
     def bound(self, token: str) -> bool:
         """Whether what ran must not run again: within its keep time, and not forgotten since."""
-        kept = self.now - self.runs[token][-1][0] < self.book.default.least_ms * MS
+        kept = self.now - self.runs[token][-1][0] < self.policies.default.least_ms * MS
         return kept and not any(self.taken[token] < before for before, _ in self.forgotten)
 
     def too_late(self, token: str) -> bool:
@@ -279,19 +283,20 @@
 
     def forget(self, name: str) -> None:
         """The operator wants all forgotten that was taken until now, and tells one router."""
-        self.book = msgspec.structs.replace(
-            self.book,
-            number=self.book.number + 1,
-            erasure_requests=(*self.book.erasure_requests, ErasureRequest(self.now)),
+        self.policies = msgspec.structs.replace(
+            self.policies,
+            number=self.policies.number + 1,
+            erasure_requests=(*self.policies.erasure_requests, ErasureRequest(self.now)),
         )
         self.forgotten.append((self.now, None))
-        self.replicas[name].apply_policies(self.clock(name), self.book)
+        self.replicas[name].apply_policies(self.clock(name), self.policies)
         self.post(name)
 
     def known(self) -> None:
-        """Since when most of the named know of the last book."""
+        """Since when most of the named know of the last policies."""
         most = (
-            sum(k.policies.number >= self.book.number for k in self.replicas.values()) > len(self.names) // 2
+            sum(k.policies.number >= self.policies.number for k in self.replicas.values())
+            > len(self.names) // 2
         )
         if self.forgotten and self.forgotten[-1][1] is None and most:
             self.forgotten[-1] = self.forgotten[-1][0], self.now
@@ -331,7 +336,7 @@
 
 
 def founded(**about: object) -> RetentionPolicies:
-    """A book of a fleet that begins now."""
+    """The policies of a fleet that begins now."""
     return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
 
 
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -18,8 +18,10 @@
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
 from hillchute.history.messages import Message
+from hillchute.history.own_claims import KeyedQuery
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
@@ -46,7 +48,7 @@
 
 class PartnersNet(HistoryNet):
     def __init__(
-        self, seed: int, count: int, book: RetentionPolicies, partners: str = "abc", **faults: float
+        self, seed: int, count: int, policies: RetentionPolicies, partners: str = "abc", **faults: float
     ) -> None:
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
@@ -67,7 +69,7 @@
         self.turned_away: set[int] = set()  # and those that were told that they did not
         self.hops: Counter[str] = Counter()
         self.numbers = 0
-        super().__init__(seed, count, book, **faults)
+        super().__init__(seed, count, policies, **faults)
 
     # ---- routers ------------------------------------------------------------------------------------
 
@@ -82,7 +84,8 @@
             return living().get(other) != other_life
 
         self.passings[name] = Passing(name, life, living, over)
-        return Replica(name, life, self.names, self.book, now, living, agreement=council)
+        membership = Membership(name, life, self.names, living)
+        return Replica(membership, self.policies, now, agreement=council)
 
     def hand(self, name: str) -> Marker | None:
         partner = self.partner_of[name]
@@ -183,7 +186,14 @@
 
     def claim(self, name: str, token: str, key: str, patience: Time) -> tuple[str, int, int]:
         once, now = key.startswith(TABLES), self.clock(name)
-        number = self.replicas[name].claim(now, "", key, token, now + patience, not once, once)
+        query = KeyedQuery(
+            ordering_key=key,
+            idempotency_key=token,
+            deadline=now + patience,
+            ordered=not once,
+            is_transient=once,
+        )
+        number = self.replicas[name].claim(now, query)
         claim = name, self.lives[name], number
         self.open[claim] = token, key, self.now
         return claim
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -15,9 +15,11 @@
 from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import codec
 from hillchute.history.messages import Message
+from hillchute.history.own_claims import KeyedQuery
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
 from hillchute.history.retention import (
     MS,
     ErasureRequest,
@@ -62,9 +64,8 @@
                 self.disk = SqliteStore(settings["disk"])
             except DiskNotUsable as fault:  # the history goes on in memory: no record rests on this disk
                 log.write("history_disk", **fault.told)
-        self.replica = Replica(
-            node.me, node.born, [node.me, *node.keys], book_of(settings), now, node.lives, self.disk, deeds
-        )
+        membership = Membership(node.me, node.born, [node.me, *node.keys], node.lives)
+        self.replica = Replica(membership, book_of(settings), now, self.disk, deeds)
         if self.disk is not None:
             self.replica.recall(now, self.disk.read())
         self.numbers: dict[tuple[str, int], int] = {}  # the replica's, of each of the reducer's
@@ -85,7 +86,15 @@
         once: bool = False,
     ) -> None:
         now = self.clock()
-        mine = self.replica.claim(now, customer, key, token, now + left, ordered, once)
+        query = KeyedQuery(
+            customer=customer,
+            ordering_key=key,
+            idempotency_key=token,
+            deadline=now + left,
+            ordered=ordered,
+            is_transient=once,
+        )
+        mine = self.replica.claim(now, query)
         self.numbers[id, number], self.queries[mine] = mine, (id, number)
         self.pass_on()
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -8,9 +8,11 @@
 from hillchute.errors import DatagramDropped
 from hillchute.history import codec, messages
 from hillchute.history.claim_decision import ClaimDecision, ClaimFacts, decide
+from hillchute.history.own_claims import KeyedQuery
 from hillchute.history.record_store import RecordStore
 from hillchute.history.records import COMPLETION_GRACE, Record, RecordState, RetainedRecord
 from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
 from hillchute.history.retention import (
     MS,
     ErasureRequest,
@@ -44,26 +46,31 @@
 
 def test_hold_goes_before_forget_and_age_but_nothing_old_is_answered():
     forgets = (ErasureRequest(EPOCH + 1),)
-    book = RetentionPolicies(default=KEEPS, erasure_requests=forgets)
+    policies = RetentionPolicies(default=KEEPS, erasure_requests=forgets)
     held = RetentionPolicies(default=msgspec.structs.replace(KEEPS, hold=True), erasure_requests=forgets)
-    assert book.must_be_erased("", "k", EPOCH, 0) and not held.must_be_erased("", "k", EPOCH, 0)
-    assert not book.must_be_erased("", "k", EPOCH + 1, 0)
+    assert policies.must_be_erased("", "k", EPOCH, 0) and not held.must_be_erased("", "k", EPOCH, 0)
+    assert not policies.must_be_erased("", "k", EPOCH + 1, 0)
     old = KEEPS.most_ms * MS + 1
-    assert book.must_be_erased("", "k", EPOCH + 1, old) and not held.must_be_erased("", "k", EPOCH + 1, old)
+    assert policies.must_be_erased("", "k", EPOCH + 1, old) and not held.must_be_erased(
+        "", "k", EPOCH + 1, old
+    )
     assert not held.may_replay("", "k", EPOCH + 1, old)
     assert held.may_replay("", "k", EPOCH, 0)  # the forget waits until the hold ends
 
 
 def test_forget_names_a_customer_or_one_of_its_keys():
-    book = RetentionPolicies(erasure_requests=(ErasureRequest(EPOCH, "a"), ErasureRequest(EPOCH, "b", "k")))
+    policies = RetentionPolicies(
+        erasure_requests=(ErasureRequest(EPOCH, "a"), ErasureRequest(EPOCH, "b", "k"))
+    )
     told = [
-        book.is_erasure_requested(c, k, EPOCH - 1) for c, k in (("a", "x"), ("b", "k"), ("b", "x"), ("", "k"))
+        policies.is_erasure_requested(c, k, EPOCH - 1)
+        for c, k in (("a", "x"), ("b", "k"), ("b", "x"), ("", "k"))
     ]
     assert told == [True, True, False, False]
 
 
 @pytest.mark.parametrize(
-    ("book", "field"),
+    ("policies", "field"),
     [
         (RetentionPolicies(default=RetentionPolicy(least_ms=10_000, most_ms=5_000)), "default.least_ms"),
         (RetentionPolicies(customers={"a": RetentionPolicy(lost="perhaps")}), "a.lost"),
@@ -73,13 +80,13 @@
         (RetentionPolicies(number=-1), "number"),
     ],
 )
-def test_book_that_nobody_could_honour_names_the_field(book, field):
-    assert first_invalid_field(book) == field
+def test_policies_that_nobody_could_honour_name_the_field(policies, field):
+    assert first_invalid_field(policies) == field
     assert first_invalid_field(RetentionPolicies()) == ""
 
 
 def verdict(kept=None, before=None, lost_for=None, lives=True, mine=False, room=True, age=0, **policy):
-    book = RetentionPolicies(default=RetentionPolicy(rows=True, **policy))
+    policies = RetentionPolicies(default=RetentionPolicy(rows=True, **policy))
     kept = kept and RetainedRecord(kept, EPOCH - age)
     facts = ClaimFacts(
         customer="",
@@ -89,7 +96,7 @@
         router_lives=lives,
         is_repeated=mine,
     )
-    return decide(book, facts, EPOCH, lambda: room).decision
+    return decide(policies, facts, EPOCH, lambda: room).decision
 
 
 def test_verdict_on_each_thing_known():
@@ -142,24 +149,24 @@
 
 
 def test_late_copy_does_not_bring_back_what_was_forgotten():
-    store, book = (
+    store, policies = (
         RecordStore(),
         RetentionPolicies(default=KEEPS, erasure_requests=(ErasureRequest(EPOCH + 1),)),
     )
     assert store.put(record(), EPOCH, 0, RetentionPolicies(default=KEEPS))
-    assert store.erase_due(EPOCH, book) == 1
-    assert not store.put(record(), EPOCH, 0, book)
+    assert store.erase_due(EPOCH, policies) == 1
+    assert not store.put(record(), EPOCH, 0, policies)
     assert not list(store.all_records())
 
 
 def test_run_that_is_out_is_forgotten_when_it_ends():
-    store, book = (
+    store, policies = (
         RecordStore(),
         RetentionPolicies(default=KEEPS, erasure_requests=(ErasureRequest(EPOCH + 1),)),
     )
-    store.put(record(state=RecordState.RUNNING, rows=None), EPOCH, 0, book)
-    assert store.erase_due(EPOCH, book) == 0 and len(list(store.all_records())) == 1
-    assert not store.put(record(), EPOCH, 0, book)
+    store.put(record(state=RecordState.RUNNING, rows=None), EPOCH, 0, policies)
+    assert store.erase_due(EPOCH, policies) == 0 and len(list(store.all_records())) == 1
+    assert not store.put(record(), EPOCH, 0, policies)
     assert not list(store.all_records()) and store.size_bytes == 0
 
 
@@ -173,16 +180,16 @@
 
 def test_flood_of_one_customer_pushes_out_nothing_within_a_least_time():
     few = RetentionPolicy(least_ms=20_000, most_ms=60_000, most=2, most_records=4)
-    store, book = RecordStore(), RetentionPolicies(default=KEEPS, customers={"flood": few})
+    store, policies = RecordStore(), RetentionPolicies(default=KEEPS, customers={"flood": few})
     for n in range(3):
-        store.put(record(f"x{n}", key="x", customer="other"), EPOCH, 0, book)
+        store.put(record(f"x{n}", key="x", customer="other"), EPOCH, 0, policies)
     taken = 0
     for n in range(40):
-        if store.has_capacity("flood", f"k{n % 8}", EPOCH, book):
-            taken += store.put(record(f"t{n}", key=f"k{n % 8}", customer="flood"), EPOCH, 0, book)
+        if store.has_capacity("flood", f"k{n % 8}", EPOCH, policies):
+            taken += store.put(record(f"t{n}", key=f"k{n % 8}", customer="flood"), EPOCH, 0, policies)
     assert taken == 4 and store.count_by_customer["other"] == 3
     later = EPOCH + 20_000 * MS + 1
-    assert store.has_capacity("flood", "k0", later, book)  # past its least time the oldest gives way
+    assert store.has_capacity("flood", "k0", later, policies)  # past its least time the oldest gives way
     assert store.count_by_customer["flood"] < 4 and store.count_by_customer["other"] == 3
 
 
@@ -202,7 +209,8 @@
 def test_long_rows_leave_their_ending_and_nothing_is_stuck():
     net = net_of(copies=1, policy=msgspec.structs.replace(KEEPS, most_bytes=1 << 30))
     replica = net.replicas["n0"]
-    number = replica.claim(net.clock("n0"), "", "k", "t", net.clock("n0") + 9 * SECOND)
+    query = KeyedQuery(ordering_key="k", idempotency_key="t", deadline=net.clock("n0") + 9 * SECOND)
+    number = replica.claim(net.clock("n0"), query)
     net.open["n0", net.lives["n0"], number] = "t", "k", net.now
     net.post("n0")
     while not net.runs["t"]:
@@ -572,7 +580,7 @@
         rows=None,
     )
     for name in held:
-        net.replicas[name].records.put(lost, net.now, 0, net.book)
+        net.replicas[name].records.put(lost, net.now, 0, net.policies)
     net.ask("n0", "t", key)
     net.advance(1)
     assert not net.runs["t"]
@@ -613,8 +621,8 @@
     net.forget("n1")
     net.advance(5)
     assert len(net.held("t")) == 2
-    net.book = msgspec.structs.replace(net.book, number=9, default=KEEPS)
-    net.replicas["n1"].apply_policies(net.clock("n1"), net.book)
+    net.policies = msgspec.structs.replace(net.policies, number=9, default=KEEPS)
+    net.replicas["n1"].apply_policies(net.clock("n1"), net.policies)
     net.advance(5)
     assert net.held("t") == []
 
@@ -700,7 +708,7 @@
 
 
 def test_messages_of_a_router_that_knows_no_view_harm_nobody():
-    replica = Replica("a", 1, ["a", "b", "c"], RetentionPolicies(), EPOCH, lambda: {"a": 1})
+    replica = Replica(Membership("a", 1, ["a", "b", "c"], lambda: {"a": 1}), RetentionPolicies(), EPOCH)
     claim = messages.ClaimRequest(ViewId(1, "b"), 1, 1, "", "k", "t", SECOND, False)
     for message in (
         claim,
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -13,6 +13,7 @@
 from hillchute.errors import DatagramDropped, DiskNotUsable
 from hillchute.history.records import Record, RecordState
 from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
 from hillchute.history.retention import ErasureRequest, RetentionPolicies, RetentionPolicy
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import processes
@@ -199,9 +200,9 @@
 
 
 def replica_on(path, book=None, now=EPOCH) -> Replica:
-    replica = Replica(
-        "n0", 1, ["n0"], book or founded(copies=0, default=DISK), now, lambda: {"n0": 1}, SqliteStore(path)
-    )
+    membership = Membership("n0", 1, ["n0"], lambda: {"n0": 1})
+    policies = book or founded(copies=0, default=DISK)
+    replica = Replica(membership, policies, now, SqliteStore(path))
     replica.recall(now, replica.durability.durable_store.read())
     return replica
 
