--- a/hillchute/history/policy_distribution.py
+++ b/hillchute/history/policy_distribution.py
@@ -5,7 +5,7 @@
 """
 
 from hillchute.decision.interface import Time
-from hillchute.errors import BookNotCurrent
+from hillchute.errors import StalePoliciesError
 from hillchute.history.durability import Durability
 from hillchute.history.messages import Heartbeat, PoliciesRequest, PoliciesUpdate
 from hillchute.history.record_store import RecordStore
@@ -90,7 +90,7 @@
             self._asked_routers += 1
             self.request_from(others[self._asked_routers % len(others)])
 
-    def outdated_routers(self) -> list[BookNotCurrent]:
+    def outdated_routers(self) -> list[StalePoliciesError]:
         """As far as this router knows, if it coordinates: who has not applied the last policies."""
         views = self._context.views
         if not views.proposed:
@@ -102,7 +102,7 @@
             if name != self._context.name
         }
         return [
-            BookNotCurrent(f"policies {number}, not {last}", name)
+            StalePoliciesError(f"policies {number}, not {last}", name)
             for name, number in numbers.items()
             if number < last
         ]
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 
 from hillchute.decision.interface import Time
-from hillchute.errors import BookNotCurrent
+from hillchute.errors import StalePoliciesError
 from hillchute.history.claims import Claims
 from hillchute.history.durability import Durability, DurableStore
 from hillchute.history.lease_transfer import LeaseTransfers
@@ -216,7 +216,7 @@
         self.context.now = now
         return self.policy_distribution.apply(policies)
 
-    def outdated_routers(self) -> list[BookNotCurrent]:
+    def outdated_routers(self) -> list[StalePoliciesError]:
         """As far as this router knows, if it coordinates: who has not applied the last policies."""
         return self.policy_distribution.outdated_routers()
 
--- a/hillchute/history/sqlite_store.py
+++ b/hillchute/history/sqlite_store.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DiskNotUsable
+from hillchute.errors import HistoryStorageError
 from hillchute.history.codec import first_record_field_out_of_bounds
 from hillchute.history.records import Record, RecordId
 
@@ -38,8 +38,8 @@
     """The durable store of one replica's records."""
 
     def __init__(self, path: str | Path) -> None:
-        """Opens the file, or creates it. Raises DiskNotUsable if it can't be opened, is read-only, or is
-        damaged."""
+        """Opens the file, or creates it. Raises HistoryStorageError for one that is damaged, read-only, or
+        can't be opened."""
         self.path = Path(path)
         self.counters: Counter[str] = Counter()
         self._reported_faults = 0
@@ -48,7 +48,7 @@
             self.connection = sqlite3.connect(self.path, timeout=LOCK_TIMEOUT, isolation_level=None)
             self._prepare()
         except (sqlite3.Error, OSError) as error:
-            raise DiskNotUsable(str(error), str(self.path)) from error
+            raise HistoryStorageError(str(error), str(self.path)) from error
 
     def _prepare(self) -> None:
         execute = self.connection.execute
@@ -123,13 +123,13 @@
         self.counters["faults"] += 1
         self._last_fault = str(error)
 
-    def faults(self) -> list[DiskNotUsable]:
+    def faults(self) -> list[HistoryStorageError]:
         """What has gone wrong since the last call, as one error."""
         new = self.counters["faults"] - self._reported_faults
         if new == 0:
             return []
         self._reported_faults = self.counters["faults"]
-        return [DiskNotUsable(f"{self._last_fault}, {new} times", str(self.path))]
+        return [HistoryStorageError(f"{self._last_fault}, {new} times", str(self.path))]
 
     def close(self) -> None:
         """Closes the file."""
