--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,152 @@
+"""Names that the pages under docs/ put in backquotes exist: files on the disk, names in the code.
+
+Pages that tell of earlier states are left out: the roadmap, the record of figures and the incidents.
+"""
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+DOCS = ROOT / "docs"
+
+PAGES = sorted(page for page in DOCS.glob("*.md") if page.name not in {"standing.md", "ROADMAP.md"})
+"""The pages that describe the program as it is."""
+
+CODE_FOLDERS = ("hillchute", "tests", "deploy", "examples")
+TEXT_SUFFIXES = {".toml", ".cue", ".lark", ".proto", ".json", ".sh", ".txt"}
+
+OUTSIDE_NAMES = {"epoll_ctl"}
+"""Names of other programs that pages may name and that the code has no reason to contain."""
+
+MAX_WORDS_OF_A_NAME = 4
+"""Text values of more words are sentences; what is written in them proves no name."""
+
+FENCED_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
+BACKQUOTED = re.compile(r"`([^`\n]+)`")
+PATH = re.compile(r"[\w.\-]+(/[\w.\-]+)*/?")
+PATH_SUFFIXES = (".py", ".md", ".toml", ".cue", ".lark", ".proto", ".txt")
+IDENTIFIER = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)*")
+WORD = re.compile(r"\w+")
+
+
+def code_words(source: str) -> set[str]:
+    """Return the words of a module that are code: names and text values, but no comments or docstrings."""
+    tree = ast.parse(source)
+    words: set[str] = set()
+    documented = ast.Module | ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef
+    documentation = {
+        id(statement.value)
+        for node in ast.walk(tree)
+        if isinstance(node, documented)
+        for statement in node.body
+        if isinstance(statement, ast.Expr)
+    }
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Constant) and id(node) not in documentation:
+            value = node.value.decode("latin-1") if isinstance(node.value, bytes) else str(node.value)
+            if len(value.split()) <= MAX_WORDS_OF_A_NAME:
+                words.update(WORD.findall(value))
+        for field in ("id", "attr", "arg", "name", "module"):
+            name = getattr(node, field, None)
+            if isinstance(name, str):
+                words.update(WORD.findall(name))
+    return words
+
+
+@cache
+def known_words() -> dict[Path, set[str]]:
+    """Return the words of each file of the code; this file counts for nothing."""
+    words: dict[Path, set[str]] = {}
+    for folder in CODE_FOLDERS:
+        for path in sorted((ROOT / folder).rglob("*")):
+            if path.suffix == ".py" and path != Path(__file__).resolve():
+                words[path] = code_words(path.read_text())
+            elif path.suffix in TEXT_SUFFIXES:
+                words[path] = set(WORD.findall(path.read_text()))
+    words[ROOT / "README.md"] = set(WORD.findall((ROOT / "README.md").read_text()))
+    words[ROOT / "pyproject.toml"] = set(WORD.findall((ROOT / "pyproject.toml").read_text()))
+    return words
+
+
+@cache
+def bare_file_names() -> set[str]:
+    """Return the names of all files under the folders of the code and docs/, and of those at the root."""
+    folders = [ROOT / name for name in (*CODE_FOLDERS, "docs", "journal")]
+    return {path.name for folder in folders for path in folder.rglob("*")} | {
+        path.name for path in ROOT.iterdir()
+    }
+
+
+def backquoted(text: str) -> list[str]:
+    """Return what a page has in backquotes, outside of fenced blocks."""
+    return BACKQUOTED.findall(FENCED_BLOCK.sub("", text))
+
+
+def is_path(name: str) -> bool:
+    """Return whether this names a file or folder of the repository."""
+    if not PATH.fullmatch(name):
+        return False
+    if name in PATH_SUFFIXES or name.startswith("/"):
+        return False
+    return "/" in name or name.endswith(PATH_SUFFIXES)
+
+
+def path_exists(name: str, package: Path) -> bool:
+    """Return whether the root, hillchute/ or the page's package has the path; a bare name may be anywhere."""
+    if "/" not in name:
+        return name in bare_file_names()
+    return any((folder / name).exists() for folder in (ROOT, ROOT / "hillchute", package))
+
+
+def name_exists(name: str) -> bool:
+    """Return whether one file of the code has all parts of a dotted name, each as a whole word."""
+    parts = set(name.split("."))
+    return any(parts <= words for words in known_words().values())
+
+
+def gone_names(text: str, package: Path = ROOT) -> list[str]:
+    """Return what a page puts in backquotes and the repository does not have."""
+    gone = []
+    for quoted in backquoted(text):
+        name = quoted.removesuffix("()")
+        if is_path(name):
+            exists = path_exists(name, package)
+        elif IDENTIFIER.fullmatch(name):
+            exists = name in OUTSIDE_NAMES or name_exists(name)
+        else:
+            continue
+        if not exists:
+            gone.append(quoted)
+    return gone
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
+def test_page_names_only_what_exists(page: Path) -> None:
+    package = ROOT / "hillchute" / page.stem
+    assert gone_names(page.read_text(), package) == []
+
+
+@pytest.mark.parametrize(
+    "quoted",
+    [
+        "no_such_function",
+        "NoSuchClass",
+        "Scheduler.no_such_method()",
+        "hillchute/no_such.py",
+        "nosuch.md",
+        "gone/",
+    ],
+)
+def test_name_that_is_gone_is_found(quoted: str) -> None:
+    assert gone_names(f"see `{quoted}` here") == [quoted]
+
+
+@pytest.mark.parametrize(
+    "quoted", ["decision/scheduler.py", "docs/design.md", "Scheduler", "HillchuteError.remedy", "GET /status"]
+)
+def test_name_that_exists_is_passed_over(quoted: str) -> None:
+    assert gone_names(f"see `{quoted}` here") == []
