--- a/hillchute/membership/follower.py
+++ b/hillchute/discovery/watcher.py
@@ -8,9 +8,9 @@
 import anyio
 import anyio.abc
 
+from hillchute.discovery import event_bus
 from hillchute.errors import BusUnreadable
 from hillchute.log import Log
-from hillchute.membership import event_bus
 
 READ = 65_536  # bytes read at once
 SILENCE = 2.5  # seconds without the frame that the protocol promises each second: a new connection
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -12,8 +12,8 @@
 import orjson
 
 from hillchute.catalog import flatten, translate
+from hillchute.discovery import event_bus
 from hillchute.errors import BadConfiguration, BusUnreadable
-from hillchute.membership import event_bus
 from hillchute.router.settings import check
 
 SECOND = 10_000  # tenths of a millisecond
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 from hillchute.decision.interface import Report, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
-from hillchute.membership import event_bus
 from hillchute.statements.request import Request
 
 # ---- events ---------------------------------------------------------------------------------------
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -10,9 +10,9 @@
 
 from hillchute.accord.subsets import Sight
 from hillchute.decision.interface import Router, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
-from hillchute.membership import event_bus
 from hillchute.router.desk import Desk
 from hillchute.router.events import Connect, HangUp, Send
 from hillchute.statements.request import Request
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -11,9 +11,9 @@
 
 from hillchute.decision import teamwork as endings
 from hillchute.decision.interface import Report, Router, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.fronts.events import FIRST_GUEST
-from hillchute.membership import event_bus
 from hillchute.router.desk import Desk
 from hillchute.router.events import (
     Asked,
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -20,14 +20,14 @@
 from hillchute.accord import turns
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import Teamwork
+from hillchute.discovery import event_bus
+from hillchute.discovery.watcher import Follower
 from hillchute.engines import words
 from hillchute.engines.line.links import Link, Links
 from hillchute.errors import BadConfiguration, HillchuteError, UnknownKind
 from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.log import Log
-from hillchute.membership import event_bus
-from hillchute.membership.follower import Follower
 from hillchute.net.clock import Clock, StartTimes
 from hillchute.net.poller import Poller, Ready
 from hillchute.router import config, events
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -9,10 +9,10 @@
 from contextlib import suppress
 
 from hillchute.decision.interface import Listing
+from hillchute.discovery.event_bus import Entry, Update
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
 from hillchute.log import Log
-from hillchute.membership.event_bus import Entry, Update
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller
 from hillchute.net.system import SYSTEM
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -13,7 +13,7 @@
 from hillchute.accord.subsets import Sight, pairs
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
-from hillchute.membership import event_bus
+from hillchute.discovery import event_bus
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
 from hillchute.router.service import Service
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,9 +8,9 @@
 from rounds_by_hand import LOGIN, Kept, Rig, query
 
 from hillchute.decision.interface import Listing
-from hillchute.membership import event_bus, follower
-from hillchute.membership.event_bus import FRAME, Entry, Update
-from hillchute.membership.follower import Follower
+from hillchute.discovery import event_bus, watcher
+from hillchute.discovery.event_bus import FRAME, Entry, Update
+from hillchute.discovery.watcher import Follower
 
 EMPTY = FRAME.pack(9, 0, 0)
 FIRST, SECOND, THIRD = (("127.0.0.1", port) for port in (1, 2, 3))
@@ -28,7 +28,7 @@
         self.connects, self.closed, self.log, self.news = [], [], Kept(), []
         self.gates = {}  # address: an event that its connects wait for
         self.sayings = {}  # address: lists of what one connection says; then it falls silent or breaks
-        monkeypatch.setattr(follower.anyio, "connect_tcp", self.connect)
+        monkeypatch.setattr(watcher.anyio, "connect_tcp", self.connect)
         self.follower = Follower(
             self.log, self.news.append, lambda: max([0, *(n.number for n in self.news)]), lambda s: s
         )
@@ -69,8 +69,8 @@
 
 @pytest.fixture
 def bus(monkeypatch):
-    monkeypatch.setattr(follower, "SILENCE", 0.05)
-    monkeypatch.setattr(follower, "RETRY", 0.001)
+    monkeypatch.setattr(watcher, "SILENCE", 0.05)
+    monkeypatch.setattr(watcher, "RETRY", 0.001)
     return Bus(monkeypatch)
 
 
@@ -127,7 +127,7 @@
             return Trickle(bus, (host, port), [])
         return await real(host, port)
 
-    follower.anyio.connect_tcp = connect
+    watcher.anyio.connect_tcp = connect
     began = time.monotonic()
     play(bus, lambda: len(bus.connects) >= 2)
     assert time.monotonic() - began >= 0.04 and ("bus_lost" in [event for event, _ in bus.log.lines])
@@ -266,8 +266,8 @@
     waits = []
     for seed in range(200):
         service = SimpleNamespace(station=SimpleNamespace(seed=seed), waits=0)
-        waits.append(Service.wait(service, follower.RETRY))
+        waits.append(Service.wait(service, watcher.RETRY))
     waits.sort()
-    tenth = follower.RETRY / 10
+    tenth = watcher.RETRY / 10
     assert max(sum(start <= wait < start + tenth for wait in waits) for start in waits) < 40
-    assert waits[0] >= follower.RETRY / 2 and waits[-1] <= follower.RETRY * 1.5
+    assert waits[0] >= watcher.RETRY / 2 and waits[-1] <= watcher.RETRY * 1.5
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,13 +14,13 @@
 
 from hillchute import errors
 from hillchute.decision.interface import Listing
+from hillchute.discovery import event_bus
+from hillchute.discovery.event_bus import Entry, Update
 from hillchute.errors import HillchuteError
 from hillchute.history.disk import Disk
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import Fault, FaultySystem
 from hillchute.lab.history_net import EPOCH
-from hillchute.membership import event_bus
-from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
 from hillchute.partners.agreement import Mark, settle
 from hillchute.partners.kept import MarksFile
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -14,6 +14,7 @@
 from hillchute.benchlink.codec import Fields
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.engines.line import wire
@@ -23,7 +24,6 @@
 from hillchute.fronts import seats
 from hillchute.fronts.mysql import packets as mysql
 from hillchute.log import MOST_ALIKE, Log
-from hillchute.membership import event_bus
 from hillchute.net.pipe import Pipe
 from hillchute.net.system import SYSTEM
 from hillchute.router import config, events, lateness, service
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,9 +11,9 @@
 from hillchute.accord.subsets import Sight
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.discovery.event_bus import Entry, Update
 from hillchute.engines import words
 from hillchute.lab import deployment
-from hillchute.membership.event_bus import Entry, Update
 from hillchute.router import config, events
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from rounds_by_hand import LOGIN, Rig, query
 
+from hillchute.discovery import event_bus
+from hillchute.discovery.event_bus import FRAME, RECORD
 from hillchute.errors import BadConfiguration
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
-from hillchute.membership import event_bus
-from hillchute.membership.event_bus import FRAME, RECORD
 from hillchute.router import config
 
 MS = 10**6
