--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -26,8 +26,8 @@
 from hillchute.decision.interface import Listing, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
+from hillchute.peers.failure_detector import ALIVE
 from hillchute.peers.node import Node
-from hillchute.peers.roster import ALIVE
 
 STEP: Time = 250  # 25 ms between two looks at everything
 REPORT_AGE: Time = 3_000  # a report tells what was 0.3 s ago
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -34,8 +34,8 @@
 from hillchute.lab import history_mutants, partners_mutants
 from hillchute.lab.workers import workers
 from hillchute.peers.codec import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
+from hillchute.peers.failure_detector import DEAD, LEFT, ROUND
 from hillchute.peers.node import Node
-from hillchute.peers.roster import DEAD, LEFT, ROUND
 
 STEP: Time = 1_000  # a tenth of a second: between two ticks, and a datagram's way
 ROUTERS, ENGINES, LIMIT = 4, 6, "cold"
--- a/hillchute/lab/peer_net.py
+++ b/hillchute/lab/peer_net.py
@@ -9,7 +9,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.peers.codec import Datagram, encode
-from hillchute.peers.roster import ANSWER, Roster, Send
+from hillchute.peers.failure_detector import ANSWER, Roster, Send
 
 KEY = b"k" * 32
 DELAY: tuple[Time, Time] = (2, 20)  # 0.2 to 2 ms there
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -25,8 +25,8 @@
 from hillchute.partners.marks import checker, signer
 from hillchute.partners.passing import Passing
 from hillchute.partners.pool import floor, homes
+from hillchute.peers.failure_detector import DEAD
 from hillchute.peers.node import PARTNERS, Node
-from hillchute.peers.roster import DEAD
 from hillchute.router.reducer import place
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -12,8 +12,8 @@
 from hillchute.accord.signals import Signals
 from hillchute.lab import mutants
 from hillchute.lab.mutants import CHANGES, Run, judge, play
-from hillchute.peers import roster
-from hillchute.peers.roster import DEAD, LEFT, Roster
+from hillchute.peers import failure_detector
+from hillchute.peers.failure_detector import DEAD, LEFT, Roster
 
 
 def test_no_mutant_breaks_anything_and_none_of_the_network_changes_the_end():
@@ -131,8 +131,8 @@
         (mutants.Company, "listed", opens_again, (), None),
         (Roster, "rumour", dead_by_hearsay, ("all others",), None),
         (Roster, "rumour", unbelieved_farewell, (), None),
-        (roster, "AHEAD", 10**19, ("all others",), None),
-        (roster, "SUSPECTED", 10.0**6, ("left out",), farewell),
+        (failure_detector, "AHEAD", 10**19, ("all others",), None),
+        (failure_detector, "SUSPECTED", 10.0**6, ("left out",), farewell),
     ],
 )
 def test_fault_planted_in_the_code_is_found(monkeypatch, owner, name, fault, kinds, picks):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 from hillchute.lab.peer_net import Net
 from hillchute.peers import codec
 from hillchute.peers.codec import Datagram, Rumour, Window, decode, encode
-from hillchute.peers.roster import ALIVE, DEAD, LEFT, SUSPECT
+from hillchute.peers.failure_detector import ALIVE, DEAD, LEFT, SUSPECT
 
 KEY, OTHER = b"k" * 32, b"o" * 32
 PING = Datagram("n1", "n2", 1000, 2000, 7, 0, 3, rumours=(Rumour("n3", 1, 5, "n1"),), load=b"x")
