--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -2,7 +2,7 @@
 bounded.
 
 Owns the messages, their layout and bounds. Must never do I/O, look at a clock, or believe anything. The mark
-that says who spoke is the peers' own (peers/codec.py).
+that says who spoke is the peers' own (peers/datagrams.py).
 
 Ages are durations, as of when the message was made: no clock is compared with another's.
 """
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -33,7 +33,7 @@
 from hillchute.errors import DatagramDropped
 from hillchute.lab import history_mutants, partners_mutants
 from hillchute.lab.workers import workers
-from hillchute.peers.codec import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
+from hillchute.peers.datagrams import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
 from hillchute.peers.failure_detector import DEAD, LEFT, ROUND
 from hillchute.peers.node import Node
 
--- a/hillchute/lab/peer_net.py
+++ b/hillchute/lab/peer_net.py
@@ -8,7 +8,7 @@
 from heapq import heappop, heappush
 
 from hillchute.decision.interface import Time
-from hillchute.peers.codec import Datagram, encode
+from hillchute.peers.datagrams import Datagram, encode
 from hillchute.peers.failure_detector import ANSWER, Roster, Send
 
 KEY = b"k" * 32
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -2,7 +2,7 @@
 back, each field bounded.
 
 Owns the messages, their layout and bounds. Must never do I/O, look at a clock, or believe anything: the mark
-that says which router spoke is the peers' own (peers/codec.py), the marks of partners are in the messages.
+that says which router spoke is the peers' own (datagrams.py), the marks of partners are in the messages.
 
 Ages and ends are durations, as of when the message was made: no clock is compared with another's.
 """
--- a/hillchute/peers/failure_detector.py
+++ b/hillchute/peers/failure_detector.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from hillchute.decision.interface import Time
-from hillchute.peers.codec import RUMOURS, Rumour
+from hillchute.peers.datagrams import RUMOURS, Rumour
 
 SECOND = 10_000
 ROUND: Time = 1 * SECOND  # between two pings: a dead router is found within a few of them
--- a/hillchute/peers/link.py
+++ b/hillchute/peers/link.py
@@ -20,7 +20,7 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import PeersNotReachable
 from hillchute.net.system import CONNECTION_FAILED, NOT_YET
-from hillchute.peers.codec import MOST, MOST_ON_STREAM
+from hillchute.peers.datagrams import MOST, MOST_ON_STREAM
 from hillchute.peers.node import Node
 from hillchute.peers.parts import PIECE
 
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -13,7 +13,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
-from hillchute.peers.codec import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
+from hillchute.peers.datagrams import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
 from hillchute.peers.failure_detector import ALIVE, ANSWERED, PING, Roster, Send
 from hillchute.peers.parts import LARGE, PIECE, cut
 
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -13,7 +13,7 @@
 from hillchute.decision.teamwork import Teamwork
 from hillchute.errors import ClockBehind, ListsDiffer
 from hillchute.log import Log
-from hillchute.peers.codec import CLOCK_BEHIND
+from hillchute.peers.datagrams import CLOCK_BEHIND
 from hillchute.peers.link import Address, Link, Steady
 from hillchute.peers.node import Node
 from hillchute.router.config import Station, address
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -24,7 +24,7 @@
 from hillchute.operator import reading
 from hillchute.partners.agreement import Mark, settle
 from hillchute.partners.kept import MarksFile
-from hillchute.peers import codec
+from hillchute.peers import datagrams
 from hillchute.peers.link import Address, Link
 from hillchute.peers.node import Node
 from hillchute.router import config
@@ -68,7 +68,7 @@
 
 
 def datagram_dropped(tmp_path):
-    codec.decode(b"", "a", {"b": KEY})
+    datagrams.decode(b"", "a", {"b": KEY})
 
 
 def peers_not_reachable(tmp_path):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,8 +10,8 @@
 
 from hillchute.errors import DatagramDropped, HillchuteError
 from hillchute.lab.peer_net import Net
-from hillchute.peers import codec
-from hillchute.peers.codec import Datagram, Rumour, Window, decode, encode
+from hillchute.peers import datagrams
+from hillchute.peers.datagrams import Datagram, Rumour, Window, decode, encode
 from hillchute.peers.failure_detector import ALIVE, DEAD, LEFT, SUSPECT
 
 KEY, OTHER = b"k" * 32, b"o" * 32
@@ -24,9 +24,9 @@
     return told.value.what
 
 
-numbers = st.integers(0, codec.WHOLE - 1)
+numbers = st.integers(0, datagrams.WHOLE - 1)
 names = st.text(min_size=1, max_size=12)
-datagrams = st.builds(
+any_datagram = st.builds(
     Datagram,
     names,
     st.just("n2"),
@@ -42,7 +42,7 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(datagrams)
+@given(any_datagram)
 def test_datagram_comes_back_as_it_went(datagram):
     assert decode(encode(datagram, KEY), "n2", {datagram.sender: KEY}) == datagram
 
@@ -59,7 +59,7 @@
 @given(st.binary(max_size=1400))
 def test_noise_is_dropped(data):
     assert dropped(data)
-    assert dropped(bytes([codec.VERSION]) + data)
+    assert dropped(bytes([datagrams.VERSION]) + data)
 
 
 def test_each_fault_has_its_own_reason():
@@ -80,29 +80,29 @@
         ("kind", -1),
         ("kind", 2),
         ("sequence", -1),
-        ("born", codec.WHOLE),
+        ("born", datagrams.WHOLE),
         ("number", -5),
         ("heard", -1),
         ("rumours", (Rumour("n3", 4, 1, "n1"),)),
         ("rumours", (Rumour("", 0, 1, "n1"),)),
         ("rumours", (Rumour("n", 0, 1, "w" * 65),)),
-        ("rumours", (Rumour("n3", 0, 1, "n1"),) * (codec.RUMOURS + 1)),
+        ("rumours", (Rumour("n3", 0, 1, "n1"),) * (datagrams.RUMOURS + 1)),
         ("about", "a" * 65),
     ],
 )
 def test_field_out_of_bounds_under_a_good_mark_is_dropped_and_never_sent(field, value):
     wrong = msgspec.structs.replace(PING, **{field: value})
-    body = codec.encoder.encode(wrong)
-    assert dropped(bytes([1]) + codec.marked(KEY, body) + body).startswith("field")
+    body = datagrams.encoder.encode(wrong)
+    assert dropped(bytes([1]) + datagrams.marked(KEY, body) + body).startswith("field")
     with pytest.raises(ValueError):
         encode(wrong, KEY)
 
 
 def test_field_too_many_or_too_few_under_a_good_mark_is_dropped():
-    whole = msgspec.msgpack.decode(codec.encoder.encode(PING))
+    whole = msgspec.msgpack.decode(datagrams.encoder.encode(PING))
     for fields in (whole[:6], [*whole, 1], {"sender": "n1"}, 5, [whole]):
         body = msgspec.msgpack.encode(fields)
-        assert dropped(bytes([1]) + codec.marked(KEY, body) + body) == "unreadable"
+        assert dropped(bytes([1]) + datagrams.marked(KEY, body) + body) == "unreadable"
 
 
 def test_what_would_not_pass_whole_is_not_sent():
@@ -239,7 +239,7 @@
 def test_liar_that_calls_all_others_dead_ends_nobody(state):
     net = fleet(9)
     lies = tuple(Rumour(n, state, net.now // 10 + 1000, w) for n in net.names[1:12] for w in ("n0", "n20"))
-    net.lies["n0"] = lies[: codec.RUMOURS // 2]
+    net.lies["n0"] = lies[: datagrams.RUMOURS // 2]
     for _ in range(60):
         net.play(0.5)
         for name in net.names[1:]:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,7 +23,7 @@
 from hillchute.operator import reading
 from hillchute.operator.records import BadRecord
 from hillchute.peers import link as links
-from hillchute.peers.codec import MOST
+from hillchute.peers.datagrams import MOST
 from hillchute.peers.node import Node
 from hillchute.router import config
 from hillchute.router.telling import Telling
