--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -14,8 +14,8 @@
 from hillchute.errors import ClockBehind, ListsDiffer
 from hillchute.log import Log
 from hillchute.peers.datagrams import CLOCK_BEHIND
-from hillchute.peers.link import Address, Link, Steady
 from hillchute.peers.node import Node
+from hillchute.peers.transport import Address, Link, Steady
 from hillchute.router.config import Station, address
 from hillchute.router.telling import Telling
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,7 +8,7 @@
 from rounds_by_hand import LOGIN, Rig, query
 
 from hillchute.net.clock import Clock, StartTimes, up
-from hillchute.peers.link import Steady
+from hillchute.peers.transport import Steady
 
 HOUR = 3_600 * 10**9
 STEPS = [-3_600, -5, 5, 3_600]
@@ -18,7 +18,7 @@
 WALL_CLOCK = {
     "hillchute/log.py": "stamps of the log's lines",
     "hillchute/net/clock.py": "the Unix time from which the router's clock starts, and stated ages",
-    "hillchute/peers/link.py": "the Unix time from which the clock of leases starts, for incarnations",
+    "hillchute/peers/transport.py": "the Unix time from which the clock of leases starts, for incarnations",
 }
 READING = re.compile(
     r"\btime\.time\(|\btime\.time_ns\b|\btime\.time\b(?!_)|CLOCK_REALTIME|datetime\.(now|utcnow|today)|"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -25,8 +25,8 @@
 from hillchute.partners.agreement import Mark, settle
 from hillchute.partners.kept import MarksFile
 from hillchute.peers import datagrams
-from hillchute.peers.link import Address, Link
 from hillchute.peers.node import Node
+from hillchute.peers.transport import Address, Link
 from hillchute.router import config
 from hillchute.router.partnering import Partnering
 from hillchute.router.peering import Peering
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,7 +22,7 @@
 from hillchute.lab.world import Ran, World
 from hillchute.operator import reading
 from hillchute.operator.records import BadRecord
-from hillchute.peers import link as links
+from hillchute.peers import transport
 from hillchute.peers.datagrams import MOST
 from hillchute.peers.node import Node
 from hillchute.router import config
@@ -337,8 +337,8 @@
 def test_address_that_is_taken_is_told_with_what_to_do():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
         holder.bind(("127.0.0.1", 0))
-        address = links.Address(*holder.getsockname())
-        found = links.Link(address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print)
+        address = transport.Address(*holder.getsockname())
+        found = transport.Link(address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print)
         with pytest.raises(HillchuteError) as fault:
             found.open()
     assert fault.value.where == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
@@ -366,8 +366,8 @@
     faults = []
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
-        address = links.Address(*free.getsockname())
-    found = links.Link(
+        address = transport.Address(*free.getsockname())
+    found = transport.Link(
         address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), lambda: None, faults.append
     )
     found.faults = faults
@@ -389,7 +389,7 @@
                     tasks.cancel_scope.cancel()
                 await anyio.lowlevel.checkpoint()
 
-            monkeypatch.setattr(links.anyio, "sleep", sleep)
+            monkeypatch.setattr(transport.anyio, "sleep", sleep)
             with socket.create_connection(link.listener.getsockname()):
                 link.listener = Shut(link.listener)
                 tasks.start_soon(link.accept, tasks)
@@ -397,7 +397,7 @@
                     await anyio.lowlevel.checkpoint()
 
     anyio.run(run)
-    assert waits == [(links.ACCEPT_AGAIN, n) for n in (1, 2, 3)]
+    assert waits == [(transport.ACCEPT_AGAIN, n) for n in (1, 2, 3)]
 
 
 def test_fault_of_ours_in_one_datagram_of_a_stream_ends_nothing(link, monkeypatch):
@@ -410,7 +410,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.accept, tasks)
             with socket.create_connection(link.listener.getsockname()) as sock:
-                sock.sendall(links.LENGTH.pack(5) + b"wrong")
+                sock.sendall(transport.LENGTH.pack(5) + b"wrong")
                 while not link.faults:
                     await anyio.sleep(0.001)
             tasks.cancel_scope.cancel()
