--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -15,7 +15,7 @@
 from hillchute.errors import DatagramDropped
 from hillchute.peers.datagrams import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
 from hillchute.peers.failure_detector import ALIVE, ANSWERED, PING, Roster, Send
-from hillchute.peers.parts import LARGE, PIECE, cut
+from hillchute.peers.fragmentation import LARGE, PIECE, cut
 
 LOAD, ALL, HISTORY, PARTNERS = 4, 5, 6, 7  # kinds beside those of the roster; the last two are riders'
 ALL_EVERY: Time = 50_000  # between two wishes for all: a router that comes back, or a cut that ends
--- a/hillchute/peers/transport.py
+++ b/hillchute/peers/transport.py
@@ -21,8 +21,8 @@
 from hillchute.errors import PeersNotReachable
 from hillchute.net.system import CONNECTION_FAILED, NOT_YET
 from hillchute.peers.datagrams import MOST, MOST_ON_STREAM
+from hillchute.peers.fragmentation import PIECE
 from hillchute.peers.node import Node
-from hillchute.peers.parts import PIECE
 
 TICK = 0.1  # seconds between two looks at who is to be pinged: half of an answer's time
 SOON = 0.02  # seconds that what was seen waits for more to go with it
--- a/hillchute/router/riding.py
+++ b/hillchute/router/riding.py
@@ -7,9 +7,9 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
+from hillchute.peers.fragmentation import Joiner
 from hillchute.peers.messages import Codec
 from hillchute.peers.node import Node
-from hillchute.peers.parts import Joiner
 
 LOGGED: Time = 50_000  # between two lines on a rider
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -338,7 +338,9 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
         holder.bind(("127.0.0.1", 0))
         address = transport.Address(*holder.getsockname())
-        found = transport.Link(address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print)
+        found = transport.Link(
+            address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print
+        )
         with pytest.raises(HillchuteError) as fault:
             found.open()
     assert fault.value.where == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -19,7 +19,7 @@
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
 from hillchute.operator.records import BadRecord
-from hillchute.peers import parts
+from hillchute.peers import fragmentation
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
 from hillchute.router.remembering import book_of
@@ -174,25 +174,30 @@
 
 
 def test_message_comes_whole_from_pieces_in_any_order_and_twice():
-    joiner, message = parts.Joiner(), bytes(range(256)) * 20
-    pieces = list(parts.cut(1, message, 900))
+    joiner, message = fragmentation.Joiner(), bytes(range(256)) * 20
+    pieces = list(fragmentation.cut(1, message, 900))
     assert len(pieces) == 6
     told = [joiner.take(0, "a", piece) for piece in [*pieces[:0:-1], *pieces[2:4], pieces[0]]]
     assert told == [None] * 7 + [message]
-    assert list(parts.cut(1, b"", 900)) and joiner.open == {"a": {}}
+    assert list(fragmentation.cut(1, b"", 900)) and joiner.open == {"a": {}}
 
 
 def test_pieces_that_never_become_whole_are_bounded_and_end():
-    joiner = parts.Joiner()
+    joiner = fragmentation.Joiner()
     for number in range(500):
-        piece = parts.encoder.encode(parts.Piece(number, 0, 2, b"x"))
+        piece = fragmentation.encoder.encode(fragmentation.Piece(number, 0, 2, b"x"))
         assert joiner.take(0, "a", piece) is None
-    assert len(joiner.open["a"]) == parts.MOST_OPEN
-    joiner.take(parts.OPEN_FOR + 1, "a", parts.encoder.encode(parts.Piece(999, 0, 2, b"x")))
+    assert len(joiner.open["a"]) == fragmentation.MOST_OPEN
+    joiner.take(
+        fragmentation.OPEN_FOR + 1, "a", fragmentation.encoder.encode(fragmentation.Piece(999, 0, 2, b"x"))
+    )
     assert list(joiner.open["a"]) == [999]
-    for bad in (parts.Piece(1, 2, 2, b""), parts.Piece(1, 0, parts.MOST_PIECES + 1, b"")):
+    for bad in (
+        fragmentation.Piece(1, 2, 2, b""),
+        fragmentation.Piece(1, 0, fragmentation.MOST_PIECES + 1, b""),
+    ):
         with pytest.raises(DatagramDropped):
-            joiner.take(0, "a", parts.encoder.encode(bad))
+            joiner.take(0, "a", fragmentation.encoder.encode(bad))
 
 
 # ---- the disk ----
