--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -24,17 +24,17 @@
 from hillchute.accord import quotas, signals
 from hillchute.benchlink import codec as simulator
 from hillchute.decision.interface import Listing
+from hillchute.discovery import event_bus
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
 from hillchute.fronts.mysql import packets as mysql
 from hillchute.history import codec as history
 from hillchute.history import policy, records, titles, verdict, views
-from hillchute.membership import event_bus
 from hillchute.partners import agreement, marks
 from hillchute.partners import codec as partners
-from hillchute.peers import codec as peers
-from hillchute.peers import node, parts, roster
+from hillchute.peers import datagrams as peers
+from hillchute.peers import failure_detector, fragmentation, node
 
 RECORDED = Path(__file__).parent / "data" / "recorded_bytes.json"
 PEER_KEY = bytes(range(1, 33))
@@ -86,16 +86,21 @@
             lambda data: peers.decode(data, "router-b", {"router-a": PEER_KEY}),
         )
 
-    states = {"alive": roster.ALIVE, "suspected": roster.SUSPECT, "dead": roster.DEAD, "left": roster.LEFT}
+    states = {
+        "alive": failure_detector.ALIVE,
+        "suspected": failure_detector.SUSPECT,
+        "dead": failure_detector.DEAD,
+        "left": failure_detector.LEFT,
+    }
     rumours = tuple(
         peers.Rumour(name=f"of-{name}", state=state, incarnation=100 + state, witness=f"by-{state}")
         for name, state in states.items()
     )
     kinds = {
-        "ping": roster.PING,
-        "ping-answer": roster.ANSWERED,
-        "indirect-ping-request": roster.ASK,
-        "indirect-ping-answer": roster.TOLD,
+        "ping": failure_detector.PING,
+        "ping-answer": failure_detector.ANSWERED,
+        "indirect-ping-request": failure_detector.ASK,
+        "indirect-ping-answer": failure_detector.TOLD,
         "payload": node.LOAD,
         "state-request": node.ALL,
         "history-fragment": node.HISTORY,
@@ -119,8 +124,8 @@
         "ping, optional fields absent",
         peers.Datagram(sender="router-a", receiver="router-b", born=5, heard=0, sequence=6, kind=0, number=7),
     )
-    piece = parts.Piece(number=1, part=2, parts=3, data=b"\x00piece\xff")
-    yield Example("peers/fragment", piece, parts.encoder.encode, parts.decoder.decode)
+    piece = fragmentation.Piece(number=1, part=2, parts=3, data=b"\x00piece\xff")
+    yield Example("peers/fragment", piece, fragmentation.encoder.encode, fragmentation.decoder.decode)
 
 
 def history_examples() -> Iterator[Example]:
