--- a/hillchute/discovery/__init__.py
+++ b/hillchute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of engines: event_bus.py is the codec, watcher.py follows it on a socket."""
+"""The list of SQL engines and its watch: event_bus.py is the codec, watcher.py does the I/O."""
--- a/hillchute/discovery/event_bus.py
+++ b/hillchute/discovery/event_bus.py
@@ -1,97 +1,154 @@
-"""The event bus: changes of the list of sql engines, as JSON at the start and as frames afterwards.
+"""Codec of the event bus: watch events of the endpoint list, first as JSON, afterwards as frames.
 
-Owns the two forms and gives both as the same value. Must never do I/O, nor keep a list of its own.
+Pure: bytes or decoded JSON in, typed values out. It does no I/O and keeps no endpoint list of its own.
+
+A frame is a header, `length:4 offset:8 kind:1` in network byte order, and `length - 9` bytes of payload:
+whole endpoint records.
 """
 
 import struct
-from collections.abc import Iterable, Iterator, Mapping
-from typing import NamedTuple
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 from hillchute.decision.interface import Listing
 from hillchute.errors import BusUnreadable
 
-LONGEST_FRAME = 27 * 100_000  # bytes; no fleet is larger, and an endless length must not fill the memory
-FRAME = struct.Struct(">IQB")
-RECORD = struct.Struct(">I4sHBBBHIQ")
-STATES = ("Ready", "Terminating", "Gone")
-HEAD = FRAME.size - 4  # what the length counts beside the payload
+FRAME_HEADER = struct.Struct(">IQB")  # length, offset of the event, kind
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")  # engine, IPv4, port, state, zone, kind, cell, weight, start
+SUBSCRIPTION = struct.Struct(">Q")  # offset of the last event that the subscriber has
+
+HEADER_BYTES_IN_LENGTH = FRAME_HEADER.size - 4  # the length counts all of the frame but itself
+MAX_PAYLOAD_BYTES = 27 * 100_000  # no fleet is larger; an endless length must not fill the memory
+
+WEIGHT_PER_UNIT = 1000  # a record's weight is in thousandths
+TICKS_PER_MILLISECOND = 10  # the decisions' times are tenths of a millisecond, the bus's are milliseconds
+
+ENGINE_NAME_PREFIX = "s-"
+ENGINE_STATES = ("Ready", "Terminating", "Gone")  # by the number in a record
+
+
+class WatchEventKind(StrEnum):
+    """What a watch event carries; the values are the names that decisions and the log use."""
+
+    KEEPALIVE = "Nothing"
+    SNAPSHOT = "Complete"
+    DELTA = "Partial"
 
 
-class Entry(NamedTuple):
-    """One engine: what the decisions need of it, and where it listens."""
+KINDS_BY_CODE = (WatchEventKind.KEEPALIVE, WatchEventKind.SNAPSHOT, WatchEventKind.DELTA)
+
+
+class Endpoint(NamedTuple):
+    """One engine: what the decisions need of it, and the address it listens at."""
 
     listing: Listing
     host: str
     port: int
 
 
-class Update(NamedTuple):
-    number: int
-    mode: str  # Complete, Partial or Nothing
-    entries: tuple[Entry, ...]
+class WatchEvent(NamedTuple):
+    """One event of the watch: all endpoints (snapshot), those that changed (delta) or none (keepalive).
+
+    Offsets rise with each change of the endpoint list.
+    """
 
+    offset: int
+    kind: WatchEventKind
+    endpoints: tuple[Endpoint, ...]
 
-def subscribe(last: int) -> bytes:
-    return struct.pack(">Q", last)
 
+def encode_subscription(last_offset: int) -> bytes:
+    """The request for all events after `last_offset`; 0 asks for the list from its beginning."""
+    return SUBSCRIPTION.pack(last_offset)
 
-def engine_name(number: int) -> str:
-    return f"s-{number:08x}"
 
+def engine_name(engine: int) -> str:
+    """An engine's name as the deployment spells it."""
+    return f"{ENGINE_NAME_PREFIX}{engine:08x}"
 
-class Decoder:
-    """Updates out of bytes that come in pieces."""
+
+class WatchEventDecoder:
+    """Watch events from bytes that arrive in pieces of any length."""
 
     def __init__(self) -> None:
-        self.buffer = bytearray()
+        self._buffer = bytearray()
 
-    def feed(self, data: bytes) -> Iterator[Update]:
-        self.buffer += data
-        while (news := self.next_update()) is not None:
-            yield news
+    def feed(self, data: bytes) -> Iterator[WatchEvent]:
+        """The events that are complete with `data`; raises BusUnreadable for a frame out of bounds."""
+        self._buffer += data
+        while (event := self._next_event()) is not None:
+            yield event
 
-    def next_update(self) -> Update | None:
-        if len(self.buffer) < FRAME.size:
+    def _next_event(self) -> WatchEvent | None:
+        if len(self._buffer) < FRAME_HEADER.size:
             return None
-        length, number, kind = FRAME.unpack_from(self.buffer)
-        size = length - HEAD
-        if not 0 <= size <= LONGEST_FRAME or kind > 2 or size % RECORD.size:
+        length, offset, kind = FRAME_HEADER.unpack_from(self._buffer)
+        payload_bytes = length - HEADER_BYTES_IN_LENGTH
+        in_bounds = 0 <= payload_bytes <= MAX_PAYLOAD_BYTES and kind < len(KINDS_BY_CODE)
+        if not in_bounds or payload_bytes % ENDPOINT_RECORD.size:
             raise BusUnreadable(f"a frame of kind {kind} and length {length}")
-        if len(self.buffer) < FRAME.size + size:
+        frame_bytes = FRAME_HEADER.size + payload_bytes
+        if len(self._buffer) < frame_bytes:
             return None
-        payload = bytes(self.buffer[FRAME.size : FRAME.size + size])
-        del self.buffer[: FRAME.size + size]
-        mode = ("Nothing", "Complete", "Partial")[kind]
-        return Update(number, mode, tuple(entry(fields) for fields in RECORD.iter_unpack(payload)))
+        payload = bytes(self._buffer[FRAME_HEADER.size : frame_bytes])
+        del self._buffer[:frame_bytes]
+        endpoints = tuple(_endpoint_of_record(record) for record in ENDPOINT_RECORD.iter_unpack(payload))
+        return WatchEvent(offset, KINDS_BY_CODE[kind], endpoints)
 
 
-def entry(fields: tuple) -> Entry:
-    engine, host, port, state, zone, kind, cell, weight, started = fields
-    if state >= len(STATES):
+def _endpoint_of_record(record: tuple[Any, ...]) -> Endpoint:
+    """An endpoint from the unpacked fields of an ENDPOINT_RECORD."""
+    engine, host, port, state, zone, kind, cell, weight, started = record
+    if state >= len(ENGINE_STATES):
         raise BusUnreadable(f"engine {engine_name(engine)} in state {state}")
-    listing = Listing(engine, kind, cell, zone, started * 10, STATES[state], weight / 1000)
-    return Entry(listing, ".".join(str(part) for part in host), port)
-
-
-def from_json(known: Mapping[str, object], zones: Iterable[str], kinds: Iterable[str]) -> Iterator[Update]:
-    """The events told at the start; a KeyError, TypeError or ValueError says what is wrong with them."""
-    zones, kinds = list(zones), list(kinds)
+    listing = Listing(
+        engine=engine,
+        kind=kind,
+        cell=cell,
+        zone=zone,
+        started=started * TICKS_PER_MILLISECOND,
+        state=ENGINE_STATES[state],
+        nominal=weight / WEIGHT_PER_UNIT,
+    )
+    return Endpoint(listing, ".".join(str(octet) for octet in host), port)
+
+
+def initial_watch_events(
+    known: Mapping[str, Any], zones: Iterable[str], kinds: Iterable[str]
+) -> Iterator[WatchEvent]:
+    """The events that the configuration gives as JSON; `zones` and `kinds` are the names behind the numbers.
+
+    Raises KeyError, TypeError, ValueError or AttributeError, whose text says what is wrong with the JSON.
+    """
+    zone_names = list(zones)
+    kind_names = list(kinds)
     for event in known["batch"]:
         topology = event["topology"]
-        entries = []
-        for item in topology["endpoints"]:
-            host, _, port = item["address"].rpartition(":")
-            if not item["name"].startswith("s-") or item["status"] not in STATES:
-                raise ValueError(f"engine {item['name']} in state {item['status']}")
-            listing = Listing(
-                engine=int(item["name"][2:], 16),
-                kind=kinds.index(item["type"]) if item.get("type") in kinds else 0,
-                cell=int(item.get("group") or 0),
-                zone=zones.index(item["zone"]) if item.get("zone") in zones else 0,
-                started=int(item.get("since_ms") or 0) * 10,
-                state=item["status"],
-                nominal=float(item.get("weight", 1.0)),
-            )
-            entries.append(Entry(listing, host, int(port)))
-        mode = "Complete" if topology.get("snapshot") else "Partial"
-        yield Update(int(event["offset"]), mode, tuple(entries))
+        endpoints = tuple(
+            _endpoint_of_json(endpoint, zone_names, kind_names) for endpoint in topology["endpoints"]
+        )
+        kind = WatchEventKind.SNAPSHOT if topology.get("snapshot") else WatchEventKind.DELTA
+        yield WatchEvent(int(event["offset"]), kind, endpoints)
+
+
+def _endpoint_of_json(endpoint: Mapping[str, Any], zones: Sequence[str], kinds: Sequence[str]) -> Endpoint:
+    host, _, port = endpoint["address"].rpartition(":")
+    name = endpoint["name"]
+    if not name.startswith(ENGINE_NAME_PREFIX) or endpoint["status"] not in ENGINE_STATES:
+        raise ValueError(f"engine {name} in state {endpoint['status']}")
+    listing = Listing(
+        engine=int(name.removeprefix(ENGINE_NAME_PREFIX), 16),
+        kind=_index_or_first(kinds, endpoint.get("type")),
+        cell=int(endpoint.get("group") or 0),
+        zone=_index_or_first(zones, endpoint.get("zone")),
+        started=int(endpoint.get("since_ms") or 0) * TICKS_PER_MILLISECOND,
+        state=endpoint["status"],
+        nominal=float(endpoint.get("weight", 1.0)),
+    )
+    return Endpoint(listing, host, int(port))
+
+
+def _index_or_first(names: Sequence[str], name: str | None) -> int:
+    """The number of a name; an unknown or absent one counts as the first."""
+    return names.index(name) if name in names else 0
--- a/hillchute/discovery/watcher.py
+++ b/hillchute/discovery/watcher.py
@@ -1,6 +1,6 @@
-"""Follows the event bus on a socket: one connection, moved when the configuration names another address.
+"""Watches the endpoint list over the event bus, and follows the bus when the configuration moves it.
 
-Owns when it is connected and tried again. Must never act on what it hears: news goes to whoever asked.
+The package's only I/O. It decides when to connect and to retry; what an event means is for the callback.
 """
 
 from collections.abc import Callable
@@ -8,63 +8,95 @@
 import anyio
 import anyio.abc
 
-from hillchute.discovery import event_bus
+from hillchute.discovery.event_bus import WatchEvent, WatchEventDecoder, encode_subscription
 from hillchute.errors import BusUnreadable
 from hillchute.log import Log
 
-READ = 65_536  # bytes read at once
-SILENCE = 2.5  # seconds without the frame that the protocol promises each second: a new connection
-RETRY = 0.25  # seconds between two tries
-GONE = (anyio.EndOfStream, anyio.ClosedResourceError, anyio.BrokenResourceError, OSError)
+RECEIVE_BYTES = 65_536
+IDLE_TIMEOUT = 2.5  # seconds; the protocol promises a frame each second, so a slower connection is dead
+RETRY_DELAY = 0.25  # seconds between two connections, before jitter
+CONNECTION_ERRORS = (
+    anyio.EndOfStream,
+    anyio.ClosedResourceError,
+    anyio.BrokenResourceError,
+    OSError,
+    TimeoutError,
+)
 
 
-class Follower:
+class EndpointWatcher:
+    """Keeps one watch of the endpoint list open and hands each event to a callback, in order.
+
+    A new address is watched beside the old one until it is connected, since the old event bus may still have
+    events; then the old watch is cancelled.
+    """
+
     def __init__(
         self,
         log: Log,
-        news: Callable[[event_bus.Update], None],
-        last: Callable[[], int],
-        wait: Callable[[float], float],
+        on_event: Callable[[WatchEvent], None],
+        last_offset: Callable[[], int],
+        jittered: Callable[[float], float],
     ) -> None:
-        """`last` gives the number of the last event that was taken in; `wait`, of seconds between two tries,
-        those of this one. Guards the event bus against all routers that lost it in one instant."""
-        self.log, self.news, self.last, self.wait = log, news, last, wait
-        self.scopes: list[anyio.CancelScope] = []  # of the connections, the newest last
-
-    def move(self, address: tuple[str, int], tasks: anyio.abc.TaskGroup) -> None:
-        """Follows the event bus at its address of now. Whoever followed it elsewhere is left once this one
-        is up: until then an old event bus may still tell something."""
+        """`last_offset` gives the offset of the last event that was applied.
+
+        `jittered` turns the seconds of a retry delay into this retry's: routers that lose the event bus in
+        one instant must not reconnect in one instant.
+        """
+        self.log = log
+        self.on_event = on_event
+        self.last_offset = last_offset
+        self.jittered = jittered
+        self.scopes: list[anyio.CancelScope] = []  # one for each watch, the newest last
+
+    def watch(self, address: tuple[str, int], tasks: anyio.abc.TaskGroup) -> None:
+        """Starts a watch at `address` in `tasks`; it replaces the older ones once it is connected."""
         scope = anyio.CancelScope()
         self.scopes.append(scope)
-        tasks.start_soon(self.follow, address, scope)
+        tasks.start_soon(self._reconnect_until_replaced, address, scope)
 
-    async def follow(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
+    async def _reconnect_until_replaced(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
         with scope:
             while scope in self.scopes:
                 try:
-                    await self.hear(address, scope)
-                except (*GONE, TimeoutError, BusUnreadable) as fault:
-                    why = str(fault) or type(fault).__name__
-                    told = fault.told if isinstance(fault, BusUnreadable) else {}
-                    self.log.write("bus_lost", why=why, last=self.last(), **told)
-                if scope is not self.scopes[-1]:  # the event bus has moved: nothing more is told here
-                    if scope in self.scopes:  # else a newer connection has let this one go as it broke
+                    await self._receive_events(address, scope)
+                except (*CONNECTION_ERRORS, BusUnreadable) as error:
+                    self._log_lost_connection(error)
+                if scope is not self.scopes[-1]:
+                    # The address has changed. A newer watch that has just connected may have removed this
+                    # one's scope already.
+                    if scope in self.scopes:
                         self.scopes.remove(scope)
                     return
-                await anyio.sleep(self.wait(RETRY))
+                await anyio.sleep(self.jittered(RETRY_DELAY))
 
-    async def hear(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
-        with anyio.fail_after(SILENCE):
+    async def _receive_events(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
+        """Connects, cancels older watches and passes events on until the connection breaks, which raises."""
+        with anyio.fail_after(IDLE_TIMEOUT):
             stream = await anyio.connect_tcp(*address)
         async with stream:
-            decoder = event_bus.Decoder()
-            await stream.send(event_bus.subscribe(self.last()))
+            decoder = WatchEventDecoder()
+            await stream.send(encode_subscription(self.last_offset()))
             while scope is not self.scopes[0]:
                 self.scopes.pop(0).cancel()
             while True:
-                # Whole frames count, not bytes: those of later frames could feed one that never ends.
-                with anyio.fail_after(SILENCE):
-                    while not (told := list(decoder.feed(await stream.receive(READ)))):
-                        pass
-                for news in told:
-                    self.news(news)
+                for event in await self._next_events(stream, decoder):
+                    self.on_event(event)
+
+    async def _next_events(
+        self, stream: anyio.abc.SocketStream, decoder: WatchEventDecoder
+    ) -> list[WatchEvent]:
+        """At least one event; raises TimeoutError where none is complete in time.
+
+        Complete frames count, not bytes: a trickle of bytes could otherwise keep a dead connection open.
+        """
+        with anyio.fail_after(IDLE_TIMEOUT):
+            while True:
+                events = list(decoder.feed(await stream.receive(RECEIVE_BYTES)))
+                if events:
+                    return events
+
+    def _log_lost_connection(self, error: Exception) -> None:
+        remedy = error.told if isinstance(error, BusUnreadable) else {}
+        reason = str(error) or type(error).__name__
+        self.log.write("bus_lost", why=reason, last=self.last_offset(), **remedy)
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -36,7 +36,7 @@
     packet: int  # bytes that one session's unread input may take
     bus: tuple[str, int]
     offset: int
-    known: tuple[event_bus.Update, ...]
+    known: tuple[event_bus.WatchEvent, ...]
     catalog: dict[str, object]
     closing: int  # how long after a planned end all must be answered
 
@@ -138,12 +138,12 @@
     return translate(flatten(nested))
 
 
-def events(table: Mapping[str, object]) -> tuple[int, tuple[event_bus.Update, ...]]:
+def events(table: Mapping[str, object]) -> tuple[int, tuple[event_bus.WatchEvent, ...]]:
     offset = get(table, "known.offset", int)
     get(table, "known.batch", list)
     zones = get(table, "settings.dcs", list, [])
     kinds = get(table, "settings.kinds", list, [])
     try:
-        return offset, tuple(event_bus.from_json(table["known"], zones, kinds))
+        return offset, tuple(event_bus.initial_watch_events(table["known"], zones, kinds))
     except (BusUnreadable, KeyError, TypeError, ValueError, AttributeError) as fault:
         raise bad("known.batch", f"{type(fault).__name__}: {fault}") from None
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -16,7 +16,7 @@
 
 
 class Notified(NamedTuple):
-    news: event_bus.Update
+    news: event_bus.WatchEvent
 
 
 class Peered(NamedTuple):
@@ -72,7 +72,7 @@
         case Said(line, what):
             return "Said", line, type(what).__name__, what and what[0]
         case Notified(news):
-            return "Notified", news.number
+            return "Notified", news.offset
         case Peered(news):
             return "Peered", len(news)
         case Judged(id, number, verdict, why, _):
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -259,11 +259,11 @@
 
     # ---- the list of engines ----------------------------------------------------------------------
 
-    def told(self, news: event_bus.Update) -> None:
-        if news.mode == "Nothing" or news.number <= self.told_to:
+    def told(self, news: event_bus.WatchEvent) -> None:
+        if news.kind == event_bus.WatchEventKind.KEEPALIVE or news.offset <= self.told_to:
             return  # an event bus may write an event again; an older list must not come back
-        self.told_to = news.number
-        listed = {entry.listing.engine: entry for entry in news.entries}
+        self.told_to = news.offset
+        listed = {entry.listing.engine: entry for entry in news.endpoints}
         for engine, entry in listed.items():
             ready = entry.listing.state == "Ready"
             peer = self.peers.get(engine)
@@ -276,10 +276,10 @@
             if anew or (peer.host, peer.port) != (entry.host, entry.port):
                 peer.host, peer.port, peer.started = entry.host, entry.port, entry.listing.started
                 self.move(peer)
-        if news.mode == "Complete":
+        if news.kind == event_bus.WatchEventKind.SNAPSHOT:
             for engine, peer in self.peers.items():
                 peer.ready = peer.ready and engine in listed
-        self.module.roster(self.desk.now, news.mode, [entry.listing for entry in news.entries])
+        self.module.roster(self.desk.now, news.kind, [entry.listing for entry in news.endpoints])
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
         self.module.nearby(self.desk.now, self.sight.near(ready))
         forgotten = len(self.peers) != len(self.module.engines)
@@ -289,7 +289,7 @@
                     self.drop(line)
                 del self.peers[engine]
         states = {event_bus.engine_name(e): entry.listing.state for e, entry in listed.items()}
-        self.desk.note("roster", number=news.number, mode=news.mode, engines=states)
+        self.desk.note("roster", number=news.offset, mode=news.kind, engines=states)
 
     def move(self, peer: Peer) -> None:
         """The engine is another process now: what waits for a connection to the old one was never sent."""
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -21,7 +21,7 @@
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import Teamwork
 from hillchute.discovery import event_bus
-from hillchute.discovery.watcher import Follower
+from hillchute.discovery.watcher import EndpointWatcher
 from hillchute.engines import words
 from hillchute.engines.line.links import Link, Links
 from hillchute.errors import BadConfiguration, HillchuteError, UnknownKind
@@ -107,11 +107,11 @@
         self.operator, self.read_operator = operator, read_operator
         self.links = self.engine_links(operator.get("engines", {}))
         self.flight = self.flight_front(operator["flight"]) if operator.get("flight") else None
-        self.follower = Follower(
+        self.endpoint_watcher = EndpointWatcher(
             log,
-            news=self.told,
-            last=lambda: max(self.reducer.lines.told_to, self.station.offset),
-            wait=self.wait,
+            on_event=self.told,
+            last_offset=lambda: max(self.reducer.lines.told_to, self.station.offset),
+            jittered=self.wait,
         )
         self.waits = 0
         self.queue: deque[events.Event] = deque()  # those that came of carrying out an earlier one
@@ -270,15 +270,15 @@
             return False
         return session >= FIRST_CALL or session in self.door.clients
 
-    def told(self, news: event_bus.Update) -> None:
+    def told(self, news: event_bus.WatchEvent) -> None:
         """An update of the list of engines; their start times as this router's clock has them."""
         entries = []
-        for entry in news.entries:
+        for entry in news.endpoints:
             listing = entry.listing
             started = self.start_times.translate(listing.engine, listing.started)
             listing = self.usable(listing._replace(started=started))
             entries.append(entry._replace(listing=listing))
-        self.handle(events.Notified(news._replace(entries=tuple(entries))))
+        self.handle(events.Notified(news._replace(endpoints=tuple(entries))))
 
     def usable(self, listing: Listing) -> Listing:
         """An engine of a kind that the settings do not name is no place for any query."""
@@ -412,7 +412,7 @@
             self.tasks.start_soon(self.watch_signals)
             self.tasks.start_soon(self.ring)
             self.tasks.start_soon(self.sweep)
-            self.follower.move(self.station.bus, self.tasks)
+            self.endpoint_watcher.watch(self.station.bus, self.tasks)
             self.tasks.start_soon(self.work)
             if self.flight is not None:
                 await self.flight.open()
@@ -522,7 +522,7 @@
         self.station = self.station._replace(bus=station.bus)
         for news in station.known:
             self.told(news)
-        self.follower.move(self.station.bus, self.tasks)
+        self.endpoint_watcher.watch(self.station.bus, self.tasks)
 
     def renew(self, operator: Mapping[str, object]) -> list[str]:
         """An operator file read again: what moves under load is moved, the paths of the rest are given."""
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from hillchute.decision.interface import Listing
-from hillchute.discovery.event_bus import Entry, Update
+from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
 from hillchute.log import Log
@@ -195,7 +195,7 @@
     def list(self, number, state="Ready", started=0, engine=1, port=None):
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
-        self.service.told(Update(number, "Partial", (Entry(listing, "127.0.0.1", port),)))
+        self.service.told(WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),)))
 
     def client(self, data=LOGIN):
         client = Client(self)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,5 +1,4 @@
-"""The list of engines over a connection that breaks, stalls and moves; what follows for connections to
-engines."""
+"""The endpoint list over an event bus that breaks, stalls and moves; what it does to engines' connections."""
 
 import time
 
@@ -9,41 +8,50 @@
 
 from hillchute.decision.interface import Listing
 from hillchute.discovery import event_bus, watcher
-from hillchute.discovery.event_bus import FRAME, Entry, Update
-from hillchute.discovery.watcher import Follower
+from hillchute.discovery.event_bus import FRAME_HEADER, Endpoint, WatchEvent
+from hillchute.discovery.watcher import EndpointWatcher
 
-EMPTY = FRAME.pack(9, 0, 0)
+KEEPALIVE = FRAME_HEADER.pack(9, 0, 0)
 FIRST, SECOND, THIRD = (("127.0.0.1", port) for port in (1, 2, 3))
 
 
-def change(number, state=0, engine=1):
-    body = event_bus.RECORD.pack(engine, bytes((127, 0, 0, 1)), 9, state, 0, 0, 0, 1000, 0)
-    return FRAME.pack(9 + len(body), number, 2) + body
+def delta_frame(offset, state=0, engine=1):
+    body = event_bus.ENDPOINT_RECORD.pack(engine, bytes((127, 0, 0, 1)), 9, state, 0, 0, 0, 1000, 0)
+    return FRAME_HEADER.pack(9 + len(body), offset, 2) + body
 
 
 class Bus:
     """Stands in for an event bus: what each connection says, and when connects come up."""
 
     def __init__(self, monkeypatch):
-        self.connects, self.closed, self.log, self.news = [], [], Kept(), []
+        self.connects = []
+        self.closed = []
+        self.log = Kept()
+        self.events = []  # all that the watcher handed on
+        self.subscription = None  # the last one sent
         self.gates = {}  # address: an event that its connects wait for
-        self.sayings = {}  # address: lists of what one connection says; then it falls silent or breaks
+        self.scripts = {}  # address: lists of what one connection sends; then it falls silent or breaks
         monkeypatch.setattr(watcher.anyio, "connect_tcp", self.connect)
-        self.follower = Follower(
-            self.log, self.news.append, lambda: max([0, *(n.number for n in self.news)]), lambda s: s
+        self.watcher = EndpointWatcher(
+            self.log,
+            on_event=self.events.append,
+            last_offset=lambda: max([0, *(event.offset for event in self.events)]),
+            jittered=lambda seconds: seconds,
         )
 
     async def connect(self, host, port):
         self.connects.append((host, port))
         if gate := self.gates.get((host, port)):
             await gate.wait()
-        sayings = self.sayings.get((host, port), [])
-        return Stream(self, (host, port), sayings.pop(0) if sayings else [])
+        scripts = self.scripts.get((host, port), [])
+        return Stream(self, (host, port), scripts.pop(0) if scripts else [])
 
 
 class Stream:
-    def __init__(self, bus, address, sayings):
-        self.bus, self.address, self.sayings = bus, address, sayings
+    def __init__(self, bus, address, script):
+        self.bus = bus
+        self.address = address
+        self.script = script
 
     async def __aenter__(self):
         return self
@@ -52,36 +60,36 @@
         self.bus.closed.append(self.address)
 
     async def send(self, data):
-        self.bus.asked = data
+        self.bus.subscription = data
 
     async def receive(self, most):
         await anyio.lowlevel.checkpoint()
-        if not self.sayings:
+        if not self.script:
             await anyio.sleep_forever()
-        said = self.sayings.pop(0)
-        if isinstance(said, Exception):
-            raise said
-        if callable(said):
-            await said()
-            return EMPTY
-        return said
+        step = self.script.pop(0)
+        if isinstance(step, Exception):
+            raise step
+        if callable(step):
+            await step()
+            return KEEPALIVE
+        return step
 
 
 @pytest.fixture
 def bus(monkeypatch):
-    monkeypatch.setattr(watcher, "SILENCE", 0.05)
-    monkeypatch.setattr(watcher, "RETRY", 0.001)
+    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", 0.05)
+    monkeypatch.setattr(watcher, "RETRY_DELAY", 0.001)
     return Bus(monkeypatch)
 
 
-def play(bus, done, *moves):
-    """Follows the bus at one address after another until `done`."""
+def play(bus, done, *addresses):
+    """Watches the bus at one address after another until `done`."""
 
     async def run():
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
-                for move in moves or (FIRST,):
-                    bus.follower.move(move, tasks)
+                for address in addresses or (FIRST,):
+                    bus.watcher.watch(address, tasks)
                     await anyio.sleep(0)
                 while not done():
                     await anyio.sleep(0.001)
@@ -93,20 +101,20 @@
 @pytest.mark.parametrize(
     "first",
     [
-        [EMPTY],  # falls silent
-        [EMPTY, change(1)[:20]],  # stops in the middle of a frame
-        [EMPTY, *(bytes([byte]) for byte in change(1)[:30])],  # bytes, but no frame
-        [EMPTY, OSError("reset")],
-        [EMPTY, anyio.EndOfStream()],
-        [EMPTY, b"\xff" * 40],  # unreadable
+        [KEEPALIVE],  # falls silent
+        [KEEPALIVE, delta_frame(1)[:20]],  # stops in the middle of a frame
+        [KEEPALIVE, *(bytes([byte]) for byte in delta_frame(1)[:30])],  # bytes, but no frame
+        [KEEPALIVE, OSError("reset")],
+        [KEEPALIVE, anyio.EndOfStream()],
+        [KEEPALIVE, b"\xff" * 40],  # unreadable
     ],
     ids=["silent", "half a frame", "trickle", "reset", "closed", "unreadable"],
 )
 def test_connection_that_tells_nothing_more_is_replaced_and_nothing_is_missed(bus, first):
-    bus.sayings[FIRST] = [first, [change(1), change(2, state=1)]]
-    play(bus, lambda: len(bus.news) >= 3)
-    assert [n.number for n in bus.news if n.mode != "Nothing"] == [1, 2]
-    assert bus.connects == [FIRST] * 2 and bus.asked == event_bus.subscribe(0)
+    bus.scripts[FIRST] = [first, [delta_frame(1), delta_frame(2, state=1)]]
+    play(bus, lambda: len(bus.events) >= 3)
+    assert [event.offset for event in bus.events if event.kind != "Nothing"] == [1, 2]
+    assert bus.connects == [FIRST] * 2 and bus.subscription == event_bus.encode_subscription(0)
 
 
 def test_trickle_of_bytes_that_never_make_a_frame_is_left_in_time(bus):
@@ -118,7 +126,7 @@
             await slowly()
             return b"\0"
 
-    bus.sayings[FIRST] = []
+    bus.scripts[FIRST] = []
     real = bus.connect
 
     async def connect(host, port):
@@ -139,16 +147,16 @@
     async def run():
         bus.gates[SECOND] = anyio.Event()
         bus.gates[THIRD] = anyio.Event()
-        bus.sayings = {FIRST: [[change(1)]], THIRD: [[change(2)]]}
+        bus.scripts = {FIRST: [[delta_frame(1)]], THIRD: [[delta_frame(2)]]}
         async with anyio.create_task_group() as tasks:
             for address in (FIRST, SECOND, THIRD):
-                bus.follower.move(address, tasks)
+                bus.watcher.watch(address, tasks)
                 await anyio.sleep(0.005)
-            assert [n.number for n in bus.news] == [1] and bus.closed == []
+            assert [event.offset for event in bus.events] == [1] and bus.closed == []
             bus.gates[THIRD].set()
-            while len(bus.news) < 2:
+            while len(bus.events) < 2:
                 await anyio.sleep(0.001)
-            assert len(bus.follower.scopes) == 1 and bus.closed == [FIRST]
+            assert len(bus.watcher.scopes) == 1 and bus.closed == [FIRST]
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
@@ -159,24 +167,24 @@
     """Both in one turn of the loop: the old one's end is on its way when its scope is cancelled."""
 
     async def let_go_and_break():
-        bus.follower.scopes.pop(0)
+        bus.watcher.scopes.pop(0)
         raise OSError("reset")
 
-    bus.sayings = {FIRST: [[let_go_and_break]], SECOND: [[change(5)]]}
+    bus.scripts = {FIRST: [[let_go_and_break]], SECOND: [[delta_frame(5)]]}
 
     async def run():
         async with anyio.create_task_group() as tasks:
             bus.gates[SECOND] = anyio.Event()
-            bus.follower.move(FIRST, tasks)
-            bus.follower.move(SECOND, tasks)
+            bus.watcher.watch(FIRST, tasks)
+            bus.watcher.watch(SECOND, tasks)
             await anyio.sleep(0.01)
             bus.gates[SECOND].set()
-            while not bus.news:
+            while not bus.events:
                 await anyio.sleep(0.001)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
-    assert [n.number for n in bus.news] == [5]
+    assert [event.offset for event in bus.events] == [5]
 
 
 @pytest.fixture
@@ -187,7 +195,9 @@
 
 
 def entry(rig, state, started=0, engine=1, kind=0):
-    return Entry(Listing(engine, kind, 0, 0, started, state, 1.0), "127.0.0.1", rig.listener.getsockname()[1])
+    return Endpoint(
+        Listing(engine, kind, 0, 0, started, state, 1.0), "127.0.0.1", rig.listener.getsockname()[1]
+    )
 
 
 def test_repeated_and_old_numbers_change_nothing_and_one_that_skips_counts(rig):
@@ -204,7 +214,7 @@
     (old,) = rig.service.links.links.values()
     started = rig.clock() - 200_000  # long enough ago to be warm
     entries = [entry(rig, "Terminating"), entry(rig, "Gone"), entry(rig, "Ready", started)]
-    rig.service.told(Update(2, "Partial", tuple(entries)))
+    rig.service.told(WatchEvent(2, "Partial", tuple(entries)))
     assert rig.service.reducer.module.engines[1].ready
     assert old.pipe.closed  # the process that it was open to is gone
     client.write(query(1))
@@ -217,7 +227,7 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(Update(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),)))
+    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),)))
     other.write(query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2  # the new attempt went to the new process, on a connection of its own
@@ -232,7 +242,7 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(Update(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2))))
+    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2))))
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2
@@ -251,7 +261,9 @@
 
 
 def test_engine_of_a_kind_that_the_settings_do_not_name_gets_nothing_and_the_rest_of_the_list_counts(rig):
-    rig.service.told(Update(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating"))))
+    rig.service.told(
+        WatchEvent(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating")))
+    )
     engines = rig.service.reducer.module.engines
     assert not engines[1].ready and not engines[3].ready
     (line,) = [fields for event, fields in rig.log.lines if event == "listing"]
@@ -266,8 +278,8 @@
     waits = []
     for seed in range(200):
         service = SimpleNamespace(station=SimpleNamespace(seed=seed), waits=0)
-        waits.append(Service.wait(service, watcher.RETRY))
+        waits.append(Service.wait(service, watcher.RETRY_DELAY))
     waits.sort()
-    tenth = watcher.RETRY / 10
+    tenth = watcher.RETRY_DELAY / 10
     assert max(sum(start <= wait < start + tenth for wait in waits) for start in waits) < 40
-    assert waits[0] >= watcher.RETRY / 2 and waits[-1] <= watcher.RETRY * 1.5
+    assert waits[0] >= watcher.RETRY_DELAY / 2 and waits[-1] <= watcher.RETRY_DELAY * 1.5
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
 from hillchute import errors
 from hillchute.decision.interface import Listing
 from hillchute.discovery import event_bus
-from hillchute.discovery.event_bus import Entry, Update
+from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.errors import HillchuteError
 from hillchute.history.disk import Disk
 from hillchute.lab import deployment
@@ -64,7 +64,7 @@
 
 
 def bus_unreadable(tmp_path):
-    list(event_bus.Decoder().feed(event_bus.FRAME.pack(5, 0, 250) + b"x" * 50))
+    list(event_bus.WatchEventDecoder().feed(event_bus.FRAME_HEADER.pack(5, 0, 250) + b"x" * 50))
 
 
 def datagram_dropped(tmp_path):
@@ -167,7 +167,9 @@
 def unknown_kind(log, tmp_path):
     rig = Rig()
     rig.service.log = log
-    rig.service.told(Update(2, "Partial", (Entry(Listing(1, 9, 0, 0, 0, "Ready", 1.0), "127.0.0.1", 1),)))
+    rig.service.told(
+        WatchEvent(2, "Partial", (Endpoint(Listing(1, 9, 0, 0, 0, "Ready", 1.0), "127.0.0.1", 1),))
+    )
     rig.close()
 
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -172,8 +172,8 @@
         catalog |= {"limits.open_cap": 10, "limits.connect_timeout": 500, "limits.streams_per_conn": 8}
         self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
         listing = events.event_bus.Listing(1, 0, 0, 0, 0, "Ready", 1.0)
-        entry = events.event_bus.Entry(listing, "127.0.0.1", 1)
-        self.do(events.Notified(events.event_bus.Update(1, "Complete", (entry,))))
+        entry = events.event_bus.Endpoint(listing, "127.0.0.1", 1)
+        self.do(events.Notified(events.event_bus.WatchEvent(1, "Complete", (entry,))))
         asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
         (connect,) = self.do(events.Asked(1, asked, 0), kind=events.Connect)
         self.line, self.stream = connect.line, Held()
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -491,8 +491,8 @@
 
 
 def event_bus_examples() -> Iterator[Example]:
-    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.subscribe)
-    yield Example("event-bus/subscribe from the start", 0, event_bus.subscribe)
+    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.encode_subscription)
+    yield Example("event-bus/subscribe from the start", 0, event_bus.encode_subscription)
     yield Example("event-bus/engine-name", 0x1A2B, lambda value: event_bus.engine_name(value).encode())
 
 
@@ -799,7 +799,7 @@
 
 BUS_RECORD = "01020304 0a010203 1f90 {state} 05 06 0007 000009c4 0000000000000064"
 BUS_READY, BUS_TERMINATING, BUS_NO_MORE = (BUS_RECORD.format(state=state) for state in ("00", "01", "02"))
-BUS_ENTRY = event_bus.Entry(
+BUS_ENTRY = event_bus.Endpoint(
     listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", nominal=2.5),
     host="10.1.2.3",
     port=8080,
@@ -807,14 +807,17 @@
 BUS_GONE = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Gone"))
 BUS_LEAVING = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Terminating"))
 BUS_FRAMES = {
-    "nothing": ("00000009 0000000000000011 00", event_bus.Update(number=17, mode="Nothing", entries=())),
+    "nothing": (
+        "00000009 0000000000000011 00",
+        event_bus.WatchEvent(offset=17, kind="Nothing", endpoints=()),
+    ),
     "complete": (
         f"00000024 0000000000000012 01 {BUS_READY}",
-        event_bus.Update(number=18, mode="Complete", entries=(BUS_ENTRY,)),
+        event_bus.WatchEvent(offset=18, kind="Complete", endpoints=(BUS_ENTRY,)),
     ),
     "partial": (
         f"0000003f 0000000000000013 02 {BUS_TERMINATING} {BUS_NO_MORE}",
-        event_bus.Update(number=19, mode="Partial", entries=(BUS_LEAVING, BUS_GONE)),
+        event_bus.WatchEvent(offset=19, kind="Partial", endpoints=(BUS_LEAVING, BUS_GONE)),
     ),
 }
 
@@ -822,7 +825,7 @@
 @pytest.mark.parametrize("name", BUS_FRAMES)
 def test_frame_of_the_event_bus_is_read_as_recorded(name):
     data, update = BUS_FRAMES[name]
-    assert list(event_bus.Decoder().feed(bytes.fromhex(data))) == [update]
+    assert list(event_bus.WatchEventDecoder().feed(bytes.fromhex(data))) == [update]
 
 
 def test_start_of_the_event_bus_is_read_as_recorded():
@@ -841,20 +844,20 @@
         {"offset": "17", "topology": {"snapshot": True, "endpoints": [endpoint]}},
         {"offset": 18, "topology": {"endpoints": [least]}},
     ]
-    first = event_bus.Entry(
+    first = event_bus.Endpoint(
         listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", nominal=2.5),
         host="10.1.2.3",
         port=8080,
     )
-    second = event_bus.Entry(
+    second = event_bus.Endpoint(
         listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", nominal=1.0),
         host="10.1.2.4",
         port=8081,
     )
-    found = event_bus.from_json({"batch": batch}, ["north", "west", "east"], ["small", "large"])
+    found = event_bus.initial_watch_events({"batch": batch}, ["north", "west", "east"], ["small", "large"])
     assert list(found) == [
-        event_bus.Update(number=17, mode="Complete", entries=(first,)),
-        event_bus.Update(number=18, mode="Partial", entries=(second,)),
+        event_bus.WatchEvent(offset=17, kind="Complete", endpoints=(first,)),
+        event_bus.WatchEvent(offset=18, kind="Partial", endpoints=(second,)),
     ]
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -194,17 +194,17 @@
     endpoint = {"name": "s-00c41f7a", "address": "10.1.0.9:6565", "zone": "west", "type": "big", "group": 2}
     endpoint |= {"status": "Terminating", "weight": 4, "since_ms": 1234}
     batch = [{"offset": 41, "topology": {"index": 7, "snapshot": True, "endpoints": [endpoint]}}]
-    (known,) = event_bus.from_json({"batch": batch}, ["east", "west"], ["std", "big"])
-    record = event_bus.RECORD.pack(0xC41F7A, bytes([10, 1, 0, 9]), 6565, 1, 1, 1, 2, 4000, 1234)
-    frame = event_bus.FRAME.pack(9 + len(record), 41, 1) + record
-    decoder = event_bus.Decoder()
+    (known,) = event_bus.initial_watch_events({"batch": batch}, ["east", "west"], ["std", "big"])
+    record = event_bus.ENDPOINT_RECORD.pack(0xC41F7A, bytes([10, 1, 0, 9]), 6565, 1, 1, 1, 2, 4000, 1234)
+    frame = event_bus.FRAME_HEADER.pack(9 + len(record), 41, 1) + record
+    decoder = event_bus.WatchEventDecoder()
     assert not list(decoder.feed(frame[:20]))
     assert list(decoder.feed(frame[20:])) == [known]
 
 
 def test_unreadable_frame_is_said_to_be():
     with pytest.raises(BusUnreadable):
-        list(event_bus.Decoder().feed(event_bus.FRAME.pack(9 + 5, 1, 2)))
+        list(event_bus.WatchEventDecoder().feed(event_bus.FRAME_HEADER.pack(9 + 5, 1, 2)))
 
 
 # ---- configuration --------------------------------------------------------------------------------
@@ -287,8 +287,10 @@
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
         self.exchanges = {}
         self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
-        entries = [event_bus.Entry(Listing(e, 0, 0, 0, 0, "Ready", 1.0), "127.0.0.1", e) for e in range(1, 7)]
-        self.do(events.Notified(event_bus.Update(1, "Complete", tuple(entries))))
+        entries = [
+            event_bus.Endpoint(Listing(e, 0, 0, 0, 0, "Ready", 1.0), "127.0.0.1", e) for e in range(1, 7)
+        ]
+        self.do(events.Notified(event_bus.WatchEvent(1, "Complete", tuple(entries))))
 
     def do(self, event, now=0, kind=None):
         effects = self.reducer.reduce(event, now)
@@ -362,8 +364,8 @@
 
 def test_engine_that_is_gone_is_forgotten_once_nothing_is_out_there(rig):
     def told(number, state):
-        entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
-        rig.do(events.Notified(event_bus.Update(number, "Partial", (entry,))), 5)
+        entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
+        rig.do(events.Notified(event_bus.WatchEvent(number, "Partial", (entry,))), 5)
 
     line = rig.sent()
     engine = rig.reducer.lines.lines[line].engine
@@ -460,8 +462,8 @@
 def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
     (wait,) = [e for e in rig.ask() if isinstance(e, events.Connect)]
     engine = rig.reducer.lines.lines[wait.line].engine
-    entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, "Terminating", 1.0), "127.0.0.1", engine)
-    rig.do(events.Notified(event_bus.Update(2, "Partial", (entry,))), 5)
+    entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, "Terminating", 1.0), "127.0.0.1", engine)
+    rig.do(events.Notified(event_bus.WatchEvent(2, "Partial", (entry,))), 5)
     sends = rig.do(events.Connected(wait.line), 10, events.Send)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
     assert rig.reducer.queries["a" * 16].legs[0].over
@@ -528,8 +530,8 @@
 
 def test_event_written_twice_brings_no_older_list_back(rig):
     def listed(number, state):
-        entry = event_bus.Entry(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
-        rig.do(events.Notified(event_bus.Update(number, "Partial", (entry,))))
+        entry = event_bus.Endpoint(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
+        rig.do(events.Notified(event_bus.WatchEvent(number, "Partial", (entry,))))
         return rig.reducer.lines.peers[1].ready
 
     assert not listed(3, "Terminating")
@@ -607,12 +609,12 @@
         monkeypatch.setattr(service.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2))
         router.station = station._replace(bus=buses[0].getsockname(), offset=7)
         async with anyio.create_task_group() as router.tasks:
-            router.follower.move(router.station.bus, router.tasks)
+            router.endpoint_watcher.watch(router.station.bus, router.tasks)
             first = (await anyio.to_thread.run_sync(buses[0].accept))[0]
-            assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.subscribe(7)
+            assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.encode_subscription(7)
             await router.watch_signals()
             second = (await anyio.to_thread.run_sync(buses[1].accept))[0]
-            assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.subscribe(7)
+            assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.encode_subscription(7)
             assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # left
             router.tasks.cancel_scope.cancel()
         for sock in (*buses, first, second):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from hillchute.accord.subsets import Sight
 from hillchute.decision.interface import Listing
 from hillchute.decision.teamwork import SECOND, Teamwork
-from hillchute.discovery.event_bus import Entry, Update
+from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.engines import words
 from hillchute.lab import deployment
 from hillchute.router import config, events
@@ -81,8 +81,8 @@
     """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
     station = config.station(deployment.table(routers=200, sockets=576), {})
     reducer = Reducer(Teamwork(1, station.catalog, 0), station.catalog, station.sockets // 3)
-    entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-    reducer.reduce(events.Notified(Update(1, "Complete", entries)), 1)
+    entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
+    reducer.reduce(events.Notified(WatchEvent(1, "Complete", entries)), 1)
     made, waiting = 0, []
     for n in range(300):
         now = 10 + n * 500
@@ -112,8 +112,8 @@
     def kept(engines):
         tracemalloc.start()
         rig = Rig(table=deployment.table(routers=200))
-        entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-        rig.service.told(Update(2, "Complete", entries))
+        entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
+        rig.service.told(WatchEvent(2, "Complete", entries))
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rig.close()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from rounds_by_hand import LOGIN, Rig, query
 
 from hillchute.discovery import event_bus
-from hillchute.discovery.event_bus import FRAME, RECORD
+from hillchute.discovery.event_bus import ENDPOINT_RECORD, FRAME_HEADER
 from hillchute.errors import BadConfiguration
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
@@ -125,10 +125,12 @@
 
 @pytest.mark.parametrize("count", [1_024, 5_000])
 def test_list_of_more_than_a_thousand_engines_is_taken_whole(count):
-    body = b"".join(RECORD.pack(n, bytes((127, 0, 0, 1)), 9, 0, 0, 0, 0, 1000, 0) for n in range(count))
-    (news,) = event_bus.Decoder().feed(FRAME.pack(9 + len(body), 1, 1) + body)
+    body = b"".join(
+        ENDPOINT_RECORD.pack(n, bytes((127, 0, 0, 1)), 9, 0, 0, 0, 0, 1000, 0) for n in range(count)
+    )
+    (news,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
     rig = Rig()
-    rig.service.told(news._replace(number=2))
+    rig.service.told(news._replace(offset=2))
     assert len(rig.service.reducer.module.engines) == count and not rig.log.faults()
     rig.close()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -128,7 +128,7 @@
     end = way.end
     moved = []
     monkeypatch.setattr(service.config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
-    monkeypatch.setattr(rig.service.follower, "move", lambda bus, tasks: moved.append(bus))
+    monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda bus, tasks: moved.append(bus))
     monkeypatch.setattr(service.signal, "pthread_sigmask", lambda *_: None)
     monkeypatch.setattr(
         service.anyio, "open_signal_receiver", lambda *_: Signals(signal.SIGHUP, signal.SIGTERM)
