--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -19,7 +19,7 @@
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.history.views import Grant, Id, Promise, View
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 NAME = 64
 MEMBERS = 4096
@@ -240,5 +240,5 @@
     return next(filter(None, faults), "")
 
 
-codec = Codec("history", Message, unfit)
+codec = MessageCodec("history", Message, unfit)
 encode, decode, encoder = codec.encode, codec.decode, codec.encoder
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -14,7 +14,7 @@
 from hillchute.decision.interface import Time
 from hillchute.history.policy import TEXT
 from hillchute.partners.agreement import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 WHOLE = 1 << 62
 DAY: Time = 864_000_000
@@ -146,5 +146,5 @@
     return not (sizes and 0 < len(mark.partner) <= NAME and 0 <= mark.number < 1 << 53)
 
 
-codec = Codec("partners", Message, unfit_message)
+codec = MessageCodec("partners", Message, unfit_message)
 encode, decode, encoder = codec.encode, codec.decode, codec.encoder
--- a/hillchute/partners/passing.py
+++ b/hillchute/partners/passing.py
@@ -22,13 +22,13 @@
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.history.slots import slot_of, weight
 from hillchute.partners.codec import Answer, Drop, Got, Pass, Took
-from hillchute.peers.messages import MOST
+from hillchute.peers.messages import MAX_MESSAGE_BYTES
 
 AGAIN: Time = 1_000  # after 0.1 s without a word a message goes again: some ways there and back
 SLOWEST = 4  # doublings of that time
 KEPT: Time = 6_000_000  # so long after its end a query that was taken is known, so that a late repeat is one
 ANSWER_FOR: Time = 20_000  # after its end an answer is sent so long still: its asker has answered by then
-ROWS = MOST - 4096  # bytes of a result that pass: the message has other fields, too
+ROWS = MAX_MESSAGE_BYTES - 4096  # bytes of a result that pass: the message has other fields, too
 
 
 class Errand(msgspec.Struct):
--- a/hillchute/peers/fragmentation.py
+++ b/hillchute/peers/fragmentation.py
@@ -1,64 +1,91 @@
-"""Messages longer than a datagram: cut into pieces, and put together again from pieces in any order.
+"""Messages longer than a datagram: split into fragments, reassembled from fragments in any order.
 
-Owns the pieces' layout and the bounds on what is not whole yet. Must never do I/O or look into a message.
+Pure: it owns the layout of a fragment and the bounds on incomplete messages, does no I/O and never looks into
+a message.
 """
 
 from collections.abc import Iterator
+from dataclasses import dataclass, field
 
 import msgspec
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
 
-PIECE = 900  # bytes that fit into a datagram, whatever the names of its sender and receiver
-LARGE = 60_000  # bytes of a piece on a stream
-MOST_PIECES = 256
-MOST_OPEN = 64  # messages of one sender that are not whole: the oldest goes
-OPEN_FOR: Time = 100_000  # ten seconds: by then it was sent again
+DATAGRAM_FRAGMENT_BYTES = 900  # fits into a datagram, whatever the names of its sender and receiver
+STREAM_FRAGMENT_BYTES = 60_000
+MAX_FRAGMENTS = 256  # of one message
+MAX_INCOMPLETE_MESSAGES = 64  # of one sender; the oldest is discarded
+REASSEMBLY_TIMEOUT: Time = 100_000  # ten seconds: by then the sender has sent the message again
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    number: int  # of the message, by its sender
-    part: int
-    parts: int
+class Fragment(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """One part of a message; on the wire an array of these fields in this order."""
+
+    message_number: int  # numbered by the sender, rising
+    index: int  # from 0
+    total: int  # fragments of the message
     data: bytes
 
 
-encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Piece)
+fragment_encoder = msgspec.msgpack.Encoder()
+fragment_decoder = msgspec.msgpack.Decoder(Fragment)
+
+
+def split_message(message_number: int, message: bytes, fragment_bytes: int) -> Iterator[bytes]:
+    """The encoded fragments of a message; raises ValueError where there are more than MAX_FRAGMENTS."""
+    total = max(1, -(-len(message) // fragment_bytes))
+    if total > MAX_FRAGMENTS:
+        raise ValueError(f"{len(message)} bytes in {total} fragments, {MAX_FRAGMENTS} at most")
+    for index in range(total):
+        data = message[index * fragment_bytes : (index + 1) * fragment_bytes]
+        yield fragment_encoder.encode(Fragment(message_number, index, total, data))
 
 
-def cut(number: int, message: bytes, size: int) -> Iterator[bytes]:
-    parts = max(1, -(-len(message) // size))
-    if parts > MOST_PIECES:
-        raise ValueError(f"{len(message)} bytes in {parts} pieces, {MOST_PIECES} at most")
-    for part in range(parts):
-        yield encoder.encode(Piece(number, part, parts, message[part * size : (part + 1) * size]))
+@dataclass(slots=True)
+class IncompleteMessage:
+    """A message of which some fragments have not arrived yet."""
 
+    started_at: Time  # when its first fragment arrived
+    data_by_index: dict[int, bytes] = field(default_factory=dict)
 
-class Joiner:
-    """All messages that are not whole yet, by sender."""
+
+class Reassembler:
+    """The incomplete messages of all senders; bounded in number and time."""
 
     def __init__(self) -> None:
-        self.open: dict[str, dict[int, tuple[Time, dict[int, bytes]]]] = {}
-
-    def take(self, now: Time, sender: str, data: bytes) -> bytes | None:
-        """The message, once its last piece is there. Raises DatagramDropped for what is no piece."""
-        try:
-            piece = decoder.decode(data)
-        except msgspec.DecodeError:
-            raise DatagramDropped("piece: unreadable", sender) from None
-        if not 0 <= piece.part < piece.parts <= MOST_PIECES or len(piece.data) > LARGE:
-            raise DatagramDropped("piece: out of bounds", sender)
-        if piece.parts == 1:
-            return piece.data
-        mine = self.open.setdefault(sender, {})
-        for number in [n for n, (since, _) in mine.items() if now - since > OPEN_FOR]:
-            del mine[number]
-        if piece.number not in mine and len(mine) >= MOST_OPEN:
-            del mine[min(mine)]
-        _, have = mine.setdefault(piece.number, (now, {}))
-        have[piece.part] = piece.data
-        if len(have) < piece.parts:
+        self.incomplete: dict[str, dict[int, IncompleteMessage]] = {}  # by sender and message number
+
+    def add(self, now: Time, sender: str, data: bytes) -> bytes | None:
+        """The message that this fragment completes, or None; raises DatagramDropped for an invalid one."""
+        fragment = decode_fragment(data, sender)
+        if fragment.total == 1:
+            return fragment.data
+        messages = self.incomplete.setdefault(sender, {})
+        discard_expired(messages, now)
+        if fragment.message_number not in messages and len(messages) >= MAX_INCOMPLETE_MESSAGES:
+            del messages[min(messages)]
+        message = messages.setdefault(fragment.message_number, IncompleteMessage(now))
+        message.data_by_index[fragment.index] = fragment.data
+        if len(message.data_by_index) < fragment.total:
             return None
-        del mine[piece.number]
-        return b"".join(have[part] for part in sorted(have))
+        del messages[fragment.message_number]
+        return b"".join(message.data_by_index[index] for index in sorted(message.data_by_index))
+
+
+def decode_fragment(data: bytes, sender: str) -> Fragment:
+    """The fragment, its fields within their bounds; raises DatagramDropped otherwise."""
+    try:
+        fragment = fragment_decoder.decode(data)
+    except msgspec.DecodeError as error:
+        raise DatagramDropped("piece: unreadable", sender) from error
+    in_bounds = 0 <= fragment.index < fragment.total <= MAX_FRAGMENTS
+    if not in_bounds or len(fragment.data) > STREAM_FRAGMENT_BYTES:
+        raise DatagramDropped("piece: out of bounds", sender)
+    return fragment
+
+
+def discard_expired(messages: dict[int, IncompleteMessage], now: Time) -> None:
+    """Removes the messages of one sender that have waited longer than REASSEMBLY_TIMEOUT."""
+    for number in [n for n, message in messages.items() if now - message.started_at > REASSEMBLY_TIMEOUT]:
+        del messages[number]
--- a/hillchute/peers/messages.py
+++ b/hillchute/peers/messages.py
@@ -1,40 +1,48 @@
-"""Typed messages of riders to bytes and back, each field bounded by whoever owns the message.
+"""Codec of the typed messages that subsystems exchange between routers; each subsystem bounds its own fields.
 
-Owns the order of checks. Must never know a message.
+Pure: it owns the order of the checks and knows no message.
 """
 
 from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
 from hillchute.errors import DatagramDropped
 
-MOST = 8 << 20  # bytes of one message
+MAX_MESSAGE_BYTES = 8 << 20
 
 
-class Codec:
-    def __init__(self, whose: str, message: object, unfit: Callable[[object], str]) -> None:
-        """`message`: the union of all; `unfit` names the first field of one that is out of its bounds."""
-        self.whose, self.unfit = whose, unfit
-        self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(message)
+class MessageCodec:
+    """The messages of one subsystem as MessagePack."""
+
+    def __init__(self, subsystem: str, message_types: Any, invalid_field: Callable[[Any], str]) -> None:
+        """`message_types` is the union of all messages; `subsystem` names them in reasons and in the log.
+
+        `invalid_field` gives the name of the first field of a message that is out of its bounds, or "".
+        """
+        self.subsystem = subsystem
+        self.invalid_field = invalid_field
+        self.encoder = msgspec.msgpack.Encoder()
+        self.decoder = msgspec.msgpack.Decoder(message_types)
 
     def encode(self, message: object) -> bytes:
-        """The bytes; raises ValueError for what no receiver would take."""
-        if fault := self.unfit(message):
-            raise ValueError(fault)
+        """The bytes; raises ValueError for a message that no receiver would accept."""
+        if field := self.invalid_field(message):
+            raise ValueError(field)
         data = self.encoder.encode(message)
-        if len(data) > MOST:
-            raise ValueError(f"{len(data)} bytes, {MOST} at most")
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"{len(data)} bytes, {MAX_MESSAGE_BYTES} at most")
         return data
 
-    def decode(self, data: bytes, sender: str) -> object:
-        """Raises DatagramDropped with the field that is out of its bounds."""
-        if len(data) > MOST:
-            raise DatagramDropped(f"{self.whose}: too long", sender)
+    def decode(self, data: bytes, sender: str) -> Any:
+        """The message; raises DatagramDropped, with the field that is out of its bounds."""
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise DatagramDropped(f"{self.subsystem}: too long", sender)
         try:
             message = self.decoder.decode(data)
-        except (msgspec.DecodeError, RecursionError) as fault:
-            raise DatagramDropped(f"{self.whose}: {fault}", sender) from None
-        if fault := self.unfit(message):
-            raise DatagramDropped(f"{self.whose}: {fault}", sender)
+        except (msgspec.DecodeError, RecursionError) as error:
+            raise DatagramDropped(f"{self.subsystem}: {error}", sender) from error
+        if field := self.invalid_field(message):
+            raise DatagramDropped(f"{self.subsystem}: {field}", sender)
         return message
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -15,7 +15,7 @@
 from hillchute.errors import DatagramDropped
 from hillchute.peers.datagrams import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
 from hillchute.peers.failure_detector import ALIVE, ANSWERED, PING, Roster, Send
-from hillchute.peers.fragmentation import LARGE, PIECE, cut
+from hillchute.peers.fragmentation import DATAGRAM_FRAGMENT_BYTES, STREAM_FRAGMENT_BYTES, split_message
 
 LOAD, ALL, HISTORY, PARTNERS = 4, 5, 6, 7  # kinds beside those of the roster; the last two are riders'
 ALL_EVERY: Time = 50_000  # between two wishes for all: a router that comes back, or a cut that ends
@@ -153,7 +153,9 @@
         """A rider's message as marked pieces; each gets its number as it is taken, so that what goes by a
         stream is not behind what goes meanwhile."""
         self.messages += 1
-        for piece in cut(self.messages, message, LARGE if large else PIECE):
+        for piece in split_message(
+            self.messages, message, STREAM_FRAGMENT_BYTES if large else DATAGRAM_FRAGMENT_BYTES
+        ):
             yield self.marked(Send(to, kind, 0), piece, MOST_ON_STREAM if large else MOST)
 
     def lives(self) -> dict[str, int]:
--- a/hillchute/peers/transport.py
+++ b/hillchute/peers/transport.py
@@ -21,7 +21,7 @@
 from hillchute.errors import PeersNotReachable
 from hillchute.net.system import CONNECTION_FAILED, NOT_YET
 from hillchute.peers.datagrams import MOST, MOST_ON_STREAM
-from hillchute.peers.fragmentation import PIECE
+from hillchute.peers.fragmentation import DATAGRAM_FRAGMENT_BYTES
 from hillchute.peers.node import Node
 
 TICK = 0.1  # seconds between two looks at who is to be pinged: half of an answer's time
@@ -159,7 +159,7 @@
         for kind, name, message in some:
             if name not in self.node.keys or name not in self.addresses:
                 continue
-            if len(message) <= PIECE:
+            if len(message) <= DATAGRAM_FRAGMENT_BYTES:
                 self.send((name, datagram) for datagram in self.node.pieces(name, kind, message))
                 continue
             waiting = self.heavy.get(name)
--- a/hillchute/router/riding.py
+++ b/hillchute/router/riding.py
@@ -7,8 +7,8 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
-from hillchute.peers.fragmentation import Joiner
-from hillchute.peers.messages import Codec
+from hillchute.peers.fragmentation import Reassembler
+from hillchute.peers.messages import MessageCodec
 from hillchute.peers.node import Node
 
 LOGGED: Time = 50_000  # between two lines on a rider
@@ -17,8 +17,8 @@
 
 
 class Riding:
-    def __init__(self, node: Node, kind: int, codec: Codec) -> None:
-        self.node, self.codec, self.joiner = node, codec, Joiner()
+    def __init__(self, node: Node, kind: int, codec: MessageCodec) -> None:
+        self.node, self.codec, self.reassembler = node, codec, Reassembler()
         node.riders[kind] = self
 
     def take(self, now: Time, sender: str, message: object) -> None:
@@ -29,7 +29,7 @@
         raise NotImplementedError
 
     def heard(self, now: Time, sender: str, piece: bytes) -> None:
-        whole = self.joiner.take(now, sender, piece)
+        whole = self.reassembler.add(now, sender, piece)
         if whole is not None:
             self.take(now, sender, self.codec.decode(whole, sender))
 
@@ -39,5 +39,5 @@
             try:
                 out.append((to, self.codec.encode(message)))
             except ValueError as fault:
-                self.node.dropped[f"{self.codec.whose} not sent: {fault}"] += 1
+                self.node.dropped[f"{self.codec.subsystem} not sent: {fault}"] += 1
         return out
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -124,8 +124,10 @@
         "ping, optional fields absent",
         peers.Datagram(sender="router-a", receiver="router-b", born=5, heard=0, sequence=6, kind=0, number=7),
     )
-    piece = fragmentation.Piece(number=1, part=2, parts=3, data=b"\x00piece\xff")
-    yield Example("peers/fragment", piece, fragmentation.encoder.encode, fragmentation.decoder.decode)
+    piece = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
+    yield Example(
+        "peers/fragment", piece, fragmentation.fragment_encoder.encode, fragmentation.fragment_decoder.decode
+    )
 
 
 def history_examples() -> Iterator[Example]:
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -170,34 +170,37 @@
         reading.hold(text + peers)
 
 
-# ---- messages in pieces ----
+# ---- messages in fragments ----
 
 
 def test_message_comes_whole_from_pieces_in_any_order_and_twice():
-    joiner, message = fragmentation.Joiner(), bytes(range(256)) * 20
-    pieces = list(fragmentation.cut(1, message, 900))
+    reassembler = fragmentation.Reassembler()
+    message = bytes(range(256)) * 20
+    pieces = list(fragmentation.split_message(1, message, 900))
     assert len(pieces) == 6
-    told = [joiner.take(0, "a", piece) for piece in [*pieces[:0:-1], *pieces[2:4], pieces[0]]]
+    told = [reassembler.add(0, "a", piece) for piece in [*pieces[:0:-1], *pieces[2:4], pieces[0]]]
     assert told == [None] * 7 + [message]
-    assert list(fragmentation.cut(1, b"", 900)) and joiner.open == {"a": {}}
+    assert list(fragmentation.split_message(1, b"", 900)) and reassembler.incomplete == {"a": {}}
 
 
 def test_pieces_that_never_become_whole_are_bounded_and_end():
-    joiner = fragmentation.Joiner()
+    reassembler = fragmentation.Reassembler()
     for number in range(500):
-        piece = fragmentation.encoder.encode(fragmentation.Piece(number, 0, 2, b"x"))
-        assert joiner.take(0, "a", piece) is None
-    assert len(joiner.open["a"]) == fragmentation.MOST_OPEN
-    joiner.take(
-        fragmentation.OPEN_FOR + 1, "a", fragmentation.encoder.encode(fragmentation.Piece(999, 0, 2, b"x"))
+        piece = fragmentation.fragment_encoder.encode(fragmentation.Fragment(number, 0, 2, b"x"))
+        assert reassembler.add(0, "a", piece) is None
+    assert len(reassembler.incomplete["a"]) == fragmentation.MAX_INCOMPLETE_MESSAGES
+    reassembler.add(
+        fragmentation.REASSEMBLY_TIMEOUT + 1,
+        "a",
+        fragmentation.fragment_encoder.encode(fragmentation.Fragment(999, 0, 2, b"x")),
     )
-    assert list(joiner.open["a"]) == [999]
+    assert list(reassembler.incomplete["a"]) == [999]
     for bad in (
-        fragmentation.Piece(1, 2, 2, b""),
-        fragmentation.Piece(1, 0, fragmentation.MOST_PIECES + 1, b""),
+        fragmentation.Fragment(1, 2, 2, b""),
+        fragmentation.Fragment(1, 0, fragmentation.MAX_FRAGMENTS + 1, b""),
     ):
         with pytest.raises(DatagramDropped):
-            joiner.take(0, "a", fragmentation.encoder.encode(bad))
+            reassembler.add(0, "a", fragmentation.fragment_encoder.encode(bad))
 
 
 # ---- the disk ----
