--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -26,8 +26,8 @@
 from hillchute.decision.interface import Listing, Time
 from hillchute.decision.slow_start import COLD_SHARE
 from hillchute.decision.teamwork import SECOND, TRAFFIC_SPAN, Teamwork
-from hillchute.peers.failure_detector import ALIVE
-from hillchute.peers.node import Node
+from hillchute.peers.datagrams import PeerState
+from hillchute.peers.node import Node, RouterIdentity
 
 STEP: Time = 250  # 25 ms between two looks at everything
 REPORT_AGE: Time = 3_000  # a report tells what was 0.3 s ago
@@ -357,9 +357,11 @@
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
-                    node.roster.change(node.roster.peers[other.me], ALIVE, other.born)
-                    node.windows[other.me].born = other.born
-            node.alive = frozenset(node.living())
+                    node.failure_detector.change_state(
+                        node.failure_detector.peers[other.name], PeerState.ALIVE, other.generation
+                    )
+                    node.replay_windows[other.name].generation = other.generation
+            node.known_live = frozenset(node.live_peers())
         for n in range(len(self.nodes)):
             self.stands(n)
 
@@ -375,7 +377,7 @@
         if self.form == "shared":
             now, seed = EPOCH + self.now, self.chance.getrandbits(30)
             company = Company(self.name(n), self.keys, ["inflight"], ["cold"], seed, now)
-            node = Node(self.name(n), now // 10, self.keys, seed, now, company)
+            node = Node(RouterIdentity(self.name(n), now // 10), self.keys, seed, now, company)
             self.nodes[n:], self.companies[n:] = (
                 [node, *self.nodes[n + 1 :]],
                 [company, *self.companies[n + 1 :]],
@@ -402,7 +404,7 @@
 
     def stands(self, n: int) -> None:
         """What a router's module is told of the others."""
-        living = self.nodes[n].living()
+        living = self.nodes[n].live_peers()
         router, span = self.routers[n], CATALOG["guarantees.fall"]
         warming = [e for e in router.engines.values() if e.ready and e.cold(self.now)]
         tips = {e.id: CATALOG["guarantees.tip_multiple"] * span * e.able(self.now) for e in warming}
@@ -425,8 +427,8 @@
                 self.wants_cold(n)
                 self.stands(n)
             if company.line or company.words or self.now % TICK == 0:
-                said = company.tick(now, node.living())
-                self.says(n, [datagram for to, load in said for datagram in node.say(to, load)])
+                said = company.tick(now, node.live_peers())
+                self.says(n, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)])
             for engine, report, age in company.news():
                 self.routers[n].probed(self.now, engine, "heard", report, age)
 
@@ -459,7 +461,7 @@
         super().resize(routers)
         self.name_all()
         for n, (node, company) in enumerate(zip(self.nodes, self.companies)):
-            node.named(self.keys, EPOCH + self.now)
+            node.set_keys(self.keys, EPOCH + self.now)
             company.named(EPOCH + self.now, self.keys)
             self.tell(n)
         del self.nodes[routers:], self.companies[routers:]
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -33,9 +33,19 @@
 from hillchute.errors import DatagramDropped
 from hillchute.lab import history_mutants, partners_mutants
 from hillchute.lab.workers import workers
-from hillchute.peers.datagrams import MARK, VERSION, WHOLE, Datagram, Rumour, decode, encoder, marked
-from hillchute.peers.failure_detector import DEAD, LEFT, ROUND
-from hillchute.peers.node import Node
+from hillchute.peers.datagrams import (
+    COUNTER_LIMIT,
+    HEADER_BYTES,
+    VERSION,
+    Datagram,
+    PeerState,
+    Rumour,
+    authentication_tag,
+    decode,
+    encoder,
+)
+from hillchute.peers.failure_detector import PROTOCOL_PERIOD
+from hillchute.peers.node import Node, RouterIdentity
 
 STEP: Time = 1_000  # a tenth of a second: between two ticks, and a datagram's way
 ROUTERS, ENGINES, LIMIT = 4, 6, "cold"
@@ -117,7 +127,7 @@
         self.companies[who] = Company(who, self.names, ["inflight"], [LIMIT], seed, self.now)
         self.companies[who].listed(self.now, 1, range(ENGINES), ())
         self.events[who], self.drained[who] = 1, set()
-        self.nodes[who] = Node(who, self.now // 10, keys, seed, self.now, self.companies[who])
+        self.nodes[who] = Node(RouterIdentity(who, self.now // 10), keys, seed, self.now, self.companies[who])
 
     def kill(self, who: str) -> None:
         del self.nodes[who], self.companies[who]
@@ -150,7 +160,7 @@
 
     def left(self) -> None:
         """A farewell is heard at once; where it was lost the silence tells, later."""
-        if self.at is None and any("r2" in node.living() for node in self.nodes.values()):
+        if self.at is None and any("r2" in node.live_peers() for node in self.nodes.values()):
             self.fault("r2 said farewell and is taken for living")
 
     # ---- time goes on -----------------------------------------------------------------------------
@@ -174,11 +184,11 @@
                 self.post(to, self.nodes[to].receive(self.now, data))
         for who, node in list(self.nodes.items()):
             self.post(who, node.tick(self.now))
-            said = self.companies[who].tick(self.now, node.living())
-            self.post(who, [datagram for to, load in said for datagram in node.say(to, load)])
-            for to in node.wishes:
-                self.post(who, [(to, node.wish(to))])
-            node.wishes = []
+            said = self.companies[who].tick(self.now, node.live_peers())
+            self.post(who, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)])
+            for to in node.state_requests:
+                self.post(who, [(to, node.state_request(to))])
+            node.state_requests = []
             self.companies[who].news()
         self.hold()
 
@@ -225,15 +235,18 @@
             if company.ready & self.drained[who]:
                 self.fault(f"{who} opened {sorted(company.ready & self.drained[who])} again")
         for who in honest:
-            rosters = self.nodes[who].roster
+            rosters = self.nodes[who].failure_detector
             lives = [rosters.incarnation, *(peer.incarnation for peer in rosters.peers.values())]
             if max(lives) > self.now // 10 + HOUR:
                 self.fault(f"{who} believes in a life that nobody could gainsay")
-        settled = [n for n in self.nodes if n != self.liar and self.now - self.began[n] > 2 * ROUND]
+        settled = [n for n in self.nodes if n != self.liar and self.now - self.began[n] > 2 * PROTOCOL_PERIOD]
         for who in settled:
-            peers = [self.nodes[who].roster.peers[other] for other in settled if other != who]
+            peers = [self.nodes[who].failure_detector.peers[other] for other in settled if other != who]
             for peer in peers:
-                if peer.state in (DEAD, LEFT) and self.now - peer.heard_at < ROUND:
+                if (
+                    peer.state in (PeerState.DEAD, PeerState.LEFT)
+                    and self.now - peer.last_heard_at < PROTOCOL_PERIOD
+                ):
                     self.fault(f"{who} takes {peer.name} for gone, of which it heard just now")
 
     def fault(self, what: str) -> None:
@@ -249,13 +262,13 @@
             ills = [engine for engine in range(ENGINES) if company.signals.ill(self.now, engine)]
             met = limit.usable(self.now) >= 0.9 * min(limit.asked, limit.home)
             drains = [engine for engine in range(ENGINES) if company.signals.draining(engine)]
-            found[who] = (node.living(), drains, ills, company.unlike, met)
+            found[who] = (node.live_peers(), drains, ills, company.unlike, met)
         return found
 
     def living(self) -> bool:
         """Whether every honest router takes all others that run for living, and no other."""
         return all(
-            set(node.living()) - {self.liar} == self.nodes.keys() - {who, self.liar}
+            set(node.live_peers()) - {self.liar} == self.nodes.keys() - {who, self.liar}
             for who, node in self.nodes.items()
             if who != self.liar
         )
@@ -270,7 +283,7 @@
     yield Change("again after 2 s", False, lambda data, run: [(0, data), (20, data)])
     for steps in (1, 3, 60):
         yield Change(f"late by {steps}", False, lambda data, run, steps=steps: [(steps, data)])
-    for part in (0, 1, 1 + MARK, 1 + MARK + 3):
+    for part in (0, 1, HEADER_BYTES, HEADER_BYTES + 3):
         yield Change(f"cut at {part}", False, lambda data, run, part=part: [(0, data[:part])])
     yield Change("cut in half", False, lambda data, run: [(0, data[: len(data) // 2])])
     yield Change("last byte cut", False, lambda data, run: [(0, data[:-1])])
@@ -286,18 +299,18 @@
     """Another load under the mark of what was sent, as somebody without the key would try it."""
     datagram = opened(data)
     load = words.encode(words.Parcel(drains=(Drain(1, 10**6),)))
-    return data[: 1 + MARK] + encoder.encode(msgspec.structs.replace(datagram, load=load))
+    return data[:HEADER_BYTES] + encoder.encode(msgspec.structs.replace(datagram, payload=load))
 
 
 def opened(data: bytes) -> Datagram:
-    sender, receiver = msgspec.msgpack.decode(data[1 + MARK :])[:2]
+    sender, receiver = msgspec.msgpack.decode(data[HEADER_BYTES:])[:2]
     return decode(data, receiver, {sender: key(sender, receiver)})
 
 
 def signed(datagram: Datagram, own: bytes) -> bytes:
     """Marked with the liar's own key over whatever stands in it: what an honest router never sends, too."""
     body = encoder.encode(datagram)
-    return bytes([VERSION]) + marked(own, body) + body
+    return bytes([VERSION]) + authentication_tag(own, body) + body
 
 
 def liar(kind: str, change: Callable[[Datagram, Run], Datagram]) -> Change:
@@ -310,8 +323,8 @@
 
 def lies() -> Iterator[Change]:
     replace = msgspec.structs.replace
-    for field in ("born", "heard", "sequence", "number"):
-        for what, value in (("zero", 0), ("most", WHOLE - 1), ("less", None)):
+    for field in ("generation", "receiver_generation", "sequence", "ping_number"):
+        for what, value in (("zero", 0), ("most", COUNTER_LIMIT - 1), ("less", None)):
             yield liar(
                 f"{field} {what}",
                 lambda d, run, f=field, v=value: replace(
@@ -319,7 +332,7 @@
                 ),
             )
     for kind in range(6):
-        yield liar(f"kind {kind}", lambda d, run, kind=kind: replace(d, kind=kind, about="r1"))
+        yield liar(f"kind {kind}", lambda d, run, kind=kind: replace(d, kind=kind, subject="r1"))
     yield liar("another sender", lambda d, run: replace(d, sender="r1" if d.sender != "r1" else "r2"))
     yield liar("another receiver", lambda d, run: replace(d, receiver="r1" if d.receiver != "r1" else "r2"))
     yield liar("no rumours", lambda d, run: replace(d, rumours=()))
@@ -333,20 +346,23 @@
         yield liar(
             f"all others {state} far ahead",
             lambda d, run, state=state: replace(
-                d, rumours=tuple(Rumour(n, state, WHOLE - 1, d.sender) for n in run.names if n != d.sender)
+                d,
+                rumours=tuple(
+                    Rumour(n, state, COUNTER_LIMIT - 1, d.sender) for n in run.names if n != d.sender
+                ),
             ),
         )
-    yield liar("no load", lambda d, run: replace(d, load=b""))
-    yield liar("a load of noise", lambda d, run: replace(d, load=b"\xc1" * 9))
+    yield liar("no load", lambda d, run: replace(d, payload=b""))
+    yield liar("a load of noise", lambda d, run: replace(d, payload=b"\xc1" * 9))
     for kind, change in loads():
-        yield liar(kind, lambda d, run, change=change: replace(d, load=carried(d, change)))
+        yield liar(kind, lambda d, run, change=change: replace(d, payload=carried(d, change)))
 
 
 def carried(datagram: Datagram, change: Callable[[words.Parcel], words.Parcel]) -> bytes:
     try:
-        return words.encoder.encode(change(words.decode(datagram.load, datagram.sender)))
+        return words.encoder.encode(change(words.decode(datagram.payload, datagram.sender)))
     except DatagramDropped:
-        return datagram.load
+        return datagram.payload
 
 
 def loads() -> Iterator[tuple[str, Callable[[words.Parcel], words.Parcel]]]:
--- a/hillchute/peers/datagrams.py
+++ b/hillchute/peers/datagrams.py
@@ -1,158 +1,230 @@
-"""One datagram between two routers: typed values to bytes and back, with a mark that only the two can make.
+"""Codec of the datagrams between two routers: typed values to authenticated bytes and back.
 
-Owns the layout, its bounds and the mark. Must never do I/O, look at a clock, or know what a message is for.
+Pure: it owns the layout, its bounds, the authentication tag and the replay window. It does no I/O, reads no
+clock and does not know what a payload is for.
 
-    version:1  mark:16  body       the body is MessagePack; the mark is keyed BLAKE2b over version and body
+    version:1  tag:16  body       the body is MessagePack; the tag is keyed BLAKE2b over version and body
 
-The two routers of a pair share a key of their own, so no third can speak as either to the other. Sender and
-receiver stand in the body, under the mark: a datagram can't be turned round or handed on as new.
+Each pair of routers shares a key of its own, so no third can speak as either to the other. Sender and
+receiver stand in the body, under the tag: a datagram can be neither reflected nor forwarded as new.
 """
 
 import hashlib
 import hmac
 from collections.abc import Mapping
+from enum import IntEnum, StrEnum
 
 import msgspec
 
 from hillchute.errors import DatagramDropped
 
 VERSION = 1
-MARK = 16  # bytes of the mark
-MOST = 1200  # bytes of a datagram: passes every path whole, where one in parts is lost with any part
-MOST_ON_STREAM = 65_535  # bytes of one on a stream, where nothing is lost in parts
-RUMOURS = 24  # rumours in a datagram at the most
-NAME = 64  # characters of a name at the most
+TAG_BYTES = 16
+HEADER_BYTES = 1 + TAG_BYTES  # version and tag
+BLAKE2B_MAX_KEY_BYTES = 64
+MAX_DATAGRAM_BYTES = 1200  # passes every path whole; one in IP fragments is lost with any fragment
+MAX_FRAME_BYTES = 65_535  # of a datagram on a stream, behind a length of two bytes
+MAX_RUMOURS = 24  # in a datagram
+MAX_NAME_CHARACTERS = 64
+COUNTER_LIMIT = 1 << 63  # every number in a datagram is below it
+
+
+class PeerState(IntEnum):
+    """What a router believes of a peer; the values are the wire's."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
+
+
+class DatagramKind(IntEnum):
+    """What a datagram is for; the values are the wire's."""
+
+    PING = 0
+    PING_ACK = 1
+    INDIRECT_PING = 2  # asks the receiver to ping `subject`
+    INDIRECT_PING_ACK = 3  # `subject` has answered the ping that was asked for
+    PAYLOAD = 4
+    STATE_REQUEST = 5  # asks for everything that the receiver can tell
+    HISTORY_FRAGMENT = 6
+    PARTNERS_FRAGMENT = 7
+
+
+KINDS_WITH_SUBJECT = frozenset({DatagramKind.INDIRECT_PING, DatagramKind.INDIRECT_PING_ACK})
+
+
+class DropReason(StrEnum):
+    """Why a datagram is dropped; the values are counted in the log under these names."""
+
+    TOO_LONG = "too long"
+    TOO_SHORT = "too short"
+    UNKNOWN_VERSION = "version"
+    UNREADABLE = "unreadable"
+    UNKNOWN_PEER = "unknown peer"
+    WRONG_TAG = "mark"
+    OTHER_RECEIVER = "another's"
+    TO_EARLIER_GENERATION = "to an earlier life"
+    # The wall clock was set back before this start: the others know a generation above this one.
+    TO_LATER_GENERATION = "to a later life of this router"
+    FROM_EARLIER_GENERATION = "of an earlier life"
+    REPLAYED = "repeat"
 
 
 class Rumour(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What somebody believes of a router. `state`: 0 alive, 1 suspected, 2 dead, 3 left."""
+    """What a witness believes of a router, passed on by gossip; on the wire an array in this order."""
 
     name: str
-    state: int
+    state: int  # a PeerState; bounded by invalid_field() once the tag is verified
     incarnation: int
     witness: str  # who saw it: the router itself, where it says that it lives or leaves
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """`kind`: 0 ping, 1 answer to it, 2 ping asked for through another, 3 word that it was answered, 4 a load
-    alone, 5 a wish for all that the receiver can tell, 6 a piece of a message of the history, 7 one of the
-    partners'."""
+    """One datagram; on the wire an array of these fields in this order.
+
+    A router's generation is the time of its start in Unix milliseconds: it tells a restarted router from the
+    process before.
+    """
 
     sender: str
     receiver: str
-    born: int  # when the sender started, Unix milliseconds: tells its lives apart
-    heard: int  # `born` of the receiver as the sender last heard it; 0 if never
-    sequence: int  # rises with each datagram of one life to one receiver
-    kind: int
-    number: int  # of the ping that this belongs to
-    about: str = ""  # whom the asked ping goes to, or who answered it
+    generation: int  # of the sender
+    receiver_generation: int  # the latest that the sender has heard from; 0 if none
+    sequence: int  # rises with each datagram of one generation to one receiver
+    kind: int  # a DatagramKind; bounded by invalid_field() once the tag is verified
+    ping_number: int  # of the ping that this belongs to
+    subject: str = ""  # whom the requested ping goes to, or who answered it
     rumours: tuple[Rumour, ...] = ()
-    load: bytes = b""  # what other packages put in
+    payload: bytes = b""  # other subsystems' bytes
 
 
-WHOLE = 1 << 63
-encoder, decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Datagram)
+encoder = msgspec.msgpack.Encoder()
+decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-def marked(key: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(bytes([VERSION]) + body, digest_size=MARK, key=key[:64]).digest()
+def authentication_tag(key: bytes, body: bytes) -> bytes:
+    """The tag that only holders of `key` can make for this body."""
+    version = bytes([VERSION])
+    return hashlib.blake2b(version + body, digest_size=TAG_BYTES, key=key[:BLAKE2B_MAX_KEY_BYTES]).digest()
 
 
-def encode(datagram: Datagram, key: bytes, most: int = MOST) -> bytes:
-    """The bytes; raises ValueError for what no receiver would take."""
+def encode(datagram: Datagram, key: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+    """The bytes; raises ValueError for what no receiver would accept."""
     body = encoder.encode(datagram)
-    fault = unfit(datagram)
-    if fault or 1 + MARK + len(body) > most:
-        raise ValueError(fault or f"{1 + MARK + len(body)} bytes, {most} at most")
-    return bytes([VERSION]) + marked(key, body) + body
-
-
-def decode(data: bytes, receiver: str, keys: Mapping[str, bytes], most: int = MOST) -> Datagram:
-    """The datagram, whose mark is that of its sender's pair with this receiver. Raises DatagramDropped."""
-    if len(data) > most:
-        raise DatagramDropped("too long")
-    if len(data) <= 1 + MARK:
-        raise DatagramDropped("too short")
+    if field := invalid_field(datagram):
+        raise ValueError(field)
+    if HEADER_BYTES + len(body) > max_bytes:
+        raise ValueError(f"{HEADER_BYTES + len(body)} bytes, {max_bytes} at most")
+    return bytes([VERSION]) + authentication_tag(key, body) + body
+
+
+def decode(
+    data: bytes, receiver: str, keys: Mapping[str, bytes], max_bytes: int = MAX_DATAGRAM_BYTES
+) -> Datagram:
+    """The datagram, once its tag is verified with the key of its sender; raises DatagramDropped."""
+    datagram = _decode_verified(data, keys, max_bytes)
+    if datagram.receiver != receiver:
+        raise DatagramDropped(DropReason.OTHER_RECEIVER, datagram.sender)
+    if field := invalid_field(datagram):
+        raise DatagramDropped(f"field {field}", datagram.sender)
+    return datagram
+
+
+def _decode_verified(data: bytes, keys: Mapping[str, bytes], max_bytes: int) -> Datagram:
+    if len(data) > max_bytes:
+        raise DatagramDropped(DropReason.TOO_LONG)
+    if len(data) <= HEADER_BYTES:
+        raise DatagramDropped(DropReason.TOO_SHORT)
     if data[0] != VERSION:
-        raise DatagramDropped("version")
-    mark, body = data[1 : 1 + MARK], data[1 + MARK :]
+        raise DatagramDropped(DropReason.UNKNOWN_VERSION)
+    tag = data[1:HEADER_BYTES]
+    body = data[HEADER_BYTES:]
     try:
         datagram = decoder.decode(body)
-    except msgspec.DecodeError:  # of one that may well be nobody's: the reason helps no one
-        raise DatagramDropped("unreadable") from None
+    except msgspec.DecodeError as error:
+        raise DatagramDropped(DropReason.UNREADABLE) from error
     key = keys.get(datagram.sender)
     if key is None:
-        raise DatagramDropped("unknown peer")
-    if not hmac.compare_digest(mark, marked(key, body)):
-        raise DatagramDropped("mark", datagram.sender)
-    if datagram.receiver != receiver:
-        raise DatagramDropped("another's", datagram.sender)
-    if fault := unfit(datagram):
-        raise DatagramDropped(f"field {fault}", datagram.sender)
+        raise DatagramDropped(DropReason.UNKNOWN_PEER)
+    if not hmac.compare_digest(tag, authentication_tag(key, body)):
+        raise DatagramDropped(DropReason.WRONG_TAG, datagram.sender)
     return datagram
 
 
-def unfit(datagram: Datagram) -> str:
-    """The first field that is out of its bounds. Guards against a peer that may mark what it likes."""
-    for name in ("born", "heard", "sequence", "number"):
-        if not 0 <= getattr(datagram, name) < WHOLE:
+def invalid_field(datagram: Datagram) -> str:
+    """The name of the first field out of its bounds, or "": a peer with a key may still send anything."""
+    for name in ("generation", "receiver_generation", "sequence", "ping_number"):
+        if not 0 <= getattr(datagram, name) < COUNTER_LIMIT:
             return name
-    if not 0 <= datagram.kind <= 7:
+    if not DatagramKind.PING <= datagram.kind <= DatagramKind.PARTNERS_FRAGMENT:
         return "kind"
-    if datagram.kind in (2, 3) and not datagram.about:
-        return "about"
-    if len(datagram.rumours) > RUMOURS:
+    if datagram.kind in KINDS_WITH_SUBJECT and not datagram.subject:
+        return "subject"
+    if len(datagram.rumours) > MAX_RUMOURS or not all(map(rumour_in_bounds, datagram.rumours)):
         return "rumours"
-    for rumour in datagram.rumours:
-        if not 0 <= rumour.state <= 3 or not 0 <= rumour.incarnation < WHOLE:
-            return "rumours"
-        if max(len(rumour.name), len(rumour.witness)) > NAME or not rumour.name:
-            return "rumours"
-    return "sender" if len(datagram.sender) > NAME or len(datagram.about) > NAME else ""
+    if max(len(datagram.sender), len(datagram.subject)) > MAX_NAME_CHARACTERS:
+        return "sender"
+    return ""
 
 
-# A life's number is the time of its start: after a restart with the clock set back it is below that of the
-# life before, and the others believe nothing of this one.
-CLOCK_BEHIND = "to a later life of this router"
+def rumour_in_bounds(rumour: Rumour) -> bool:
+    """Whether each field of a rumour has a value that an honest router could send."""
+    return (
+        PeerState.ALIVE <= rumour.state <= PeerState.LEFT
+        and 0 <= rumour.incarnation < COUNTER_LIMIT
+        and 0 < len(rumour.name) <= MAX_NAME_CHARACTERS
+        and len(rumour.witness) <= MAX_NAME_CHARACTERS
+    )
 
 
-class Window:
-    """What has come of one peer: which life of it, which numbers. Each datagram counts once, in any order.
+class ReplayWindow:
+    """Which datagrams of one peer have been accepted: each counts once, in any order.
 
     Guards against datagrams that the network, or somebody on it, sends again, also to a router that has
-    restarted since and forgot what came: only one that was sent to this life of the receiver is believed."""
+    restarted since and does not remember them: only what was sent to this generation of the receiver counts.
+    """
 
-    SPAN = 64  # numbers behind the highest that may still come
+    SPAN = 64  # sequence numbers below the highest that may still arrive
 
     def __init__(self) -> None:
-        self.born, self.highest, self.seen = 0, -1, 0
-        self.hint = 0  # the latest life of it that anything came from, believed or not
+        self.generation = 0  # of the peer, the latest accepted
+        self.highest_sequence = -1
+        self.accepted_bits = 0  # bit n: highest_sequence - n was accepted
+        self.latest_unaccepted_generation = 0
 
     @property
-    def heard(self) -> int:
-        """What goes back as `heard`: that life then knows ours, and what it sends next is believed."""
-        return max(self.born, self.hint)
-
-    def take(self, datagram: Datagram, own: int) -> bool:
-        """Whether it may be believed; if not, it is from one that has not heard of this life of ours, and
-        does once it is answered. Raises DatagramDropped for what an earlier life sent or got, or a repeat."""
-        if datagram.heard != own:
-            self.hint = max(self.hint, datagram.born)
-            if datagram.heard > own:
-                raise DatagramDropped(CLOCK_BEHIND, datagram.sender)
-            if datagram.heard:
-                raise DatagramDropped("to an earlier life", datagram.sender)
+    def known_generation(self) -> int:
+        """What we send as `receiver_generation`: the peer then knows ours, and its next datagram counts."""
+        return max(self.generation, self.latest_unaccepted_generation)
+
+    def accept(self, datagram: Datagram, own_generation: int) -> bool:
+        """Whether the datagram counts. False: its sender has not heard of our generation yet, and must be
+        answered first. Raises DatagramDropped for what an earlier generation sent or got, and for repeats.
+        """
+        if datagram.receiver_generation != own_generation:
+            self.latest_unaccepted_generation = max(self.latest_unaccepted_generation, datagram.generation)
+            if datagram.receiver_generation > own_generation:
+                raise DatagramDropped(DropReason.TO_LATER_GENERATION, datagram.sender)
+            if datagram.receiver_generation:
+                raise DatagramDropped(DropReason.TO_EARLIER_GENERATION, datagram.sender)
             return False
-        if datagram.born < self.born:
-            raise DatagramDropped("of an earlier life", datagram.sender)
-        if datagram.born > self.born:
-            self.born, self.highest, self.seen = datagram.born, -1, 0
-        behind = self.highest - datagram.sequence
-        if behind >= self.SPAN or behind >= 0 and self.seen >> behind & 1:
-            raise DatagramDropped("repeat", datagram.sender)
-        if behind < 0:
-            self.seen = (self.seen << min(-behind, self.SPAN) | 1) & (1 << self.SPAN) - 1
-            self.highest = datagram.sequence
-        else:
-            self.seen |= 1 << behind
+        if datagram.generation < self.generation:
+            raise DatagramDropped(DropReason.FROM_EARLIER_GENERATION, datagram.sender)
+        if datagram.generation > self.generation:
+            self.generation = datagram.generation
+            self.highest_sequence = -1
+            self.accepted_bits = 0
+        self._accept_sequence(datagram)
         return True
+
+    def _accept_sequence(self, datagram: Datagram) -> None:
+        behind = self.highest_sequence - datagram.sequence
+        if behind >= self.SPAN or (behind >= 0 and self.accepted_bits >> behind & 1):
+            raise DatagramDropped(DropReason.REPLAYED, datagram.sender)
+        if behind >= 0:
+            self.accepted_bits |= 1 << behind
+            return
+        shifted = self.accepted_bits << min(-behind, self.SPAN)
+        self.accepted_bits = (shifted | 1) & ((1 << self.SPAN) - 1)
+        self.highest_sequence = datagram.sequence
--- a/hillchute/peers/failure_detector.py
+++ b/hillchute/peers/failure_detector.py
@@ -1,299 +1,397 @@
-"""Which other routers live: who is pinged, suspected, dead, has left or returned. SWIM, with Lifeguard.
+"""Failure detection among routers: SWIM with Lifeguard. Who is pinged, suspected, dead, has left or returned.
 
-Owns what is believed of each peer and what is passed on of it. Pure: events and the time in, datagrams out.
-Must never know what a message is for, make a mark, or hold a queue. What routers decide never waits for
-it: where it is wrong, a share is counted wrongly for a while.
+Pure: events and the time in, datagrams to send out. It knows what is believed of each peer and what of that
+is gossiped, not what a payload is for; it computes no tag and does no I/O. No decision waits for it: where it
+is wrong, a quota is counted wrongly for a while.
 
-Each round one peer is pinged, all in turn; without an answer others are asked to; without theirs it is
-suspected, and dead unless it is heard of in time. Rumours go out with pings and answers, each so often as the
-logarithm of the fleet: what a router sends does not grow with the number of routers but by that.
+Each protocol period one peer is pinged, all in turn. Without an answer others are asked to ping it; without
+theirs it is suspected, and dead unless it is heard of in time. Rumours travel with pings and answers, each
+as often as the logarithm of the fleet: what a router sends grows with that logarithm only.
 
-Guards against lying and broken peers: a voice is a peer that says it saw for itself, and it speaks for nobody
-else. One can raise a suspicion, never a death; own sight of the last rounds goes before any number; and the
-suspected router hears of it in time to say that it lives. Times are whole tenths of a millisecond.
+Against lying and broken peers: a witness is a peer that says it saw for itself, and it speaks for nobody
+else. A single one can raise a suspicion, never a death; what this router saw itself in the last periods
+counts more than any number of witnesses; and the suspected router hears of it in time to say that it lives.
+
+Times are whole tenths of a millisecond.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from math import log, log2
+from math import log
 from zlib import crc32
 
 from hillchute.decision.interface import Time
-from hillchute.peers.datagrams import RUMOURS, Rumour
-
-SECOND = 10_000
-ROUND: Time = 1 * SECOND  # between two pings: a dead router is found within a few of them
-ANSWER: Time = 2_000  # a ping's answer comes within this: a slow loop's turn, there and back
-RELAYS = 3  # others that are asked to ping one that does not answer: one broken way there is no death
-SUSPECTED = 8.0  # rounds, times the logarithm (10) of the fleet, that a suspicion lasts with one voice
-AT_FIRST = 16  # pings a round while some were never heard of: 200 are found in some 8 s, 2 kB a second
-VOICES = 3  # that shorten it to a third: as many who saw the same by themselves
-TELLS = 3.0  # times the logarithm (2) of the fleet that each rumour is passed on
-SLOWEST = 8  # a router that fails at its own pings takes so many times as long before it blames others
-AHEAD = 3_600_000  # milliseconds that an incarnation may lie ahead of our clock
-
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
-PING, ANSWERED, ASK, TOLD = range(4)
-
-
-@dataclass(slots=True)
-class Send:
-    """A datagram to a peer, but for what the window and the mark add."""
-
-    to: str
+from hillchute.peers.datagrams import Datagram, DatagramKind, PeerState, Rumour
+from hillchute.peers.gossip import GossipQueue
+
+SECOND: Time = 10_000
+PROTOCOL_PERIOD: Time = 1 * SECOND  # between two pings: a dead router is found within a few of them
+PING_TIMEOUT: Time = 2_000  # a slow event loop's turn, there and back
+INDIRECT_PINGS = 3  # peers asked to ping one that does not answer: one broken path is no death
+SUSPICION_MULTIPLIER = 8.0  # periods, times the logarithm (10) of the fleet, with one witness
+PINGS_PER_PERIOD_AT_START = 16  # while some were never heard of: 200 are found in some 8 s, at 2 kB a second
+WITNESSES_FOR_SHORTEST_SUSPICION = 3
+MAX_LOCAL_HEALTH = (
+    8  # Lifeguard: a router whose own pings fail waits so many times as long before it blames others
+)
+MAX_INCARNATION_AHEAD = 3_600_000  # milliseconds that an incarnation may lie ahead of our clock
+OWN_SIGHT: Time = 2 * PROTOCOL_PERIOD  # a peer heard by ourselves since then is not suspected by hearsay
+NEVER: Time = -(10**12)
+
+LIVE_STATES = (PeerState.ALIVE, PeerState.SUSPECT)  # a suspicion is no death
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingDatagram:
+    """A datagram to a peer, without what the replay window, the payload and the tag add."""
+
+    receiver: str
     kind: int
-    number: int
-    about: str = ""
+    ping_number: int
+    subject: str = ""
     rumours: tuple[Rumour, ...] = ()
 
 
 @dataclass(slots=True)
 class Peer:
+    """What is believed of one peer; dead until it is heard of, since an address in a file is no router."""
+
     name: str
-    state: int = DEAD  # until it is heard of: an address in a file is no router
-    incarnation: int = 0
-    since: Time = 0  # when the state began
-    heard_at: Time = -(10**12)  # by ourselves
-    voices: frozenset[str] = frozenset()  # who say that this incarnation is ill or dead
+    state: PeerState = PeerState.DEAD
+    incarnation: int = 0  # 0: never heard of
+    state_since: Time = 0
+    last_heard_at: Time = NEVER  # by ourselves
+    witnesses: frozenset[str] = frozenset()  # who say that this incarnation is suspect or dead
+
+
+@dataclass(frozen=True, slots=True)
+class IndirectPing:
+    """Whose request a ping carries out, and the requester's own number for it."""
+
+    requester: str
+    ping_number: int
 
 
 @dataclass(slots=True)
-class Ping:
-    to: str
-    began: Time
-    asked: bool = False  # others have been asked
-    on_behalf: tuple[str, int] | None = None  # who asked us, and the number there
-
-
-class Roster:
-    def __init__(self, me: str, born: int, peers: Iterable[str], seed: int, now: Time) -> None:
-        """`born`: Unix milliseconds of this start; each later life of a name has a higher one."""
-        self.me, self.incarnation, self.seed, self.now = me, born, seed, now
-        self.peers = {name: Peer(name, since=now) for name in peers if name != me}
+class PendingPing:
+    """A ping that was sent and not answered yet."""
+
+    receiver: str
+    sent_at: Time
+    indirect_requested: bool = False  # others have been asked to ping the receiver
+    on_behalf_of: IndirectPing | None = None
+
+
+class FailureDetector:
+    """What one router believes of its peers."""
+
+    def __init__(self, own_name: str, generation: int, peers: Iterable[str], seed: int, now: Time) -> None:
+        """`generation`: Unix milliseconds of this start; a later start of the same name has a higher one."""
+        self.own_name = own_name
+        self.incarnation = generation
+        self.seed = seed
+        self.now = now
+        self.peers = {name: Peer(name, state_since=now) for name in peers if name != own_name}
         self.suspects: set[str] = set()
-        self.version = 0  # another one whenever somebody's state is
-        self.alive: tuple[int, list[str]] = (-1, [])  # as of a version: who lives; asked with every datagram
-        self.pings: dict[int, Ping] = {}
-        self.line: list[str] = []  # whose turn it is
-        self.next_round, self.numbers, self.drawn = now, 0, 0
-        self.rumours: dict[str, list] = {}  # name: [times told, rumour]
-        self.slow = 1  # Lifeguard's health of our own: 1 is well
+        self.version = 0  # rises whenever a peer's state changes
+        self.pending_pings: dict[int, PendingPing] = {}
+        self.ping_order: list[str] = []  # whose turn it is; the next one last
+        self.next_period_at = now
+        self.last_ping_number = 0
+        self.shuffles = 0
+        self.gossip = GossipQueue()
+        self.local_health = 1  # Lifeguard's multiplier; 1 is healthy
         self.left = False
+        self._live_version = -1  # of which _live is as
+        self._live: list[str] = []
 
     # ---- what is known ------------------------------------------------------------------------------
 
-    def living(self) -> list[str]:
-        """The peers that live as far as is known; a suspicion is no death. Not to be changed."""
-        if self.alive[0] != self.version:
-            names = sorted(p.name for p in self.peers.values() if p.state in (ALIVE, SUSPECT))
-            self.alive = self.version, names
-        return self.alive[1]
-
-    def fleet(self) -> int:
-        return 1 + len(self.living())
-
-    def named(self, peers: Iterable[str], now: Time) -> None:
-        """The operator names other routers: those that are new are as yet unheard of, others forgotten."""
-        names = set(peers) - {self.me}
-        self.peers = {name: self.peers.get(name) or Peer(name, since=now) for name in sorted(names)}
+    def live_peers(self) -> list[str]:
+        """The peers that live as far as is known, sorted. The list is shared: not to be changed."""
+        if self._live_version != self.version:
+            self._live = sorted(peer.name for peer in self.peers.values() if peer.state in LIVE_STATES)
+            self._live_version = self.version
+        return self._live
+
+    def fleet_size(self) -> int:
+        """Routers that live, this one included."""
+        return 1 + len(self.live_peers())
+
+    def set_peers(self, peers: Iterable[str], now: Time) -> None:
+        """The operator names other routers: new ones are not heard of yet, those left out are forgotten."""
+        names = set(peers) - {self.own_name}
+        self.peers = {name: self.peers.get(name) or Peer(name, state_since=now) for name in sorted(names)}
         self.version += 1
         self.suspects &= names
-        self.pings = {
-            number: ping
-            for number, ping in self.pings.items()
-            if ping.to in names and (ping.on_behalf is None or ping.on_behalf[0] in names)
+        self.pending_pings = {
+            number: ping for number, ping in self.pending_pings.items() if self._concerns_only(names, ping)
         }
-        self.line = [name for name in self.line if name in names]
-        self.rumours = {name: told for name, told in self.rumours.items() if name in names | {self.me}}
+        self.ping_order = [name for name in self.ping_order if name in names]
+        self.gossip.keep_only(names)
 
-    # ---- what happens -------------------------------------------------------------------------------
+    @staticmethod
+    def _concerns_only(names: set[str], ping: PendingPing) -> bool:
+        requester_named = ping.on_behalf_of is None or ping.on_behalf_of.requester in names
+        return ping.receiver in names and requester_named
 
-    def leave(self, now: Time) -> list[Send]:
-        """This router ends: all are told by itself, since nobody takes a farewell from another."""
-        self.now, self.left = now, True
+    # ---- events -------------------------------------------------------------------------------------
+
+    def leave(self, now: Time) -> list[OutgoingDatagram]:
+        """This router shuts down: it tells every peer itself, since nobody believes another's farewell."""
+        self.now = now
+        self.left = True
         self.incarnation += 1
-        self.tell(Rumour(self.me, LEFT, self.incarnation, self.me))
-        return [self.send(name, PING, self.number()) for name in self.living()]
-
-    def heard(
-        self, now: Time, sender: str, kind: int, number: int, about: str, rumours: Iterable[Rumour]
-    ) -> list[Send]:
-        """A datagram that may be believed came from a peer."""
-        self.now, peer = now, self.peers.get(sender)
+        return [
+            self.outgoing(name, DatagramKind.PING, self._next_ping_number()) for name in self.live_peers()
+        ]
+
+    def receive(self, now: Time, datagram: Datagram) -> list[OutgoingDatagram]:
+        """Takes in a datagram that was accepted; gives the answers and the pings that follow from it."""
+        self.now = now
+        peer = self.peers.get(datagram.sender)
         if peer is None or self.left:
             return []
-        peer.heard_at = now
-        if peer.state in (DEAD, LEFT) and sender not in self.line:
-            self.line.append(sender)  # next to be pinged: its answer tells whether it lives and serves
-        for rumour in rumours:
-            self.rumour(sender, rumour)
-        if peer.state == SUSPECT:
-            self.change(peer, ALIVE, peer.incarnation)  # our own sight of it; others hear it from itself
-        match kind:
-            case 0:
-                return [self.send(sender, ANSWERED, number)]
-            case 1:
-                return self.answered(sender, number)
-            case 2 if about in self.peers:
-                mine = self.number()
-                self.pings[mine] = Ping(about, now, True, (sender, number))
-                return [self.send(about, PING, mine)]
-            case 3:
-                ping = self.pings.get(number)
-                if ping is not None and ping.to == about:
-                    del self.pings[number]
-                    self.slow = max(1, self.slow - 1)
+        peer.last_heard_at = now
+        if peer.state not in LIVE_STATES and peer.name not in self.ping_order:
+            self.ping_order.append(peer.name)  # next to be pinged: its answer shows whether it serves
+        for rumour in datagram.rumours:
+            self.apply_rumour(peer.name, rumour)
+        if peer.state == PeerState.SUSPECT:
+            # Own sight ends our suspicion; the others hear it from the peer itself.
+            self.change_state(peer, PeerState.ALIVE, peer.incarnation)
+        match datagram.kind:
+            case DatagramKind.PING:
+                return [self.outgoing(peer.name, DatagramKind.PING_ACK, datagram.ping_number)]
+            case DatagramKind.PING_ACK:
+                return self._receive_ack(datagram)
+            case DatagramKind.INDIRECT_PING if datagram.subject in self.peers:
+                return [self._ping_on_behalf(datagram)]
+            case DatagramKind.INDIRECT_PING_ACK:
+                self._receive_indirect_ack(datagram)
         return []
 
-    def answered(self, sender: str, number: int) -> list[Send]:
-        ping = self.pings.get(number)
-        if ping is None or ping.to != sender:
+    def _receive_ack(self, datagram: Datagram) -> list[OutgoingDatagram]:
+        ping = self.pending_pings.get(datagram.ping_number)
+        if ping is None or ping.receiver != datagram.sender:
             return []
-        del self.pings[number]
-        if ping.on_behalf:
-            who, theirs = ping.on_behalf
-            return [self.send(who, TOLD, theirs, sender)]
-        self.slow = max(1, self.slow - 1)
-        return []
-
-    def tick(self, now: Time) -> list[Send]:
-        """Called at least every ANSWER / 2: pings that are due, or unanswered; suspicions that end."""
+        del self.pending_pings[datagram.ping_number]
+        requested = ping.on_behalf_of
+        if requested is None:
+            self._improve_local_health()
+            return []
+        kind = DatagramKind.INDIRECT_PING_ACK
+        return [self.outgoing(requested.requester, kind, requested.ping_number, datagram.sender)]
+
+    def _receive_indirect_ack(self, datagram: Datagram) -> None:
+        ping = self.pending_pings.get(datagram.ping_number)
+        if ping is not None and ping.receiver == datagram.subject:
+            del self.pending_pings[datagram.ping_number]
+            self._improve_local_health()
+
+    def _ping_on_behalf(self, datagram: Datagram) -> OutgoingDatagram:
+        number = self._next_ping_number()
+        self.pending_pings[number] = PendingPing(
+            datagram.subject,
+            self.now,
+            indirect_requested=True,
+            on_behalf_of=IndirectPing(datagram.sender, datagram.ping_number),
+        )
+        return self.outgoing(datagram.subject, DatagramKind.PING, number)
+
+    # ---- time ---------------------------------------------------------------------------------------
+
+    def tick(self, now: Time) -> list[OutgoingDatagram]:
+        """Called at least every PING_TIMEOUT / 2: pings that are due or unanswered, suspicions that end."""
         self.now = now
-        said = []
-        for number, ping in list(self.pings.items()):
-            said += self.unanswered(number, ping)
-        for peer in [self.peers[name] for name in sorted(self.suspects)]:
-            if now - peer.since >= self.suspicion(peer):
-                self.tell(
-                    Rumour(peer.name, DEAD, peer.incarnation, self.me if self.me in peer.voices else "")
-                )
-                self.change(peer, DEAD, peer.incarnation)
-        if now >= self.next_round and not self.left:
-            self.next_round = max(now, self.next_round + ROUND)
-            never = any(not peer.incarnation for peer in self.peers.values())
-            for name in filter(None, (self.turn() for _ in range(AT_FIRST if never else 1))):
-                said.append(self.ping(name))
-        return said
-
-    def ping(self, name: str) -> Send:
-        number = self.number()
-        self.pings[number] = Ping(name, self.now)
-        return self.send(name, PING, number)
-
-    # ---- inside ---------------------------------------------------------------------------------------
-
-    def unanswered(self, number: int, ping: Ping) -> list[Send]:
-        age, peer = self.now - ping.began, self.peers[ping.to]
-        if ping.on_behalf:
-            if age >= ROUND:
-                del self.pings[number]
+        sent: list[OutgoingDatagram] = []
+        for number, ping in list(self.pending_pings.items()):
+            sent += self._check_pending(number, ping)
+        self._end_suspicions()
+        if now >= self.next_period_at and not self.left:
+            self.next_period_at = max(now, self.next_period_at + PROTOCOL_PERIOD)
+            sent += self._start_period()
+        return sent
+
+    def _start_period(self) -> list[OutgoingDatagram]:
+        any_unknown = any(not peer.incarnation for peer in self.peers.values())
+        sent = []
+        for _ in range(PINGS_PER_PERIOD_AT_START if any_unknown else 1):
+            name = self._next_to_ping()
+            if name is not None:
+                sent.append(self._ping(name))
+        return sent
+
+    def _ping(self, name: str) -> OutgoingDatagram:
+        number = self._next_ping_number()
+        self.pending_pings[number] = PendingPing(name, self.now)
+        return self.outgoing(name, DatagramKind.PING, number)
+
+    def _check_pending(self, number: int, ping: PendingPing) -> list[OutgoingDatagram]:
+        """What follows from the age of a ping that is not answered yet."""
+        age = self.now - ping.sent_at
+        if ping.on_behalf_of is not None:
+            if age >= PROTOCOL_PERIOD:
+                del self.pending_pings[number]
             return []
-        if not ping.asked and age >= ANSWER * self.slow:
-            ping.asked = True
-            if peer.state in (ALIVE, SUSPECT):
-                return [self.send(name, ASK, number, ping.to) for name in self.some(RELAYS, (ping.to,))]
-        if age >= ROUND * self.slow:
-            del self.pings[number]
-            if peer.state == ALIVE and self.now - peer.heard_at >= ROUND:
-                self.slow = min(SLOWEST, self.slow + 1)  # it may be us
-                self.change(peer, SUSPECT, peer.incarnation)
-                peer.voices = frozenset({self.me})
-                self.tell(Rumour(peer.name, SUSPECT, peer.incarnation, self.me))
+        peer = self.peers[ping.receiver]
+        if not ping.indirect_requested and age >= PING_TIMEOUT * self.local_health:
+            ping.indirect_requested = True
+            if peer.state in LIVE_STATES:
+                return self._request_indirect_pings(number, peer.name)
+        if age >= PROTOCOL_PERIOD * self.local_health:
+            del self.pending_pings[number]
+            if peer.state == PeerState.ALIVE and self.now - peer.last_heard_at >= PROTOCOL_PERIOD:
+                self._suspect(peer)
         return []
 
-    def rumour(self, sender: str, told: Rumour) -> None:
-        """One voice about a router; ordered by incarnation, so that order, repeats and loss don't matter."""
-        if told.incarnation > self.now // 10 + AHEAD:
-            return  # guards against one that claims a life that can't be gainsaid
-        if told.name == self.me:
-            if told.state != ALIVE and told.incarnation >= self.incarnation:
-                self.incarnation = told.incarnation + 1
-                self.slow = min(SLOWEST, self.slow + 1)  # others did not hear us: we may be slow
-                self.tell(Rumour(self.me, ALIVE, self.incarnation, self.me))
+    def _request_indirect_pings(self, number: int, subject: str) -> list[OutgoingDatagram]:
+        helpers = self._random_live_peers(INDIRECT_PINGS, subject)
+        return [self.outgoing(name, DatagramKind.INDIRECT_PING, number, subject) for name in helpers]
+
+    def _suspect(self, peer: Peer) -> None:
+        """Neither the peer nor others on our behalf were answered."""
+        self._worsen_local_health()  # the fault may be ours
+        self.change_state(peer, PeerState.SUSPECT, peer.incarnation)
+        peer.witnesses = frozenset({self.own_name})
+        self.gossip.add(Rumour(peer.name, PeerState.SUSPECT, peer.incarnation, self.own_name))
+
+    def _end_suspicions(self) -> None:
+        for peer in [self.peers[name] for name in sorted(self.suspects)]:
+            if self.now - peer.state_since >= self._suspicion_timeout(peer):
+                witness = self.own_name if self.own_name in peer.witnesses else ""
+                self.gossip.add(Rumour(peer.name, PeerState.DEAD, peer.incarnation, witness))
+                self.change_state(peer, PeerState.DEAD, peer.incarnation)
+
+    def _suspicion_timeout(self, peer: Peer) -> Time:
+        """How long a suspect may still speak for itself: the shorter the more have seen the same."""
+        fleet_factor = max(1.0, log(self.fleet_size() + 1, 10))
+        longest = SUSPICION_MULTIPLIER * PROTOCOL_PERIOD * fleet_factor
+        confirmed = min(1.0, log(len(peer.witnesses) or 1) / log(WITNESSES_FOR_SHORTEST_SUSPICION))
+        return int(longest * (1 - confirmed * 2 / 3))
+
+    # ---- rumours ------------------------------------------------------------------------------------
+
+    def apply_rumour(self, sender: str, rumour: Rumour) -> None:
+        """One witness's word about a router; by incarnation, so that order, repeats and loss don't matter."""
+        if rumour.incarnation > self.now // 10 + MAX_INCARNATION_AHEAD:
+            return  # guards against an incarnation that nobody could contradict
+        if rumour.name == self.own_name:
+            self._refute(rumour)
             return
-        peer = self.peers.get(told.name)
+        peer = self.peers.get(rumour.name)
         if peer is None:
             return  # not one that the operator names
-        first_hand = sender == told.name
-        match told.state:
-            case 0 if told.incarnation > peer.incarnation:
-                # Hearsay brings one to be pinged, not to life: a liar could keep the dead alive.
-                if first_hand or peer.state in (ALIVE, SUSPECT):
-                    self.change(peer, ALIVE, told.incarnation)
-                    self.tell(told)
-                elif told.name not in self.line:
-                    self.line.append(told.name)
-            case 1 | 2 if told.incarnation >= peer.incarnation and peer.state in (ALIVE, SUSPECT):
-                if self.now - peer.heard_at < 2 * ROUND:
-                    return  # own sight goes before hearsay
-                if peer.state == ALIVE:
-                    self.change(peer, SUSPECT, told.incarnation)
-                    self.tell(Rumour(told.name, SUSPECT, told.incarnation, told.witness))
-                peer.voices |= {sender} if told.witness == sender else frozenset()
-            case 3 if first_hand and told.incarnation >= peer.incarnation:
-                self.change(peer, LEFT, told.incarnation)
-                self.tell(told)
-            case 3 if told.incarnation > peer.incarnation and peer.state in (ALIVE, SUSPECT):
-                if self.now - peer.heard_at >= 2 * ROUND or peer.state == SUSPECT:
-                    # Hearsay of a farewell is a suspicion: its silence, or its own word, tells the rest.
-                    self.change(peer, SUSPECT, told.incarnation)
-                    self.tell(Rumour(told.name, SUSPECT, told.incarnation, told.witness))
-
-    def change(self, peer: Peer, state: int, incarnation: int) -> None:
+        match rumour.state:
+            case PeerState.ALIVE:
+                self._apply_alive(sender, peer, rumour)
+            case PeerState.SUSPECT | PeerState.DEAD:
+                self._apply_suspicion(sender, peer, rumour)
+            case PeerState.LEFT:
+                self._apply_farewell(sender, peer, rumour)
+
+    def _refute(self, rumour: Rumour) -> None:
+        """Others take this router for suspect or gone: it lives, in a higher incarnation."""
+        if rumour.state != PeerState.ALIVE and rumour.incarnation >= self.incarnation:
+            self.incarnation = rumour.incarnation + 1
+            self._worsen_local_health()  # others did not hear us: we may be slow
+
+    def _apply_alive(self, sender: str, peer: Peer, rumour: Rumour) -> None:
+        if rumour.incarnation <= peer.incarnation:
+            return
+        if sender == peer.name or peer.state in LIVE_STATES:
+            self.change_state(peer, PeerState.ALIVE, rumour.incarnation)
+            self.gossip.add(rumour)
+        elif peer.name not in self.ping_order:
+            # Hearsay gets a dead peer pinged, not alive: a liar could keep the dead alive.
+            self.ping_order.append(peer.name)
+
+    def _apply_suspicion(self, sender: str, peer: Peer, rumour: Rumour) -> None:
+        if rumour.incarnation < peer.incarnation or peer.state not in LIVE_STATES:
+            return
+        if self.now - peer.last_heard_at < OWN_SIGHT:
+            return
+        if peer.state == PeerState.ALIVE:
+            self._suspect_by_hearsay(peer, rumour)
+        if rumour.witness == sender:
+            peer.witnesses |= {sender}
+
+    def _apply_farewell(self, sender: str, peer: Peer, rumour: Rumour) -> None:
+        if sender == peer.name and rumour.incarnation >= peer.incarnation:
+            self.change_state(peer, PeerState.LEFT, rumour.incarnation)
+            self.gossip.add(rumour)
+            return
+        if rumour.incarnation <= peer.incarnation or peer.state not in LIVE_STATES:
+            return
+        if self.now - peer.last_heard_at >= OWN_SIGHT or peer.state == PeerState.SUSPECT:
+            # Another's farewell is a suspicion: the peer's silence, or its own word, decides.
+            self._suspect_by_hearsay(peer, rumour)
+
+    def _suspect_by_hearsay(self, peer: Peer, rumour: Rumour) -> None:
+        self.change_state(peer, PeerState.SUSPECT, rumour.incarnation)
+        self.gossip.add(Rumour(peer.name, PeerState.SUSPECT, rumour.incarnation, rumour.witness))
+
+    def change_state(self, peer: Peer, state: PeerState, incarnation: int) -> None:
+        """Sets what is believed of a peer; its incarnation never falls."""
         if state != peer.state:
-            peer.since = self.now
-        if state == SUSPECT:
+            peer.state_since = self.now
+        if state == PeerState.SUSPECT:
             self.suspects.add(peer.name)
         else:
             self.suspects.discard(peer.name)
-            peer.voices = frozenset()
-        peer.state, peer.incarnation = state, max(peer.incarnation, incarnation)
+            peer.witnesses = frozenset()
+        peer.state = state
+        peer.incarnation = max(peer.incarnation, incarnation)
         self.version += 1
 
-    def suspicion(self, peer: Peer) -> Time:
-        """How long it may still speak for itself: shorter the more have seen the same."""
-        longest = SUSPECTED * ROUND * max(1.0, log(self.fleet() + 1, 10))
-        part = min(1.0, log(len(peer.voices) or 1) / log(VOICES))
-        return int(longest * (1 - part * 2 / 3))
-
-    def tell(self, rumour: Rumour) -> None:
-        self.rumours[rumour.name] = [0, rumour]
-
-    def send(self, to: str, kind: int, number: int, about: str = "") -> Send:
-        """With the rumours that were told least, and what is said of the receiver in any case."""
-        most = TELLS * log2(self.fleet() + 1)
-        first = [Rumour(self.me, LEFT if self.left else ALIVE, self.incarnation, self.me)]
-        receiver = self.peers[to]
-        if receiver.state in (SUSPECT, DEAD) and receiver.incarnation:
-            first.append(Rumour(to, receiver.state, receiver.incarnation, self.me))
-        line = sorted(self.rumours.values(), key=lambda entry: (entry[0], entry[1].name))
-        line = [entry for entry in line if entry[1].name not in (to, self.me)][: RUMOURS // 2]
-        for entry in line:
-            entry[0] += 1
-            if entry[0] >= most:
-                del self.rumours[entry[1].name]
-        return Send(to, kind, number, about, (*first, *(entry[1] for entry in line)))
-
-    def turn(self) -> str | None:
-        """Whose turn it is: all in a shuffled row, the dead too but seldom: an address may live again."""
-        if not self.line:
-            fresh = [p for p in self.peers.values() if p.state in (ALIVE, SUSPECT) or not p.incarnation]
-            names = [p.name for p in fresh]
-            rest = [p.name for p in self.peers.values() if p not in fresh]
-            rest.sort(key=self.shuffled)
-            names += rest[: 1 + len(names) // 4]
-            self.drawn += 1
-            self.line = sorted(names, key=self.shuffled)
-        return self.line.pop() if self.line else None
-
-    def some(self, count: int, but: Iterable[str]) -> list[str]:
-        self.drawn += 1
-        names = [name for name in self.living() if name not in but]
-        return sorted(names, key=self.shuffled)[:count]
-
-    def shuffled(self, name: str) -> int:
-        return crc32(f"{self.seed}:{self.drawn}:{name}".encode())
-
-    def number(self) -> int:
-        self.numbers += 1
-        return self.numbers
+    # ---- datagrams ----------------------------------------------------------------------------------
+
+    def outgoing(
+        self, receiver: str, kind: DatagramKind, ping_number: int, subject: str = ""
+    ) -> OutgoingDatagram:
+        """A datagram with our own state, what is said of the receiver, and the rumours sent least so far."""
+        own_state = PeerState.LEFT if self.left else PeerState.ALIVE
+        rumours = [Rumour(self.own_name, own_state, self.incarnation, self.own_name)]
+        peer = self.peers[receiver]
+        if peer.state in (PeerState.SUSPECT, PeerState.DEAD) and peer.incarnation:
+            rumours.append(Rumour(receiver, peer.state, peer.incarnation, self.own_name))
+        rumours += self.gossip.take_for(receiver, self.fleet_size())
+        return OutgoingDatagram(receiver, kind, ping_number, subject, tuple(rumours))
+
+    # ---- whose turn it is ---------------------------------------------------------------------------
+
+    def _next_to_ping(self) -> str | None:
+        """All in a shuffled order; dead peers seldom, but still: an address may come back."""
+        if not self.ping_order:
+            self.ping_order = self._shuffled_peers()
+        return self.ping_order.pop() if self.ping_order else None
+
+    def _shuffled_peers(self) -> list[str]:
+        """Peers that live or were never heard of, and a quarter as many of the others."""
+        regular = [name for name, peer in self.peers.items() if _is_pinged_regularly(peer)]
+        seldom = [name for name, peer in self.peers.items() if not _is_pinged_regularly(peer)]
+        seldom.sort(key=self._shuffle_key)
+        self.shuffles += 1
+        return sorted(regular + seldom[: 1 + len(regular) // 4], key=self._shuffle_key)
+
+    def _random_live_peers(self, count: int, excluded: str) -> list[str]:
+        self.shuffles += 1
+        names = [name for name in self.live_peers() if name != excluded]
+        return sorted(names, key=self._shuffle_key)[:count]
+
+    def _shuffle_key(self, name: str) -> int:
+        return crc32(f"{self.seed}:{self.shuffles}:{name}".encode())
+
+    def _next_ping_number(self) -> int:
+        self.last_ping_number += 1
+        return self.last_ping_number
+
+    def _improve_local_health(self) -> None:
+        self.local_health = max(1, self.local_health - 1)
+
+    def _worsen_local_health(self) -> None:
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
+
+
+def _is_pinged_regularly(peer: Peer) -> bool:
+    return peer.state in LIVE_STATES or not peer.incarnation
--- /dev/null
+++ b/hillchute/peers/message_channel.py
@@ -0,0 +1,37 @@
+"""What other subsystems send through a node: payloads beside its datagrams, and messages of any length.
+
+Interfaces only: the node and the transport call them, and know nothing of what the bytes mean.
+"""
+
+from typing import Protocol
+
+from hillchute.decision.interface import Time
+
+
+class PayloadHandler(Protocol):
+    """The subsystem whose payloads travel with the failure detector's datagrams."""
+
+    def beside(self, now: Time, to: str) -> bytes:
+        """The payload to send along with a datagram to a peer; empty where there is none."""
+
+    def heard(self, now: Time, sender: str, data: bytes) -> None:
+        """A payload arrived; raises DatagramDropped where it is invalid."""
+
+    def all(self, now: Time, to: str) -> list[bytes]:
+        """Payloads that bring a peer to our full state: it has just started, or was cut off."""
+
+    def gone(self, name: str) -> None:
+        """A peer is dead or has left."""
+
+
+class MessageChannel(Protocol):
+    """A subsystem with messages of any length, sent in fragments: the history, the partners."""
+
+    def heard(self, now: Time, sender: str, piece: bytes) -> None:
+        """A fragment arrived; raises DatagramDropped where it, or the message it completes, is invalid."""
+
+    def tick(self, now: Time) -> None:
+        """Called every TICK_INTERVAL of the transport."""
+
+    def out(self) -> list[tuple[str, bytes]]:
+        """The receivers and messages that wait to be sent; they wait no more."""
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -1,180 +1,229 @@
-"""One router among its peers, whole but for the sockets: bytes and the time in, bytes for others out.
+"""One router among its peers, complete but for the sockets: bytes and the time in, bytes for others out.
 
-Owns the roster, a window, a key and a count for each peer, and the order in which a datagram is looked at:
-readable, marked, new, believed. Must never do I/O, look at a clock, or know what a load is for: that is the
-passenger's. Nothing that comes in raises: what can't be believed is counted by its reason.
+Pure: it owns the failure detector, a replay window, a key and a sequence for each peer, and the order of
+checks: readable, authentic, new, accepted. It does no I/O, reads no clock and does not know what a payload is
+for. Nothing that arrives raises: what is dropped is counted by its reason.
 
 Times are whole tenths of a millisecond, on a clock that began at the Unix time and then never jumps.
 """
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator, Mapping
-from typing import Protocol
+from dataclasses import replace
+from typing import NamedTuple
+
+import msgspec
 
 from hillchute.decision.interface import Time
 from hillchute.errors import DatagramDropped
-from hillchute.peers.datagrams import MOST, MOST_ON_STREAM, Datagram, Rumour, Window, decode, encode
-from hillchute.peers.failure_detector import ALIVE, ANSWERED, PING, Roster, Send
+from hillchute.peers.datagrams import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    Datagram,
+    DatagramKind,
+    PeerState,
+    ReplayWindow,
+    Rumour,
+    decode,
+    encode,
+)
+from hillchute.peers.failure_detector import FailureDetector, OutgoingDatagram
 from hillchute.peers.fragmentation import DATAGRAM_FRAGMENT_BYTES, STREAM_FRAGMENT_BYTES, split_message
+from hillchute.peers.message_channel import MessageChannel, PayloadHandler
 
-LOAD, ALL, HISTORY, PARTNERS = 4, 5, 6, 7  # kinds beside those of the roster; the last two are riders'
-ALL_EVERY: Time = 50_000  # between two wishes for all: a router that comes back, or a cut that ends
-
-
-class Passenger(Protocol):
-    """Who rides with the datagrams."""
-
-    def beside(self, now: Time, to: str) -> bytes: ...
-
-    def heard(self, now: Time, sender: str, data: bytes) -> None: ...
-
-    def all(self, now: Time, to: str) -> list[bytes]: ...
+STATE_REQUEST_INTERVAL: Time = 50_000  # between requests for full state, after a start or a healed partition
+STATE_REQUESTS_AT_ONCE = 2  # peers asked
 
-    def gone(self, name: str) -> None: ...
 
+class RouterIdentity(NamedTuple):
+    """A router's name, and its generation: Unix milliseconds of this start."""
 
-class Rider(Protocol):
-    """Who has messages of its own, of any length: the answer history, the partners."""
+    name: str
+    generation: int
 
-    def heard(self, now: Time, sender: str, piece: bytes) -> None: ...
 
-    def tick(self, now: Time) -> None: ...
+class AddressedDatagram(NamedTuple):
+    """An encoded datagram and the peer that it goes to."""
 
-    def out(self) -> list[tuple[str, bytes]]: ...
+    receiver: str
+    data: bytes
 
 
 class Node:
+    """One router's side of all conversations with its peers."""
+
     def __init__(
-        self, me: str, born: int, keys: Mapping[str, bytes], seed: int, now: Time, passenger: Passenger
+        self,
+        identity: RouterIdentity,
+        keys: Mapping[str, bytes],
+        seed: int,
+        now: Time,
+        payload_handler: PayloadHandler,
     ) -> None:
-        """`born`: Unix milliseconds of this start. `keys`: of the pair with each peer."""
-        self.me, self.born, self.keys, self.passenger = me, born, keys, passenger
-        self.roster = Roster(me, born, keys, seed, now)
-        self.riders: dict[int, Rider] = {}  # by the kind of their datagrams
-        self.messages = 0
-        self.windows: defaultdict[str, Window] = defaultdict(Window)  # of those that were ever spoken to
-        self.counts: Counter[str] = Counter()  # datagrams to each peer
+        """`keys`: by peer, of the pair with it."""
+        self.name = identity.name
+        self.generation = identity.generation
+        self.keys = keys
+        self.payload_handler = payload_handler
+        self.failure_detector = FailureDetector(identity.name, identity.generation, keys, seed, now)
+        self.channels: dict[int, MessageChannel] = {}  # by the kind of their datagrams
+        self.replay_windows: defaultdict[str, ReplayWindow] = defaultdict(ReplayWindow)  # by peer
+        self.last_sequence: Counter[str] = Counter()  # by receiver
+        self.last_message_number = 0
         self.dropped: Counter[str] = Counter()  # by reason
-        self.wishes: list[str] = []  # peers to be asked for all that they know, over a stream
-        self.wished = -ALL_EVERY
-        self.alive: frozenset[str] = frozenset()
-        self.version = -1  # of the roster, as of which that is so
-
-    def living(self) -> list[str]:
-        return self.roster.living()
-
-    def named(self, keys: Mapping[str, bytes], now: Time) -> None:
+        self.state_requests: list[str] = []  # peers to be asked for their full state, over a stream
+        self.state_requested_at = -STATE_REQUEST_INTERVAL
+        self.known_live: frozenset[str] = frozenset()  # as of known_version of the failure detector
+        self.known_version = -1
+
+    def live_peers(self) -> list[str]:
+        """The peers that live as far as is known, sorted. The list is shared: not to be changed."""
+        return self.failure_detector.live_peers()
+
+    def generations(self) -> dict[str, int]:
+        """This router and all peers that live, as far as is known: when each started, Unix milliseconds."""
+        windows = self.replay_windows
+        of_peers = {name: windows[name].generation for name in self.live_peers() if name in windows}
+        known = {name: generation for name, generation in of_peers.items() if generation}
+        return known | {self.name: self.generation}
+
+    def set_keys(self, keys: Mapping[str, bytes], now: Time) -> None:
         """The operator names other routers, or other keys."""
         self.keys = keys
-        for name in self.windows.keys() - keys.keys():
-            del self.windows[name]
-        self.roster.named(keys, now)
+        for name in self.replay_windows.keys() - keys.keys():
+            del self.replay_windows[name]
+        self.failure_detector.set_peers(keys, now)
+
+    # ---- what arrives -------------------------------------------------------------------------------
 
-    def receive(self, now: Time, data: bytes, most: int = MOST) -> list[tuple[str, bytes]]:
-        """A datagram from wherever; what goes back or on."""
+    def receive(self, now: Time, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> list[AddressedDatagram]:
+        """Takes in a datagram from any source; gives what is to be sent because of it."""
         try:
-            datagram = decode(data, self.me, self.keys, most)
-            believed = self.windows[datagram.sender].take(datagram, self.born)
-            if not believed:
-                return self.unheard(now, datagram)
-            if datagram.kind in (HISTORY, PARTNERS):
-                if datagram.kind in self.riders:
-                    self.riders[datagram.kind].heard(now, datagram.sender, datagram.load)
-            elif datagram.load:
-                self.passenger.heard(now, datagram.sender, datagram.load)
-        except DatagramDropped as fault:
-            self.dropped[fault.what.split(":")[0]] += 1
+            datagram = decode(data, self.name, self.keys, max_bytes)
+            if not self.replay_windows[datagram.sender].accept(datagram, self.generation):
+                return self._introduce(now, datagram)
+            self._deliver(now, datagram)
+        except DatagramDropped as error:
+            self.dropped[error.what.split(":")[0]] += 1
             return []
-        # Whatever is believed shows that its sender lives, in this life of it at the least; a farewell has a
-        # higher incarnation. Guards against one that is heard by loads alone and taken for gone.
-        lives = Rumour(datagram.sender, ALIVE, datagram.born, datagram.sender)
-        told = (datagram.kind, datagram.number, datagram.about, (lives, *datagram.rumours))
-        said = self.roster.heard(now, datagram.sender, *told)
-        self.changes(now)
-        if datagram.kind == ALL:
-            loads = self.passenger.all(now, datagram.sender)
-            return [said for load in loads for said in self.say(datagram.sender, load)]
-        return [self.encoded(now, send) for send in said]
-
-    def unheard(self, now: Time, datagram: Datagram) -> list[tuple[str, bytes]]:
-        """From one that has not heard of this life of ours: an answer tells it, and nothing is believed."""
-        if datagram.kind != PING:
+        answers = self.failure_detector.receive(now, _with_sender_alive(datagram))
+        self._notice_changes(now)
+        if datagram.kind == DatagramKind.STATE_REQUEST:
+            return self._full_state(now, datagram.sender)
+        return [self._encode(now, answer) for answer in answers]
+
+    def _introduce(self, now: Time, datagram: Datagram) -> list[AddressedDatagram]:
+        """The sender has not heard of our generation: an answer tells it, and nothing of it is believed."""
+        if datagram.kind != DatagramKind.PING:
             return []
-        return [self.encoded(now, Send(datagram.sender, ANSWERED, datagram.number), bare=True)]
-
-    def tick(self, now: Time) -> list[tuple[str, bytes]]:
-        said = [self.encoded(now, send) for send in self.roster.tick(now)]
-        self.changes(now)
-        return said
-
-    def leave(self, now: Time) -> list[tuple[str, bytes]]:
-        return [self.encoded(now, send, bare=True) for send in self.roster.leave(now)]
-
-    def say(self, to: str, load: bytes) -> list[tuple[str, bytes]]:
-        """A load alone; none where it does not pass whole."""
+        ack = OutgoingDatagram(datagram.sender, DatagramKind.PING_ACK, datagram.ping_number)
+        return [self._encode(now, ack, with_payload=False)]
+
+    def _deliver(self, now: Time, datagram: Datagram) -> None:
+        """Hands the payload to its subsystem; raises DatagramDropped where that finds it invalid."""
+        if datagram.kind in (DatagramKind.HISTORY_FRAGMENT, DatagramKind.PARTNERS_FRAGMENT):
+            if datagram.kind in self.channels:
+                self.channels[datagram.kind].heard(now, datagram.sender, datagram.payload)
+        elif datagram.payload:
+            self.payload_handler.heard(now, datagram.sender, datagram.payload)
+
+    def _full_state(self, now: Time, receiver: str) -> list[AddressedDatagram]:
+        payloads = self.payload_handler.all(now, receiver)
+        return [datagram for payload in payloads for datagram in self.payload_datagrams(receiver, payload)]
+
+    def _notice_changes(self, now: Time) -> None:
+        """Reports peers that are gone; asks some of those that are new for their full state."""
+        if self.failure_detector.version == self.known_version:
+            return
+        self.known_version = self.failure_detector.version
+        live = frozenset(self.live_peers())
+        for name in sorted(self.known_live - live):
+            self.payload_handler.gone(name)
+        new = sorted(live - self.known_live)
+        if new and now - self.state_requested_at >= STATE_REQUEST_INTERVAL:
+            self.state_requested_at = now
+            self.state_requests += new[:STATE_REQUESTS_AT_ONCE]
+        self.known_live = live
+
+    # ---- what is sent -------------------------------------------------------------------------------
+
+    def tick(self, now: Time) -> list[AddressedDatagram]:
+        """Called at least every PING_TIMEOUT / 2 of the failure detector."""
+        sent = [self._encode(now, datagram) for datagram in self.failure_detector.tick(now)]
+        self._notice_changes(now)
+        return sent
+
+    def leave(self, now: Time) -> list[AddressedDatagram]:
+        """This router shuts down: a farewell to each peer."""
+        farewells = self.failure_detector.leave(now)
+        return [self._encode(now, farewell, with_payload=False) for farewell in farewells]
+
+    def payload_datagrams(self, receiver: str, payload: bytes) -> list[AddressedDatagram]:
+        """A datagram with nothing but a payload; none where it is too long, which is counted."""
         try:
-            return [(to, self.marked(Send(to, LOAD, 0), load))]
+            data = self.seal(OutgoingDatagram(receiver, DatagramKind.PAYLOAD, 0), payload)
         except ValueError:
             self.dropped["load too long to go"] += 1
             return []
-
-    def wish(self, to: str) -> bytes:
-        """What a stream to a peer begins with."""
-        return self.marked(Send(to, ALL, 0), b"")
-
-    def changes(self, now: Time) -> None:
-        """Who lives now and did not, or the other way round."""
-        if self.roster.version == self.version:
-            return
-        self.version, alive = self.roster.version, frozenset(self.roster.living())
-        if alive == self.alive:
-            return
-        for name in sorted(self.alive - alive):
-            self.passenger.gone(name)
-        fresh = sorted(alive - self.alive)
-        if fresh and now - self.wished >= ALL_EVERY:
-            self.wished = now
-            self.wishes += fresh[:2]
-        self.alive = alive
-
-    def encoded(self, now: Time, send: Send, bare: bool = False) -> tuple[str, bytes]:
-        """With the passenger's load where there is room for it. Who lives goes first, and of that whom the
-        datagram is about: long names may leave no room for all rumours."""
-        load = b"" if bare else self.passenger.beside(now, send.to)
+        return [AddressedDatagram(receiver, data)]
+
+    def state_request(self, receiver: str) -> bytes:
+        """The datagram that asks a peer for its full state; a stream to the peer begins with it."""
+        return self.seal(OutgoingDatagram(receiver, DatagramKind.STATE_REQUEST, 0), b"")
+
+    def message_datagrams(
+        self, receiver: str, kind: int, message: bytes, by_stream: bool = False
+    ) -> Iterator[bytes]:
+        """A channel's message as datagrams with a fragment each.
+
+        Each gets its sequence number as it is taken, so that what goes by a stream is not behind what is
+        sent meanwhile. Raises ValueError where the message has too many fragments.
+        """
+        self.last_message_number += 1
+        fragment_bytes = STREAM_FRAGMENT_BYTES if by_stream else DATAGRAM_FRAGMENT_BYTES
+        max_bytes = MAX_FRAME_BYTES if by_stream else MAX_DATAGRAM_BYTES
+        for fragment in split_message(self.last_message_number, message, fragment_bytes):
+            yield self.seal(OutgoingDatagram(receiver, kind, 0), fragment, max_bytes)
+
+    def _encode(self, now: Time, datagram: OutgoingDatagram, with_payload: bool = True) -> AddressedDatagram:
+        """With the handler's payload where it fits.
+
+        The failure detector's rumours go before the payload, and of them the first: with long names not all
+        of them fit.
+        """
+        payload = self.payload_handler.beside(now, datagram.receiver) if with_payload else b""
         while True:
             try:
-                return send.to, self.marked(send, load)
+                return AddressedDatagram(datagram.receiver, self.seal(datagram, payload))
             except ValueError:
-                if not load:
-                    send.rumours = send.rumours[: len(send.rumours) // 2]
-                load = b""
-
-    def pieces(self, to: str, kind: int, message: bytes, large: bool = False) -> Iterator[bytes]:
-        """A rider's message as marked pieces; each gets its number as it is taken, so that what goes by a
-        stream is not behind what goes meanwhile."""
-        self.messages += 1
-        for piece in split_message(
-            self.messages, message, STREAM_FRAGMENT_BYTES if large else DATAGRAM_FRAGMENT_BYTES
-        ):
-            yield self.marked(Send(to, kind, 0), piece, MOST_ON_STREAM if large else MOST)
-
-    def lives(self) -> dict[str, int]:
-        """Of this router and of all others that live, as far as is known: when each started."""
-        born = ((name, self.windows[name].born) for name in self.living() if name in self.windows)
-        return {name: life for name, life in born if life} | {self.me: self.born}
-
-    def marked(self, send: Send, load: bytes, most: int = MOST) -> bytes:
-        self.counts[send.to] += 1
+                if not payload:
+                    datagram = replace(datagram, rumours=datagram.rumours[: len(datagram.rumours) // 2])
+                payload = b""
+
+    def seal(self, outgoing: OutgoingDatagram, payload: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+        """The bytes, with the next sequence number and the tag; raises ValueError where they are too long."""
+        receiver = outgoing.receiver
+        self.last_sequence[receiver] += 1
         datagram = Datagram(
-            sender=self.me,
-            receiver=send.to,
-            born=self.born,
-            heard=self.windows[send.to].heard,
-            sequence=self.counts[send.to],
-            kind=send.kind,
-            number=send.number,
-            about=send.about,
-            rumours=send.rumours,
-            load=load,
+            sender=self.name,
+            receiver=receiver,
+            generation=self.generation,
+            receiver_generation=self.replay_windows[receiver].known_generation,
+            sequence=self.last_sequence[receiver],
+            kind=outgoing.kind,
+            ping_number=outgoing.ping_number,
+            subject=outgoing.subject,
+            rumours=outgoing.rumours,
+            payload=payload,
         )
-        return encode(datagram, self.keys[send.to], most)
+        return encode(datagram, self.keys[receiver], max_bytes)
+
+
+def _with_sender_alive(datagram: Datagram) -> Datagram:
+    """Whatever is accepted shows that its sender lives, in this generation at the least.
+
+    A farewell has a higher incarnation. Without this rumour a peer that is heard by payloads alone would be
+    taken for dead.
+    """
+    alive = Rumour(datagram.sender, PeerState.ALIVE, datagram.generation, datagram.sender)
+    return msgspec.structs.replace(datagram, rumours=(alive, *datagram.rumours))
--- a/hillchute/peers/transport.py
+++ b/hillchute/peers/transport.py
@@ -1,7 +1,8 @@
 """The sockets between routers: datagrams, and streams for what is too large for one.
 
-Owns the sockets, the addresses and when they are looked at. Must never know what a datagram says, decide, or
-hold more than is bounded: what the kernel does not take at once is dropped and counted, as the network may.
+The package's only I/O. It owns the sockets, the addresses and the intervals; it never reads what a datagram
+says and decides nothing. What the kernel does not take at once is dropped and counted, as the network might
+drop it.
 """
 
 import socket
@@ -10,31 +11,35 @@
 import traceback
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Mapping
+from contextlib import AbstractContextManager
+from dataclasses import dataclass
+from types import TracebackType
 from typing import NamedTuple
 
 import anyio
 import anyio.abc
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from hillchute.catalog import up
 from hillchute.decision.interface import Time
 from hillchute.errors import PeersNotReachable
+from hillchute.net.clock import up
 from hillchute.net.system import CONNECTION_FAILED, NOT_YET
-from hillchute.peers.datagrams import MOST, MOST_ON_STREAM
+from hillchute.peers.datagrams import MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES
 from hillchute.peers.fragmentation import DATAGRAM_FRAGMENT_BYTES
-from hillchute.peers.node import Node
-
-TICK = 0.1  # seconds between two looks at who is to be pinged: half of an answer's time
-SOON = 0.02  # seconds that what was seen waits for more to go with it
-AT_ONCE = 64  # datagrams read between two turns of the loop: about 2 ms
-STREAMS = 4  # streams from others that are open at once
-STREAM_TIME = 2.0  # seconds that one may last
-ACCEPT_AGAIN = 0.1  # seconds until streams are accepted again after a want of descriptors or memory
-FRAMES = 256  # datagrams in a stream at the most: a list of some thousands of engines
-CARRIED = 256  # messages that wait for a stream to one peer: what is more is lost, as the network may lose it
-LENGTH = struct.Struct(">H")
-BUFFER = 262_144  # bytes that the kernel keeps of what comes while the loop is busy
-GONE = (
+from hillchute.peers.node import AddressedDatagram, Node
+
+TICK_INTERVAL = 0.1  # seconds between two calls of tick(): half of a ping's timeout
+PAYLOAD_DELAY = 0.02  # seconds that a payload waits for others to go with it
+DATAGRAMS_PER_TURN = 64  # read between two turns of the event loop: about 2 ms
+INBOUND_STREAMS = 4  # open at once
+STREAM_TIMEOUT = 2.0  # seconds that a stream may last
+ACCEPT_RETRY_DELAY = 0.1  # seconds without accept() when descriptors or memory are lacking
+MAX_FRAMES = 256  # in one stream: the state of some thousands of engines
+MAX_QUEUED_MESSAGES = 256  # for a stream to one peer; more are dropped, as the network might drop them
+FRAME_LENGTH = struct.Struct(">H")
+RECEIVE_BUFFER_BYTES = 262_144  # the kernel's, for what arrives while the loop is busy
+TRACEBACK_FRAMES = -6  # the innermost, in the log
+STREAM_ERRORS = (
     anyio.EndOfStream,
     anyio.IncompleteRead,
     anyio.ClosedResourceError,
@@ -43,263 +48,342 @@
 )
 
 
-class Steady:
-    """Unix time as it was at the start, gone on with by a clock that never jumps and does not stop while the
-    process or the machine stands still: what leases are counted by."""
+class SteadyUnixClock:
+    """Unix time as of its start, continued by a clock that never jumps and that runs on while the process or
+    the machine is suspended: leases are counted by it."""
 
     def __init__(self) -> None:
-        self.began = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+        self.offset_ns = time.time_ns() - time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
     def __call__(self) -> Time:
-        return up(self.began + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+        """The time in tenths of a millisecond, rounded up."""
+        return up(self.offset_ns + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
 
 
 class Address(NamedTuple):
+    """Where a router listens, with UDP and TCP."""
+
     host: str
     port: int
 
 
-class Link:
+class QueuedMessage(NamedTuple):
+    """A message too long for a datagram, and the kind of the datagrams that carry it."""
+
+    kind: int
+    message: bytes
+
+
+@dataclass(frozen=True, kw_only=True)
+class TransportCallbacks:
+    """What the transport asks and tells its owner."""
+
+    due_payloads: Callable[[Time], Iterable[tuple[str, bytes]]]  # receivers and payloads to be sent now
+    on_change: Callable[[], None]  # something was taken in, or time has passed
+    on_fault: Callable[[str], None]  # a traceback: one call was ended by it, not the router
+
+
+class FaultBarrier(AbstractContextManager[None]):
+    """Ends its block at any fault of the program, which is reported with its traceback and goes no further.
+
+    The router serves without its peers as well: a fault in what they need must not end it. Cancellation does.
+    """
+
+    def __init__(self, report: Callable[[str], None]) -> None:
+        self.report = report
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> bool:
+        """Whether the exception ends here."""
+        if not isinstance(error, Exception):
+            return False
+        self.report("".join(traceback.format_exception(error, limit=TRACEBACK_FRAMES)))
+        return True
+
+
+class PeerTransport:
+    """Moves a node's bytes over UDP, and over TCP streams where they are too many."""
+
     def __init__(
         self,
-        listen: Address,
+        listen_address: Address,
         addresses: Mapping[str, Address],
         node: Node,
         clock: Callable[[], Time],
-        due: Callable[[Time], Iterable[tuple[str, bytes]]],
-        moved: Callable[[], None],
-        fault: Callable[[str], None],
+        callbacks: TransportCallbacks,
     ) -> None:
-        """`due` gives loads that are to be sent now; `moved` is told after anything was taken in; `fault` of
-        what should not happen, with its trace: it ends one call, not the router."""
-        self.fault = fault
-        self.listen, self.addresses, self.node = listen, dict(addresses), node
-        self.clock, self.due, self.moved = clock, due, moved
-        self.counts: Counter[str] = Counter()
-        self.waiting = anyio.Event()
-        self.streams = anyio.CapacityLimiter(STREAMS)
-        self.sock: socket.socket | None = None
-        self.heavy: dict[str, deque[tuple[int, bytes]]] = {}  # too long for a datagram, by peer; with kinds
+        """`addresses`: of the peers, by name."""
+        self.listen_address = listen_address
+        self.addresses = dict(addresses)
+        self.node = node
+        self.clock = clock
+        self.callbacks = callbacks
+        self.counts: Counter[str] = Counter()  # as the log has them
+        self.payloads_due = anyio.Event()
+        self.inbound_streams = anyio.CapacityLimiter(INBOUND_STREAMS)
+        self.outbound_queues: dict[str, deque[QueuedMessage]] = {}  # by peer, while a stream sends them
         self.tasks: anyio.abc.TaskGroup | None = None
+        self._udp_socket: socket.socket | None = None
+        self._listener: socket.socket | None = None
+
+    @property
+    def udp_socket(self) -> socket.socket:
+        """The socket for datagrams; only once open() has been called."""
+        assert self._udp_socket is not None
+        return self._udp_socket
+
+    @property
+    def listener(self) -> socket.socket:
+        """The socket that accepts streams; only once open() has been called."""
+        assert self._listener is not None
+        return self._listener
 
     def open(self) -> None:
-        """Raises PeersNotReachable where the address can't be had."""
-        family = socket.AF_INET6 if ":" in self.listen.host else socket.AF_INET
+        """Binds both sockets; raises PeersNotReachable where the address can't be had."""
+        address = self.listen_address
+        family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         try:
-            self.sock = socket.socket(family, socket.SOCK_DGRAM)
-            self.sock.setblocking(False)
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-            self.sock.bind(self.listen)
-            self.listener = socket.create_server(self.listen, family=family, backlog=STREAMS)
-            self.listener.setblocking(False)
-        except OSError as fault:
-            where = f"{self.listen.host}:{self.listen.port}"
-            raise PeersNotReachable(f"can't listen: {fault.strerror}", where) from None
+            self._udp_socket = socket.socket(family, socket.SOCK_DGRAM)
+            self._udp_socket.setblocking(False)
+            self._udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+            self._udp_socket.bind(address)
+            self._listener = socket.create_server(address, family=family, backlog=INBOUND_STREAMS)
+            self._listener.setblocking(False)
+        except OSError as error:
+            where = f"{address.host}:{address.port}"
+            raise PeersNotReachable(f"can't listen: {error.strerror}", where) from error
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Sends and receives until cancelled, then closes the sockets."""
         try:
             async with anyio.create_task_group() as tasks:
                 self.tasks = tasks
-                tasks.start_soon(self.hear)
-                tasks.start_soon(self.tick, tasks)
-                tasks.start_soon(self.flush)
-                tasks.start_soon(self.accept, tasks)
+                tasks.start_soon(self._receive_datagrams)
+                tasks.start_soon(self._tick_repeatedly, tasks)
+                tasks.start_soon(self._send_payloads_when_due)
+                tasks.start_soon(self.accept_streams, tasks)
         finally:
-            self.sock.close()
+            self.udp_socket.close()
             self.listener.close()
 
     def leave(self) -> None:
-        """Says farewell to all."""
-        self.send(self.node.leave(self.clock()))
+        """Sends a farewell to every peer."""
+        self._send(self.node.leave(self.clock()))
 
-    def soon(self) -> None:
-        """There is something to be told."""
-        self.waiting.set()
+    def schedule_payloads(self) -> None:
+        """There may be payloads to send: they go within PAYLOAD_DELAY."""
+        self.payloads_due.set()
+
+    def send_messages(self) -> None:
+        """Sends what the channels have waiting: by a datagram where it fits, else by a stream."""
+        if self.tasks is None:
+            return
+        waiting = [
+            (receiver, QueuedMessage(kind, message))
+            for kind, channel in self.node.channels.items()
+            for receiver, message in channel.out()
+        ]
+        for receiver, queued in waiting:
+            if receiver not in self.node.keys or receiver not in self.addresses:
+                continue
+            if len(queued.message) <= DATAGRAM_FRAGMENT_BYTES:
+                datagrams = self.node.message_datagrams(receiver, queued.kind, queued.message)
+                self._send(AddressedDatagram(receiver, data) for data in datagrams)
+            else:
+                self._queue_for_stream(self.tasks, receiver, queued)
+
+    def _queue_for_stream(self, tasks: anyio.abc.TaskGroup, receiver: str, message: QueuedMessage) -> None:
+        queue = self.outbound_queues.get(receiver)
+        if queue is None:
+            queue = deque()
+            self.outbound_queues[receiver] = queue
+            tasks.start_soon(self._send_by_stream, receiver, queue)
+        if len(queue) < MAX_QUEUED_MESSAGES:
+            queue.append(message)
+        else:
+            self.counts["not carried"] += 1
+
+    def _guarded(self, call: Callable[..., None], *arguments: object) -> None:
+        """Makes a call whose fault must not end the router."""
+        with FaultBarrier(self.callbacks.on_fault):
+            call(*arguments)
 
     # ---- datagrams --------------------------------------------------------------------------------
 
-    def send(self, said: Iterable[tuple[str, bytes]]) -> None:
-        for name, data in said:
-            address = self.addresses.get(name)
-            if address is None or self.sock is None:
+    def _send(self, datagrams: Iterable[AddressedDatagram]) -> None:
+        for receiver, data in datagrams:
+            address = self.addresses.get(receiver)
+            if address is None or self._udp_socket is None:
                 continue
             try:
-                self.sock.sendto(data, address)
-                self.counts["sent"] += 1
-                self.counts["bytes"] += len(data)
-            except OSError:  # full, or the way is closed: as lost as any
+                self._udp_socket.sendto(data, address)
+            except OSError:  # the buffer is full or there is no route: as lost as any datagram
                 self.counts["not sent"] += 1
+                continue
+            self.counts["sent"] += 1
+            self.counts["bytes"] += len(data)
 
-    async def hear(self) -> None:
+    async def _receive_datagrams(self) -> None:
         while True:
-            await anyio.wait_readable(self.sock)
-            for _ in range(AT_ONCE):
+            await anyio.wait_readable(self.udp_socket)
+            for _ in range(DATAGRAMS_PER_TURN):
                 try:
-                    data, _ = self.sock.recvfrom(MOST + 1)
+                    data, _ = self.udp_socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
-                except OSError:  # a peer's port refused an earlier one
+                except OSError:  # a peer's port refused an earlier datagram
                     continue
                 self.counts["heard"] += 1
-                self.guarded(self.take, data)
-            self.guarded(self.moved)
-            self.soon()
+                self._guarded(self._receive, data)
+            self._guarded(self.callbacks.on_change)
+            self.schedule_payloads()
             await anyio.lowlevel.checkpoint()
 
-    def take(self, data: bytes, most: int = MOST) -> None:
-        self.send(self.node.receive(self.clock(), data, most))
-        self.ride()
-
-    def ride(self) -> None:
-        """What riders want to say goes: in one datagram if it fits, else by a stream."""
-        if self.tasks is None:
-            return
-        some = [(kind, *said) for kind, rider in self.node.riders.items() for said in rider.out()]
-        for kind, name, message in some:
-            if name not in self.node.keys or name not in self.addresses:
-                continue
-            if len(message) <= DATAGRAM_FRAGMENT_BYTES:
-                self.send((name, datagram) for datagram in self.node.pieces(name, kind, message))
-                continue
-            waiting = self.heavy.get(name)
-            if waiting is None:
-                waiting = self.heavy[name] = deque()
-                self.tasks.start_soon(self.carry, name, waiting)
-            if len(waiting) < CARRIED:
-                waiting.append((kind, message))
-            else:
-                self.counts["not carried"] += 1
+    def _receive(self, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> None:
+        self._send(self.node.receive(self.clock(), data, max_bytes))
+        self.send_messages()
 
-    def guarded(self, work: Callable[..., None], *about: object) -> None:
-        """Guards the router against a fault in what it need not have."""
-        try:
-            work(*about)
-        except Exception:
-            self.fault(traceback.format_exc(limit=-6))
-
-    def look(self) -> None:
-        self.send(self.node.tick(self.clock()))
-        for rider in self.node.riders.values():
-            rider.tick(self.clock())
-        self.ride()
-        self.moved()
-
-    def tell(self) -> None:
-        for name, load in self.due(self.clock()):
-            self.send(self.node.say(name, load))
-
-    async def tick(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _tick_repeatedly(self, tasks: anyio.abc.TaskGroup) -> None:
         while True:
-            self.guarded(self.look)
-            self.soon()
-            wishes, self.node.wishes = self.node.wishes, []
-            for name in wishes:
-                tasks.start_soon(self.ask_all, name)
-            await anyio.sleep(TICK)
-
-    async def flush(self) -> None:
+            self._guarded(self._tick)
+            self.schedule_payloads()
+            requests = self.node.state_requests
+            self.node.state_requests = []
+            for name in requests:
+                tasks.start_soon(self._request_state, name)
+            await anyio.sleep(TICK_INTERVAL)
+
+    def _tick(self) -> None:
+        self._send(self.node.tick(self.clock()))
+        for channel in self.node.channels.values():
+            channel.tick(self.clock())
+        self.send_messages()
+        self.callbacks.on_change()
+
+    async def _send_payloads_when_due(self) -> None:
         while True:
-            await self.waiting.wait()
-            self.waiting = anyio.Event()
-            self.guarded(self.tell)
-            await anyio.sleep(SOON)
+            await self.payloads_due.wait()
+            self.payloads_due = anyio.Event()
+            self._guarded(self._send_payloads)
+            await anyio.sleep(PAYLOAD_DELAY)
 
-    # ---- streams ----------------------------------------------------------------------------------
+    def _send_payloads(self) -> None:
+        for receiver, payload in self.callbacks.due_payloads(self.clock()):
+            self._send(self.node.payload_datagrams(receiver, payload))
 
-    async def accept(self, tasks: anyio.abc.TaskGroup) -> None:
+    # ---- streams from others ------------------------------------------------------------------------
+
+    async def accept_streams(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Serves each stream in `tasks`, until cancelled; those beyond INBOUND_STREAMS are closed at once."""
         while True:
             await anyio.wait_readable(self.listener)
             try:
                 sock, _ = self.listener.accept()
-            except OSError as fault:
-                if fault.errno not in NOT_YET and fault.errno not in CONNECTION_FAILED:
-                    # Guards against a loop that spins while this machine lacks descriptors or memory.
+            except OSError as error:
+                if error.errno not in NOT_YET and error.errno not in CONNECTION_FAILED:
+                    # This machine lacks descriptors or memory: without a pause the loop would spin.
                     self.counts["streams not accepted"] += 1
-                    await anyio.sleep(ACCEPT_AGAIN)
+                    await anyio.sleep(ACCEPT_RETRY_DELAY)
                 continue
-            if self.streams.available_tokens < 1:
+            if self.inbound_streams.available_tokens < 1:
                 sock.close()
                 self.counts["streams refused"] += 1
                 continue
             sock.setblocking(False)
-            tasks.start_soon(self.tell_all, sock)
+            tasks.start_soon(self._serve_stream, sock)
 
-    async def tell_all(self, sock: socket.socket) -> None:
-        """One wish, marked like any datagram, the answers to it, and the end; or messages, and no answer."""
-        async with self.streams:
+    async def _serve_stream(self, sock: socket.socket) -> None:
+        """One state request and the answers to it; or messages, and no answer."""
+        async with self.inbound_streams:
             try:
                 async with await anyio.abc.SocketStream.from_socket(sock) as stream:
-                    with anyio.move_on_after(STREAM_TIME):
-                        heard = BufferedByteReceiveStream(stream)
-                        for _ in range(FRAMES):
-                            data = await frame(heard)
-                            answers = self.answers(data)
-                            for _, answer in answers:
-                                await stream.send(LENGTH.pack(len(answer)) + answer)
-                            if answers:
-                                break
-                        self.moved()
-            except anyio.IncompleteRead:
+                    with anyio.move_on_after(STREAM_TIMEOUT):
+                        await self._answer_frames(stream)
+                        self.callbacks.on_change()
+            except anyio.IncompleteRead:  # the other side has sent all it had
                 self.counts["streams"] += 1
-                self.moved()
-            except GONE:
+                self.callbacks.on_change()
+            except STREAM_ERRORS:
                 self.counts["streams broken"] += 1
 
-    def answers(self, data: bytes) -> list[tuple[str, bytes]]:
-        """What goes back for one datagram of a stream; a fault of ours in it ends no more than that."""
-        found: list[tuple[str, bytes]] = []
+    async def _answer_frames(self, stream: anyio.abc.SocketStream) -> None:
+        """Takes in frames until one has answers, which end the stream."""
+        received = BufferedByteReceiveStream(stream)
+        for _ in range(MAX_FRAMES):
+            answers = self._receive_frame(await read_frame(received))
+            for answer in answers:
+                await stream.send(encode_frame(answer.data))
+            if answers:
+                return
+
+    def _receive_frame(self, data: bytes) -> list[AddressedDatagram]:
+        """The answers to one frame; a fault of ours in it ends no more than that."""
+        answers: list[AddressedDatagram] = []
 
         def receive() -> None:
-            found.extend(self.node.receive(self.clock(), data, MOST_ON_STREAM)[:FRAMES])
-            self.ride()
+            answers.extend(self.node.receive(self.clock(), data, MAX_FRAME_BYTES)[:MAX_FRAMES])
+            self.send_messages()
 
-        self.guarded(receive)
-        return found
+        self._guarded(receive)
+        return answers
 
-    async def ask_all(self, name: str) -> None:
-        """All that a peer can tell, at a start or after a cut. What it does not bring, datagrams will."""
+    # ---- streams to others --------------------------------------------------------------------------
+
+    async def _request_state(self, name: str) -> None:
+        """Asks a peer for its full state; what a broken stream does not bring, datagrams will."""
         address = self.addresses.get(name)
         if address is None:
             return
         try:
-            with anyio.move_on_after(STREAM_TIME):
+            with anyio.move_on_after(STREAM_TIMEOUT):
                 async with await anyio.connect_tcp(*address) as stream:
-                    wish = self.node.wish(name)
-                    await stream.send(LENGTH.pack(len(wish)) + wish)
+                    await stream.send(encode_frame(self.node.state_request(name)))
                     answers = BufferedByteReceiveStream(stream)
-                    for _ in range(FRAMES):
-                        self.guarded(self.take, await frame(answers))
-        except anyio.IncompleteRead:
+                    for _ in range(MAX_FRAMES):
+                        self._guarded(self._receive, await read_frame(answers))
+        except anyio.IncompleteRead:  # all answers have arrived
             self.counts["streams"] += 1
-        except GONE:
+        except STREAM_ERRORS:
             self.counts["streams broken"] += 1
-        self.moved()
+        self.callbacks.on_change()
 
-    async def carry(self, name: str, waiting: deque[tuple[int, bytes]]) -> None:
-        """Messages for one peer, on one stream. What a broken one does not bring is said again by whoever
-        misses it."""
+    async def _send_by_stream(self, name: str, queue: deque[QueuedMessage]) -> None:
+        """Sends the queue on one stream; whoever misses what a broken one loses asks for it again."""
         try:
-            with anyio.move_on_after(STREAM_TIME):
+            with FaultBarrier(self.callbacks.on_fault):
+                await self._send_queue(name, queue)
+        finally:
+            self.outbound_queues.pop(name, None)
+
+    async def _send_queue(self, name: str, queue: deque[QueuedMessage]) -> None:
+        try:
+            with anyio.move_on_after(STREAM_TIMEOUT):
                 async with await anyio.connect_tcp(*self.addresses[name]) as stream:
-                    while waiting:
-                        for piece in self.node.pieces(name, *waiting.popleft(), large=True):
-                            await stream.send(LENGTH.pack(len(piece)) + piece)
-                            self.counts["bytes"] += len(piece)
+                    while queue:
+                        await self._send_message(stream, name, queue.popleft())
                     self.counts["carried"] += 1
-        except GONE:
+        except STREAM_ERRORS:
             self.counts["streams broken"] += 1
-        except KeyError:  # the operator named it no more meanwhile
+        except KeyError:  # the operator has removed the peer meanwhile
             pass
-        except Exception:  # a message that can't be put in pieces, say: it alone is lost
-            self.fault(traceback.format_exc(limit=-6))
-        finally:
-            self.heavy.pop(name, None)
+
+    async def _send_message(
+        self, stream: anyio.abc.SocketStream, receiver: str, queued: QueuedMessage
+    ) -> None:
+        for data in self.node.message_datagrams(receiver, queued.kind, queued.message, by_stream=True):
+            await stream.send(encode_frame(data))
+            self.counts["bytes"] += len(data)
+
+
+def encode_frame(data: bytes) -> bytes:
+    """A datagram behind its length, as a stream carries it."""
+    return FRAME_LENGTH.pack(len(data)) + data
 
 
-async def frame(stream: BufferedByteReceiveStream) -> bytes:
-    """A datagram behind its length; raises IncompleteRead at the end, OSError for a length out of bounds."""
-    (size,) = LENGTH.unpack(await stream.receive_exactly(LENGTH.size))
-    if not 0 < size <= MOST_ON_STREAM:
+async def read_frame(stream: BufferedByteReceiveStream) -> bytes:
+    """The next datagram; raises IncompleteRead at the stream's end, OSError for a length out of bounds."""
+    (length,) = FRAME_LENGTH.unpack(await stream.receive_exactly(FRAME_LENGTH.size))
+    if not 0 < length <= MAX_FRAME_BYTES:
         raise OSError("a length out of bounds")
-    return await stream.receive_exactly(size)
+    return await stream.receive_exactly(length)
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -25,8 +25,8 @@
 from hillchute.partners.marks import checker, signer
 from hillchute.partners.passing import Passing
 from hillchute.partners.pool import floor, homes
-from hillchute.peers.failure_detector import DEAD
-from hillchute.peers.node import PARTNERS, Node
+from hillchute.peers.datagrams import DatagramKind, PeerState
+from hillchute.peers.node import Node
 from hillchute.router.reducer import place
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
@@ -51,15 +51,15 @@
     ) -> None:
         """`judged` is told how queries ended that were passed on; `handle` is given events of those that came
         so; `soon` is told when there is something to be sent; `unix` is the reducer's clock."""
-        super().__init__(node, PARTNERS, codec)
+        super().__init__(node, DatagramKind.PARTNERS_FRAGMENT, codec)
         self.clock, self.log, self.catalog = clock, log, catalog
         self.judged, self.handle, self.soon, self.unix = judged, handle, soon, unix
         self.settings = settings
         self.file: MarksFile | None = None
         now = clock()
         about = settings["own"], routers_of(settings), checks_of(settings), seed, now
-        self.council = Council(node.me, *about, self.hand())
-        self.passing = Passing(node.me, node.born, node.lives, self.over)
+        self.council = Council(node.name, *about, self.hand())
+        self.passing = Passing(node.name, node.generation, node.generations, self.over)
         self.errands: dict[tuple[str, int], int] = {}  # the passing's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
         self.views: Keeper | None = None  # whose views say which text holds
@@ -94,10 +94,10 @@
             self.council.leave(self.clock())
 
     def over(self, name: str, life: int) -> bool:
-        peer, window = self.node.roster.peers.get(name), self.node.windows.get(name)
-        if peer is None or peer.state == DEAD:
+        peer, window = self.node.failure_detector.peers.get(name), self.node.replay_windows.get(name)
+        if peer is None or peer.state == PeerState.DEAD:
             return True
-        return window is not None and life != 0 and window.born > life
+        return window is not None and life != 0 and window.generation > life
 
     # ---- the reducer's queries ----------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
         self.on()
 
     def tick(self, now: Time) -> None:
-        self.council.tick(now, self.node.living())
+        self.council.tick(now, self.node.live_peers())
         self.passing.tick(now)
         self.on()
         if now - self.logged >= LOGGED:
@@ -213,7 +213,7 @@
         whole = quotas.limits["pool"].whole
         if self.homes[0] != council.revision:
             self.homes = council.revision, homes(whole, council.counted(now), routers)
-        home = self.homes[1].get(self.node.me, 0)
+        home = self.homes[1].get(self.node.name, 0)
         least = floor(whole, max(1, sum(map(len, routers.values()))))
         known = self.views is not None and self.views.views.in_force(now)
         confined = not (known and council.current() and council.holds(now))
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -13,9 +13,9 @@
 from hillchute.decision.teamwork import Teamwork
 from hillchute.errors import ClockBehind, ListsDiffer
 from hillchute.log import Log
-from hillchute.peers.datagrams import CLOCK_BEHIND
-from hillchute.peers.node import Node
-from hillchute.peers.transport import Address, Link, Steady
+from hillchute.peers.datagrams import DropReason
+from hillchute.peers.node import Node, RouterIdentity
+from hillchute.peers.transport import Address, PeerTransport, SteadyUnixClock, TransportCallbacks
 from hillchute.router.config import Station, address
 from hillchute.router.telling import Telling
 
@@ -40,7 +40,7 @@
         `judged` is told the answer history's verdicts, if the operator file has one; `handle` is given
         queries that other partners' routers passed on, with the time by `unix`."""
         settings = operator["peers"]
-        self.log, self.moved, self.clock = log, moved, Steady()
+        self.log, self.moved, self.clock = log, moved, SteadyUnixClock()
         now, me = self.clock(), settings["name"]
         keys, self.addresses = named(settings)
         catalog = station.catalog
@@ -51,17 +51,21 @@
         limits = (["cold"] if catalog.get("guarantees.cold") else []) + rated
         limits += ["pool"] if operator.get("partners") else []
         self.company = Company(me, [me, *keys], columns, limits, station.seed, now)
-        self.node = Node(me, now // 10, keys, station.seed, now, self.company)
-        self.link = Link(
+        self.node = Node(RouterIdentity(me, now // 10), keys, station.seed, now, self.company)
+        self.transport = PeerTransport(
             Address(*address(settings["listen"], "peers.listen")),
             self.addresses,
             self.node,
             self.clock,
-            due=lambda now: self.company.tick(now, self.node.living()),
-            moved=self.heard,
-            fault=lambda trace: log.write("fault", what="peers", trace=trace),
+            TransportCallbacks(
+                due_payloads=lambda now: self.company.tick(now, self.node.live_peers()),
+                on_change=self.heard,
+                on_fault=lambda trace: log.write("fault", what="peers", trace=trace),
+            ),
+        )
+        self.telling = Telling(
+            module, self.company, catalog, self.clock, self.node.live_peers, self.transport.schedule_payloads
         )
-        self.telling = Telling(module, self.company, catalog, self.clock, self.node.living, self.link.soon)
         self.remembering = self.partnering = None
         if operator.get("partners"):
             from hillchute.router.partnering import Partnering
@@ -83,12 +87,12 @@
 
     def ride(self) -> None:
         """A rider has something to say. Before the sockets are open it waits for the next look."""
-        if self.link.tasks is not None:
-            self.link.ride()
+        if self.transport.tasks is not None:
+            self.transport.send_messages()
 
     def leave(self) -> None:
         """This router ends: it says farewell, and calls no more views."""
-        self.link.leave()
+        self.transport.leave()
         if self.remembering is not None:
             self.remembering.keeper.leaving = True
 
@@ -107,7 +111,7 @@
     def heard(self) -> None:
         """Something came, or the time has gone on."""
         now = self.clock()
-        living = self.node.living()
+        living = self.node.live_peers()
         if living != self.known:
             gone, come = sorted(set(self.known) - set(living)), sorted(set(living) - set(self.known))
             self.log.write("peers", living=len(living), come=come[:16], gone=gone[:16])
@@ -123,7 +127,7 @@
         self.log.write(
             "peers_count",
             living=len(self.known),
-            **dict(self.link.counts),
+            **dict(self.transport.counts),
             dropped=dict(self.node.dropped),
             refused=self.company.signals.refused,
             closed=sorted(self.telling.closed),
@@ -132,8 +136,8 @@
         for name in sorted(self.company.unlike):
             self.log.write("peers_differ", **ListsDiffer("other names under `peers`", name).told)
 
-        if behind := self.node.dropped[CLOCK_BEHIND]:
-            fault = ClockBehind(f"{behind} datagrams to a later start of this router", self.node.me)
+        if behind := self.node.dropped[DropReason.TO_LATER_GENERATION]:
+            fault = ClockBehind(f"{behind} datagrams to a later start of this router", self.node.name)
             self.log.write("peers_clock", **fault.told)
 
     def news(self) -> list[tuple[int, Report, int]]:
@@ -145,9 +149,9 @@
         keys, addresses = named(settings)
         restart = [f"peers.{key}" for key in ("name", "listen") if settings[key] != self.settings[key]]
         if not restart:
-            self.node.named(keys, self.clock())
+            self.node.set_keys(keys, self.clock())
             self.company.named(self.clock(), [settings["name"], *keys])
-            self.link.addresses = addresses
+            self.transport.addresses = addresses
             self.settings = settings
         if self.remembering is not None and history:
             if not restart:
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -21,7 +21,8 @@
 from hillchute.history.titles import Deeds
 from hillchute.history.verdict import Verdict
 from hillchute.log import Log
-from hillchute.peers.node import HISTORY, Node
+from hillchute.peers.datagrams import DatagramKind
+from hillchute.peers.node import Node
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 
 STATES = {"freed": FREED, "finished": FINISHED, "killed": KILLED}
@@ -42,7 +43,7 @@
         when there is something to be sent. `deeds`: where there are partners."""
         self.clock, self.log, self.judged, self.soon = clock, log, judged, soon
         now = clock()
-        super().__init__(node, HISTORY, codec)
+        super().__init__(node, DatagramKind.HISTORY_FRAGMENT, codec)
         self.disk = None
         if settings.get("disk"):
             try:
@@ -50,7 +51,14 @@
             except DiskNotUsable as fault:  # the history goes on in memory: no record rests on this disk
                 log.write("history_disk", **fault.told)
         self.keeper = Keeper(
-            node.me, node.born, [node.me, *node.keys], book_of(settings), now, node.lives, self.disk, deeds
+            node.name,
+            node.generation,
+            [node.name, *node.keys],
+            book_of(settings),
+            now,
+            node.generations,
+            self.disk,
+            deeds,
         )
         if self.disk is not None:
             self.keeper.recall(now, self.disk.read())
@@ -156,11 +164,11 @@
 
     def named(self) -> None:
         """The operator names other routers: half of them is another number, so all is asked anew."""
-        self.keeper.named([self.node.me, *self.node.keys], self.clock())
+        self.keeper.named([self.node.name, *self.node.keys], self.clock())
 
     @property
     def handed_over(self) -> bool:
-        alone = len(self.node.keys) == 0 or not self.node.living()
+        alone = len(self.node.keys) == 0 or not self.node.live_peers()
         return alone or self.keeper.handed_over
 
 
--- a/hillchute/router/riding.py
+++ b/hillchute/router/riding.py
@@ -19,7 +19,7 @@
 class Riding:
     def __init__(self, node: Node, kind: int, codec: MessageCodec) -> None:
         self.node, self.codec, self.reassembler = node, codec, Reassembler()
-        node.riders[kind] = self
+        node.channels[kind] = self
 
     def take(self, now: Time, sender: str, message: object) -> None:
         raise NotImplementedError
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -417,8 +417,8 @@
             if self.flight is not None:
                 await self.flight.open()
             if self.peering is not None:
-                self.peering.link.open()
-                self.tasks.start_soon(self.peering.link.run)
+                self.peering.transport.open()
+                self.tasks.start_soon(self.peering.transport.run)
             gc.collect()
             gc.freeze()  # what the start has made lives to the end: no later collection need look at it
             gc.set_threshold(*COLLECT)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,7 +8,7 @@
 from rounds_by_hand import LOGIN, Rig, query
 
 from hillchute.net.clock import Clock, StartTimes, up
-from hillchute.peers.transport import Steady
+from hillchute.peers.transport import SteadyUnixClock
 
 HOUR = 3_600 * 10**9
 STEPS = [-3_600, -5, 5, 3_600]
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("seconds", STEPS)
 def test_clock_of_leases_goes_on_evenly_over_a_step(seconds, monkeypatch):
     now = time.time_ns
-    clock = Steady()
+    clock = SteadyUnixClock()
     before = clock()
     monkeypatch.setattr(time, "time_ns", lambda: now() + seconds * 10**9)
     assert 0 <= clock() - before < 10_000
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -25,8 +25,8 @@
 from hillchute.partners.agreement import Mark, settle
 from hillchute.partners.kept import MarksFile
 from hillchute.peers import datagrams
-from hillchute.peers.node import Node
-from hillchute.peers.transport import Address, Link
+from hillchute.peers.node import Node, RouterIdentity
+from hillchute.peers.transport import Address, PeerTransport, TransportCallbacks
 from hillchute.router import config
 from hillchute.router.partnering import Partnering
 from hillchute.router.peering import Peering
@@ -73,9 +73,9 @@
 
 def peers_not_reachable(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        node = Node("a", 1, {}, 1, 0, None)
-        none = [None] * 4
-        Link(Address(*taken.getsockname()), {}, node, *none).open()
+        node = Node(RouterIdentity("a", 1), {}, 1, 0, None)
+        none = TransportCallbacks(due_payloads=None, on_change=None, on_fault=None)
+        PeerTransport(Address(*taken.getsockname()), {}, node, None, none).open()
 
 
 def disk_not_usable(tmp_path):
@@ -125,10 +125,10 @@
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     peering = Peering({"peers": peers}, station, None, log, lambda: None)
     node = peering.node
-    node.named({"b": KEY}, EPOCH)
-    other = Node("b", node.born, {"a": KEY}, 1, EPOCH, None)
-    other.windows["a"].born = node.born + 3_600_000
-    ((_, data),) = other.say("a", b"x")
+    node.set_keys({"b": KEY}, EPOCH)
+    other = Node(RouterIdentity("b", node.generation), {"a": KEY}, 1, EPOCH, None)
+    other.replay_windows["a"].generation = node.generation + 3_600_000
+    ((_, data),) = other.payload_datagrams("a", b"x")
     assert node.receive(EPOCH, data) == []
     peering.tell_counts(0)
 
@@ -136,7 +136,7 @@
 def remembering(log, tmp_path, **about):
     text = "history: {number: 2, default: {}}\n" + 'peers: {name: "a", listen: "127.0.0.1:1", others: []}'
     settings = reading.hold(text)["history"] | about
-    node = Node("a", EPOCH // 10, {"b": KEY}, 1, EPOCH, None)
+    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
     return Remembering(settings, node, lambda: EPOCH, log, lambda *about: None, lambda: None), settings
 
 
@@ -177,7 +177,7 @@
     text = f"""history: {{number: 2, default: {{}}}}
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
-    node = Node("a", EPOCH // 10, {"b": KEY}, 1, EPOCH, None)
+    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
     none = [lambda *about: None] * 4
     about = reading.hold(text)["partners"], node, {}, 1, lambda: EPOCH, log
     partnering = Partnering(*about, *none)
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -13,7 +13,8 @@
 from hillchute.lab import mutants
 from hillchute.lab.mutants import CHANGES, Run, judge, play
 from hillchute.peers import failure_detector
-from hillchute.peers.failure_detector import DEAD, LEFT, Roster
+from hillchute.peers.datagrams import PeerState
+from hillchute.peers.failure_detector import FailureDetector
 
 
 def test_no_mutant_breaks_anything_and_none_of_the_network_changes_the_end():
@@ -40,12 +41,12 @@
 
 def carries_grant(data: bytes) -> bool:
     datagram = mutants.opened(data)
-    return bool(mutants.words.decode(datagram.load, datagram.sender).grants)
+    return bool(mutants.words.decode(datagram.payload, datagram.sender).grants)
 
 
 def farewell(data: bytes) -> bool:
     datagram = mutants.opened(data)
-    return any(told.name == datagram.sender and told.state == LEFT for told in datagram.rumours)
+    return any(told.name == datagram.sender and told.state == PeerState.LEFT for told in datagram.rumours)
 
 
 def finds(kinds: tuple[str, ...], most: int = 90, picks=None) -> bool:
@@ -71,10 +72,10 @@
 
 def dead_by_hearsay(self, sender, told):
     peer = self.peers.get(told.name)
-    if peer is not None and told.state in (DEAD, LEFT):
-        self.change(peer, told.state, told.incarnation)
+    if peer is not None and told.state in (PeerState.DEAD, PeerState.LEFT):
+        self.change_state(peer, told.state, told.incarnation)
     else:
-        WAS[Roster, "rumour"](self, sender, told)
+        WAS[FailureDetector, "apply_rumour"](self, sender, told)
 
 
 def counted_twice(self, now):
@@ -96,8 +97,8 @@
 
 
 def unbelieved_farewell(self, sender, told):
-    if told.state != LEFT:
-        WAS[Roster, "rumour"](self, sender, told)
+    if told.state != PeerState.LEFT:
+        WAS[FailureDetector, "apply_rumour"](self, sender, told)
 
 
 def opens_again(self, now, number, ready, closed):
@@ -109,7 +110,7 @@
 WAS = {
     (owner, name): getattr(owner, name)
     for owner, name in (
-        (Roster, "rumour"),
+        (FailureDetector, "apply_rumour"),
         (Limit, "usable"),
         (Signals, "listed"),
         (mutants.Company, "listed"),
@@ -129,10 +130,10 @@
         (Signals, "listed", forgets_the_event, (), None),
         (Signals, "ill", any_age, (), None),
         (mutants.Company, "listed", opens_again, (), None),
-        (Roster, "rumour", dead_by_hearsay, ("all others",), None),
-        (Roster, "rumour", unbelieved_farewell, (), None),
-        (failure_detector, "AHEAD", 10**19, ("all others",), None),
-        (failure_detector, "SUSPECTED", 10.0**6, ("left out",), farewell),
+        (FailureDetector, "apply_rumour", dead_by_hearsay, ("all others",), None),
+        (FailureDetector, "apply_rumour", unbelieved_farewell, (), None),
+        (failure_detector, "MAX_INCARNATION_AHEAD", 10**19, ("all others",), None),
+        (failure_detector, "SUSPICION_MULTIPLIER", 10.0**6, ("left out",), farewell),
     ],
 )
 def test_fault_planted_in_the_code_is_found(monkeypatch, owner, name, fault, kinds, picks):
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -15,7 +15,7 @@
 from hillchute.lab.partners_net import private, public
 from hillchute.operator import reading
 from hillchute.operator.records import BadRecord
-from hillchute.peers.node import Node
+from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import events
 from hillchute.router.partnering import Partnering
 from hillchute.router.reducer import Reducer, place
@@ -199,7 +199,7 @@
     if marks:
         own += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
     stated = reading.hold(text(own))["partners"] | changed
-    node = Node("r0", EPOCH // 10, {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
+    node = Node(RouterIdentity("r0", EPOCH // 10), {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
     log, none = Log(), lambda *about: None
     catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
     return (
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,8 +23,8 @@
 from hillchute.operator import reading
 from hillchute.operator.records import BadRecord
 from hillchute.peers import transport
-from hillchute.peers.datagrams import MOST
-from hillchute.peers.node import Node
+from hillchute.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind
+from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import config
 from hillchute.router.telling import Telling
 
@@ -105,7 +105,7 @@
 
     def start(self, name):
         keys = {other: KEY for other in self.names if other != name}
-        self.nodes[name] = Node(name, self.now // 10, keys, 1, self.now, Silent())
+        self.nodes[name] = Node(RouterIdentity(name, self.now // 10), keys, 1, self.now, Silent())
 
     def play(self, seconds, lost=lambda to, data: False):
         for _ in range(int(seconds * 10)):
@@ -121,8 +121,8 @@
 def test_nodes_find_each_other_and_loads_ride_along():
     net = Nodes(["a", "b", "c"])
     net.play(3)
-    assert all(node.living() == sorted({"a", "b", "c"} - {name}) for name, node in net.nodes.items())
-    assert {sender for sender, _ in net.nodes["a"].passenger.heard_of} == {"b", "c"}
+    assert all(node.live_peers() == sorted({"a", "b", "c"} - {name}) for name, node in net.nodes.items())
+    assert {sender for sender, _ in net.nodes["a"].payload_handler.heard_of} == {"b", "c"}
     assert not net.nodes["a"].dropped
 
 
@@ -137,62 +137,67 @@
     fresh = net.nodes["a"]
     for data in recorded:
         fresh.receive(net.now, data)
-    assert not fresh.passenger.heard_of and not fresh.living()
+    assert not fresh.payload_handler.heard_of and not fresh.live_peers()
     net.play(20)
-    assert fresh.living() == ["b", "c"] and fresh.passenger.heard_of
+    assert fresh.live_peers() == ["b", "c"] and fresh.payload_handler.heard_of
 
 
 def test_whatever_bytes_come_no_node_raises_and_each_is_counted():
     net = Nodes(["a", "b"])
     net.play(2)
-    ((_, good),) = net.nodes["b"].say("a", b"load")
+    ((_, good),) = net.nodes["b"].payload_datagrams("a", b"load")
     node = net.nodes["a"]
     for end in range(len(good)):
         node.receive(net.now, good[:end])
         node.receive(net.now, good[:end] + b"\xff" + good[end + 1 :])
     assert sum(node.dropped.values()) == 2 * len(good)
-    heard = len(node.passenger.heard_of)
+    heard = len(node.payload_handler.heard_of)
     node.receive(net.now, good)
     node.receive(net.now, good)
-    assert len(node.passenger.heard_of) == heard + 1
+    assert len(node.payload_handler.heard_of) == heard + 1
 
 
 def test_load_that_does_not_fit_goes_without_and_who_lives_is_still_told():
     net = Nodes(["a", "b"])
-    net.nodes["a"].passenger.beside = lambda now, to: b"x" * MOST
+    net.nodes["a"].payload_handler.beside = lambda now, to: b"x" * MAX_DATAGRAM_BYTES
     net.play(3)
-    assert net.nodes["b"].living() == ["a"] and net.nodes["a"].living() == ["b"]
-    assert not net.nodes["a"].say("b", b"x" * MOST) and net.nodes["a"].dropped["load too long to go"] == 1
+    assert net.nodes["b"].live_peers() == ["a"] and net.nodes["a"].live_peers() == ["b"]
+    assert (
+        not net.nodes["a"].payload_datagrams("b", b"x" * MAX_DATAGRAM_BYTES)
+        and net.nodes["a"].dropped["load too long to go"] == 1
+    )
 
 
 def test_router_that_is_heard_by_a_load_alone_lives():
     net = Nodes(["a", "b"])
     a, b = net.nodes["a"], net.nodes["b"]
-    b.windows["a"].hint = a.born  # they have heard of each other's life, and of nothing else
-    ((_, data),) = b.say("a", b"load")
+    b.replay_windows[
+        "a"
+    ].latest_unaccepted_generation = a.generation  # they have heard of each other's life, and of nothing else
+    ((_, data),) = b.payload_datagrams("a", b"load")
     a.receive(net.now, data)
-    assert a.living() == ["b"]
+    assert a.live_peers() == ["b"]
     b.leave(net.now)
-    farewell = b.marked(b.roster.send("a", 0, 1), b"")
+    farewell = b.seal(b.failure_detector.outgoing("a", DatagramKind.PING, 1), b"")
     a.receive(net.now, farewell)
-    assert a.living() == []
+    assert a.live_peers() == []
 
 
 def test_long_names_leave_room_for_who_lives():
     names = [f"{n:02d}" + "n" * 62 for n in range(20)]
     net = Nodes(names)
     net.play(6)
-    assert all(len(node.living()) == 19 for node in net.nodes.values())
-    assert all(len(data) <= MOST for _, data in net.post)
+    assert all(len(node.live_peers()) == 19 for node in net.nodes.values())
+    assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data in net.post)
 
 
 def test_router_that_comes_wishes_for_all_and_gets_it():
     net = Nodes(["a", "b", "c"])
     net.play(3)
-    assert net.nodes["a"].wishes
-    answers = net.nodes["b"].receive(net.now, net.nodes["a"].wish("b"))
+    assert net.nodes["a"].state_requests
+    answers = net.nodes["b"].receive(net.now, net.nodes["a"].state_request("b"))
     assert [to for to, _ in answers] == ["a"] * 3
-    assert max(len(data) for _, data in answers) <= MOST
+    assert max(len(data) for _, data in answers) <= MAX_DATAGRAM_BYTES
 
 
 def test_router_that_leaves_or_is_named_no_more_is_gone_for_the_passenger():
@@ -200,10 +205,10 @@
     net.play(3)
     net.post += net.nodes.pop("b").leave(net.now)
     net.play(1)
-    assert net.nodes["a"].passenger.ended == ["b"]
-    net.nodes["a"].named({"b": KEY}, net.now)
+    assert net.nodes["a"].payload_handler.ended == ["b"]
+    net.nodes["a"].set_keys({"b": KEY}, net.now)
     net.play(3)
-    assert net.nodes["a"].living() == [] and net.nodes["a"].dropped["unknown peer"]
+    assert net.nodes["a"].live_peers() == [] and net.nodes["a"].dropped["unknown peer"]
 
 
 # ---- the module in company --------------------------------------------------------------------------
@@ -334,12 +339,16 @@
     assert reading.hold(PEERS % row)["peers"]["others"][0]["key"] == "0123456789abcdef"
 
 
+def callbacks(on_change, on_fault):
+    return transport.TransportCallbacks(due_payloads=lambda now: (), on_change=on_change, on_fault=on_fault)
+
+
 def test_address_that_is_taken_is_told_with_what_to_do():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
         holder.bind(("127.0.0.1", 0))
         address = transport.Address(*holder.getsockname())
-        found = transport.Link(
-            address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), print, print
+        found = transport.PeerTransport(
+            address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, callbacks(print, print)
         )
         with pytest.raises(HillchuteError) as fault:
             found.open()
@@ -369,13 +378,13 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         address = transport.Address(*free.getsockname())
-    found = transport.Link(
-        address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, lambda now: (), lambda: None, faults.append
+    found = transport.PeerTransport(
+        address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, callbacks(lambda: None, faults.append)
     )
     found.faults = faults
     found.open()
     yield found
-    found.sock.close()
+    found.udp_socket.close()
     found.listener.close()
 
 
@@ -393,13 +402,13 @@
 
             monkeypatch.setattr(transport.anyio, "sleep", sleep)
             with socket.create_connection(link.listener.getsockname()):
-                link.listener = Shut(link.listener)
-                tasks.start_soon(link.accept, tasks)
+                link._listener = Shut(link.listener)
+                tasks.start_soon(link.accept_streams, tasks)
                 while not tasks.cancel_scope.cancel_called:
                     await anyio.lowlevel.checkpoint()
 
     anyio.run(run)
-    assert waits == [(transport.ACCEPT_AGAIN, n) for n in (1, 2, 3)]
+    assert waits == [(transport.ACCEPT_RETRY_DELAY, n) for n in (1, 2, 3)]
 
 
 def test_fault_of_ours_in_one_datagram_of_a_stream_ends_nothing(link, monkeypatch):
@@ -410,9 +419,9 @@
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(link.accept, tasks)
+            tasks.start_soon(link.accept_streams, tasks)
             with socket.create_connection(link.listener.getsockname()) as sock:
-                sock.sendall(transport.LENGTH.pack(5) + b"wrong")
+                sock.sendall(transport.FRAME_LENGTH.pack(5) + b"wrong")
                 while not link.faults:
                     await anyio.sleep(0.001)
             tasks.cancel_scope.cancel()
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -34,7 +34,7 @@
 from hillchute.partners import agreement, marks
 from hillchute.partners import codec as partners
 from hillchute.peers import datagrams as peers
-from hillchute.peers import failure_detector, fragmentation, node
+from hillchute.peers import fragmentation
 
 RECORDED = Path(__file__).parent / "data" / "recorded_bytes.json"
 PEER_KEY = bytes(range(1, 33))
@@ -87,42 +87,50 @@
         )
 
     states = {
-        "alive": failure_detector.ALIVE,
-        "suspected": failure_detector.SUSPECT,
-        "dead": failure_detector.DEAD,
-        "left": failure_detector.LEFT,
+        "alive": peers.PeerState.ALIVE,
+        "suspected": peers.PeerState.SUSPECT,
+        "dead": peers.PeerState.DEAD,
+        "left": peers.PeerState.LEFT,
     }
     rumours = tuple(
         peers.Rumour(name=f"of-{name}", state=state, incarnation=100 + state, witness=f"by-{state}")
         for name, state in states.items()
     )
     kinds = {
-        "ping": failure_detector.PING,
-        "ping-answer": failure_detector.ANSWERED,
-        "indirect-ping-request": failure_detector.ASK,
-        "indirect-ping-answer": failure_detector.TOLD,
-        "payload": node.LOAD,
-        "state-request": node.ALL,
-        "history-fragment": node.HISTORY,
-        "partners-fragment": node.PARTNERS,
+        "ping": peers.DatagramKind.PING,
+        "ping-answer": peers.DatagramKind.PING_ACK,
+        "indirect-ping-request": peers.DatagramKind.INDIRECT_PING,
+        "indirect-ping-answer": peers.DatagramKind.INDIRECT_PING_ACK,
+        "payload": peers.DatagramKind.PAYLOAD,
+        "state-request": peers.DatagramKind.STATE_REQUEST,
+        "history-fragment": peers.DatagramKind.HISTORY_FRAGMENT,
+        "partners-fragment": peers.DatagramKind.PARTNERS_FRAGMENT,
     }
     for name, kind in kinds.items():
         full = peers.Datagram(
             sender="router-a",
             receiver="router-b",
-            born=1_700_000_000_001,
-            heard=1_700_000_000_002,
+            generation=1_700_000_000_001,
+            receiver_generation=1_700_000_000_002,
             sequence=300 + kind,
             kind=kind,
-            number=400 + kind,
-            about="router-c",
+            ping_number=400 + kind,
+            subject="router-c",
             rumours=rumours,
-            load=b"\x00payload\xff",
+            payload=b"\x00payload\xff",
         )
         yield example(name, full)
     yield example(
         "ping, optional fields absent",
-        peers.Datagram(sender="router-a", receiver="router-b", born=5, heard=0, sequence=6, kind=0, number=7),
+        peers.Datagram(
+            sender="router-a",
+            receiver="router-b",
+            generation=5,
+            receiver_generation=0,
+            sequence=6,
+            kind=0,
+            ping_number=7,
+        ),
     )
     piece = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
     yield Example(
