--- a/hillchute/peers/failure_detector.py
+++ b/hillchute/peers/failure_detector.py
@@ -31,9 +31,7 @@
 SUSPICION_MULTIPLIER = 8.0  # periods, times the logarithm (10) of the fleet, with one witness
 PINGS_PER_PERIOD_AT_START = 16  # while some were never heard of: 200 are found in some 8 s, at 2 kB a second
 WITNESSES_FOR_SHORTEST_SUSPICION = 3
-MAX_LOCAL_HEALTH = (
-    8  # Lifeguard: a router whose own pings fail waits so many times as long before it blames others
-)
+MAX_LOCAL_HEALTH = 8  # Lifeguard: times as long that a router whose own pings fail waits for answers
 MAX_INCARNATION_AHEAD = 3_600_000  # milliseconds that an incarnation may lie ahead of our clock
 OWN_SIGHT: Time = 2 * PROTOCOL_PERIOD  # a peer heard by ourselves since then is not suspected by hearsay
 NEVER: Time = -(10**12)
@@ -102,8 +100,8 @@
         self.gossip = GossipQueue()
         self.local_health = 1  # Lifeguard's multiplier; 1 is healthy
         self.left = False
-        self._live_version = -1  # of which _live is as
-        self._live: list[str] = []
+        self._live: list[str] = []  # cache of live_peers(), as of _live_version
+        self._live_version = -1
 
     # ---- what is known ------------------------------------------------------------------------------
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: what is taken, what is dropped, and that nothing else happens."""
+"""Datagrams between routers: what is accepted and what is dropped; which routers live, as others find out."""
 
 import itertools
 import random
@@ -100,7 +100,7 @@
         ("subject", "a" * 65),
     ],
 )
-def test_field_out_of_bounds_under_a_good_mark_is_dropped_and_never_sent(field, value):
+def test_field_out_of_bounds_under_a_valid_tag_is_dropped_and_never_sent(field, value):
     wrong = msgspec.structs.replace(PING, **{field: value})
     body = datagrams.encoder.encode(wrong)
     assert drop_reason(bytes([1]) + datagrams.authentication_tag(KEY, body) + body).startswith("field")
@@ -108,19 +108,19 @@
         encode(wrong, KEY)
 
 
-def test_field_too_many_or_too_few_under_a_good_mark_is_dropped():
+def test_field_too_many_or_too_few_under_a_valid_tag_is_dropped():
     whole = msgspec.msgpack.decode(datagrams.encoder.encode(PING))
     for fields in (whole[:6], [*whole, 1], {"sender": "n1"}, 5, [whole]):
         body = msgspec.msgpack.encode(fields)
         assert drop_reason(bytes([1]) + datagrams.authentication_tag(KEY, body) + body) == "unreadable"
 
 
-def test_what_would_not_pass_whole_is_not_sent():
+def test_datagram_that_is_too_long_is_not_sent():
     with pytest.raises(ValueError, match="1200 at most"):
         encode(msgspec.structs.replace(PING, payload=b"x" * 1200), KEY)
 
 
-# ---- generations and replays-----------------------------------------------------------------------------
+# ---- generations and replays ------------------------------------------------------------------------
 
 
 def sent(sequence, generation=1000, receiver_generation=2000):
@@ -154,19 +154,18 @@
 
 
 def test_both_sides_of_a_restart_hear_of_each_other_and_nothing_old_is_believed():
-    """n2 restarts. What n1 sent to its earlier life is not believed, whoever sends it again."""
+    """n2 restarts. What n1 sent to its earlier generation is not believed, whoever sends it again."""
     old = sent(41, receiver_generation=2000)
     window = ReplayWindow()
     with pytest.raises(DatagramDropped, match="to an earlier life"):
         window.accept(old, 3000)
-    assert window.known_generation == 1000  # goes back to n1, which then knows the new life
+    assert window.known_generation == 1000  # goes back to n1, which then knows the new generation
     assert window.accept(sent(42, receiver_generation=3000), 3000)
     for again in (old, sent(41, generation=900, receiver_generation=2000)):
         with pytest.raises(DatagramDropped, match="earlier life"):
             window.accept(again, 3000)
-    assert not window.accept(
-        sent(43, generation=1500, receiver_generation=0), 3000
-    )  # n1 starts anew and has heard of nobody
+    restarted = sent(43, generation=1500, receiver_generation=0)  # n1, which has heard of nobody yet
+    assert not window.accept(restarted, 3000)
     assert window.known_generation == 1500
     assert window.accept(sent(0, generation=1500, receiver_generation=3000), 3000)
     with pytest.raises(DatagramDropped, match="of an earlier life"):
@@ -272,7 +271,7 @@
     assert not believe
 
 
-def test_life_far_ahead_of_the_clock_is_nobodys():
+def test_incarnation_far_ahead_of_the_clock_is_ignored():
     net = fleet(11, 6)
     detector = net.detectors["n1"]
     far_ahead = 1 << 60
