--- a/hillchute/accord/company.py
+++ b/hillchute/accord/company.py
@@ -159,7 +159,7 @@
 
     # ---- what others say ----------------------------------------------------------------------------
 
-    def heard(self, now: Time, sender: str, data: bytes) -> None:
+    def receive_payload(self, now: Time, sender: str, data: bytes) -> None:
         """A parcel that its sender marked; what of it is news to the module waits in `fresh`. Raises
         DatagramDropped for what can't be read, of which nothing counts."""
         parcel = codec.decode(data, sender)
@@ -173,7 +173,7 @@
                 self.quotas.granted(now, sender, limit, grant)
         self.fresh += [(load.engine, self.report(load), load.age) for load in fresh]
 
-    def gone(self, name: str) -> None:
+    def peer_gone(self, name: str) -> None:
         """A router lives no more, as far as is known."""
         self.signals.gone(name)
         self.unlike.discard(name)
@@ -215,11 +215,11 @@
         self.words.clear()  # to those that don't live as far as is known
         return said
 
-    def beside(self, now: Time, to: str) -> bytes:
+    def payload_for(self, now: Time, to: str) -> bytes:
         """What goes with a ping or its answer: all but reports."""
         return self.parcel(now, self.rest(now), self.words.pop(to, ()), wants=True)
 
-    def all(self, now: Time, to: str) -> list[bytes]:
+    def full_state(self, now: Time, to: str) -> list[bytes]:
         """All that this router saw itself and that may matter to another, which has just come."""
         rest = self.rest(now)
         circles = [e for e, circle in self.circles.items() if to in circle and e in self.reports]
--- a/hillchute/peers/message_channel.py
+++ b/hillchute/peers/message_channel.py
@@ -11,27 +11,27 @@
 class PayloadHandler(Protocol):
     """The subsystem whose payloads travel with the failure detector's datagrams."""
 
-    def beside(self, now: Time, to: str) -> bytes:
+    def payload_for(self, now: Time, receiver: str, /) -> bytes:
         """The payload to send along with a datagram to a peer; empty where there is none."""
 
-    def heard(self, now: Time, sender: str, data: bytes) -> None:
+    def receive_payload(self, now: Time, sender: str, payload: bytes, /) -> None:
         """A payload arrived; raises DatagramDropped where it is invalid."""
 
-    def all(self, now: Time, to: str) -> list[bytes]:
+    def full_state(self, now: Time, receiver: str, /) -> list[bytes]:
         """Payloads that bring a peer to our full state: it has just started, or was cut off."""
 
-    def gone(self, name: str) -> None:
+    def peer_gone(self, name: str, /) -> None:
         """A peer is dead or has left."""
 
 
 class MessageChannel(Protocol):
     """A subsystem with messages of any length, sent in fragments: the history, the partners."""
 
-    def heard(self, now: Time, sender: str, piece: bytes) -> None:
+    def receive_fragment(self, now: Time, sender: str, fragment: bytes, /) -> None:
         """A fragment arrived; raises DatagramDropped where it, or the message it completes, is invalid."""
 
-    def tick(self, now: Time) -> None:
+    def tick(self, now: Time, /) -> None:
         """Called every TICK_INTERVAL of the transport."""
 
-    def out(self) -> list[tuple[str, bytes]]:
+    def take_outgoing(self) -> list[tuple[str, bytes]]:
         """The receivers and messages that wait to be sent; they wait no more."""
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -123,12 +123,12 @@
         """Hands the payload to its subsystem; raises DatagramDropped where that finds it invalid."""
         if datagram.kind in (DatagramKind.HISTORY_FRAGMENT, DatagramKind.PARTNERS_FRAGMENT):
             if datagram.kind in self.channels:
-                self.channels[datagram.kind].heard(now, datagram.sender, datagram.payload)
+                self.channels[datagram.kind].receive_fragment(now, datagram.sender, datagram.payload)
         elif datagram.payload:
-            self.payload_handler.heard(now, datagram.sender, datagram.payload)
+            self.payload_handler.receive_payload(now, datagram.sender, datagram.payload)
 
     def _full_state(self, now: Time, receiver: str) -> list[AddressedDatagram]:
-        payloads = self.payload_handler.all(now, receiver)
+        payloads = self.payload_handler.full_state(now, receiver)
         return [datagram for payload in payloads for datagram in self.payload_datagrams(receiver, payload)]
 
     def _notice_changes(self, now: Time) -> None:
@@ -138,7 +138,7 @@
         self.known_version = self.failure_detector.version
         live = frozenset(self.live_peers())
         for name in sorted(self.known_live - live):
-            self.payload_handler.gone(name)
+            self.payload_handler.peer_gone(name)
         new = sorted(live - self.known_live)
         if new and now - self.state_requested_at >= STATE_REQUEST_INTERVAL:
             self.state_requested_at = now
@@ -191,7 +191,7 @@
         The failure detector's rumours go before the payload, and of them the first: with long names not all
         of them fit.
         """
-        payload = self.payload_handler.beside(now, datagram.receiver) if with_payload else b""
+        payload = self.payload_handler.payload_for(now, datagram.receiver) if with_payload else b""
         while True:
             try:
                 return AddressedDatagram(datagram.receiver, self.seal(datagram, payload))
--- a/hillchute/peers/transport.py
+++ b/hillchute/peers/transport.py
@@ -182,7 +182,7 @@
         waiting = [
             (receiver, QueuedMessage(kind, message))
             for kind, channel in self.node.channels.items()
-            for receiver, message in channel.out()
+            for receiver, message in channel.take_outgoing()
         ]
         for receiver, queued in waiting:
             if receiver not in self.node.keys or receiver not in self.addresses:
--- a/hillchute/router/riding.py
+++ b/hillchute/router/riding.py
@@ -28,12 +28,12 @@
         """What waits to go, and waits no more."""
         raise NotImplementedError
 
-    def heard(self, now: Time, sender: str, piece: bytes) -> None:
-        whole = self.reassembler.add(now, sender, piece)
+    def receive_fragment(self, now: Time, sender: str, fragment: bytes) -> None:
+        whole = self.reassembler.add(now, sender, fragment)
         if whole is not None:
             self.take(now, sender, self.codec.decode(whole, sender))
 
-    def out(self) -> list[tuple[str, bytes]]:
+    def take_outgoing(self) -> list[tuple[str, bytes]]:
         out = []
         for to, message in self.said():
             try:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -78,21 +78,21 @@
 
 
 class Silent:
-    """A passenger that says one thing and keeps what it hears."""
+    """A payload handler that sends one thing and keeps what it hears."""
 
     def __init__(self):
         self.heard_of, self.ended = [], []
 
-    def beside(self, now, to):
+    def payload_for(self, now, receiver):
         return b"x" * 100
 
-    def heard(self, now, sender, data):
-        self.heard_of.append((sender, data))
+    def receive_payload(self, now, sender, payload):
+        self.heard_of.append((sender, payload))
 
-    def all(self, now, to):
+    def full_state(self, now, receiver):
         return [b"all"] * 3
 
-    def gone(self, name):
+    def peer_gone(self, name):
         self.ended.append(name)
 
 
@@ -159,7 +159,7 @@
 
 def test_load_that_does_not_fit_goes_without_and_who_lives_is_still_told():
     net = Nodes(["a", "b"])
-    net.nodes["a"].payload_handler.beside = lambda now, to: b"x" * MAX_DATAGRAM_BYTES
+    net.nodes["a"].payload_handler.payload_for = lambda now, receiver: b"x" * MAX_DATAGRAM_BYTES
     net.play(3)
     assert net.nodes["b"].live_peers() == ["a"] and net.nodes["a"].live_peers() == ["b"]
     assert (
@@ -200,7 +200,7 @@
     assert max(len(data) for _, data in answers) <= MAX_DATAGRAM_BYTES
 
 
-def test_router_that_leaves_or_is_named_no_more_is_gone_for_the_passenger():
+def test_router_that_leaves_or_is_named_no_more_is_gone_for_the_payload_handler():
     net = Nodes(["a", "b", "c"])
     net.play(3)
     net.post += net.nodes.pop("b").leave(net.now)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -243,7 +243,7 @@
     assert loads == circle - {"n00"}
     to, data = said[0]
     listener = fleet[NAMES.index(to)]
-    listener.heard(NOW + 210, "n00", data)
+    listener.receive_payload(NOW + 210, "n00", data)
     assert listener.news() == [(engine, {"inflight": 3.0, "util": 0.5}, 200)]
 
 
@@ -252,7 +252,7 @@
     fleet[0].listed(NOW, 2, [e for e in ENGINES if e != 120], [120])
     for teller in fleet[:3]:
         teller.listed(NOW, 2, [e for e in ENGINES if e != 120], [120])
-        fleet[9].heard(NOW, teller.me, teller.beside(NOW, "n09"))
+        fleet[9].receive_payload(NOW, teller.me, teller.payload_for(NOW, "n09"))
     standing = fleet[9].standing(NOW, NAMES, {}, 1)
     assert standing.closed == {120} and 120 not in standing.near
     fleet[9].listed(NOW, 2, [e for e in ENGINES if e != 120], [120])
@@ -279,7 +279,7 @@
     for n in range(10):
         other.sent_cold(NOW + n, engine, 1_000)
         fleet[0].sent_cold(NOW + n, engine, 500)
-        fleet[0].heard(NOW + n, other.me, other.beside(NOW + n, "n00"))
+        fleet[0].receive_payload(NOW + n, other.me, other.payload_for(NOW + n, "n00"))
     assert engine not in fleet[0].standing(NOW + 10, NAMES, tips, 15_000).parts
     for n in range(10):
         fleet[0].sent_cold(NOW + n, engine, 700)
@@ -290,9 +290,9 @@
 def test_router_that_was_named_others_is_heard_but_lends_nothing():
     fleet = companies()
     stranger = Company("n05", NAMES[:20], ["inflight"], ["cold"], 1, NOW)
-    fleet[0].heard(NOW, "n05", stranger.beside(NOW, "n00"))
+    fleet[0].receive_payload(NOW, "n05", stranger.payload_for(NOW, "n00"))
     assert fleet[0].unlike == {"n05"} and not fleet[0].quotas.limits["cold"].wants
-    fleet[0].heard(NOW, "n05", fleet[5].beside(NOW, "n00"))
+    fleet[0].receive_payload(NOW, "n05", fleet[5].payload_for(NOW, "n00"))
     assert not fleet[0].unlike
 
 
@@ -316,7 +316,7 @@
     fleet[0].listed(NOW, 2, set(ENGINES) - set(gone), gone)
     for engine in fleet[0].near:
         fleet[0].reported(NOW, engine, {"inflight": 3})
-    told = [codec.decode(data, "n00") for data in fleet[0].all(NOW, "n07")]
+    told = [codec.decode(data, "n00") for data in fleet[0].full_state(NOW, "n07")]
     assert {drain.engine for parcel in told for drain in parcel.drains} == set(gone)
     seen = {load.engine for parcel in told for load in parcel.loads}
     assert seen == {e for e, circle in fleet[0].circles.items() if "n07" in circle}
@@ -331,7 +331,7 @@
     for company in fleet[:3] + fleet[4:]:
         own = chance.choice(sorted(company.near))
         company.reported(NOW, own, {"inflight": 9})
-        company.heard(NOW + 100, "n03", lies)
+        company.receive_payload(NOW + 100, "n03", lies)
         news = {engine for engine, _, _ in company.news()}
         assert own not in news
         reached |= news
