--- a/hillchute/discovery/event_bus.py
+++ b/hillchute/discovery/event_bus.py
@@ -11,8 +11,8 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from hillchute.decision.interface import Listing
-from hillchute.errors import BusUnreadable
+from hillchute.decision.interface import EndpointState, Listing
+from hillchute.errors import EventBusProtocolError
 
 FRAME_HEADER = struct.Struct(">IQB")  # length, offset of the event, kind
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")  # engine, IPv4, port, state, zone, kind, cell, weight, start
@@ -25,7 +25,7 @@
 TICKS_PER_MILLISECOND = 10  # the decisions' times are tenths of a millisecond, the bus's are milliseconds
 
 ENGINE_NAME_PREFIX = "s-"
-ENGINE_STATES = ("Ready", "Terminating", "Gone")  # by the number in a record
+ENGINE_STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)  # by the number in a record
 
 
 class WatchEventKind(StrEnum):
@@ -75,7 +75,7 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[WatchEvent]:
-        """The events that are complete with `data`; raises BusUnreadable for a frame out of bounds."""
+        """The events that are complete with `data`; raises EventBusProtocolError for an invalid frame."""
         self._buffer += data
         while (event := self._next_event()) is not None:
             yield event
@@ -87,7 +87,7 @@
         payload_bytes = length - HEADER_BYTES_IN_LENGTH
         in_bounds = 0 <= payload_bytes <= MAX_PAYLOAD_BYTES and kind < len(KINDS_BY_CODE)
         if not in_bounds or payload_bytes % ENDPOINT_RECORD.size:
-            raise BusUnreadable(f"a frame of kind {kind} and length {length}")
+            raise EventBusProtocolError(f"a frame of kind {kind} and length {length}")
         frame_bytes = FRAME_HEADER.size + payload_bytes
         if len(self._buffer) < frame_bytes:
             return None
@@ -101,7 +101,7 @@
     """An endpoint from the unpacked fields of an ENDPOINT_RECORD."""
     engine, host, port, state, zone, kind, cell, weight, started = record
     if state >= len(ENGINE_STATES):
-        raise BusUnreadable(f"engine {engine_name(engine)} in state {state}")
+        raise EventBusProtocolError(f"engine {engine_name(engine)} in state {state}")
     listing = Listing(
         engine=engine,
         kind=kind,
@@ -143,7 +143,7 @@
         cell=int(endpoint.get("group") or 0),
         zone=_index_or_first(zones, endpoint.get("zone")),
         started=int(endpoint.get("since_ms") or 0) * TICKS_PER_MILLISECOND,
-        state=endpoint["status"],
+        state=EndpointState(endpoint["status"]),
         nominal=float(endpoint.get("weight", 1.0)),
     )
     return Endpoint(listing, host, int(port))
--- a/hillchute/discovery/watcher.py
+++ b/hillchute/discovery/watcher.py
@@ -9,7 +9,7 @@
 import anyio.abc
 
 from hillchute.discovery.event_bus import WatchEvent, WatchEventDecoder, encode_subscription
-from hillchute.errors import BusUnreadable
+from hillchute.errors import EventBusProtocolError
 from hillchute.log import Log
 
 RECEIVE_BYTES = 65_536
@@ -60,7 +60,7 @@
             while scope in self.scopes:
                 try:
                     await self._receive_events(address, scope)
-                except (*CONNECTION_ERRORS, BusUnreadable) as error:
+                except (*CONNECTION_ERRORS, EventBusProtocolError) as error:
                     self._log_lost_connection(error)
                 if scope is not self.scopes[-1]:
                     # The address has changed. A newer watch that has just connected may have removed this
@@ -97,6 +97,6 @@
                     return events
 
     def _log_lost_connection(self, error: Exception) -> None:
-        remedy = error.told if isinstance(error, BusUnreadable) else {}
+        remedy = error.log_fields if isinstance(error, EventBusProtocolError) else {}
         reason = str(error) or type(error).__name__
         self.log.write("bus_lost", why=reason, last=self.last_offset(), **remedy)
--- a/hillchute/peers/datagrams.py
+++ b/hillchute/peers/datagrams.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 VERSION = 1
 TAG_BYTES = 16
@@ -122,33 +122,33 @@
 def decode(
     data: bytes, receiver: str, keys: Mapping[str, bytes], max_bytes: int = MAX_DATAGRAM_BYTES
 ) -> Datagram:
-    """The datagram, once its tag is verified with the key of its sender; raises DatagramDropped."""
+    """The datagram, once its tag is verified with the key of its sender; raises InvalidDatagramError."""
     datagram = _decode_verified(data, keys, max_bytes)
     if datagram.receiver != receiver:
-        raise DatagramDropped(DropReason.OTHER_RECEIVER, datagram.sender)
+        raise InvalidDatagramError(DropReason.OTHER_RECEIVER, datagram.sender)
     if field := invalid_field(datagram):
-        raise DatagramDropped(f"field {field}", datagram.sender)
+        raise InvalidDatagramError(f"field {field}", datagram.sender)
     return datagram
 
 
 def _decode_verified(data: bytes, keys: Mapping[str, bytes], max_bytes: int) -> Datagram:
     if len(data) > max_bytes:
-        raise DatagramDropped(DropReason.TOO_LONG)
+        raise InvalidDatagramError(DropReason.TOO_LONG)
     if len(data) <= HEADER_BYTES:
-        raise DatagramDropped(DropReason.TOO_SHORT)
+        raise InvalidDatagramError(DropReason.TOO_SHORT)
     if data[0] != VERSION:
-        raise DatagramDropped(DropReason.UNKNOWN_VERSION)
+        raise InvalidDatagramError(DropReason.UNKNOWN_VERSION)
     tag = data[1:HEADER_BYTES]
     body = data[HEADER_BYTES:]
     try:
         datagram = decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise DatagramDropped(DropReason.UNREADABLE) from error
+        raise InvalidDatagramError(DropReason.UNREADABLE) from error
     key = keys.get(datagram.sender)
     if key is None:
-        raise DatagramDropped(DropReason.UNKNOWN_PEER)
+        raise InvalidDatagramError(DropReason.UNKNOWN_PEER)
     if not hmac.compare_digest(tag, authentication_tag(key, body)):
-        raise DatagramDropped(DropReason.WRONG_TAG, datagram.sender)
+        raise InvalidDatagramError(DropReason.WRONG_TAG, datagram.sender)
     return datagram
 
 
@@ -200,17 +200,17 @@
 
     def accept(self, datagram: Datagram, own_generation: int) -> bool:
         """Whether the datagram counts. False: its sender has not heard of our generation yet, and must be
-        answered first. Raises DatagramDropped for what an earlier generation sent or got, and for repeats.
+        answered first. Raises InvalidDatagramError for what an earlier generation sent or got, and repeats.
         """
         if datagram.receiver_generation != own_generation:
             self.latest_unaccepted_generation = max(self.latest_unaccepted_generation, datagram.generation)
             if datagram.receiver_generation > own_generation:
-                raise DatagramDropped(DropReason.TO_LATER_GENERATION, datagram.sender)
+                raise InvalidDatagramError(DropReason.TO_LATER_GENERATION, datagram.sender)
             if datagram.receiver_generation:
-                raise DatagramDropped(DropReason.TO_EARLIER_GENERATION, datagram.sender)
+                raise InvalidDatagramError(DropReason.TO_EARLIER_GENERATION, datagram.sender)
             return False
         if datagram.generation < self.generation:
-            raise DatagramDropped(DropReason.FROM_EARLIER_GENERATION, datagram.sender)
+            raise InvalidDatagramError(DropReason.FROM_EARLIER_GENERATION, datagram.sender)
         if datagram.generation > self.generation:
             self.generation = datagram.generation
             self.highest_sequence = -1
@@ -221,7 +221,7 @@
     def _accept_sequence(self, datagram: Datagram) -> None:
         behind = self.highest_sequence - datagram.sequence
         if behind >= self.SPAN or (behind >= 0 and self.accepted_bits >> behind & 1):
-            raise DatagramDropped(DropReason.REPLAYED, datagram.sender)
+            raise InvalidDatagramError(DropReason.REPLAYED, datagram.sender)
         if behind >= 0:
             self.accepted_bits |= 1 << behind
             return
--- a/hillchute/peers/fragmentation.py
+++ b/hillchute/peers/fragmentation.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 DATAGRAM_FRAGMENT_BYTES = 900  # fits into a datagram, whatever the names of its sender and receiver
 STREAM_FRAGMENT_BYTES = 60_000
@@ -57,7 +57,7 @@
         self.incomplete: dict[str, dict[int, IncompleteMessage]] = {}  # by sender and message number
 
     def add(self, now: Time, sender: str, data: bytes) -> bytes | None:
-        """The message that this fragment completes, or None; raises DatagramDropped for an invalid one."""
+        """The message that this fragment completes, or None; raises InvalidDatagramError if it is invalid."""
         fragment = decode_fragment(data, sender)
         if fragment.total == 1:
             return fragment.data
@@ -74,14 +74,14 @@
 
 
 def decode_fragment(data: bytes, sender: str) -> Fragment:
-    """The fragment, its fields within their bounds; raises DatagramDropped otherwise."""
+    """The fragment, its fields within their bounds; raises InvalidDatagramError otherwise."""
     try:
         fragment = fragment_decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise DatagramDropped("piece: unreadable", sender) from error
+        raise InvalidDatagramError("piece: unreadable", sender) from error
     in_bounds = 0 <= fragment.index < fragment.total <= MAX_FRAGMENTS
     if not in_bounds or len(fragment.data) > STREAM_FRAGMENT_BYTES:
-        raise DatagramDropped("piece: out of bounds", sender)
+        raise InvalidDatagramError("piece: out of bounds", sender)
     return fragment
 
 
--- a/hillchute/peers/message_channel.py
+++ b/hillchute/peers/message_channel.py
@@ -15,7 +15,7 @@
         """The payload to send along with a datagram to a peer; empty where there is none."""
 
     def receive_payload(self, now: Time, sender: str, payload: bytes, /) -> None:
-        """A payload arrived; raises DatagramDropped where it is invalid."""
+        """A payload arrived; raises InvalidDatagramError where it is invalid."""
 
     def full_state(self, now: Time, receiver: str, /) -> list[bytes]:
         """Payloads that bring a peer to our full state: it has just started, or was cut off."""
@@ -28,7 +28,7 @@
     """A subsystem with messages of any length, sent in fragments: the history, the partners."""
 
     def receive_fragment(self, now: Time, sender: str, fragment: bytes, /) -> None:
-        """A fragment arrived; raises DatagramDropped where it, or the message it completes, is invalid."""
+        """A fragment arrived; raises InvalidDatagramError if it, or the message it completes, is invalid."""
 
     def tick(self, now: Time, /) -> None:
         """Called every TICK_INTERVAL of the transport."""
--- a/hillchute/peers/messages.py
+++ b/hillchute/peers/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 
 MAX_MESSAGE_BYTES = 8 << 20
 
@@ -36,13 +36,13 @@
         return data
 
     def decode(self, data: bytes, sender: str) -> Any:
-        """The message; raises DatagramDropped, with the field that is out of its bounds."""
+        """The message; raises InvalidDatagramError, with the field that is out of its bounds."""
         if len(data) > MAX_MESSAGE_BYTES:
-            raise DatagramDropped(f"{self.subsystem}: too long", sender)
+            raise InvalidDatagramError(f"{self.subsystem}: too long", sender)
         try:
             message = self.decoder.decode(data)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise DatagramDropped(f"{self.subsystem}: {error}", sender) from error
+            raise InvalidDatagramError(f"{self.subsystem}: {error}", sender) from error
         if field := self.invalid_field(message):
-            raise DatagramDropped(f"{self.subsystem}: {field}", sender)
+            raise InvalidDatagramError(f"{self.subsystem}: {field}", sender)
         return message
--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped
+from hillchute.errors import InvalidDatagramError
 from hillchute.peers.datagrams import (
     MAX_DATAGRAM_BYTES,
     MAX_FRAME_BYTES,
@@ -103,8 +103,8 @@
             if not self.replay_windows[datagram.sender].accept(datagram, self.generation):
                 return self._introduce(now, datagram)
             self._deliver(now, datagram)
-        except DatagramDropped as error:
-            self.dropped[error.what.split(":")[0]] += 1
+        except InvalidDatagramError as error:
+            self.dropped[error.detail.split(":")[0]] += 1
             return []
         answers = self.failure_detector.receive(now, _with_sender_alive(datagram))
         self._notice_changes(now)
@@ -120,7 +120,7 @@
         return [self._encode(now, ack, with_payload=False)]
 
     def _deliver(self, now: Time, datagram: Datagram) -> None:
-        """Hands the payload to its subsystem; raises DatagramDropped where that finds it invalid."""
+        """Hands the payload to its subsystem; raises InvalidDatagramError where that finds it invalid."""
         if datagram.kind in (DatagramKind.HISTORY_FRAGMENT, DatagramKind.PARTNERS_FRAGMENT):
             if datagram.kind in self.channels:
                 self.channels[datagram.kind].receive_fragment(now, datagram.sender, datagram.payload)
--- a/hillchute/peers/transport.py
+++ b/hillchute/peers/transport.py
@@ -21,9 +21,9 @@
 from anyio.streams.buffered import BufferedByteReceiveStream
 
 from hillchute.decision.interface import Time
-from hillchute.errors import PeersNotReachable
-from hillchute.net.clock import up
-from hillchute.net.system import CONNECTION_FAILED, NOT_YET
+from hillchute.errors import PeerListenError
+from hillchute.net.clock import round_up_to_time_units
+from hillchute.net.system_calls import ABORTED_CONNECTION_ERRNOS, TRANSIENT_ERRNOS
 from hillchute.peers.datagrams import MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES
 from hillchute.peers.fragmentation import DATAGRAM_FRAGMENT_BYTES
 from hillchute.peers.node import AddressedDatagram, Node
@@ -57,7 +57,7 @@
 
     def __call__(self) -> Time:
         """The time in tenths of a millisecond, rounded up."""
-        return up(self.offset_ns + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+        return round_up_to_time_units(self.offset_ns + time.clock_gettime_ns(time.CLOCK_BOOTTIME))
 
 
 class Address(NamedTuple):
@@ -140,7 +140,7 @@
         return self._listener
 
     def open(self) -> None:
-        """Binds both sockets; raises PeersNotReachable where the address can't be had."""
+        """Binds both sockets; raises PeerListenError where the address can't be had."""
         address = self.listen_address
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         try:
@@ -152,7 +152,7 @@
             self._listener.setblocking(False)
         except OSError as error:
             where = f"{address.host}:{address.port}"
-            raise PeersNotReachable(f"can't listen: {error.strerror}", where) from error
+            raise PeerListenError(f"can't listen: {error.strerror}", where) from error
 
     async def run(self) -> None:
         """Sends and receives until cancelled, then closes the sockets."""
@@ -281,7 +281,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                if error.errno not in NOT_YET and error.errno not in CONNECTION_FAILED:
+                if error.errno not in TRANSIENT_ERRNOS and error.errno not in ABORTED_CONNECTION_ERRNOS:
                     # This machine lacks descriptors or memory: without a pause the loop would spin.
                     self.counts["streams not accepted"] += 1
                     await anyio.sleep(ACCEPT_RETRY_DELAY)
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -13,7 +13,7 @@
 
 from hillchute.catalog import flatten, translate
 from hillchute.discovery import event_bus
-from hillchute.errors import BadConfiguration, BusUnreadable
+from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.router.settings import check
 
 SECOND = 10_000  # tenths of a millisecond
@@ -41,8 +41,8 @@
     closing: int  # how long after a planned end all must be answered
 
 
-def bad(path: str, what: str) -> BadConfiguration:
-    return BadConfiguration(what, path)
+def bad(path: str, what: str) -> ConfigurationError:
+    return ConfigurationError(what, path)
 
 
 def get(table: Mapping[str, object], path: str, kind: type | tuple[type, ...], default: object = None):
@@ -79,9 +79,9 @@
         with open(path, "rb") as file:
             table = orjson.loads(file.read())
     except OSError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: {fault.strerror}") from None
+        raise bad("EDGE_CONFIG", f"{path}: {fault.strerror}") from fault
     except orjson.JSONDecodeError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: not JSON: {fault}") from None
+        raise bad("EDGE_CONFIG", f"{path}: not JSON: {fault}") from fault
     if not isinstance(table, dict):
         raise bad("EDGE_CONFIG", f"{path}: not a JSON object")
     return station(table, environ)
@@ -100,8 +100,8 @@
     seed = get(table, "seed", (str, int))
     try:
         seed = int(seed, 16) if isinstance(seed, str) else seed
-    except ValueError:
-        raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from None
+    except ValueError as fault:
+        raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from fault
     offset, known = events(table)
     catalog["sessions"] = sockets // 3  # the protocol: clients hold a third of the descriptors at most
     longest = max(catalog.get(f"groups.{n}.queue_timeout", 0) for n in range(catalog["groups.count"]))
@@ -145,5 +145,5 @@
     kinds = get(table, "settings.kinds", list, [])
     try:
         return offset, tuple(event_bus.initial_watch_events(table["known"], zones, kinds))
-    except (BusUnreadable, KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise bad("known.batch", f"{type(fault).__name__}: {fault}") from None
+    except (EventBusProtocolError, KeyError, TypeError, ValueError, AttributeError) as fault:
+        raise bad("known.batch", f"{type(fault).__name__}: {fault}") from fault
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -8,14 +8,14 @@
 import time
 from contextlib import suppress
 
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import EndpointState, Listing
 from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller
-from hillchute.net.system import SYSTEM
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
@@ -171,7 +171,7 @@
 class Rig:
     """One router and one engine. `self.wants` are the attempts that have come to the engine, in order."""
 
-    def __init__(self, system=SYSTEM, backlog=64, sockets=128, table=None, clock=None):
+    def __init__(self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -192,7 +192,7 @@
         self.serving = True
         self.list(1)
 
-    def list(self, number, state="Ready", started=0, engine=1, port=None):
+    def list(self, number, state=EndpointState.READY, started=0, engine=1, port=None):
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
         self.service.told(WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),)))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import DatagramDropped, HillchuteError
+from hillchute.errors import HillchuteError, InvalidDatagramError
 from hillchute.lab.peer_net import PeerNetwork
 from hillchute.peers import datagrams
 from hillchute.peers.datagrams import Datagram, DatagramKind, PeerState, ReplayWindow, Rumour, decode, encode
@@ -29,9 +29,9 @@
 
 
 def drop_reason(data, keys=None):
-    with pytest.raises(DatagramDropped) as dropped:
+    with pytest.raises(InvalidDatagramError) as dropped:
         decode(data, "n2", {"n1": KEY, "n3": OTHER_KEY} if keys is None else keys)
-    return dropped.value.what
+    return dropped.value.detail
 
 
 numbers = st.integers(0, datagrams.COUNTER_LIMIT - 1)
@@ -139,8 +139,8 @@
     for number in line:
         try:
             accepted.append(number) if window.accept(sent(number), 2000) else None
-        except DatagramDropped as fault:
-            assert fault.what == "repeat" and number in accepted
+        except InvalidDatagramError as fault:
+            assert fault.detail == "repeat" and number in accepted
     assert sorted(accepted) == list(range(300))
 
 
@@ -148,7 +148,7 @@
     window = ReplayWindow()
     assert window.accept(sent(500), 2000)
     for number in (500, 500 - ReplayWindow.SPAN, 0):
-        with pytest.raises(DatagramDropped, match="repeat"):
+        with pytest.raises(InvalidDatagramError, match="repeat"):
             window.accept(sent(number), 2000)
     assert window.accept(sent(500 - ReplayWindow.SPAN + 1), 2000)
 
@@ -157,25 +157,25 @@
     """n2 restarts. What n1 sent to its earlier generation is not believed, whoever sends it again."""
     old = sent(41, receiver_generation=2000)
     window = ReplayWindow()
-    with pytest.raises(DatagramDropped, match="to an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="to an earlier life"):
         window.accept(old, 3000)
     assert window.known_generation == 1000  # goes back to n1, which then knows the new generation
     assert window.accept(sent(42, receiver_generation=3000), 3000)
     for again in (old, sent(41, generation=900, receiver_generation=2000)):
-        with pytest.raises(DatagramDropped, match="earlier life"):
+        with pytest.raises(InvalidDatagramError, match="earlier life"):
             window.accept(again, 3000)
     restarted = sent(43, generation=1500, receiver_generation=0)  # n1, which has heard of nobody yet
     assert not window.accept(restarted, 3000)
     assert window.known_generation == 1500
     assert window.accept(sent(0, generation=1500, receiver_generation=3000), 3000)
-    with pytest.raises(DatagramDropped, match="of an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="of an earlier life"):
         window.accept(sent(44, receiver_generation=3000), 3000)
 
 
 def test_error_says_what_where_and_what_to_do():
-    assert issubclass(DatagramDropped, HillchuteError)
-    told = DatagramDropped("mark", "n1").told
-    assert told["error"] == "DatagramDropped" and told["where"] == "n1" and "peers" in told["remedy"]
+    assert issubclass(InvalidDatagramError, HillchuteError)
+    told = InvalidDatagramError("mark", "n1").log_fields
+    assert told["error"] == "InvalidDatagramError" and told["where"] == "n1" and "peers" in told["remedy"]
 
 
 # ---- who lives ------------------------------------------------------------------------------------------
