--- a/hillchute/peers/message_channel.py
+++ b/hillchute/peers/message_channel.py
@@ -9,18 +9,18 @@
 
 
 class PayloadHandler(Protocol):
-    """The subsystem whose payloads travel with the failure detector's datagrams."""
+    """The subsystem whose gossip digests travel as payloads of the failure detector's datagrams."""
 
-    def payload_for(self, now: Time, receiver: str, /) -> bytes:
-        """The payload to send along with a datagram to a peer; empty where there is none."""
+    def ping_digest(self, now: Time, recipient: str, /) -> bytes:
+        """The digest to send along with a ping or its answer; empty where there is none."""
 
-    def receive_payload(self, now: Time, sender: str, payload: bytes, /) -> None:
-        """A payload arrived; raises InvalidDatagramError where it is invalid."""
+    def on_digest(self, now: Time, sender: str, data: bytes, /) -> None:
+        """A digest arrived; raises InvalidDatagramError where it is invalid."""
 
-    def full_state(self, now: Time, receiver: str, /) -> list[bytes]:
-        """Payloads that bring a peer to our full state: it has just started, or was cut off."""
+    def newcomer_digests(self, now: Time, recipient: str, /) -> list[bytes]:
+        """The digests that bring a peer to our full state: it has just started, or was cut off."""
 
-    def peer_gone(self, name: str, /) -> None:
+    def on_router_lost(self, name: str, /) -> None:
         """A peer is dead or has left."""
 
 
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Container, Mapping
 from dataclasses import dataclass, field
 
-from hillchute.accord.subsets import Sight
+from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptResult, EndpointState, ListMode, Scheduler, Time
 from hillchute.discovery import event_bus
 from hillchute.engines import words
@@ -97,7 +97,7 @@
         self.notes_every: Time = catalog.get("domain.tells_every", 0)
         # Notes come as often as the settings say; the rest is the way there and back.
         self.silence: Time = self.notes_every + 2 * self.connect_wait
-        self.sight = Sight(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.sight = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
         self.told_to = 0  # number of the last event of the list of engines
         self.peers: dict[int, Peer] = {}
         self.lines: dict[int, Line] = {}
@@ -283,7 +283,7 @@
         listings = [entry.listing for entry in news.endpoints]
         self.module.on_endpoint_list(self.desk.now, ListMode(news.kind), listings)
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
-        self.module.on_subset(self.desk.now, self.sight.near(ready))
+        self.module.on_subset(self.desk.now, self.sight.select(ready))
         forgotten = len(self.peers) != len(self.module.engines)
         for engine, peer in list(self.peers.items()) if forgotten else ():
             if engine not in self.module.engines:  # gone, with nothing out
