--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -12,11 +12,14 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.codec import Message, decode, encode
-from hillchute.history.keeper import Keeper
-from hillchute.history.policy import MS, Book, Forget
-from hillchute.history.records import FINISHED, FREED, KILLED
-from hillchute.history.verdict import Verdict
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.codec import decode, encode
+from hillchute.history.messages import Message
+from hillchute.history.own_claims import KeyedQuery
+from hillchute.history.records import RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
+from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies
 from hillchute.history.views import LEASE
 
 SECOND = 10_000
@@ -35,16 +38,16 @@
         self,
         seed: int,
         count: int,
-        book: Book,
+        policies: RetentionPolicies,
         loss: float = 0.0,
         twice: float = 0.0,
         never: float = 0.0,
         fails: float = 0.05,
     ) -> None:
         self.seed, self.chance, self.now, self.fails = seed, random.Random(seed), EPOCH, fails
-        self.loss, self.twice, self.never, self.book = loss, twice, never, book
+        self.loss, self.twice, self.never, self.policies = loss, twice, never, policies
         self.names = [f"n{n}" for n in range(count)]
-        self.keepers: dict[str, Keeper] = {}
+        self.replicas: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.stopped: dict[str, list] = {}  # who stands still, and what came meanwhile
         self.offset: dict[str, Time] = defaultdict(int)  # of its clock
@@ -79,26 +82,27 @@
             return {**self.seen[name], name: self.lives[name]}
 
         now = self.clock(name)
-        self.keepers[name] = self.keeper(name, now, living)
+        self.replicas[name] = self.new_replica(name, now, living)
         self.notice()
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
-        return Keeper(name, self.lives[name], self.names, self.book, now, living)
+    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
+        membership = Membership(name, self.lives[name], self.names, living)
+        return Replica(membership, self.policies, now)
 
     def kill(self, name: str) -> None:
-        self.keepers.pop(name, None)
+        self.replicas.pop(name, None)
         self.stopped.pop(name, None)
         self.open = {claim: about for claim, about in self.open.items() if claim[0] != name}
         self.notice()
 
     def leave(self, name: str) -> None:
         """It says farewell: no other counts it as living, and it still answers."""
-        self.keepers[name].leaving = True
+        self.replicas[name].prepare_to_leave()
         for other in self.names:
             self.seen[other].pop(name, None)
 
     def stop(self, name: str) -> None:
-        if name in self.keepers:
+        if name in self.replicas:
             self.stopped.setdefault(name, [])
             self.notice()
 
@@ -127,7 +131,7 @@
                     heappush(self.changes, (at, self.order, name, other))
 
     def look(self, name: str, other: str) -> None:
-        lives = other in self.keepers and other not in self.stopped
+        lives = other in self.replicas and other not in self.stopped
         if lives and not {(name, other), (other, name)} & self.cuts:
             self.seen[name][other] = self.lives[other]
         else:
@@ -136,13 +140,12 @@
     # ---- the network ------------------------------------------------------------------------------
 
     def post(self, name: str) -> None:
-        keeper = self.keepers.get(name)
-        if keeper is None:
+        replica = self.replicas.get(name)
+        if replica is None:
             return
-        out, keeper.out = keeper.out, []
-        for to, message in out:
+        for to, message in replica.take_messages():
             self.send(name, to, message)
-        self.judged(name, keeper)
+        self.judged(name, replica)
 
     def send(self, name: str, to: str, message: Message) -> None:
         for after, data in self.carried(message):
@@ -162,8 +165,8 @@
     def arrive(self, sender: str, to: str, data: bytes) -> None:
         if to in self.stopped:
             self.stopped[to].append((sender, data))
-        elif to in self.keepers:
-            self.keepers[to].receive(self.clock(to), sender, decode(data, sender))
+        elif to in self.replicas:
+            self.replicas[to].receive(self.clock(to), sender, decode(data, sender))
             self.post(to)
 
     def play(self, seconds: float) -> None:
@@ -176,29 +179,29 @@
             while self.line and self.line[0][0] <= self.now:
                 _, _, sender, to, data = heappop(self.line)
                 self.arrive(sender, to, data)
-            for name in list(self.keepers):
+            for name in list(self.replicas):
                 if name not in self.stopped:
                     self.tick(name)
                     self.post(name)
 
     def tick(self, name: str) -> None:
-        self.keepers[name].tick(self.clock(name))
+        self.replicas[name].tick(self.clock(name))
 
     # ---- clients and engines ----------------------------------------------------------------------
 
     def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
-        keeper = self.keepers.get(name)
-        if keeper is None or name in self.stopped:
+        replica = self.replicas.get(name)
+        if replica is None or name in self.stopped:
             self.said["nobody there"] += 1
             return
         due = self.clock(name) + patience
-        number = keeper.claim(self.clock(name), "", key, token, due, True)
+        query = KeyedQuery(ordering_key=key, idempotency_key=token, deadline=due, ordered=True)
+        number = replica.claim(self.clock(name), query)
         self.open[name, self.lives[name], number] = token, key, self.now
         self.post(name)
 
-    def judged(self, name: str, keeper: Keeper) -> None:
-        verdicts, keeper.verdicts = keeper.verdicts, []
-        for number, verdict, why, rows in verdicts:
+    def judged(self, name: str, replica: Replica) -> None:
+        for number, verdict, why, rows in replica.take_decided():
             claim = name, self.lives[name], number
             if claim not in self.open:
                 self.rule["answered twice"] += 1
@@ -207,13 +210,13 @@
             self.said[f"{verdict.name}: {why}"] += 1
             self.said[verdict.name] += 1
             self.waited.append(self.now - asked)
-            if verdict is not Verdict.RUN:
+            if verdict is not ClaimDecision.RUN:
                 del self.open[claim]
-            if verdict is Verdict.ANSWER and rows != f"rows of {token}".encode():
+            if verdict is ClaimDecision.REPLAY and rows != f"rows of {token}".encode():
                 self.rule["wrong answer"] += 1
-            if verdict is Verdict.ANSWER and self.too_late(token):
+            if verdict is ClaimDecision.REPLAY and self.too_late(token):
                 self.rule["kept too long"] += 1
-            if verdict is Verdict.RUN:
+            if verdict is ClaimDecision.RUN:
                 self.run(claim, token, key)
             else:
                 self.over(claim, verdict, why, rows, (token, key, asked))
@@ -221,7 +224,7 @@
     def over(
         self,
         claim: tuple[str, int, int],
-        verdict: Verdict,
+        verdict: ClaimDecision,
         why: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
@@ -233,7 +236,7 @@
         # Each run has chance of its own: what happens to one changes no other.
         chance = random.Random(f"{self.seed}:{token}:{len(self.runs[token])}")
         if chance.random() < self.never:
-            self.ended(claim, FREED)
+            self.ended(claim, RecordState.NOT_RUN)
             return
         if self.runs[token] and self.bound(token):
             self.rule["ran twice"] += 1
@@ -245,7 +248,7 @@
         self.runs[token].append(span)
         self.keys[key].append(span)
         self.order += 1
-        how = KILLED if chance.random() < self.fails else FINISHED
+        how = RecordState.FAILED if chance.random() < self.fails else RecordState.SERVED
         heappush(self.endings, (span[1], self.order, claim, token, how))
 
     def ends(self) -> None:
@@ -256,19 +259,19 @@
             if claim[0] in self.stopped and self.lives[claim[0]] == claim[1]:
                 again.append((self.now + STEP, order, claim, token, how))
             elif claim in self.open:
-                self.ended(claim, how, f"rows of {token}".encode() if how == FINISHED else None)
+                self.ended(claim, how, f"rows of {token}".encode() if how == RecordState.SERVED else None)
         for ending in again:
             heappush(self.endings, ending)
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         name, _, number = claim
         self.open.pop(claim, None)
-        self.keepers[name].ended(self.clock(name), number, state, rows)
+        self.replicas[name].end_claim(self.clock(name), number, state, rows)
         self.post(name)
 
     def bound(self, token: str) -> bool:
         """Whether what ran must not run again: within its keep time, and not forgotten since."""
-        kept = self.now - self.runs[token][-1][0] < self.book.default.least_ms * MS
+        kept = self.now - self.runs[token][-1][0] < self.policies.default.least_ms * MS
         return kept and not any(self.taken[token] < before for before, _ in self.forgotten)
 
     def too_late(self, token: str) -> bool:
@@ -280,16 +283,21 @@
 
     def forget(self, name: str) -> None:
         """The operator wants all forgotten that was taken until now, and tells one router."""
-        self.book = msgspec.structs.replace(
-            self.book, number=self.book.number + 1, forgets=(*self.book.forgets, Forget(self.now))
+        self.policies = msgspec.structs.replace(
+            self.policies,
+            number=self.policies.number + 1,
+            erasure_requests=(*self.policies.erasure_requests, ErasureRequest(self.now)),
         )
         self.forgotten.append((self.now, None))
-        self.keepers[name].apply(self.clock(name), self.book)
+        self.replicas[name].apply_policies(self.clock(name), self.policies)
         self.post(name)
 
     def known(self) -> None:
-        """Since when most of the named know of the last book."""
-        most = sum(k.book.number >= self.book.number for k in self.keepers.values()) > len(self.names) // 2
+        """Since when most of the named know of the last policies."""
+        most = (
+            sum(k.policies.number >= self.policies.number for k in self.replicas.values())
+            > len(self.names) // 2
+        )
         if self.forgotten and self.forgotten[-1][1] is None and most:
             self.forgotten[-1] = self.forgotten[-1][0], self.now
 
@@ -297,18 +305,25 @@
 
     def held(self, token: str) -> list[str]:
         """Who has a record of a token: the one place that looks into holders, for erasing is about them."""
-        return [n for n, k in self.keepers.items() if any(x.record.token == token for x in k.shelf.all())]
+        return [
+            n
+            for n, k in self.replicas.items()
+            if any(x.record.idempotency_key == token for x in k.records.all_records())
+        ]
 
     def settled(self, most: float = 30) -> bool:
         """Plays until every router is in a view in force with all of its slots there."""
         since = self.now
         while self.now - since < most * SECOND:
             self.advance(0.5)
-            keepers = [k for n, k in self.keepers.items() if n not in self.stopped]
-            fine = all(k.views.in_force(k.now) and not k.wanting and not k.behind for k in keepers)
-            if fine and len({k.views.view.id for k in keepers}) == 1:
-                members = {n: self.lives[n] for n in self.keepers if n not in self.stopped}
-                if keepers[0].views.view.members == members:
+            replicas = [k for n, k in self.replicas.items() if n not in self.stopped]
+            fine = all(
+                k.views.in_force(k.context.now) and not k.slots.wanted and not k.slots.outdated
+                for k in replicas
+            )
+            if fine and len({k.views.view.id for k in replicas}) == 1:
+                members = {n: self.lives[n] for n in self.replicas if n not in self.stopped}
+                if replicas[0].views.view.members == members:
                     return True
         return False
 
@@ -320,9 +335,9 @@
             self.known()
 
 
-def founded(**about: object) -> Book:
-    """A book of a fleet that begins now."""
-    return Book(number=1, founded=EPOCH // MS * MS, **about)
+def founded(**about: object) -> RetentionPolicies:
+    """The policies of a fleet that begins now."""
+    return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
 
 
 def storm(net: HistoryNet, seed: int, seconds: float, forgets: bool = False) -> bool:
@@ -345,7 +360,7 @@
     for name in net.names:
         if name in net.stopped:
             net.go_on(name)
-        if name not in net.keepers:
+        if name not in net.replicas:
             net.start(name)
     return net.settled(60)
 
@@ -357,7 +372,7 @@
             net.kill(name)
     elif what < 0.5:
         for name in names:
-            if name not in net.keepers:
+            if name not in net.replicas:
                 net.start(name)
     elif what < 0.6:
         half = chance.randint(1, len(names) - 1)
@@ -369,7 +384,7 @@
     elif what < 0.92:
         for name in list(net.stopped):
             net.go_on(name)
-    elif forgets and names[0] in net.keepers and names[0] not in net.stopped:
+    elif forgets and names[0] in net.replicas and names[0] not in net.stopped:
         net.forget(names[0])
 
 
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -36,7 +36,7 @@
     Time,
 )
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.decision.slow_start import COLD_SHARE
+from hillchute.decision.slow_start import WARM_UP_BUDGET_SHARE
 from hillchute.peers.datagrams import PeerState
 from hillchute.peers.node import Node, RouterIdentity
 
@@ -452,7 +452,7 @@
         able = sum(e.usable_cores(self.now) for e in warming)
         rate = router.light_query_rate(self.now) if able else 0
         self.companies[n].quotas.set_requested(
-            "cold", int(LIMIT_UNITS * rate / able / COLD_SHARE) if able else 0
+            "cold", int(LIMIT_UNITS * rate / able / WARM_UP_BUDGET_SHARE) if able else 0
         )
 
     def says(self, n: int, said: list[tuple[str, bytes]]) -> None:
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -11,9 +11,9 @@
 and no text hold that not all have marked.
 """
 
-from hillchute.history import codec as history
+from hillchute.history import messages as history
 from hillchute.history.codec import encoder as history_encoder
-from hillchute.history.policy import Policy
+from hillchute.history.retention import RetentionPolicy
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import HARMLESS, Changing
 from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
@@ -21,15 +21,22 @@
 from hillchute.partners.agreement import Text, digest, words
 
 ROUTERS = 6
-TITLES = history.Entitle, history.Entitled, history.Call, history.Granted, history.Claim, history.Judged
-KINDS = (*codec.KINDS, *TITLES)
+LEASES = (
+    history.LeaseUpdate,
+    history.LeaseReply,
+    history.Heartbeat,
+    history.HeartbeatReply,
+    history.ClaimRequest,
+    history.ClaimReply,
+)
+KINDS = (*codec.KINDS, *LEASES)
 MAY_BE = (*HARMLESS, "two owners", "deferred and ran", "overtaken")  # what a router that lies may bring about
 
 
 class Net(Changing, PartnersNet):
     def __init__(self, seed: int, at: int = -1, change: str = "", path: tuple = ()) -> None:
         self.listen(at, change, path)
-        policy = Policy(rows=True, least_ms=90_000, most_ms=600_000)
+        policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
         super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
 
     def unchecked(self, message: object) -> bytes:
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -14,14 +14,16 @@
 
 from hillchute.decision.interface import Time
 from hillchute.errors import InvalidAgreementError, InvalidDatagramError
-from hillchute.history.codec import Message
+from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
-from hillchute.history.keeper import Keeper
-from hillchute.history.policy import Book
-from hillchute.history.records import FINISHED, FREED
-from hillchute.history.slots import SLOTS, holders
-from hillchute.history.verdict import Verdict
+from hillchute.history.messages import Message
+from hillchute.history.own_claims import KeyedQuery
+from hillchute.history.records import RecordState
+from hillchute.history.replica import Replica
+from hillchute.history.replica_context import Membership
+from hillchute.history.retention import RetentionPolicies
+from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
@@ -45,7 +47,9 @@
 
 
 class PartnersNet(HistoryNet):
-    def __init__(self, seed: int, count: int, book: Book, partners: str = "abc", **faults: float) -> None:
+    def __init__(
+        self, seed: int, count: int, policies: RetentionPolicies, partners: str = "abc", **faults: float
+    ) -> None:
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
         self.partner_of = {name: p for p, some in self.partners.items() for name in some}
@@ -65,11 +69,11 @@
         self.turned_away: set[int] = set()  # and those that were told that they did not
         self.hops: Counter[str] = Counter()
         self.numbers = 0
-        super().__init__(seed, count, book, **faults)
+        super().__init__(seed, count, policies, **faults)
 
     # ---- routers ------------------------------------------------------------------------------------
 
-    def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
+    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
         life, partner = self.lives[name], self.partner_of[name]
         council = Council(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
         self.councils[name] = council
@@ -80,7 +84,8 @@
             return living().get(other) != other_life
 
         self.passings[name] = Passing(name, life, living, over)
-        return Keeper(name, life, self.names, self.book, now, living, deeds=council)
+        membership = Membership(name, life, self.names, living)
+        return Replica(membership, self.policies, now, agreement=council)
 
     def hand(self, name: str) -> Marker | None:
         partner = self.partner_of[name]
@@ -136,11 +141,11 @@
         if to in self.stopped:
             self.stopped[to].append((sender, data))
             return
-        if to not in self.keepers:
+        if to not in self.replicas:
             return
         now = self.clock(to)
         if data[:1] == HISTORY:
-            self.keepers[to].receive(now, sender, history_decode(data[1:], sender))
+            self.replicas[to].receive(now, sender, history_decode(data[1:], sender))
         elif data[:1] == PARTNERS:
             message = codec.decode(data[1:], sender)
             if isinstance(message, codec.Have | codec.Know):
@@ -159,7 +164,7 @@
 
     def post(self, name: str) -> None:
         super().post(name)
-        if name not in self.keepers:
+        if name not in self.replicas:
             return
         self.take_guests(name)
         for part in (self.councils[name], self.passings[name]):
@@ -171,7 +176,7 @@
 
     def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
         self.numbers += 1
-        if name not in self.keepers or name in self.stopped:
+        if name not in self.replicas or name in self.stopped:
             self.said["nobody there"] += 1
             return
         self.asks[self.numbers] = [name, self.lives[name], self.now, patience, 0]
@@ -181,7 +186,14 @@
 
     def claim(self, name: str, token: str, key: str, patience: Time) -> tuple[str, int, int]:
         once, now = key.startswith(TABLES), self.clock(name)
-        number = self.keepers[name].claim(now, "", key, token, now + patience, not once, once)
+        query = KeyedQuery(
+            ordering_key=key,
+            idempotency_key=token,
+            deadline=now + patience,
+            ordered=not once,
+            is_transient=once,
+        )
+        number = self.replicas[name].claim(now, query)
         claim = name, self.lives[name], number
         self.open[claim] = token, key, self.now
         return claim
@@ -204,7 +216,7 @@
     def over(
         self,
         claim: tuple[str, int, int],
-        verdict: Verdict,
+        verdict: ClaimDecision,
         why: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
@@ -212,13 +224,13 @@
         """A claim that does not run here is answered, or passed on if it came from a client."""
         (name, life, _), (token, key, asked) = claim, about
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {Verdict.ANSWER: "finished", Verdict.KILL: "killed"}.get(verdict, "deferred")
+        how = {ClaimDecision.REPLAY: "finished", ClaimDecision.FAIL: "killed"}.get(verdict, "deferred")
         if session is not None:
-            if verdict is Verdict.PASS:
-                self.keepers[name].ended(self.clock(name), claim[2], FREED)
+            if verdict is ClaimDecision.FORWARD:
+                self.replicas[name].end_claim(self.clock(name), claim[2], RecordState.NOT_RUN)
             self.passings[name].answered(self.clock(name), session, how, why, rows)
             return
-        if verdict is Verdict.PASS:
+        if verdict is ClaimDecision.FORWARD:
             self.hops["passed on"] += 1
             passing, now = self.passings[name], self.clock(name)
             to = passing.choose(self.partners.get(why, ()), "", key)
@@ -232,7 +244,7 @@
                 self.errand_of[name, life, errand] = ask, claim[2]
                 self.errands[name, life, errand] = ask
                 return
-            self.keepers[name].ended(now, claim[2], FREED)
+            self.replicas[name].end_claim(now, claim[2], RecordState.NOT_RUN)
         self.answered(ask, how)
 
     def take_guests(self, name: str) -> None:
@@ -248,7 +260,7 @@
             ask, mine = self.errand_of.pop((name, life, number), (None, 0))
             self.rule["ended twice"] += ask is None
             if mine:
-                self.keepers[name].ended(self.clock(name), mine, FREED)
+                self.replicas[name].end_claim(self.clock(name), mine, RecordState.NOT_RUN)
             if how == "finished" and rows is None:
                 self.rule["wrong answer"] += 1
             if ask is not None:
@@ -285,7 +297,7 @@
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {FINISHED: "finished", FREED: "deferred"}.get(state, "killed")
+        how = {RecordState.SERVED: "finished", RecordState.NOT_RUN: "deferred"}.get(state, "killed")
         if session is not None:
             self.passings[claim[0]].answered(self.clock(claim[0]), session, how, "", rows)
         elif ask is not None:
@@ -299,16 +311,16 @@
         return sum(
             not answers and self.now > asked + patience + ANSWERED_BY
             for name, life, asked, patience, answers in self.asks.values()
-            if self.lives[name] == life and name in self.keepers and name not in self.stopped
+            if self.lives[name] == life and name in self.replicas and name not in self.stopped
         )
 
     def owners(self) -> list[str]:
         """By the titles at the slots' first holders; "" where there is none."""
-        some = next(iter(self.keepers.values())).views.view
+        some = next(iter(self.replicas.values())).views.view
         found = []
         for slot in range(SLOTS):
             first = holders(slot, some.members, 1)[0]
-            title = self.keepers[first].slots[slot].title if first in self.keepers else None
+            title = self.replicas[first].slots.slots[slot].lease if first in self.replicas else None
             found.append(title.owner if title is not None else "")
         return found
 
@@ -351,12 +363,12 @@
         killer = chance.random() < 0.5
         while net.now < until:
             crowd(net, chance, 3, 5)
-            moved = [n for n, k in net.keepers.items() if k.counts["titles moved"] or k.moving]
-            if killer and net.now > until - 2 * SECOND and moved and len(net.keepers) == len(net.names):
+            moved = [n for n, k in net.replicas.items() if k.counters["leases moved"] or k.leases.transfers]
+            if killer and net.now > until - 2 * SECOND and moved and len(net.replicas) == len(net.names):
                 net.kill(chance.choice(moved))
         net.advance(6)
         for name in net.names:
-            if name not in net.keepers:
+            if name not in net.replicas:
                 net.start(name)
     return net.settled(60) and net.agreed(60)
 
@@ -387,7 +399,7 @@
     for name in net.names:
         if name in net.stopped:
             net.go_on(name)
-        if name not in net.keepers:
+        if name not in net.replicas:
             net.start(name)
     return net.settled(60) and net.agreed(60)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -19,7 +19,7 @@
 from hillchute.discovery import event_bus
 from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.errors import HillchuteError
-from hillchute.history.disk import Disk
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import Fault, FaultySystemCalls
 from hillchute.lab.history_net import EPOCH
@@ -83,7 +83,7 @@
 
 
 def disk_not_usable(tmp_path: Path) -> None:
-    Disk(tmp_path / "none" / "h.db")
+    SqliteStore(tmp_path / "none" / "h.db")
 
 
 def text_not_taken(tmp_path: Path) -> None:
@@ -157,8 +157,8 @@
 
 def book_not_current(log: RecordingLog, tmp_path: Path) -> None:
     held, _ = remembering(log, tmp_path)
-    held.keeper.living = lambda: {"a": 1, "b": 1}
-    held.keeper.views.proposed, held.keeper.views.books = object(), {"b": 1}
+    held.replica.context.living = lambda: {"a": 1, "b": 1}
+    held.replica.views.proposed, held.replica.views.policies_numbers = object(), {"b": 1}
     held.tell(EPOCH)
 
 
