--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -1,7 +1,7 @@
 """Messages about the history to bytes and back, each field bounded.
 
 Owns the bounds. It does no I/O and believes nothing; the signature that says who sent a message is the peers'
-own (peers/codec.py).
+own (peers/datagrams.py).
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 from hillchute.history.records import Record, RecordState
 from hillchute.history.retention import MAX_TEXT, RetentionPolicies, first_invalid_field
 from hillchute.history.slot_placement import SLOTS
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 MAX_ROUTER_NAME = 64  # characters
 MAX_MEMBERS = 4096
@@ -91,7 +91,7 @@
     )
 
 
-codec = Codec("history", Message, first_out_of_bounds)
+codec = MessageCodec("history", Message, first_out_of_bounds)
 encode = codec.encode
 decode = codec.decode
 encoder = codec.encoder
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -2,7 +2,7 @@
 back, each field bounded.
 
 Owns the messages, their layout and bounds. Must never do I/O, look at a clock, or believe anything: the mark
-that says which router spoke is the peers' own (peers/codec.py), the marks of partners are in the messages.
+that says which router spoke is the peers' own (datagrams.py), the marks of partners are in the messages.
 
 Ages and ends are durations, as of when the message was made: no clock is compared with another's.
 """
@@ -14,7 +14,7 @@
 from hillchute.decision.interface import Time
 from hillchute.history.retention import MAX_TEXT
 from hillchute.partners.agreement import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 WHOLE = 1 << 62
 DAY: Time = 864_000_000
@@ -146,5 +146,5 @@
     return not (sizes and 0 < len(mark.partner) <= NAME and 0 <= mark.number < 1 << 53)
 
 
-codec = Codec("partners", Message, unfit_message)
+codec = MessageCodec("partners", Message, unfit_message)
 encode, decode, encoder = codec.encode, codec.decode, codec.encoder
