--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 
 from hillchute.decision.interface import Report, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
-from hillchute.membership import event_bus
 from hillchute.statements.request import Request
 
 # ---- events ---------------------------------------------------------------------------------------
 
 
 class Notified(NamedTuple):
-    news: event_bus.Update
+    news: event_bus.WatchEvent
 
 
 class Peered(NamedTuple):
@@ -72,7 +72,7 @@
         case Said(line, what):
             return "Said", line, type(what).__name__, what and what[0]
         case Notified(news):
-            return "Notified", news.number
+            return "Notified", news.offset
         case Peered(news):
             return "Peered", len(news)
         case Judged(id, number, verdict, why, _):
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -29,7 +29,8 @@
 )
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.log import Log
-from hillchute.peers.node import HISTORY, Node
+from hillchute.peers.datagrams import DatagramKind
+from hillchute.peers.node import Node
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 
 DECISIONS = {
@@ -57,7 +58,7 @@
         when there is something to be sent. `deeds`: where there are partners."""
         self.clock, self.log, self.judged, self.soon = clock, log, judged, soon
         now = clock()
-        super().__init__(node, HISTORY, codec)
+        super().__init__(node, DatagramKind.HISTORY_FRAGMENT, codec)
         self.disk = None
         if settings.get("disk"):
             try:
@@ -66,7 +67,7 @@
                 HistoryStorageError
             ) as fault:  # the history goes on in memory: no record rests on this disk
                 log.write("history_disk", **fault.log_fields)
-        membership = Membership(node.me, node.born, [node.me, *node.keys], node.lives)
+        membership = Membership(node.name, node.generation, [node.name, *node.keys], node.generations)
         self.replica = Replica(membership, book_of(settings), now, self.disk, deeds)
         if self.disk is not None:
             self.replica.recall(now, self.disk.read())
@@ -180,11 +181,11 @@
 
     def named(self) -> None:
         """The operator names other routers: half of them is another number, so all is asked anew."""
-        self.replica.name_routers([self.node.me, *self.node.keys], self.clock())
+        self.replica.name_routers([self.node.name, *self.node.keys], self.clock())
 
     @property
     def handed_over(self) -> bool:
-        alone = len(self.node.keys) == 0 or not self.node.living()
+        alone = len(self.node.keys) == 0 or not self.node.live_peers()
         return alone or self.replica.is_handed_over
 
 
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -35,17 +35,17 @@
     Wake,
     WatchEndpoints,
 )
+from hillchute.discovery import event_bus
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
 from hillchute.fronts.mysql import packets as mysql
 from hillchute.history import claim_decision, messages, ownership_leases, records, retention, views
 from hillchute.history import codec as history
-from hillchute.membership import event_bus
 from hillchute.partners import agreement, marks
 from hillchute.partners import codec as partners
-from hillchute.peers import codec as peers
-from hillchute.peers import node, parts, roster
+from hillchute.peers import datagrams as peers
+from hillchute.peers import fragmentation
 
 RECORDED = Path(__file__).parent / "data" / "recorded_bytes.json"
 PEER_KEY = bytes(range(1, 33))
@@ -99,41 +99,56 @@
             lambda data: peers.decode(data, "router-b", {"router-a": PEER_KEY}),
         )
 
-    states = {"alive": roster.ALIVE, "suspected": roster.SUSPECT, "dead": roster.DEAD, "left": roster.LEFT}
+    states = {
+        "alive": peers.PeerState.ALIVE,
+        "suspected": peers.PeerState.SUSPECT,
+        "dead": peers.PeerState.DEAD,
+        "left": peers.PeerState.LEFT,
+    }
     rumours = tuple(
         peers.Rumour(name=f"of-{name}", state=state, incarnation=100 + state, witness=f"by-{state}")
         for name, state in states.items()
     )
     kinds = {
-        "ping": roster.PING,
-        "ping-answer": roster.ANSWERED,
-        "indirect-ping-request": roster.ASK,
-        "indirect-ping-answer": roster.TOLD,
-        "payload": node.LOAD,
-        "state-request": node.ALL,
-        "history-fragment": node.HISTORY,
-        "partners-fragment": node.PARTNERS,
+        "ping": peers.DatagramKind.PING,
+        "ping-answer": peers.DatagramKind.PING_ACK,
+        "indirect-ping-request": peers.DatagramKind.INDIRECT_PING,
+        "indirect-ping-answer": peers.DatagramKind.INDIRECT_PING_ACK,
+        "payload": peers.DatagramKind.PAYLOAD,
+        "state-request": peers.DatagramKind.STATE_REQUEST,
+        "history-fragment": peers.DatagramKind.HISTORY_FRAGMENT,
+        "partners-fragment": peers.DatagramKind.PARTNERS_FRAGMENT,
     }
     for name, kind in kinds.items():
         full = peers.Datagram(
             sender="router-a",
             receiver="router-b",
-            born=1_700_000_000_001,
-            heard=1_700_000_000_002,
+            generation=1_700_000_000_001,
+            receiver_generation=1_700_000_000_002,
             sequence=300 + kind,
             kind=kind,
-            number=400 + kind,
-            about="router-c",
+            ping_number=400 + kind,
+            subject="router-c",
             rumours=rumours,
-            load=b"\x00payload\xff",
+            payload=b"\x00payload\xff",
         )
         yield example(name, full)
     yield example(
         "ping, optional fields absent",
-        peers.Datagram(sender="router-a", receiver="router-b", born=5, heard=0, sequence=6, kind=0, number=7),
+        peers.Datagram(
+            sender="router-a",
+            receiver="router-b",
+            generation=5,
+            receiver_generation=0,
+            sequence=6,
+            kind=0,
+            ping_number=7,
+        ),
+    )
+    piece = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
+    yield Example(
+        "peers/fragment", piece, fragmentation.fragment_encoder.encode, fragmentation.fragment_decoder.decode
     )
-    piece = parts.Piece(number=1, part=2, parts=3, data=b"\x00piece\xff")
-    yield Example("peers/fragment", piece, parts.encoder.encode, parts.decoder.decode)
 
 
 def history_examples() -> Iterator[Example]:
@@ -527,8 +542,8 @@
 
 
 def event_bus_examples() -> Iterator[Example]:
-    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.subscribe)
-    yield Example("event-bus/subscribe from the start", 0, event_bus.subscribe)
+    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.encode_subscription)
+    yield Example("event-bus/subscribe from the start", 0, event_bus.encode_subscription)
     yield Example("event-bus/engine-name", 0x1A2B, lambda value: event_bus.engine_name(value).encode())
 
 
@@ -836,7 +851,7 @@
 
 BUS_RECORD = "01020304 0a010203 1f90 {state} 05 06 0007 000009c4 0000000000000064"
 BUS_READY, BUS_TERMINATING, BUS_NO_MORE = (BUS_RECORD.format(state=state) for state in ("00", "01", "02"))
-BUS_ENTRY = event_bus.Entry(
+BUS_ENTRY = event_bus.Endpoint(
     listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", nominal=2.5),
     host="10.1.2.3",
     port=8080,
@@ -844,14 +859,17 @@
 BUS_GONE = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Gone"))
 BUS_LEAVING = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Terminating"))
 BUS_FRAMES = {
-    "nothing": ("00000009 0000000000000011 00", event_bus.Update(number=17, mode="Nothing", entries=())),
+    "nothing": (
+        "00000009 0000000000000011 00",
+        event_bus.WatchEvent(offset=17, kind="Nothing", endpoints=()),
+    ),
     "complete": (
         f"00000024 0000000000000012 01 {BUS_READY}",
-        event_bus.Update(number=18, mode="Complete", entries=(BUS_ENTRY,)),
+        event_bus.WatchEvent(offset=18, kind="Complete", endpoints=(BUS_ENTRY,)),
     ),
     "partial": (
         f"0000003f 0000000000000013 02 {BUS_TERMINATING} {BUS_NO_MORE}",
-        event_bus.Update(number=19, mode="Partial", entries=(BUS_LEAVING, BUS_GONE)),
+        event_bus.WatchEvent(offset=19, kind="Partial", endpoints=(BUS_LEAVING, BUS_GONE)),
     ),
 }
 
@@ -859,7 +877,7 @@
 @pytest.mark.parametrize("name", BUS_FRAMES)
 def test_frame_of_the_event_bus_is_read_as_recorded(name):
     data, update = BUS_FRAMES[name]
-    assert list(event_bus.Decoder().feed(bytes.fromhex(data))) == [update]
+    assert list(event_bus.WatchEventDecoder().feed(bytes.fromhex(data))) == [update]
 
 
 def test_start_of_the_event_bus_is_read_as_recorded():
@@ -878,20 +896,20 @@
         {"offset": "17", "topology": {"snapshot": True, "endpoints": [endpoint]}},
         {"offset": 18, "topology": {"endpoints": [least]}},
     ]
-    first = event_bus.Entry(
+    first = event_bus.Endpoint(
         listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", nominal=2.5),
         host="10.1.2.3",
         port=8080,
     )
-    second = event_bus.Entry(
+    second = event_bus.Endpoint(
         listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", nominal=1.0),
         host="10.1.2.4",
         port=8081,
     )
-    found = event_bus.from_json({"batch": batch}, ["north", "west", "east"], ["small", "large"])
+    found = event_bus.initial_watch_events({"batch": batch}, ["north", "west", "east"], ["small", "large"])
     assert list(found) == [
-        event_bus.Update(number=17, mode="Complete", entries=(first,)),
-        event_bus.Update(number=18, mode="Partial", entries=(second,)),
+        event_bus.WatchEvent(offset=17, kind="Complete", endpoints=(first,)),
+        event_bus.WatchEvent(offset=18, kind="Partial", endpoints=(second,)),
     ]
 
 
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -21,7 +21,7 @@
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
-from hillchute.peers import parts
+from hillchute.peers import fragmentation
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
 from hillchute.router.remembering import book_of
@@ -172,29 +172,37 @@
         reading.hold(text + peers)
 
 
-# ---- messages in pieces ----
+# ---- messages in fragments ----
 
 
 def test_message_comes_whole_from_pieces_in_any_order_and_twice():
-    joiner, message = parts.Joiner(), bytes(range(256)) * 20
-    pieces = list(parts.cut(1, message, 900))
+    reassembler = fragmentation.Reassembler()
+    message = bytes(range(256)) * 20
+    pieces = list(fragmentation.split_message(1, message, 900))
     assert len(pieces) == 6
-    told = [joiner.take(0, "a", piece) for piece in [*pieces[:0:-1], *pieces[2:4], pieces[0]]]
+    told = [reassembler.add(0, "a", piece) for piece in [*pieces[:0:-1], *pieces[2:4], pieces[0]]]
     assert told == [None] * 7 + [message]
-    assert list(parts.cut(1, b"", 900)) and joiner.open == {"a": {}}
+    assert list(fragmentation.split_message(1, b"", 900)) and reassembler.incomplete == {"a": {}}
 
 
 def test_pieces_that_never_become_whole_are_bounded_and_end():
-    joiner = parts.Joiner()
+    reassembler = fragmentation.Reassembler()
     for number in range(500):
-        piece = parts.encoder.encode(parts.Piece(number, 0, 2, b"x"))
-        assert joiner.take(0, "a", piece) is None
-    assert len(joiner.open["a"]) == parts.MOST_OPEN
-    joiner.take(parts.OPEN_FOR + 1, "a", parts.encoder.encode(parts.Piece(999, 0, 2, b"x")))
-    assert list(joiner.open["a"]) == [999]
-    for bad in (parts.Piece(1, 2, 2, b""), parts.Piece(1, 0, parts.MOST_PIECES + 1, b"")):
+        piece = fragmentation.fragment_encoder.encode(fragmentation.Fragment(number, 0, 2, b"x"))
+        assert reassembler.add(0, "a", piece) is None
+    assert len(reassembler.incomplete["a"]) == fragmentation.MAX_INCOMPLETE_MESSAGES
+    reassembler.add(
+        fragmentation.REASSEMBLY_TIMEOUT + 1,
+        "a",
+        fragmentation.fragment_encoder.encode(fragmentation.Fragment(999, 0, 2, b"x")),
+    )
+    assert list(reassembler.incomplete["a"]) == [999]
+    for bad in (
+        fragmentation.Fragment(1, 2, 2, b""),
+        fragmentation.Fragment(1, 0, fragmentation.MAX_FRAGMENTS + 1, b""),
+    ):
         with pytest.raises(InvalidDatagramError):
-            joiner.take(0, "a", parts.encoder.encode(bad))
+            reassembler.add(0, "a", fragmentation.fragment_encoder.encode(bad))
 
 
 # ---- the disk ----
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,9 +21,9 @@
 )
 from hillchute.decision.placement import Placement
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.engines import words
 from hillchute.lab import deployment
-from hillchute.membership.event_bus import Entry, Update
 from hillchute.router import config, events
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
@@ -92,8 +92,8 @@
     """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
     station = config.station(deployment.table(routers=200, sockets=576), {})
     reducer = Reducer(QueryScheduler(1, station.catalog, 0), station.catalog, station.sockets // 3)
-    entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-    reducer.reduce(events.Notified(Update(1, "Complete", entries)), 1)
+    entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
+    reducer.reduce(events.Notified(WatchEvent(1, "Complete", entries)), 1)
     made, waiting = 0, []
     for n in range(300):
         now = 10 + n * 500
@@ -123,8 +123,8 @@
     def kept(engines):
         tracemalloc.start()
         rig = Rig(table=deployment.table(routers=200))
-        entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-        rig.service.told(Update(2, "Complete", entries))
+        entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
+        rig.service.told(WatchEvent(2, "Complete", entries))
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rig.close()
