--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -150,3 +150,62 @@
 )
 def test_name_that_exists_is_passed_over(quoted: str) -> None:
     assert gone_names(f"see `{quoted}` here") == []
+
+
+# ---- the diagram of packages ----------------------------------------------------------------------
+
+LAYERS = re.compile(r"^```text\nlayers, top to bottom\n(.*?)^```", re.MULTILINE | re.DOTALL)
+"""The fenced block of docs/architecture.md that has one row of packages a layer, the highest first."""
+
+
+def layers(page: str) -> dict[str, int]:
+    """Return the layer of each package or module that the diagram names: 0 is the highest."""
+    block = LAYERS.search(page)
+    assert block is not None, "docs/architecture.md has no diagram of layers"
+    rows = [WORD.findall(line.split("..")[0]) for line in block[1].splitlines()]
+    return {name: layer for layer, row in enumerate(rows) for name in row}
+
+
+def imported_parts(source: str) -> set[str]:
+    """Return the packages and modules directly under hillchute/ that a module imports, wherever it does."""
+    parts: set[str] = set()
+    for node in ast.walk(ast.parse(source)):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            names = [f"{node.module}.{name.name}" for name in node.names]
+        elif isinstance(node, ast.Import):
+            names = [name.name for name in node.names]
+        else:
+            continue
+        parts.update(name.split(".")[1] for name in names if name.startswith("hillchute."))
+    return parts - {"__version__"}
+
+
+def upward_imports(page: str) -> list[str]:
+    """Return the imports from a layer to itself or to a higher one."""
+    layer = layers(page)
+    found: set[str] = set()
+    package = ROOT / "hillchute"
+    for path in package.rglob("*.py"):
+        importer = path.relative_to(package).parts[0].removesuffix(".py")
+        if importer != "__init__":
+            parts = imported_parts(path.read_text()) - {importer}
+            found.update(f"{importer} -> {part}" for part in parts if layer[part] <= layer[importer])
+    return sorted(found)
+
+
+ARCHITECTURE = (DOCS / "architecture.md").read_text()
+
+
+def test_diagram_names_all_packages() -> None:
+    package = ROOT / "hillchute"
+    parts = {path.relative_to(package).parts[0].removesuffix(".py") for path in package.rglob("*.py")}
+    assert set(layers(ARCHITECTURE)) == parts - {"__init__"}
+
+
+def test_packages_import_downwards_only() -> None:
+    assert upward_imports(ARCHITECTURE) == []
+
+
+def test_import_upwards_is_found() -> None:
+    page = ARCHITECTURE.replace("\n  cli\n", "\n  X\n").replace("  settings  net", "  cli  settings  net")
+    assert upward_imports(page) == ["cli -> lab", "cli -> operator", "cli -> router"]
