--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,36 +48,36 @@
 }
 
 
-class Desk:
-    """A router with engines 1 to 3 in zones 0 to 2, and short ways to put a state together."""
+class SchedulerHarness:
+    """A scheduler with engines 1 to 3 in zones 0 to 2, and short ways to put a state together."""
 
     def __init__(self, **changed):
         catalog = CATALOG | {name.replace("__", "."): value for name, value in changed.items()}
         self.router = QueryScheduler(7, catalog, 0)
-        self.list(1, 2, 3)
+        self.list_engines(1, 2, 3)
         self.names = (f"q{n}" for n in count())
 
-    def list(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
+    def list_engines(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
         listings = [Listing(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
         self.router.on_endpoint_list(self.router.now, mode, listings)
 
-    def take(self, group, now=0, cost=1000, deadline=7 * SECOND, **known):
+    def arrive(self, group, now=0, cost=1000, deadline=7 * SECOND, **known):
         name = next(self.names)
         self.router.on_query(now, NewQuery(name, group, deadline, cost=cost, **known))
         return self.router.queries[name]
 
-    def tried(self, group, engine=1, sent=0, result=None, **known):
-        """A query with one submission behind it, in no line."""
-        q = self.take(group, **known)
+    def attempted(self, group, engine=1, sent=0, result=None, **known):
+        """A query with one attempt behind it, in no line."""
+        q = self.arrive(group, **known)
         for line in (self.router.queues.teams, self.router.queues.dashboards):
             if q in line:
                 line.remove(q)
         q.place = QueryPlace.RUNNING
-        self.submit(q, engine, sent, result)
+        self.attempt(q, engine, sent, result)
         return q
 
-    def submit(self, q, engine, sent=0, result=None):
-        """One more submission of a query, with its ending if there is one."""
+    def attempt(self, q, engine, sent=0, result=None):
+        """One more attempt of a query, with its ending if there is one."""
         q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.threads))
         e = self.router.engines[engine]
         e.attempt_started(sent, q.threads, q.memory_mb)
@@ -91,7 +91,7 @@
         for _ in range(attempts):
             engine.attempt_started(self.router.now, threads, 0.0)
 
-    def verbs(self, now=0):
+    def decisions(self, now=0):
         """All decisions at this time."""
         said = []
         while (decision := self.router.next_decision(now)) is not None:
@@ -100,10 +100,10 @@
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def harness():
+    return SchedulerHarness()
 
 
 @pytest.fixture
-def make_desk():
-    return Desk
+def make_harness():
+    return SchedulerHarness
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -208,13 +208,13 @@
 
 
 @pytest.fixture
-def sighted(make_desk):
-    return make_desk(report__via="probe", limits__probes=True, domain__yields_to_loads=False)
+def sighted(make_harness):
+    return make_harness(report__via="probe", limits__probes=True, domain__yields_to_loads=False)
 
 
-def drawn(desk, group=REPORT, **known):
-    q = desk.take(group, **known)
-    desk.verbs()
+def drawn(harness, group=REPORT, **known):
+    q = harness.arrive(group, **known)
+    harness.decisions()
     return q.checked_engine or (q.attempts and q.attempts[-1].engine)
 
 
@@ -236,7 +236,7 @@
     elif state == "resting":
         e.ejected_until = 10 * SECOND
     elif state == "gone":
-        sighted.list(2, mode=ListMode.PARTIAL, state=EndpointState.GONE)
+        sighted.list_engines(2, mode=ListMode.PARTIAL, state=EndpointState.GONE)
     else:
         e.started = 1
     assert drawn(sighted, cost=5 * SECOND) in (1, 3)  # too heavy for a lot
@@ -248,24 +248,24 @@
     assert drawn(sighted, table_group=4) == 3
 
 
-def test_query_looks_where_the_price_is_small_beside_its_own_value(make_desk):
+def test_query_looks_where_the_price_is_small_beside_its_own_value(make_harness):
     for price, group, looks in [(0.0086, LOOKUP, 1), (0.08, LOOKUP, 0), (0.08, REPORT, 1)]:
-        desk = make_desk(report__via="probe", limits__probes=True, costs__probe=price)
-        desk.router.admission.mean_weight, desk.router.health_checks.credit = 1.7, -9
-        desk.take(group, cost=1)
-        said = desk.verbs()
+        harness = make_harness(report__via="probe", limits__probes=True, costs__probe=price)
+        harness.router.admission.mean_weight, harness.router.health_checks.credit = 1.7, -9
+        harness.arrive(group, cost=1)
+        said = harness.decisions()
         assert len([d for d in said if isinstance(d, HealthCheck)]) == looks
         assert len([d for d in said if isinstance(d, Submit)]) == 1 - looks
 
 
 @pytest.mark.parametrize("price, most", [(0.0086, 60), (0.08, 8), (0.0, 60)])
-def test_probes_beside_the_looks_are_paced_by_their_price(make_desk, price, most):
-    desk = make_desk(report__via="probe", limits__probes=True, costs__probe=price)
+def test_probes_beside_the_looks_are_paced_by_their_price(make_harness, price, most):
+    harness = make_harness(report__via="probe", limits__probes=True, costs__probe=price)
     count = 0
     for n in range(60):
-        desk.router.now = n * SECOND
-        for e in desk.router.engines.values():
+        harness.router.now = n * SECOND
+        for e in harness.router.engines.values():
             e.reported_at = n * SECOND - 4500  # too late for a look, time for a probe
-        desk.take(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
-        count += len([d for d in desk.verbs(n * SECOND) if isinstance(d, HealthCheck)])
+        harness.arrive(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
+        count += len([d for d in harness.decisions(n * SECOND) if isinstance(d, HealthCheck)])
     assert most - 5 <= count <= most + 5
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -87,8 +87,8 @@
 
 
 @pytest.fixture
-def probing(make_desk):
-    return make_desk(
+def probing(make_harness):
+    return make_harness(
         report__via="probe", limits__probes=True, report__columns=["inflight"], domain__yields_to_loads=False
     )
 
@@ -98,65 +98,69 @@
 
 
 def test_query_looks_at_the_engine_it_has_drawn(probing):
-    q = probing.take(LOOKUP)
-    said = probing.verbs()
+    q = probing.arrive(LOOKUP)
+    said = probing.decisions()
     assert q.checked_engine in probes(said) and not [d for d in said if isinstance(d, Submit)]
     drawn = q.checked_engine
     probing.router.on_health_check(5, drawn, AttemptResult.SERVED, {"inflight": 3})
-    assert (q.id, drawn) in [(d.query, d.engine) for d in probing.verbs(5) if isinstance(d, Submit)]
+    assert (q.id, drawn) in [(d.query, d.engine) for d in probing.decisions(5) if isinstance(d, Submit)]
 
 
 def test_crowded_engine_is_passed_over_and_looked_at_once(probing):
-    q = probing.take(LOOKUP)
-    probing.verbs()
+    q = probing.arrive(LOOKUP)
+    probing.decisions()
     first = q.checked_engine
     probing.router.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
-    probing.verbs(5)
+    probing.decisions(5)
     assert q.checked_engine not in (None, first) and q.crowded_checks == 1
 
 
 def test_engine_that_does_not_answer_the_look_is_left_alone(probing):
-    q = probing.take(LOOKUP)
-    probing.verbs()
+    q = probing.arrive(LOOKUP)
+    probing.decisions()
     first = q.checked_engine
-    assert not [d for d in probing.verbs(999) if isinstance(d, Submit)]
-    probing.verbs(1000)
+    assert not [d for d in probing.decisions(999) if isinstance(d, Submit)]
+    probing.decisions(1000)
     assert q.checked_engine not in (None, first)
 
 
 def test_dashboard_goes_nowhere_when_all_that_it_sees_is_full(probing):
-    q = probing.take(LOOKUP)
-    said, now = probing.verbs(), 0
+    q = probing.arrive(LOOKUP)
+    said, now = probing.decisions(), 0
     while not [d for d in said if isinstance(d, Submit | Reject)]:
         now += 10
         probing.router.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
-        said = probing.verbs(now)
+        said = probing.decisions(now)
     assert q.id in [d.query for d in said if isinstance(d, Reject)]
 
 
 def test_engine_known_of_late_needs_no_look(probing):
     for e in probing.router.engines.values():
         probing.router.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
-    q = probing.take(LOOKUP, now=100)
-    assert [d.query for d in probing.verbs(100) if isinstance(d, Submit)] == [q.id]
+    q = probing.arrive(LOOKUP, now=100)
+    assert [d.query for d in probing.decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
-def test_crowd_is_remembered_for_as_long_as_it_stays(desk):
-    crowded, idle, _ = desk.router.engines.values()
-    desk.router.load.mean_load, desk.router.now = 1.0, 2 * SECOND
+def test_crowd_is_remembered_for_as_long_as_it_stays(harness):
+    crowded, idle, _ = harness.router.engines.values()
+    harness.router.load.mean_load, harness.router.now = 1.0, 2 * SECOND
     crowded.reported_threads, idle.reported_threads = 8 * 8, 2
     crowded.reported_at = idle.reported_at = 0
     assert (
-        desk.router.load.report_weight(desk.router.now, crowded) > 0.8
-        and desk.router.load.report_weight(desk.router.now, idle) == 0.25
+        harness.router.load.report_weight(harness.router.now, crowded) > 0.8
+        and harness.router.load.report_weight(harness.router.now, idle) == 0.25
     )
 
 
-def test_unreached_engine_is_not_taken_for_one_that_starts(desk):
-    desk.tried(LOOKUP, engine=1, result=AttemptResult.UNREACHABLE)
-    desk.tried(LOOKUP, engine=2, sent=1, result=AttemptResult.CONNECTION_REFUSED)
-    desk.router.now = 2
-    assert [e.is_warming_up(desk.router.now) for e in desk.router.engines.values()] == [False, True, False]
+def test_unreached_engine_is_not_taken_for_one_that_starts(harness):
+    harness.attempted(LOOKUP, engine=1, result=AttemptResult.UNREACHABLE)
+    harness.attempted(LOOKUP, engine=2, sent=1, result=AttemptResult.CONNECTION_REFUSED)
+    harness.router.now = 2
+    assert [e.is_warming_up(harness.router.now) for e in harness.router.engines.values()] == [
+        False,
+        True,
+        False,
+    ]
 
 
 def calls(work):
@@ -223,11 +227,11 @@
 
 def test_dashboard_is_turned_away_for_a_crowd_that_is_believed(probing):
     """A look would cost a probe and a tenth of a second, and find what the mean of the others says."""
-    probing.take(LOOKUP)
-    probing.verbs()
+    probing.arrive(LOOKUP)
+    probing.decisions()
     probing.router.load.mean_load = 3.1  # threads a core, over the bound and a half
-    q = probing.take(LOOKUP, cost=1)
-    assert Reject(q.id, 0, Reason.CROWDED) in probing.verbs()
+    q = probing.arrive(LOOKUP, cost=1)
+    assert Reject(q.id, 0, Reason.CROWDED) in probing.decisions()
     assert q.checked_engine is None
 
 
@@ -237,7 +241,7 @@
 @pytest.fixture
 def half_cold(probing):
     """Engine 1 warm and full, 2 and 3 cold and empty; all in sight."""
-    probing.list(2, 3, mode=ListMode.PARTIAL, started=10)
+    probing.list_engines(2, 3, mode=ListMode.PARTIAL, started=10)
     probing.router.on_subset(20, frozenset({1, 2, 3}))
     for engine, held in ((1, 28), (2, 0), (3, 0)):
         probing.router.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": held})
@@ -246,7 +250,7 @@
 
 def test_query_is_too_heavy_for_the_crowd_where_it_may_go_not_for_the_mean_of_all(half_cold):
     router = half_cold.router
-    bound, lucky = half_cold.take(REPORT, now=20), half_cold.take(REPORT, now=20)
+    bound, lucky = half_cold.arrive(REPORT, now=20), half_cold.arrive(REPORT, now=20)
     bound.permit_engine, lucky.permit_engine = None, 2
     for q in (bound, lucky):
         q.cost = (
@@ -257,14 +261,14 @@
 
 
 def test_query_goes_to_the_cold_engine_of_its_lot_without_a_look(probing):
-    probing.list(2, mode=ListMode.PARTIAL, started=10)
-    q = probing.take(LOOKUP, now=20)
+    probing.list_engines(2, mode=ListMode.PARTIAL, started=10)
+    q = probing.arrive(LOOKUP, now=20)
     q.permit_engine = 2
-    said = probing.verbs(20)
+    said = probing.decisions(20)
     assert (q.id, 2) in [(d.query, d.engine) for d in said if isinstance(d, Submit)]
-    other = probing.take(LOOKUP, now=20)
+    other = probing.arrive(LOOKUP, now=20)
     other.permit_engine = None
-    probing.verbs(20)
+    probing.decisions(20)
     assert other.checked_engine in (1, 3)  # a warm one that was not heard of is looked at
 
 
@@ -274,11 +278,11 @@
     for engine, at in ((1, 9000), (2, 5000), (3, 0)):
         router.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
     router.health_checks.credit, router.health_checks.next_check = 3, 0
-    asked = probes(probing.verbs(10_000))
+    asked = probes(probing.decisions(10_000))
     assert asked == [2]  # 3 is out of sight, 1 was heard of just now
     router.on_load_report(13_500, 2, {"inflight": 0}, age=100)
     router.health_checks.credit, router.health_checks.next_check = 3, 0
-    assert probes(probing.verbs(14_000)) == [1]
+    assert probes(probing.decisions(14_000)) == [1]
 
 
 def test_report_of_another_router_counts_by_its_age(probing):
@@ -297,15 +301,15 @@
     for engine in (1, 2, 3):
         probing.router.on_load_report(100, engine, {"inflight": 1}, age=90)
     probing.router.on_subset(100, frozenset({1, 2, 3}), 2, {"probes": 0.0})
-    q = probing.take(LOOKUP, now=100)
-    assert [d.query for d in probing.verbs(100) if isinstance(d, Submit)] == [q.id]
+    q = probing.arrive(LOOKUP, now=100)
+    assert [d.query for d in probing.decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
-def test_parts_of_limits_go_before_equal_ones(make_desk):
-    desk = make_desk(parties__0__fraction=0.5, parties__0__quota_per_s=4, n_instances=4)
-    router = desk.router
+def test_parts_of_limits_go_before_equal_ones(make_harness):
+    harness = make_harness(parties__0__fraction=0.5, parties__0__quota_per_s=4, n_instances=4)
+    router = harness.router
     for _ in range(3):
-        desk.take(LOOKUP)
+        harness.arrive(LOOKUP)
     assert router.admission.is_over_share(
         router.now, 0
     )  # three in a second, where one of four routers has one
@@ -315,12 +319,12 @@
     assert router.admission.is_over_share(router.now, 0) and router.pool.routers == 2
 
 
-def test_part_of_the_cold_budget_says_how_many_lots_are_drawn(make_desk):
+def test_part_of_the_cold_budget_says_how_many_lots_are_drawn(make_harness):
     drawn = []
     for part in (0.05, 0.5):
-        desk = make_desk(n_instances=10)
-        desk.list(2, 3, mode=ListMode.PARTIAL, started=1)
-        desk.router.on_subset(1, frozenset({1, 2, 3}), 10, {"cold": part})
-        taken = [desk.take(LOOKUP, now=1 + n * 400) for n in range(200)]
+        harness = make_harness(n_instances=10)
+        harness.list_engines(2, 3, mode=ListMode.PARTIAL, started=1)
+        harness.router.on_subset(1, frozenset({1, 2, 3}), 10, {"cold": part})
+        taken = [harness.arrive(LOOKUP, now=1 + n * 400) for n in range(200)]
         drawn.append(sum(q.permit_engine is not None for q in taken))
     assert drawn[0] * 4 < drawn[1]
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -167,14 +167,14 @@
     assert late.standing == 0  # nothing was asked for a while
 
 
-def test_late_loop_turns_away_what_is_of_least_value_first(desk):
+def test_late_loop_turns_away_what_is_of_least_value_first(harness):
     for _ in range(20):
-        desk.router.admits(0, LOOKUP, 0.0)
-        desk.router.admits(0, REPORT, 0.0)
-    assert desk.router.admits(0, LOOKUP, MOST_LATE / 10)
-    assert not desk.router.admits(0, LOOKUP, MOST_LATE / 2)
-    assert desk.router.admits(0, REPORT, MOST_LATE - 1) and desk.router.admits(0, LOAD, MOST_LATE - 1)
-    assert not desk.router.admits(0, REPORT, MOST_LATE)
+        harness.router.admits(0, LOOKUP, 0.0)
+        harness.router.admits(0, REPORT, 0.0)
+    assert harness.router.admits(0, LOOKUP, MOST_LATE / 10)
+    assert not harness.router.admits(0, LOOKUP, MOST_LATE / 2)
+    assert harness.router.admits(0, REPORT, MOST_LATE - 1) and harness.router.admits(0, LOAD, MOST_LATE - 1)
+    assert not harness.router.admits(0, REPORT, MOST_LATE)
 
 
 # ---- the end ----------------------------------------------------------------------------------------
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -156,21 +156,25 @@
     assert fleet.most() <= budget(30)
 
 
-def test_queries_that_wait_with_their_permits_are_not_sent_in_one_instant(make_desk):
+def test_queries_that_wait_with_their_permits_are_not_sent_in_one_instant(make_harness):
     """No engine has room for a while; then all that wait could go at once."""
-    desk = make_desk(n_instances=1)
-    desk.list(1, 2, 3, started=1)
-    for e in desk.router.engines.values():
+    harness = make_harness(n_instances=1)
+    harness.list_engines(1, 2, 3, started=1)
+    for e in harness.router.engines.values():
         e.ejected_until = 4 * FALL
     waiting = [
-        desk.take(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND) for n in range(4 * FALL // 100)
+        harness.arrive(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND)
+        for n in range(4 * FALL // 100)
     ]
-    desk.verbs(4 * FALL - 1)
+    harness.decisions(4 * FALL - 1)
     drawn = sum(q.permit_engine is not None for q in waiting)
     may_go = [
         q
         for q in waiting
-        if any(desk.router.placement.is_eligible(desk.router.now, e, q) for e in desk.router.engines.values())
+        if any(
+            harness.router.placement.is_eligible(harness.router.now, e, q)
+            for e in harness.router.engines.values()
+        )
     ]
     assert drawn > 2 * len(may_go) > 0
 
