--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -4,6 +4,9 @@
 so that nothing waits too short and nothing is answered late.
 """
 
+from enum import StrEnum
+from typing import TypeVar
+
 from hillchute.catalog import translate
 from hillchute.decision.interface import (
     AttemptResult,
@@ -21,6 +24,8 @@
 )
 from hillchute.net.clock import NANOSECONDS_PER_TIME_UNIT, round_up_to_time_units
 
+Word = TypeVar("Word", bound=StrEnum)
+
 RESULTS = {"completed": AttemptResult.SERVED}  # the wire's results that are not spelled as the enum's values
 
 
@@ -66,6 +71,16 @@
             raise self.fault(f"field {field} is absent")
         return value
 
+    def one_of(self, words: type[Word], field: str, default: Word | None = None) -> Word:
+        """The member of an enum whose value the field spells."""
+        value = self.text(field)
+        if value is None:
+            return self.needed(default, field)
+        try:
+            return words(value)
+        except ValueError:
+            raise self.fault(f"field {field} is not a word of the wire: {value[:40]}") from None
+
     def report(self, field: str) -> dict[str, float] | None:
         value = self.text(field)
         if value is None:
@@ -86,7 +101,7 @@
         cell = self.integer("bay", 0)
         started = round_up_to_time_units(self.integer("last_start_ns", 0))
         zone = self.integer("locality", 0)
-        state = EndpointState(self.text("availability") or EndpointState.READY)
+        state = self.one_of(EndpointState, "availability", EndpointState.READY)
         nominal = self.real("nominal", 1.0)
         engine = self.needed(self.integer("engine"), "engine")
         return Listing(engine, kind, cell, zone, started, state, nominal)
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -96,7 +96,7 @@
         self.censuses[buffer] = entries
 
     def on_membership(self, fields: Fields) -> None:
-        mode = ListMode(fields.needed(fields.text("mode"), "mode"))
+        mode = fields.one_of(ListMode, "mode")
         fields.integer("index")
         buffer = fields.integer("buffer")
         if mode == ListMode.ERROR:
