--- /dev/null
+++ b/hillchute/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The list of SQL engines and its watch: event_bus.py is the codec, watcher.py does the I/O."""
--- /dev/null
+++ b/hillchute/discovery/watcher.py
@@ -0,0 +1,102 @@
+"""Watches the endpoint list over the event bus, and follows the bus when the configuration moves it.
+
+The package's only I/O. It decides when to connect and to retry; what an event means is for the callback.
+"""
+
+from collections.abc import Callable
+
+import anyio
+import anyio.abc
+
+from hillchute.discovery.event_bus import WatchEvent, WatchEventDecoder, encode_subscription
+from hillchute.errors import EventBusProtocolError
+from hillchute.log import Log
+
+RECEIVE_BYTES = 65_536
+IDLE_TIMEOUT = 2.5  # seconds; the protocol promises a frame each second, so a slower connection is dead
+RETRY_DELAY = 0.25  # seconds between two connections, before jitter
+CONNECTION_ERRORS = (
+    anyio.EndOfStream,
+    anyio.ClosedResourceError,
+    anyio.BrokenResourceError,
+    OSError,
+    TimeoutError,
+)
+
+
+class EndpointWatcher:
+    """Keeps one watch of the endpoint list open and hands each event to a callback, in order.
+
+    A new address is watched beside the old one until it is connected, since the old event bus may still have
+    events; then the old watch is cancelled.
+    """
+
+    def __init__(
+        self,
+        log: Log,
+        on_event: Callable[[WatchEvent], None],
+        last_offset: Callable[[], int],
+        jittered: Callable[[float], float],
+    ) -> None:
+        """`last_offset` gives the offset of the last event that was applied.
+
+        `jittered` turns the seconds of a retry delay into this retry's: routers that lose the event bus in
+        one instant must not reconnect in one instant.
+        """
+        self.log = log
+        self.on_event = on_event
+        self.last_offset = last_offset
+        self.jittered = jittered
+        self.scopes: list[anyio.CancelScope] = []  # one for each watch, the newest last
+
+    def watch(self, address: tuple[str, int], tasks: anyio.abc.TaskGroup) -> None:
+        """Starts a watch at `address` in `tasks`; it replaces the older ones once it is connected."""
+        scope = anyio.CancelScope()
+        self.scopes.append(scope)
+        tasks.start_soon(self._reconnect_until_replaced, address, scope)
+
+    async def _reconnect_until_replaced(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
+        with scope:
+            while scope in self.scopes:
+                try:
+                    await self._receive_events(address, scope)
+                except (*CONNECTION_ERRORS, EventBusProtocolError) as error:
+                    self._log_lost_connection(error)
+                if scope is not self.scopes[-1]:
+                    # The address has changed. A newer watch that has just connected may have removed this
+                    # one's scope already.
+                    if scope in self.scopes:
+                        self.scopes.remove(scope)
+                    return
+                await anyio.sleep(self.jittered(RETRY_DELAY))
+
+    async def _receive_events(self, address: tuple[str, int], scope: anyio.CancelScope) -> None:
+        """Connects, cancels older watches and passes events on until the connection breaks, which raises."""
+        with anyio.fail_after(IDLE_TIMEOUT):
+            stream = await anyio.connect_tcp(*address)
+        async with stream:
+            decoder = WatchEventDecoder()
+            await stream.send(encode_subscription(self.last_offset()))
+            while scope is not self.scopes[0]:
+                self.scopes.pop(0).cancel()
+            while True:
+                for event in await self._next_events(stream, decoder):
+                    self.on_event(event)
+
+    async def _next_events(
+        self, stream: anyio.abc.SocketStream, decoder: WatchEventDecoder
+    ) -> list[WatchEvent]:
+        """At least one event; raises TimeoutError where none is complete in time.
+
+        Complete frames count, not bytes: a trickle of bytes could otherwise keep a dead connection open.
+        """
+        with anyio.fail_after(IDLE_TIMEOUT):
+            while True:
+                events = list(decoder.feed(await stream.receive(RECEIVE_BYTES)))
+                if events:
+                    return events
+
+    def _log_lost_connection(self, error: Exception) -> None:
+        remedy = error.log_fields if isinstance(error, EventBusProtocolError) else {}
+        reason = str(error) or type(error).__name__
+        self.log.write("bus_lost", why=reason, last=self.last_offset(), **remedy)
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -10,9 +10,9 @@
 
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptResult, EndpointState, ListMode, Scheduler, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
-from hillchute.membership import event_bus
 from hillchute.router.desk import Desk
 from hillchute.router.events import Connect, HangUp, Send
 from hillchute.statements.request import Request
@@ -260,11 +260,11 @@
 
     # ---- the list of engines ----------------------------------------------------------------------
 
-    def told(self, news: event_bus.Update) -> None:
-        if news.mode == "Nothing" or news.number <= self.told_to:
+    def told(self, news: event_bus.WatchEvent) -> None:
+        if news.kind == event_bus.WatchEventKind.KEEPALIVE or news.offset <= self.told_to:
             return  # an event bus may write an event again; an older list must not come back
-        self.told_to = news.number
-        listed = {entry.listing.engine: entry for entry in news.entries}
+        self.told_to = news.offset
+        listed = {entry.listing.engine: entry for entry in news.endpoints}
         for engine, entry in listed.items():
             ready = entry.listing.state == EndpointState.READY
             peer = self.peers.get(engine)
@@ -277,11 +277,11 @@
             if anew or (peer.host, peer.port) != (entry.host, entry.port):
                 peer.host, peer.port, peer.started = entry.host, entry.port, entry.listing.started
                 self.move(peer)
-        if news.mode == "Complete":
+        if news.kind == event_bus.WatchEventKind.SNAPSHOT:
             for engine, peer in self.peers.items():
                 peer.ready = peer.ready and engine in listed
-        listings = [entry.listing for entry in news.entries]
-        self.module.on_endpoint_list(self.desk.now, ListMode(news.mode), listings)
+        listings = [entry.listing for entry in news.endpoints]
+        self.module.on_endpoint_list(self.desk.now, ListMode(news.kind), listings)
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
         self.module.on_subset(self.desk.now, self.sight.select(ready))
         forgotten = len(self.peers) != len(self.module.engines)
@@ -291,7 +291,7 @@
                     self.drop(line)
                 del self.peers[engine]
         states = {event_bus.engine_name(e): entry.listing.state for e, entry in listed.items()}
-        self.desk.note("roster", number=news.number, mode=news.mode, engines=states)
+        self.desk.note("roster", number=news.offset, mode=news.kind, engines=states)
 
     def move(self, peer: Peer) -> None:
         """The engine is another process now: what waits for a connection to the old one was never sent."""
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -16,19 +16,19 @@
 
 from hillchute import errors
 from hillchute.decision.interface import EndpointState, Listing
+from hillchute.discovery import event_bus
+from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.errors import HillchuteError
-from hillchute.history.disk import Disk
+from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import Fault, FaultySystemCalls
 from hillchute.lab.history_net import EPOCH
-from hillchute.membership import event_bus
-from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
 from hillchute.partners.agreement import Mark, settle
 from hillchute.partners.kept import MarksFile
-from hillchute.peers import codec
-from hillchute.peers.link import Address, Link
-from hillchute.peers.node import Node
+from hillchute.peers import datagrams
+from hillchute.peers.node import Node, RouterIdentity
+from hillchute.peers.transport import Address, PeerTransport, TransportCallbacks
 from hillchute.router import config
 from hillchute.router.partnering import Partnering
 from hillchute.router.peering import Peering
@@ -68,22 +68,22 @@
 
 
 def bus_unreadable(tmp_path: Path) -> None:
-    list(event_bus.Decoder().feed(event_bus.FRAME.pack(5, 0, 250) + b"x" * 50))
+    list(event_bus.WatchEventDecoder().feed(event_bus.FRAME_HEADER.pack(5, 0, 250) + b"x" * 50))
 
 
 def datagram_dropped(tmp_path: Path) -> None:
-    codec.decode(b"", "a", {"b": KEY})
+    datagrams.decode(b"", "a", {"b": KEY})
 
 
 def peers_not_reachable(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        node = Node("a", 1, {}, 1, 0, None)
-        none = [None] * 4
-        Link(Address(*taken.getsockname()), {}, node, *none).open()
+        node = Node(RouterIdentity("a", 1), {}, 1, 0, None)
+        none = TransportCallbacks(due_payloads=None, on_change=None, on_fault=None)
+        PeerTransport(Address(*taken.getsockname()), {}, node, None, none).open()
 
 
 def disk_not_usable(tmp_path: Path) -> None:
-    Disk(tmp_path / "none" / "h.db")
+    SqliteStore(tmp_path / "none" / "h.db")
 
 
 def text_not_taken(tmp_path: Path) -> None:
@@ -132,10 +132,10 @@
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     peering = Peering({"peers": peers}, station, None, log, lambda: None)
     node = peering.node
-    node.named({"b": KEY}, EPOCH)
-    other = Node("b", node.born, {"a": KEY}, 1, EPOCH, None)
-    other.windows["a"].born = node.born + 3_600_000
-    ((_, data),) = other.say("a", b"x")
+    node.set_keys({"b": KEY}, EPOCH)
+    other = Node(RouterIdentity("b", node.generation), {"a": KEY}, 1, EPOCH, None)
+    other.replay_windows["a"].generation = node.generation + 3_600_000
+    ((_, data),) = other.payload_datagrams("a", b"x")
     assert node.receive(EPOCH, data) == []
     peering.tell_counts(0)
 
@@ -146,7 +146,7 @@
     """A history whose settings have these changes, and the settings."""
     text = "history: {number: 2, default: {}}\n" + 'peers: {name: "a", listen: "127.0.0.1:1", others: []}'
     settings = reading.hold(text)["history"] | changes
-    node = Node("a", EPOCH // 10, {"b": KEY}, 1, EPOCH, None)
+    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
     return Remembering(settings, node, lambda: EPOCH, log, lambda *about: None, lambda: None), settings
 
 
@@ -157,8 +157,8 @@
 
 def book_not_current(log: RecordingLog, tmp_path: Path) -> None:
     held, _ = remembering(log, tmp_path)
-    held.keeper.living = lambda: {"a": 1, "b": 1}
-    held.keeper.views.proposed, held.keeper.views.books = object(), {"b": 1}
+    held.replica.context.living = lambda: {"a": 1, "b": 1}
+    held.replica.views.proposed, held.replica.views.policies_numbers = object(), {"b": 1}
     held.tell(EPOCH)
 
 
@@ -178,7 +178,7 @@
     rig = Rig()
     rig.service.log = log
     listing = Listing(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
-    rig.service.told(Update(2, "Partial", (Entry(listing, "127.0.0.1", 1),)))
+    rig.service.told(WatchEvent(2, "Partial", (Endpoint(listing, "127.0.0.1", 1),)))
     rig.close()
 
 
@@ -186,7 +186,7 @@
     text = f"""history: {{number: 2, default: {{}}}}
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
-    node = Node("a", EPOCH // 10, {"b": KEY}, 1, EPOCH, None)
+    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
     none = [lambda *about: None] * 4
     about = reading.hold(text)["partners"], node, {}, 1, lambda: EPOCH, log
     partnering = Partnering(*about, *none)
