--- a/hillchute/decision/__init__.py
+++ b/hillchute/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one router: scheduler.py is the facade, interface.py its inputs and decisions."""
+"""Every decision on a query, without I/O; scheduler.py is the facade, interface.py what it takes and gives."""
--- a/hillchute/decision/admission.py
+++ b/hillchute/decision/admission.py
@@ -10,9 +10,7 @@
 
 MOST_LATE: Time = 100 * MILLISECOND  # queries are read so late: the margin that answers have at the least
 OVER_SHARE = 1.25  # times a tenant's fraction of the traffic: beyond chance; the pressure counts so much more
-RELIEF = (
-    2.4  # times alone, or threads a core, at which all heavier than the mean are rejected: past every knee
-)
+RELIEF = 2.4  # times alone, or threads a core, at which all heavier than the mean are rejected
 STEEPNESS = 3  # at half that pressure eight times the mean still gets in, at twice an eighth of it
 BACKLOG_PRESSURE = 3.0  # as the queue's head has waited all its slack: few start then in time
 FREE_SESSIONS = 0.2  # share: with fewer free, those who wait outside count more than those inside
@@ -23,7 +21,7 @@
 
 
 class Admission:
-    """Running means of what queries cost and are worth, and the checks on them."""
+    """Running means of queries' cost and weight, and the checks that shed load."""
 
     def __init__(
         self,
@@ -72,14 +70,14 @@
             group.cost_ratio += SMOOTHING * (ratio - group.cost_ratio)
 
     def is_too_heavy(self, now: Time, query: QueryState) -> bool:
-        """Overload: the more crowded the engines, the lighter a query must be, for its group and its weight.
+        """Overload: the more loaded the engines, the lighter a query must be, for its group and its weight.
 
         Guards against a jam of all engines, whatever makes it. Does harm where estimates are worthless."""
         group = query.group
         pressure = self.pressure(now, query)
         usual = group.mean_cost * group.settings.weight * self.mean_cost_per_weight
         heaviness = query.cost / usual**0.5
-        # Guards against long queries of little weight that hold a session while clients stand outside.
+        # Guards against long queries of little weight that hold a session while other clients get none.
         free = 1 - len(self.queues.queries) / self.sessions
         hold = group.mean_elapsed * query.cost / group.mean_cost / group.settings.weight
         is_dear = hold > self.mean_elapsed_per_weight * (1 + DEAR_MULTIPLE * free / FREE_SESSIONS)
@@ -87,15 +85,15 @@
 
     def pressure(self, now: Time, query: QueryState) -> float:
         """How overloaded things are for this query: times alone, or threads a core."""
-        # Reports that count what engines hold tell a crowd from a slowdown; elsewhere only the pace does.
+        # Reports that count queries distinguish a high load from a slowdown; elsewhere only the pace does.
         pace = self.load.pace(now) / (2 if self.load.reports_count_queries else 1)
         line = query.group.settings.is_load and self.queues.behind_loads.get(query.table_group)
         line = line or self.queues.teams
         backlog = BACKLOG_PRESSURE * self.load.slack_used(now, line[0]) if line else 0
-        pressure = max(pace, self._crowd_in_reach(now, query), backlog)
+        pressure = max(pace, self._load_in_reach(now, query), backlog)
         return pressure * (OVER_SHARE if self.is_over_share(now, query.tenant) else 1)
 
-    def _crowd_in_reach(self, now: Time, query: QueryState) -> float:
+    def _load_in_reach(self, now: Time, query: QueryState) -> float:
         """Threads a core where the query may go: a mean over all engines hides that the warm are full and the
         cold empty."""
         mean = self.load.mean_load
@@ -104,8 +102,7 @@
         permit = query.permit_engine
         reach = (permit,) if permit is not None and permit in self.pool.engines else self.pool.subset
         engines = [engine for engine in map(self.pool.engines.get, reach) if engine]
-        # As reported: what is ours since is there too if ours has ended, and would count twice where routers
-        # are few.
+        # The report alone: this router's attempts since then would count twice where they replace ended ones.
         crowds = [
             max(engine.threads, self.load.reported_load(now, engine)) / engine.usable_cores(now)
             for engine in engines
--- a/hillchute/decision/dashboards.py
+++ b/hillchute/decision/dashboards.py
@@ -36,11 +36,13 @@
                 continue
             if not self.placement.may_go_somewhere(now, query):
                 continue
-            engine = self.health_checks.choose(now, query, lambda engine: self.load.is_uncrowded(now, engine))
+            engine = self.health_checks.choose(
+                now, query, lambda engine: self.load.has_room_for_dashboard(now, engine)
+            )
             if engine is not None:
                 self.queues.dashboards.remove(query)
                 self.dispatcher.submit(now, query, engine)
             elif query.checked_engine is None:
-                self.dispatcher.give_up(query, Reason.CROWDED)
+                self.dispatcher.give_up(query, Reason.ENGINES_OVERLOADED)
             if self.planned:
                 return
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -48,7 +48,7 @@
         return self.started > 0 and now < self.started + self.warm_up_duration
 
     def usable_cores(self, now: Time) -> float:
-        """Cores that it is worth. How it warms up is not known: evenly, at the slowest that is stated."""
+        """The cores' equivalent of what it can do now. How it warms up is not known: linearly is assumed."""
         if not self.is_warming_up(now):
             return self.cores
         warmed = (1 - self.warm_up_initial_share) * (now - self.started) / self.warm_up_duration
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -16,7 +16,7 @@
 
 CHECK_EVERY: Time = 400 * MILLISECOND  # per engine; reports are rarely fresher than that
 WAIT_FOR_ANSWER: Time = 100 * MILLISECOND  # that a query waits for: a handshake, a slow loop
-MOST_CROWDED = 3  # crowded engines that a query passes over before it goes to the best of them, or to none
+MOST_OVERLOADED = 3  # crowded engines that a query passes over before it goes to the best of them, or to none
 QUERY_COST_SHARE = 0.05  # of its own weight that a query's check may cost: it raises its odds by about that
 PACED_COST_SHARE = 0.01  # of all weight that checks beside these may cost: they serve nobody in particular
 
@@ -57,7 +57,7 @@
         self.planned.append(HealthCheck(engine.id))
 
     def send_paced(self, now: Time) -> None:
-        """Asks the engine of the subset that is known longest ago."""
+        """Asks the engine of the subset whose last report or check is the oldest."""
         if not self.enabled or now < self.next_check or self.credit < 1:
             return
         engines = filter(None, map(self.pool.engines.get, self.pool.subset or self.pool.engines))
@@ -76,7 +76,7 @@
             self.next_check = max(now + MILLISECOND, known_at + CHECK_EVERY)
 
     def is_stale(self, now: Time, engine: EngineState) -> bool:
-        """Whether a check would tell more of an engine than what is believed."""
+        """Whether an engine's last report is so old that a check would be worth more."""
         return self.enabled and now - engine.reported_at > REPORT_HALF_LIFE
 
     def waits_for_answer(self, now: Time, query: QueryState) -> bool:
@@ -97,16 +97,16 @@
     ) -> EngineState | None:
         """The engine for a query, once enough is known of it; None while one is checked, or all are full.
 
-        Guards against drawing blind: of hundreds none is heard of in time, and a crowded or dead one draws
-        on."""
+        Guards against choosing on old reports: a router of hundreds has few fresh ones, and an overloaded or
+        dead engine would be chosen again and again."""
         silent = None
         checked = None if query.checked_engine is None else self.pool.engines.get(query.checked_engine)
         query.checked_engine = None
         if checked is not None and checked.reported_at >= query.checked_at:
-            calm = self.load.is_calm(now, checked) and has_room(checked)
+            calm = self.load.is_lightly_loaded(now, checked) and has_room(checked)
             if calm and checked in self.placement.eligible_engines(now, query):
                 return checked
-            query.crowded_checks += 1
+            query.overloaded_checks += 1
         elif checked is not None:
             silent = checked
         engines = self.candidates(now, query, has_room, affine, silent)
@@ -124,12 +124,12 @@
         return None
 
     def _worth_a_visit(self, now: Time, query: QueryState, engines: list[EngineState]) -> list[EngineState]:
-        if query.crowded_checks >= MOST_CROWDED and now - query.checked_at < CHECK_EVERY:
+        if query.overloaded_checks >= MOST_OVERLOADED and now - query.checked_at < CHECK_EVERY:
             return [engine for engine in engines if not self.is_stale(now, engine)]
-        return [engine for engine in engines if self._may_be_calm(now, engine)] or engines
+        return [engine for engine in engines if self._may_be_lightly_loaded(now, engine)] or engines
 
-    def _may_be_calm(self, now: Time, engine: EngineState) -> bool:
-        return self.is_stale(now, engine) or self.load.is_calm(now, engine)
+    def _may_be_lightly_loaded(self, now: Time, engine: EngineState) -> bool:
+        return self.is_stale(now, engine) or self.load.is_lightly_loaded(now, engine)
 
     def _may_cost_a_check(self, query: QueryState) -> bool:
         weight = query.group.settings.weight
@@ -154,9 +154,11 @@
             for engine in first
             if engine is not silent and self.placement.is_preferred(now, engine, query) and has_room(engine)
         ]
-        preferred = [engine for engine in preferred if self._may_be_calm(now, engine)]
+        preferred = [engine for engine in preferred if self._may_be_lightly_loaded(now, engine)]
         if preferred:
             return preferred
         engines = [engine for engine in self.placement.eligible_engines(now, query) if has_room(engine)]
         engines = [engine for engine in engines if engine is not silent] or engines
-        return [engine for engine in engines if engine in first and self._may_be_calm(now, engine)] or engines
+        return [
+            engine for engine in engines if engine in first and self._may_be_lightly_loaded(now, engine)
+        ] or engines
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -34,7 +34,7 @@
     COMPLETE = "Complete"  # engines that it does not name are gone
     PARTIAL = "Partial"  # engines that it does not name are as they were
     PERSISTED = "Persisted"  # the complete list as this router kept it last, possibly out of date
-    ERROR = "Error"  # the list could not be read: the earlier one stands
+    ERROR = "Error"  # the list could not be read: the earlier one remains in force
 
 
 class AttemptResult(StrEnum):
@@ -116,7 +116,7 @@
     NO_RETRY = "tried"  # its attempt ended without a result, and there may be no further one, or none in time
     TOO_LATE = "too late"  # a start would not meet the latency objective any more
     TOO_HEAVY = "too heavy"  # for the load of the engines, or for the sessions that are free
-    CROWDED = "crowd"  # a dashboard, and every engine is crowded
+    ENGINES_OVERLOADED = "crowd"  # a dashboard, and every engine is crowded
     LOADS_AHEAD = "line of loads"  # a load that can't start in time behind those of its table group
 
 
@@ -134,7 +134,7 @@
     """On which terms engines take the query: how much memory, and its priority; higher runs first."""
 
     query: QueryId
-    memory_mb: float  # 0: the engine's own figure stands
+    memory_mb: float  # 0: the engine's own figure is used
     priority: int
 
 
--- a/hillchute/decision/load_estimation.py
+++ b/hillchute/decision/load_estimation.py
@@ -12,14 +12,14 @@
 from hillchute.settings import Settings
 
 THREADS_PER_CORE = 2.0  # of all routers together: the thread bound that the design starts from
-CROWDED_FACTOR = 1.5  # times the bound: with so many threads a core a dashboard would only come too late
+OVERLOAD_FACTOR = 1.5  # times the bound: with so many threads a core a dashboard would only come too late
 SLOW_RATIO = 3.0  # times its time alone that is pressure: objectives commonly leave room for about that
 PRESSURE_STANDS: Time = 2 * SECOND  # a busy report counts until the next one, but no longer than this
 BUSY_SHARE = 0.9  # of a resource in use that is a busy report: reports are noisy by a few hundredths
 REPORT_LAG: Time = 500 * MILLISECOND  # a report may be this old as it comes: later attempts count beside it
 REPORT_HALF_LIFE: Time = 1 * SECOND  # most queries that it counted have ended two or three of them later
 FEW_THREADS = 4.0  # a few short queries; with less out, a router's part of an engine is mostly chance
-LOW_CROWD = 1.5  # threads a core at which an engine does the most; others come too
+LIGHT_LOAD = 1.5  # threads a core at which an engine does the most; others come too
 PACE_RECOMPUTED_EVERY: Time = 5 * MILLISECOND  # it is asked for several times for each query
 PACE_SPAN: Time = 4 * SECOND  # enough attempts at a quiet router, few of a time that has gone
 UNDISTURBED_ATTEMPTS = 4  # counted with a quiet router's few before it gives up on a query
@@ -55,7 +55,7 @@
     def attempt_ended(
         self, now: Time, engine: EngineState, query: QueryState, attempt: Attempt, ended: AttemptEnded
     ) -> None:
-        """An attempt has ended: how long it took tells of pressure."""
+        """An attempt has ended: how long it took shows pressure."""
         if ended.result in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
             alone = ended.cost / query.threads if ended.cost else attempt.runtime_alone
             attempt.ratio = max(SHORTEST_TIME, ended.elapsed) / max(SHORTEST_TIME, alone)
@@ -92,8 +92,8 @@
         return None if name is None else report.get(name)
 
     def _count_in_mean(self, threads_per_core: float) -> None:
-        """One jammed engine is not a crowd on all: a single report counts up to a bound."""
-        load = min(2 * CROWDED_FACTOR * THREADS_PER_CORE, threads_per_core)
+        """A single report counts up to a bound: one overloaded engine does not mean that all are."""
+        load = min(2 * OVERLOAD_FACTOR * THREADS_PER_CORE, threads_per_core)
         if self.mean_load is None:
             self.mean_load = load
         else:
@@ -121,12 +121,12 @@
         return mean + (engine.reported_threads - mean) * self.report_weight(now, engine)
 
     def report_weight(self, now: Time, engine: EngineState) -> float:
-        """How much of the last report still holds: what waits on a crowded engine stays so much longer."""
-        crowd = max(1.0, (engine.reported_threads or 0.0) / engine.cores)
-        weight: float = 0.5 ** ((now - engine.reported_at) / (REPORT_HALF_LIFE * crowd))
+        """How much of the last report still holds: it fades the more slowly the more was waiting there."""
+        overload = max(1.0, (engine.reported_threads or 0.0) / engine.cores)
+        weight: float = 0.5 ** ((now - engine.reported_at) / (REPORT_HALF_LIFE * overload))
         return weight
 
-    def crowd(self, now: Time, engine: EngineState) -> float:
+    def total_threads(self, now: Time, engine: EngineState) -> float:
         """Threads of all routers there: as reported or, if it stalls between two reports, by what is out."""
         own = self.mean_own_threads
         routers = self.pool.routers
@@ -137,15 +137,15 @@
         others = (min(routers, part) - 1) * confidence
         return max(self.believed_threads(now, engine), engine.threads * (1 + max(0.0, others)))
 
-    def is_calm(self, now: Time, engine: EngineState) -> bool:
+    def is_lightly_loaded(self, now: Time, engine: EngineState) -> bool:
         """Whether one more query slows nothing there."""
-        return self.crowd(now, engine) <= LOW_CROWD * engine.usable_cores(now)
+        return self.total_threads(now, engine) <= LIGHT_LOAD * engine.usable_cores(now)
 
-    def is_uncrowded(self, now: Time, engine: EngineState) -> bool:
+    def has_room_for_dashboard(self, now: Time, engine: EngineState) -> bool:
         """Whether a dashboard would come in time there. Guards against a jam kept up by clients' retries.
         Does harm where reports lag behind a load that has gone."""
-        bound = CROWDED_FACTOR * THREADS_PER_CORE * engine.usable_cores(now)
-        return self.crowd(now, engine) < bound
+        bound = OVERLOAD_FACTOR * THREADS_PER_CORE * engine.usable_cores(now)
+        return self.total_threads(now, engine) < bound
 
     # ---- how long a query takes -------------------------------------------------------------------
 
--- a/hillchute/decision/outlier_detection.py
+++ b/hillchute/decision/outlier_detection.py
@@ -25,14 +25,14 @@
         self.retries = retries
 
     def count_failure(self, now: Time, engine: EngineState) -> None:
-        """Guards against an engine that is down, or that attracts all queries by fast errors. A lone failure
+        """Guards against an engine that is down, or that fails fast and so looks idle. A lone failure
         is free."""
         if engine.count_failure(now) > 1:
             backoff = FIRST_BACKOFF << min(engine.failures, MOST_DOUBLINGS)
             engine.ejected_until = now + min(LONGEST_BACKOFF, backoff)
 
     def attempt_ended(self, now: Time, engine: EngineState, query: QueryState, result: AttemptResult) -> None:
-        """How an attempt ended tells of its engine's health."""
+        """Counts the end of an attempt for or against its engine."""
         if result == AttemptResult.SERVED:
             engine.failures = 0
             failed = query.first_failed_on
--- a/hillchute/decision/query_state.py
+++ b/hillchute/decision/query_state.py
@@ -11,7 +11,7 @@
 
 
 class QueryPlace(Enum):
-    """Where a query stands."""
+    """The stage that a query has reached."""
 
     ADMITTED = auto()
     ORDERED = auto()  # behind earlier queries of its key
@@ -65,15 +65,15 @@
     ordering_key: str | None
     threads: int  # that it uses on its engine
     place: QueryPlace = QueryPlace.ADMITTED
-    waiting_line: "deque[QueryState] | None" = None  # that it stands in while its place is one of WAITING
+    waiting_line: "deque[QueryState] | None" = None  # that it is in while its place is one of WAITING
     attempts: list[Attempt] = field(default_factory=list)
     first_run: Attempt | None = None  # the first attempt that may have run
     errors: int = 0
     permit_engine: EngineId | None = None  # the engine that warms up and is open to it
-    permit_at: Time = 0  # when that was drawn: it does not stand for ever
+    permit_at: Time = 0  # when that was drawn: it expires
     checked_engine: EngineId | None = None  # whose health check it waits for before it is sent there
     checked_at: Time = 0
-    crowded_checks: int = 0  # engines that it had checked and passed over
+    overloaded_checks: int = 0  # engines that it had checked and passed over
     placement_offset: int = 0  # where its table group begins in the order of the engines
     first_failed_on: EngineState | None = None  # the first engine that answered it with an error
     streaming: bool = False
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -104,7 +104,7 @@
         self.now = now
         if mode == ListMode.ERROR:
             self.watch_wanted |= self.settings.watches_on_request
-            return  # the earlier list stands
+            return  # the earlier list remains in force
         for engine in self.pool.update(now, mode, listings):
             self.slow_start.permits.forget(engine)
 
@@ -196,7 +196,7 @@
     def _learn(
         self, now: Time, engine: EngineState, query: QueryState, attempt: Attempt, ended: AttemptEnded
     ) -> None:
-        """What the end of an attempt tells of its engine and its group."""
+        """Updates the beliefs about the engine and the group by the end of an attempt."""
         self.load.attempt_ended(now, engine, query, attempt, ended)
         self.outliers.attempt_ended(now, engine, query, ended.result)
         if ended.result == AttemptResult.SERVED:
@@ -223,7 +223,7 @@
             self.load.read_report(now, state, report, age)
 
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
-        """Decides nothing: a note tells of one attempt, what is open tells of the engine sooner."""
+        """Ignored: it concerns one attempt, and the open attempts show an engine's load sooner."""
         del query, attempt, topic, figure
         self.now = now
 
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -24,14 +24,14 @@
 WARM_UP_BUDGET_SHARE = (
     0.7  # of what a recovering engine can do, sent by all routers: what a warm one bears well
 )
-UNUSED_WINDOWS = 1.0  # for which a permit that nobody used stands
+UNUSED_WINDOWS = 1.0  # for which a permit that nobody used is valid
 PERMIT_WINDOWS = 0.5  # for which a query that drew a permit may wait with it
 FEWEST_QUERIES = 16  # that overload a recovering engine together: few heavy ones must not by chance
 
 
 @dataclass(slots=True)
 class Credit:
-    """What one router may send one engine, in work; a permit stands while it is not below 0."""
+    """What one router may send one engine, in work; there is a permit while it is not below 0."""
 
     engine_started: Time  # the start of the engine that it is for
     updated: Time
@@ -124,7 +124,7 @@
         query.permit_engine = self.permits.draw(now, engines, query.work, share)
 
     def may_use_permit(self, now: Time, query: QueryState) -> bool:
-        """Whether the permit that a query has drawn still stands."""
+        """Whether the permit that a query has drawn is still valid."""
         return self.permits.is_valid(now, query.permit_at)
 
     def admits(self, now: Time, engine: EngineState, query: QueryState) -> bool:
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -12,7 +12,7 @@
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.health_checks import HealthChecks
 from hillchute.decision.interface import Reason, Time
-from hillchute.decision.load_estimation import CROWDED_FACTOR, THREADS_PER_CORE, LoadEstimator
+from hillchute.decision.load_estimation import OVERLOAD_FACTOR, THREADS_PER_CORE, LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
 from hillchute.decision.query_state import QueryState
@@ -47,7 +47,7 @@
         if not queue or self.health_checks.waits_for_answer(now, queue[0]):
             return
         leader = queue[0]
-        bound_factor = CROWDED_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
+        bound_factor = OVERLOAD_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
         engine = self.health_checks.choose(
             now,
             leader,
@@ -104,7 +104,7 @@
         of this router is there. `bound_factor`: times the thread bound."""
         threads = query.threads
         bound = bound_factor * THREADS_PER_CORE * engine.usable_cores(now)
-        free = bound - self.load.crowd(now, engine)
+        free = bound - self.load.total_threads(now, engine)
         least = 1
         if now < engine.under_pressure_until:
             share = bound / self.pool.shares.get(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -112,7 +112,7 @@
     first = q.checked_engine
     probing.router.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
     probing.decisions(5)
-    assert q.checked_engine not in (None, first) and q.crowded_checks == 1
+    assert q.checked_engine not in (None, first) and q.overloaded_checks == 1
 
 
 def test_engine_that_does_not_answer_the_look_is_left_alone(probing):
@@ -231,7 +231,7 @@
     probing.decisions()
     probing.router.load.mean_load = 3.1  # threads a core, over the bound and a half
     q = probing.arrive(LOOKUP, cost=1)
-    assert Reject(q.id, 0, Reason.CROWDED) in probing.decisions()
+    assert Reject(q.id, 0, Reason.ENGINES_OVERLOADED) in probing.decisions()
     assert q.checked_engine is None
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -251,7 +251,7 @@
     for n, group in enumerate((0, 1, 1)):
         told.on_query(10, NewQuery(f"q{n}", group, 90_000, 1, 0, 100, 0.0, None))
     told.module.planned.clear()
-    told.module.dispatcher.give_up(told.module.queries["q1"], Reason.CROWDED)
+    told.module.dispatcher.give_up(told.module.queries["q1"], Reason.ENGINES_OVERLOADED)
     answer = told.next_decision(10)
     assert isinstance(answer, Reject) and answer.query == "q1"
     told.on_client_left(10, "q0")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -147,7 +147,7 @@
         e
         for e in engines
         if e.id in wanted
-        and (router.health_checks.is_stale(router.now, e) or router.load.is_calm(router.now, e))
+        and (router.health_checks.is_stale(router.now, e) or router.load.is_lightly_loaded(router.now, e))
     ]
     return {e.id for e in near or engines}
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -171,14 +171,14 @@
     harness.router.load.reports_count_queries = True
     for _ in range(12):
         harness.attempted(LOOKUP)
-    assert harness.router.load.crowd(harness.router.now, e) == 18
+    assert harness.router.load.total_threads(harness.router.now, e) == 18
 
 
 def test_few_threads_out_at_one_of_many_routers_do_not_close_an_engine(make_harness):
     harness = make_harness(n_instances=200)
     harness.router.load.mean_load, harness.router.load.mean_own_threads = 1.0, 0.1
     harness.attempted(REPORT)
-    assert 4 < harness.router.load.crowd(harness.router.now, harness.router.engines[1]) < 32
+    assert 4 < harness.router.load.total_threads(harness.router.now, harness.router.engines[1]) < 32
 
 
 def test_bound_below_one_query_is_held_by_chance(make_harness):
