--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -27,7 +27,7 @@
 from hillchute.partners import codec
 from hillchute.partners.agreement import WHOLE, Check, Marker, Offer
 from hillchute.partners.council import Council
-from hillchute.partners.marks import checker, signer
+from hillchute.partners.signatures import checker, signer
 from hillchute.partners.passing import Passing
 from hillchute.router.reducer import TABLES
 
--- a/hillchute/partners/agreement.py
+++ b/hillchute/partners/agreement.py
@@ -1,7 +1,7 @@
 """What partners offer each other, the text that follows from it, and which text is in force.
 
 Owns offers, texts, marks and the rule by which one text holds. Pure: the time comes in, marks are made and
-checked by what the caller gives (Ed25519, see marks.py). Must never know a slot, or send anything.
+checked by what the caller gives (Ed25519, see signatures.py). Must never know a slot, or send anything.
 
 A text names the owner of every slot: they follow from the owners by the text before and the shares, so that a
 router that has this text alone knows as much as all others. It is in force from its own time on, once every
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -17,7 +17,7 @@
 from hillchute.partners.council import BEAT, Council
 from hillchute.partners.handover import follows, leads
 from hillchute.partners.kept import MarksFile
-from hillchute.partners.marks import checker, signer
+from hillchute.partners.signatures import checker, signer
 from hillchute.partners.pool import floor, homes
 from hillchute.partners.split import moves
 
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -23,7 +23,7 @@
     unfit,
     words,
 )
-from hillchute.partners.marks import checker, signer
+from hillchute.partners.signatures import checker, signer
 from hillchute.partners.split import moves, split, split_by_work
 
 NAMES = ["a", "b", "c", "d", "e"]
