--- a/hillchute/operator/reading.py
+++ b/hillchute/operator/reading.py
@@ -107,7 +107,7 @@
             raise BadRecord(f"{here}.offer: expected least <= want <= most")
         if offer["begins_ms"] >= offer["ends_ms"]:
             raise BadRecord(f"{here}.offer.ends_ms: expected more than begins_ms")
-        from hillchute.partners.kept import key_in
+        from hillchute.partners.signature_journal import key_in
 
         try:
             key_in(partners["key_file"])  # it is read where it is used: what holds may be printed
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -21,7 +21,7 @@
 from hillchute.partners.agreement import Marker, Offer
 from hillchute.partners.codec import Have, Know, Message, Pass, codec
 from hillchute.partners.council import Council
-from hillchute.partners.kept import MarksFile, key_in
+from hillchute.partners.signature_journal import MarksFile, key_in
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.passing import Passing
 from hillchute.partners.pool import floor, homes
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -16,7 +16,7 @@
 from hillchute.partners.agreement import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
 from hillchute.partners.council import BEAT, Council
 from hillchute.partners.handover import follows, leads
-from hillchute.partners.kept import MarksFile
+from hillchute.partners.signature_journal import MarksFile
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.pool import floor, homes
 from hillchute.partners.split import moves
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -23,7 +23,7 @@
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
 from hillchute.partners.agreement import Mark, settle
-from hillchute.partners.kept import MarksFile
+from hillchute.partners.signature_journal import MarksFile
 from hillchute.peers import codec
 from hillchute.peers.link import Address, Link
 from hillchute.peers.node import Node
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -10,8 +10,8 @@
 from hillchute.history.disk import Disk
 from hillchute.history.records import Record
 from hillchute.lab.history_net import EPOCH
-from hillchute.partners import kept
-from hillchute.partners.kept import MarksFile
+from hillchute.partners import signature_journal
+from hillchute.partners.signature_journal import MarksFile
 
 CALLS = ("open", "write", "fsync", "replace", "folder")
 
@@ -23,8 +23,8 @@
         self.step, self.error, self.torn = step, error, torn
         self.real_open, self.real_fsync, self.real_replace = type(kept.Path()).open, os.fsync, os.replace
         monkeypatch.setattr(type(kept.Path()), "open", lambda path, mode: self.open(path, mode))
-        monkeypatch.setattr(kept.os, "fsync", self.fsync)
-        monkeypatch.setattr(kept.os, "replace", self.replace)
+        monkeypatch.setattr(signature_journal.os, "fsync", self.fsync)
+        monkeypatch.setattr(signature_journal.os, "replace", self.replace)
         monkeypatch.setattr(kept, "sync_folder", self.folder)
 
     def fail(self, step):
