--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -24,7 +24,7 @@
 from hillchute.history.titles import Moving
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
 from hillchute.partners.pool import floor, homes
-from hillchute.partners.split import moves, split, split_by_work
+from hillchute.partners.slot_allocation import moves, split, split_by_work
 from hillchute.router.partnering import GROWS_AFTER
 
 WHOLE = 1_000_000
--- a/hillchute/partners/agreement.py
+++ b/hillchute/partners/agreement.py
@@ -22,7 +22,7 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
 from hillchute.history.slots import SLOTS
-from hillchute.partners.split import Owners, split
+from hillchute.partners.slot_allocation import Owners, split
 
 WHOLE = 10_000  # parts that all shares add up to
 PARTNERS = 64
--- a/hillchute/partners/council.py
+++ b/hillchute/partners/council.py
@@ -29,7 +29,7 @@
 from hillchute.partners import handover
 from hillchute.partners.agreement import Check, Ledger, Marker, Offer, Text, digest, settle
 from hillchute.partners.codec import MARKS, Have, Know
-from hillchute.partners.split import Owners, split
+from hillchute.partners.slot_allocation import Owners, split
 
 BEAT: Time = 10_000  # between two tellings: a new text has gone round 24 routers in some five of them
 AT_ONCE = 3  # others that are told at once of what began here
--- a/hillchute/partners/handover.py
+++ b/hillchute/partners/handover.py
@@ -1,6 +1,6 @@
 """How a slot changes hands: which title follows another, and who may lead under one.
 
-Owns those two rules. Pure: what is known comes in. Must never decide who is to own a slot (split.py), or keep
+Owns those two rules. Pure: what is known comes in. Must never decide who is to own a slot (slot_allocation.py), or keep
 a title: the slot's holders do that, like a record of the history, and its first holder alone moves it. So at
 any instant there is one.
 
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -19,7 +19,7 @@
 from hillchute.partners.signature_journal import MarksFile
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.pool import floor, homes
-from hillchute.partners.split import moves
+from hillchute.partners.slot_allocation import moves
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"], "c": ["c0", "c1"]}
 CHECK = checker({name: public(name) for name in ROUTERS})
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -24,7 +24,7 @@
     words,
 )
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.split import moves, split, split_by_work
+from hillchute.partners.slot_allocation import moves, split, split_by_work
 
 NAMES = ["a", "b", "c", "d", "e"]
 shares = st.dictionaries(st.sampled_from(NAMES), st.integers(0, 1000), min_size=1)
