--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -28,7 +28,7 @@
 from hillchute.partners.agreement import WHOLE, Check, Marker, Offer
 from hillchute.partners.council import Council
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.passing import Passing
+from hillchute.partners.forwarding import Passing
 from hillchute.router.reducer import TABLES
 
 HISTORY, PARTNERS = b"h", b"p"  # before a message's bytes, as the datagrams' kinds tell them apart
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -10,11 +10,11 @@
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
-from hillchute.partners import handover, passing
+from hillchute.partners import forwarding, handover
 from hillchute.partners.agreement import Mark, Marker
 from hillchute.partners.codec import Answer, Drop, Got, Know, Pass, Took
 from hillchute.partners.council import Council
-from hillchute.partners.passing import AGAIN, KEPT, Passing
+from hillchute.partners.forwarding import AGAIN, KEPT, Passing
 
 KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
 
@@ -357,7 +357,7 @@
     r, s, _ = pair()
     r.send(0, "s", QUERY, SECOND)
     carry(r, s)
-    s.answered(0, s.came[0][0], "finished", "", b"x" * (passing.ROWS + 1))
+    s.answered(0, s.came[0][0], "finished", "", b"x" * (forwarding.ROWS + 1))
     carry(s, r)
     (_, how, why, rows) = r.ended[0]
     assert how == "killed" and "bytes" in why and rows is None
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -12,7 +12,7 @@
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
 from hillchute.partners import codec, council
 from hillchute.partners.agreement import Ledger, Mark, Offer
-from hillchute.partners.passing import Passing
+from hillchute.partners.forwarding import Passing
 
 
 @pytest.fixture(scope="module")
