--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -23,7 +23,7 @@
 from hillchute.history.slots import SLOTS, holders, slot_of
 from hillchute.history.titles import Moving
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
-from hillchute.partners.pool import floor, homes
+from hillchute.partners.capacity_pool import floor, homes
 from hillchute.partners.slot_allocation import moves, split, split_by_work
 from hillchute.router.partnering import GROWS_AFTER
 
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -24,7 +24,7 @@
 from hillchute.partners.signature_journal import MarksFile, key_in
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.forwarding import Passing
-from hillchute.partners.pool import floor, homes
+from hillchute.partners.capacity_pool import floor, homes
 from hillchute.peers.node import PARTNERS, Node
 from hillchute.peers.roster import DEAD
 from hillchute.router.reducer import place
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -18,7 +18,7 @@
 from hillchute.partners.handover import follows, leads
 from hillchute.partners.signature_journal import MarksFile
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.pool import floor, homes
+from hillchute.partners.capacity_pool import floor, homes
 from hillchute.partners.slot_allocation import moves
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"], "c": ["c0", "c1"]}
