--- a/hillchute/partners/agreement.py
+++ b/hillchute/partners/agreement.py
@@ -9,7 +9,7 @@
 number, and numbers that rise; it keeps what it marked before it gives the mark away. So whatever is lost,
 repeated, late or crashes in between, there is the old text or the new one: a new one that lacks a mark is
 none, and the old one stands to its end. That routers hear of a new text at different times is settled in
-council.py.
+negotiation.py.
 
 Times are whole tenths of a millisecond, Unix.
 """
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -20,7 +20,7 @@
 from hillchute.log import Log
 from hillchute.partners.agreement import Marker, Offer
 from hillchute.partners.codec import Have, Know, Message, Pass, codec
-from hillchute.partners.council import Council
+from hillchute.partners.negotiation import Council
 from hillchute.partners.signature_journal import MarksFile, key_in
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.forwarding import Passing
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 from hillchute.partners import forwarding, handover
 from hillchute.partners.agreement import Mark, Marker
 from hillchute.partners.codec import Answer, Drop, Got, Know, Pass, Took
-from hillchute.partners.council import Council
+from hillchute.partners.negotiation import Council
 from hillchute.partners.forwarding import AGAIN, KEPT, Passing
 
 KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -10,7 +10,7 @@
 from hillchute.lab import partners_mutants
 from hillchute.lab.history_mutants import drawn, mutant, paths
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
-from hillchute.partners import codec, council
+from hillchute.partners import codec, negotiation
 from hillchute.partners.agreement import Ledger, Mark, Offer
 from hillchute.partners.forwarding import Passing
 
@@ -90,7 +90,7 @@
     "a title is not confirmed": (Keeper, "entitled", says_nothing, history.Entitled, NETWORK[:1], 0),
     "a title is sent once": (Keeper, "entitle", says_nothing, history.Entitle, NETWORK[:1], 0),
     "who knows more is not asked": (
-        council.Council,
+        negotiation.Council,
         "state_digest",
         lambda self: bytes(32),
         codec.Know,
@@ -115,6 +115,6 @@
     """The rig's own look at texts: one without a mark is said."""
     ledger = plain.councils["n0"].ledger
     (number, text) = next(iter(ledger.accepted.items()))
-    marks = ledger.marks[council.digest(text)]
+    marks = ledger.marks[negotiation.digest(text)]
     assert {mark.partner for mark in marks.values()} == set(text.shares)
     assert all(isinstance(mark, Mark) and mark.number == number for mark in marks.values())
