--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -18,7 +18,7 @@
 from hillchute.lab.history_mutants import HARMLESS, Changing
 from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
 from hillchute.partners import codec
-from hillchute.partners.agreement import Text, digest, words
+from hillchute.partners.agreement_ledger import Text, digest, words
 
 ROUTERS = 6
 TITLES = history.Entitle, history.Entitled, history.Call, history.Granted, history.Claim, history.Judged
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -25,7 +25,7 @@
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
-from hillchute.partners.agreement import WHOLE, Check, Marker, Offer
+from hillchute.partners.agreement_ledger import WHOLE, Check, Marker, Offer
 from hillchute.partners.negotiation import Council
 from hillchute.partners.signatures import checker, signer
 from hillchute.partners.forwarding import Passing
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -27,7 +27,7 @@
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 from hillchute.partners import handover
-from hillchute.partners.agreement import Check, Ledger, Marker, Offer, Text, digest, settle
+from hillchute.partners.agreement_ledger import Check, Ledger, Marker, Offer, Text, digest, settle
 from hillchute.partners.codec import MARKS, Have, Know
 from hillchute.partners.slot_allocation import Owners, split
 
--- a/hillchute/partners/signatures.py
+++ b/hillchute/partners/signatures.py
@@ -8,7 +8,7 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from hillchute.partners.agreement import Check, Sign
+from hillchute.partners.agreement_ledger import Check, Sign
 
 
 def signer(key: bytes) -> Sign:
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -18,7 +18,7 @@
 from hillchute.history.policy import MS
 from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
-from hillchute.partners.agreement import Marker, Offer
+from hillchute.partners.agreement_ledger import Marker, Offer
 from hillchute.partners.codec import Have, Know, Message, Pass, codec
 from hillchute.partners.negotiation import Council
 from hillchute.partners.signature_journal import MarksFile, key_in
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -13,7 +13,7 @@
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
-from hillchute.partners.agreement import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
+from hillchute.partners.agreement_ledger import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
 from hillchute.partners.negotiation import BEAT, Council
 from hillchute.partners.handover import follows, leads
 from hillchute.partners.signature_journal import MarksFile
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -22,7 +22,7 @@
 from hillchute.membership import event_bus
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
-from hillchute.partners.agreement import Mark, settle
+from hillchute.partners.agreement_ledger import Mark, settle
 from hillchute.partners.signature_journal import MarksFile
 from hillchute.peers import codec
 from hillchute.peers.link import Address, Link
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
 from hillchute.partners import forwarding, handover
-from hillchute.partners.agreement import Mark, Marker
+from hillchute.partners.agreement_ledger import Mark, Marker
 from hillchute.partners.codec import Answer, Drop, Got, Know, Pass, Took
 from hillchute.partners.negotiation import Council
 from hillchute.partners.forwarding import AGAIN, KEPT, Passing
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -11,7 +11,7 @@
 from hillchute.errors import TextNotTaken
 from hillchute.history.slots import SLOTS
 from hillchute.lab.partners import least_moves
-from hillchute.partners.agreement import (
+from hillchute.partners.agreement_ledger import (
     WHOLE,
     Ledger,
     Mark,
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -11,7 +11,7 @@
 from hillchute.lab.history_mutants import drawn, mutant, paths
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
 from hillchute.partners import codec, negotiation
-from hillchute.partners.agreement import Ledger, Mark, Offer
+from hillchute.partners.agreement_ledger import Ledger, Mark, Offer
 from hillchute.partners.forwarding import Passing
 
 
