--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -21,11 +21,11 @@
 
     def __init__(self, monkeypatch, step, error, torn=0):
         self.step, self.error, self.torn = step, error, torn
-        self.real_open, self.real_fsync, self.real_replace = type(kept.Path()).open, os.fsync, os.replace
-        monkeypatch.setattr(type(kept.Path()), "open", lambda path, mode: self.open(path, mode))
+        self.real_open, self.real_fsync, self.real_replace = type(signature_journal.Path()).open, os.fsync, os.replace
+        monkeypatch.setattr(type(signature_journal.Path()), "open", lambda path, mode: self.open(path, mode))
         monkeypatch.setattr(signature_journal.os, "fsync", self.fsync)
         monkeypatch.setattr(signature_journal.os, "replace", self.replace)
-        monkeypatch.setattr(kept, "sync_folder", self.folder)
+        monkeypatch.setattr(signature_journal, "sync_folder", self.folder)
 
     def fail(self, step):
         if step == self.step:
