--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -31,7 +31,7 @@
 from hillchute.history import codec as history
 from hillchute.history import policy, records, titles, verdict, views
 from hillchute.membership import event_bus
-from hillchute.partners import agreement, marks
+from hillchute.partners import agreement_ledger, signatures
 from hillchute.partners import codec as partners
 from hillchute.peers import codec as peers
 from hillchute.peers import node, parts, roster
@@ -328,8 +328,8 @@
 # ---- partners: messages, and what is signed ----------------------------------------------------------
 
 
-def signed_values() -> tuple[agreement.Offer, agreement.Text, agreement.Notice]:
-    offer = agreement.Offer(
+def signed_values() -> tuple[agreement_ledger.Offer, agreement_ledger.Text, agreement_ledger.Notice]:
+    offer = agreement_ledger.Offer(
         partner="partner-a",
         turn=601,
         capacity=602,
@@ -343,7 +343,7 @@
     )
     owners = bytes(n % 2 for n in range(1024))
     shares, capacities = {"partner-b": 4000, "partner-a": 6000}, {"partner-b": 611, "partner-a": 612}
-    text = agreement.Text(
+    text = agreement_ledger.Text(
         number=613,
         shares=shares,
         capacities=capacities,
@@ -354,7 +354,7 @@
         owners=owners,
         before=610,
     )
-    return offer, text, agreement.Notice(partner="partner-a", number=621, at=622)
+    return offer, text, agreement_ledger.Notice(partner="partner-a", number=621, at=622)
 
 
 def partners_examples() -> Iterator[Example]:
@@ -363,8 +363,8 @@
             f"partners/{name}", message, partners.encode, lambda data: partners.decode(data, "router-a")
         )
 
-    def mark(number: int) -> agreement.Mark:
-        return agreement.Mark(
+    def mark(number: int) -> agreement_ledger.Mark:
+        return agreement_ledger.Mark(
             partner=f"partner-{number}",
             number=number,
             digest=bytes([number]) * 32,
@@ -372,7 +372,7 @@
         )
 
     offer, text, notice = signed_values()
-    later = agreement.Text(
+    later = agreement_ledger.Text(
         number=631,
         shares={"p": 10_000},
         capacities={"p": 632},
@@ -382,7 +382,7 @@
         notice=636,
         owners=bytes(1024),
     )
-    early = agreement.Offer(
+    early = agreement_ledger.Offer(
         partner="partner-b", turn=641, capacity=642, want=643, least=640, most=700, begins=644, ends=645
     )
 
@@ -435,17 +435,17 @@
     """What is signed begins with the name of the kind, which other routers and kept files know."""
     for name, value, number in zip(("offer", "agreement", "notice"), signed_values(), (601, 613, 621)):
         kind = type(value)
-        yield Example(f"partners/signed-digest of {name}", value, agreement.digest)
+        yield Example(f"partners/signed-digest of {name}", value, agreement_ledger.digest)
         yield Example(
             f"partners/signed-bytes of {name}",
             value,
-            lambda value, kind=kind, number=number: agreement.words(kind, number, agreement.digest(value)),
+            lambda value, kind=kind, number=number: agreement_ledger.words(kind, number, agreement_ledger.digest(value)),
         )
         yield Example(
             f"partners/signature of {name}",
             value,
-            lambda value, kind=kind, number=number: marks.signer(PRIVATE_KEY)(
-                agreement.words(kind, number, agreement.digest(value))
+            lambda value, kind=kind, number=number: signatures.signer(PRIVATE_KEY)(
+                agreement_ledger.words(kind, number, agreement_ledger.digest(value))
             ),
         )
 
@@ -875,7 +875,7 @@
 
 def test_recorded_signatures_are_taken():
     public = Ed25519PrivateKey.from_private_bytes(PRIVATE_KEY).public_key().public_bytes_raw()
-    check = marks.checker({"partner-a": public})
+    check = signatures.checker({"partner-a": public})
     for name in ("offer", "agreement", "notice"):
         signed = bytes.fromhex(recorded()[f"partners/signed-bytes of {name}"])
         signature = bytes.fromhex(recorded()[f"partners/signature of {name}"])
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -15,7 +15,7 @@
 
 from hillchute.history.disk import Disk
 from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Record
-from hillchute.partners.kept import MarksFile, key_in
+from hillchute.partners.signature_journal import MarksFile, key_in
 
 DATA = Path(__file__).parent / "data"
 HISTORY, SIGNATURES = "history-v1.sqlite", "signatures-v1.txt"
