--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -23,8 +23,8 @@
 from hillchute.history.slots import SLOTS, holders, slot_of
 from hillchute.history.titles import Moving
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
-from hillchute.partners.capacity_pool import floor, homes
-from hillchute.partners.slot_allocation import moves, split, split_by_work
+from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
+from hillchute.partners.slot_allocation import allocate_slots, allocate_slots_by_load, count_moves
 from hillchute.router.partnering import GROWS_AFTER
 
 WHOLE = 1_000_000
@@ -51,12 +51,12 @@
     for _ in range(times):
         some = chance.sample("abcdefgh", chance.randint(2, 8))
         shares = {name: chance.choice([0, *range(500, 5000)]) for name in some} | {some[0]: 1000}
-        owners = split(held, shares)
-        over += moves(held, owners) - least_moves(held, shares)
-        by_count += moves(held, owners)
+        owners = allocate_slots(held, shares)
+        over += count_moves(held, owners) - least_moves(held, shares)
+        by_count += count_moves(held, owners)
         work = [int(1000 * chance.paretovariate(1.3)) for _ in range(SLOTS)]
-        weighed = split_by_work(owners, shares, work)
-        by_work += moves(owners, weighed)
+        weighed = allocate_slots_by_load(owners, shares, work)
+        by_work += count_moves(owners, weighed)
         total = sum(shares.values())
         for name, share in shares.items():
             mine = sum(w for w, owner in zip(work, weighed, strict=True) if owner == name)
@@ -203,8 +203,8 @@
 
     def tell(self) -> None:
         for name, quotas in self.quotas.items():
-            home = homes(WHOLE, self.told_of[name], self.routers)[name]
-            ours, least = self.routers[self.whose[name]], floor(WHOLE, len(self.names))
+            home = router_allocations(WHOLE, self.told_of[name], self.routers)[name]
+            ours, least = self.routers[self.whose[name]], minimum_allocation(WHOLE, len(self.names))
             quotas.told(self.now, "pool", home, least, ours, GROWS_AFTER, name in self.confined)
 
     def play(self, seconds: float) -> None:
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -26,9 +26,9 @@
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
 from hillchute.partners.agreement_ledger import WHOLE, Check, Marker, Offer
+from hillchute.partners.forwarding import Passing
 from hillchute.partners.negotiation import Council
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.forwarding import Passing
 from hillchute.router.reducer import TABLES
 
 HISTORY, PARTNERS = b"h", b"p"  # before a message's bytes, as the datagrams' kinds tell them apart
--- a/hillchute/operator/reading.py
+++ b/hillchute/operator/reading.py
@@ -107,10 +107,10 @@
             raise BadRecord(f"{here}.offer: expected least <= want <= most")
         if offer["begins_ms"] >= offer["ends_ms"]:
             raise BadRecord(f"{here}.offer.ends_ms: expected more than begins_ms")
-        from hillchute.partners.signature_journal import key_in
+        from hillchute.partners.signature_journal import read_private_key
 
         try:
-            key_in(partners["key_file"])  # it is read where it is used: what holds may be printed
+            read_private_key(partners["key_file"])  # it is read where it is used: what holds may be printed
         except (OSError, ValueError) as fault:
             raise BadRecord(f"{here}.key_file: {partners['key_file']}: {fault}") from None
 
--- a/hillchute/partners/agreement_ledger.py
+++ b/hillchute/partners/agreement_ledger.py
@@ -22,7 +22,7 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
 from hillchute.history.slots import SLOTS
-from hillchute.partners.slot_allocation import Owners, split
+from hillchute.partners.slot_allocation import SlotOwners, allocate_slots
 
 WHOLE = 10_000  # parts that all shares add up to
 PARTNERS = 64
@@ -56,7 +56,7 @@
     owners: bytes  # of each slot, as a place in the partners' names in order
     before: int = 0  # the number of the text that it goes on from
 
-    def owner_names(self) -> Owners:
+    def owner_names(self) -> SlotOwners:
         names = sorted(self.shares)
         return tuple(names[n] for n in self.owners)
 
@@ -146,7 +146,7 @@
         raise TextNotTaken("the times offered have none in common", "begins")
     shares = fitted({o.partner: (o.least, o.want, o.most) for o in offers})
     held = last.owner_names() if last is not None else (None,) * SLOTS
-    names, owners = sorted(shares), split(held, shares)
+    names, owners = sorted(shares), allocate_slots(held, shares)
     return Text(
         number,
         shares,
--- a/hillchute/partners/capacity_pool.py
+++ b/hillchute/partners/capacity_pool.py
@@ -1,28 +1,42 @@
-"""What each router may use of the pool of engines by its partner's share.
+"""Division of the engine pool's capacity among routers, by the shares of their partners.
 
-Owns that one division. Pure. Must never know what is used, lent or asked for: that is accord/quotas.py, whose
-limit `pool` has these homes.
+Pure. What is in use, lent or requested is the quotas' business (accord/quotas.py), whose limit `pool` takes
+its allocations from here.
 """
 
 from collections.abc import Iterable, Mapping
 
-LEAST = 16  # one part in so many of an even part is each router's by every text, also where it is cut off
+# Every router may always use 1/16 of an equal part, whatever the agreement, also where it is cut off from all
+# others: small enough to leave shares almost as agreed, and large enough to keep a router working.
+MINIMUM_DIVISOR = 16
 
 
-def floor(whole: int, routers: int) -> int:
-    """Units that a router may always use: the same by all texts, so that nothing need be heard for it."""
-    return whole // (LEAST * routers)
+def minimum_allocation(total: int, router_count: int) -> int:
+    """Units that a router may use under every agreement, so that it needs no message to know them."""
+    return total // (MINIMUM_DIVISOR * router_count)
 
 
-def homes(whole: int, shares: Mapping[str, int], routers: Mapping[str, Iterable[str]]) -> dict[str, int]:
-    """Units of the whole for each router: its partner's share in equal parts, and never below the floor, for
-    which the others give up a little, as their parts above it are. Never more than the whole together."""
-    named = {name: sorted(some) for name, some in routers.items()}
-    least = floor(whole, max(1, sum(map(len, named.values()))))
-    total = sum(shares.get(name, 0) for name, some in named.items() if some)
-    if not total:
-        return {router: least for some in named.values() for router in some}
-    parts = {r: whole * shares.get(n, 0) // (total * len(some)) for n, some in named.items() for r in some}
-    above = {router: max(0, part - least) for router, part in parts.items()}
-    room, over = whole - least * len(parts), sum(above.values())
-    return {r: least + (extra * room // over if over > room else extra) for r, extra in above.items()}
+def router_allocations(
+    total: int, shares: Mapping[str, int], routers: Mapping[str, Iterable[str]]
+) -> dict[str, int]:
+    """Units of the pool for each router, never more than `total` together.
+
+    A partner's share is divided equally among its routers, and no router is below the minimum: for that the
+    others give up units in proportion to what they have above it.
+    """
+    routers_of = {partner: sorted(names) for partner, names in routers.items()}
+    minimum = minimum_allocation(total, max(1, sum(map(len, routers_of.values()))))
+    total_share = sum(shares.get(partner, 0) for partner, names in routers_of.items() if names)
+    if not total_share:
+        return {router: minimum for names in routers_of.values() for router in names}
+    exact = {
+        router: total * shares.get(partner, 0) // (total_share * len(names))
+        for partner, names in routers_of.items()
+        for router in names
+    }
+    above_minimum = {router: max(0, units - minimum) for router, units in exact.items()}
+    available = total - minimum * len(exact)
+    requested = sum(above_minimum.values())
+    if requested > available:
+        return {router: minimum + units * available // requested for router, units in above_minimum.items()}
+    return {router: minimum + units for router, units in above_minimum.items()}
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -13,7 +13,17 @@
 
 from hillchute.decision.interface import Time
 from hillchute.history.policy import TEXT
-from hillchute.partners.agreement_ledger import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
+from hillchute.partners.agreement_ledger import (
+    NAME,
+    PARTNERS,
+    TEXTS,
+    Mark,
+    Notice,
+    Offer,
+    Text,
+    unfit,
+    unfit_offer,
+)
 from hillchute.peers.messages import Codec
 
 WHOLE = 1 << 62
--- a/hillchute/partners/handover.py
+++ b/hillchute/partners/handover.py
@@ -1,17 +1,18 @@
-"""How a slot changes hands: which title follows another, and who may lead under one.
+"""The two rules by which a slot changes hands: which title follows another, and who may lead under one.
 
-Owns those two rules. Pure: what is known comes in. Must never decide who is to own a slot (slot_allocation.py), or keep
-a title: the slot's holders do that, like a record of the history, and its first holder alone moves it. So at
-any instant there is one.
+Pure. Who is to own a slot follows from the agreement (slot_allocation.py); titles are stored by the slot's
+holders, replicated like records of the history, and only its first holder moves one. So at any instant a slot
+has one title.
 
-Every keyed or mutating query is granted by the slot's first holder, and listed with all holders before it
-runs. So the old owner has nothing to hand over but the title: what it has out is listed where the new owner's
-queries are granted, and none of the same key or table group is granted until that is over. That is said by
-the router that led it, or, where that died, stands still or is cut off, shown by time: past its patience and
-the longest time that a submission can still be out nothing of it is (records.STILL_OUT). A router that stood
-still finds its query past its end when it wakes, and sends nothing.
+Every query with an ordering key and every mutating query is granted by the slot's first holder, and recorded
+with all holders before it runs. So the previous owner has nothing to hand over but the title: its queries in
+flight are recorded where the new owner's queries are granted, and none of the same key or table group is
+granted until they are over. That is reported by the router that led them, or, where that router died, stalled
+or was cut off, follows from time: after the query's timeout and the longest time that an attempt can remain
+in flight, nothing of it is left (records.STILL_OUT). A router that stalled finds its query past its deadline
+when it resumes, and sends nothing.
 
-Times are whole tenths of a millisecond, Unix.
+Times are tenths of a millisecond since the Unix epoch.
 """
 
 from collections.abc import Callable
@@ -20,26 +21,31 @@
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
 
-MS = 10  # titles are numbered by milliseconds where that is higher: see below
+UNITS_PER_MILLISECOND = 10  # of Time
 
 
-def follows(title: Title | None, wanted: str, now: Time) -> Title | None:
-    """The title that is to stand. `wanted`: who is to own the slot by the text that holds; "" for nobody:
-    then whoever owns it goes on, and nobody follows.
+def next_title(title: Title | None, owner: str, now: Time) -> Title | None:
+    """The title that is to stand for a slot; the given one where nothing is to change.
 
-    Guards against a title that is lost with all its holders: a number by the clock is higher than any that
-    went before."""
-    if not wanted or (title is not None and title.owner == wanted):
+    `owner` is the partner that the agreement in force names, "" if there is none: then the present owner
+    continues, and nobody succeeds it. A new number is at least the clock's milliseconds, so that it is higher
+    than any before also where a title was lost with all its holders.
+    """
+    if not owner or (title is not None and title.owner == owner):
         return title
-    return Title(max(title.number + 1 if title is not None else 1, now // MS), wanted)
+    successor = title.number + 1 if title is not None else 1
+    return Title(max(successor, now // UNITS_PER_MILLISECOND), owner)
 
 
-def leads(
-    title: Title | None, partner: str, holds: bool, others_out: Callable[[], bool]
+def lead_refusal(
+    title: Title | None, partner: str, in_force: bool, others_in_flight: Callable[[], bool]
 ) -> tuple[Verdict, str] | None:
-    """Why a query of the slot from one of this partner's routers is not granted; None where it may be.
-    `holds`: whether any text does."""
-    if not holds:
+    """Why a query of the slot from one of `partner`'s routers is not granted, or None where it may be.
+
+    `in_force`: whether any agreement is. `others_in_flight`: whether a query of the same key that was led
+    under an earlier title may still be running.
+    """
+    if not in_force:
         return Verdict.DEFER, "no agreement of the partners holds"
     if title is None:
         return Verdict.DEFER, "nobody owns its slot yet"
@@ -47,6 +53,6 @@
         return Verdict.DEFER, "its router is no partner's"
     if title.owner != partner:
         return Verdict.PASS, title.owner
-    if others_out():
+    if others_in_flight():
         return Verdict.WAIT, "the owner before has something out"
     return None
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -29,7 +29,7 @@
 from hillchute.partners import handover
 from hillchute.partners.agreement_ledger import Check, Ledger, Marker, Offer, Text, digest, settle
 from hillchute.partners.codec import MARKS, Have, Know
-from hillchute.partners.slot_allocation import Owners, split
+from hillchute.partners.slot_allocation import SlotOwners, allocate_slots
 
 BEAT: Time = 10_000  # between two tellings: a new text has gone round 24 routers in some five of them
 AT_ONCE = 3  # others that are told at once of what began here
@@ -60,7 +60,7 @@
         self.digest = b""
         self.capacities: dict[str, int] = {}  # cores of each partner that are there, if that is known
         self.short: dict[str, Time] = {}  # since when a partner brings less than it agreed to
-        self.owners: Owners = (None,) * SLOTS
+        self.owners: SlotOwners = (None,) * SLOTS
         self.due: tuple = ()  # what the owners were worked out from
         self.counts: Counter[str] = Counter()
 
@@ -244,12 +244,12 @@
 
     def follows(self, now: Time, slot: int, title: Title | None) -> Title | None:
         wanted = self.owners[slot] if self.current() and self.holds(now) else None
-        return handover.follows(title, wanted or "", now)
+        return handover.next_title(title, wanted or "", now)
 
     def leads(
         self, now: Time, router: str, title: Title | None, others_out: Callable[[], bool]
     ) -> tuple[Verdict, str] | None:
-        return handover.leads(title, self.partner_of.get(router, ""), self.holds(now), others_out)
+        return handover.lead_refusal(title, self.partner_of.get(router, ""), self.holds(now), others_out)
 
     def brings(self, now: Time, capacities: Mapping[str, int]) -> None:
         """Cores of each partner that are listed as ready now."""
@@ -284,7 +284,7 @@
             self.owners = (None,) * SLOTS
             return
         agreed = text.owner_names()
-        self.owners = agreed if shares == text.shares else split(agreed, shares)
+        self.owners = agreed if shares == text.shares else allocate_slots(agreed, shares)
 
 
 def like(text: Text, known: Text, last: Text | None) -> bool:
--- a/hillchute/partners/signature_journal.py
+++ b/hillchute/partners/signature_journal.py
@@ -1,6 +1,7 @@
-"""What a partner has marked, in a file that lasts: written before a mark is given; and the file of its key.
+"""The durable file of what a partner has signed, and the file of its private key.
 
-Owns both: one line a mark, its number and the digest of its text. Must never decide what is marked.
+The journal has one line for each signed agreement: its number and the digest that was signed, in hexadecimal.
+A line is on the disk before its signature is given away. Does not decide what is signed.
 """
 
 import os
@@ -8,80 +9,91 @@
 
 from hillchute.errors import MarksNotKept
 
-KEY = 32  # bytes of an Ed25519 key
+PRIVATE_KEY_BYTES = 32  # of Ed25519
 
 
-def key_in(path: str | Path) -> bytes:
-    """A private key, from a file of 64 hex digits. Raises OSError or ValueError."""
+def read_private_key(path: str | Path) -> bytes:
+    """The private key in a file of 64 hexadecimal digits. Raises OSError or ValueError."""
     key = bytes.fromhex(Path(path).read_text(encoding="ascii").strip())
-    if len(key) != KEY:
-        raise ValueError(f"expected {2 * KEY} hex digits")
+    if len(key) != PRIVATE_KEY_BYTES:
+        raise ValueError(f"expected {2 * PRIVATE_KEY_BYTES} hex digits")
     return key
 
 
-class MarksFile:
+class SignatureJournal:
+    """Digests that one partner signed, by the agreement's number, kept over restarts.
+
+    `signed` is what is durably written; `error` is the last failed write, None once a later one succeeded.
+    """
+
     def __init__(self, path: str | Path) -> None:
-        """Raises MarksNotKept for one that can't be read, or whose lines are not as they were written."""
+        """Open or create the file. Raises MarksNotKept if it can't be read, or was changed."""
         self.path = Path(path)
-        self.marked: dict[int, bytes] = {}
-        self.fault: MarksNotKept | None = None
+        self.signed: dict[int, bytes] = {}
+        self.error: MarksNotKept | None = None
         try:
-            data = self.path.read_bytes() if self.path.exists() else b""
-            # A line without its end was broken off by a crash: that mark was never given.
-            whole = data[: data.rfind(b"\n") + 1]
-            for text in whole.decode("ascii").splitlines():
-                number, sealed = text.split(" ")
-                self.marked[int(number)] = bytes.fromhex(sealed)
-            if len(whole) < len(data):
-                with self.path.open("rb+") as file:
-                    file.truncate(len(whole))
-                    os.fsync(file.fileno())
-            else:
-                self.path.open("ab").close()
-                sync_folder(self.path.parent)
-        except (OSError, ValueError) as fault:
-            raise MarksNotKept(str(fault), str(self.path)) from None
-
-    def save(self, number: int, sealed: bytes) -> bool:
-        """Whether it is there for good. After a fault the file is written anew: a line may have been
-        broken off, and what a failed sync left behind is not made good by a later one."""
-        kept = self.marked | {number: sealed}
+            self._load()
+        except (OSError, ValueError) as error:
+            raise MarksNotKept(str(error), str(self.path)) from error
+
+    def _load(self) -> None:
+        data = self.path.read_bytes() if self.path.exists() else b""
+        # A last line without its end was torn by a crash: that signature was never given away.
+        complete = data[: data.rfind(b"\n") + 1]
+        for line in complete.decode("ascii").splitlines():
+            number, digest = line.split(" ")
+            self.signed[int(number)] = bytes.fromhex(digest)
+        if len(complete) < len(data):
+            with self.path.open("rb+") as file:
+                file.truncate(len(complete))
+                os.fsync(file.fileno())
+        else:
+            self.path.open("ab").close()
+            sync_directory(self.path.parent)
+
+    def save(self, number: int, digest: bytes) -> bool:
+        """Whether the digest is durably written.
+
+        After an error the whole file is rewritten: a line may be torn, and data that a failed sync dropped is
+        not written by a later one.
+        """
+        signed = self.signed | {number: digest}
         try:
-            if self.fault is None:
-                self.append(number, sealed)
+            if self.error is None:
+                self._append(number, digest)
             else:
-                self.write_anew(kept)
-        except OSError as fault:
-            self.fault = MarksNotKept(str(fault), str(self.path))
+                self._rewrite(signed)
+        except OSError as error:
+            self.error = MarksNotKept(str(error), str(self.path))
             return False
-        self.marked[number] = sealed
-        self.fault = None
+        self.signed[number] = digest
+        self.error = None
         return True
 
-    def append(self, number: int, sealed: bytes) -> None:
+    def _append(self, number: int, digest: bytes) -> None:
         with self.path.open("ab") as file:
-            file.write(line(number, sealed))
+            file.write(_encode_line(number, digest))
             file.flush()
             os.fsync(file.fileno())
 
-    def write_anew(self, kept: dict[int, bytes]) -> None:
-        beside = self.path.with_name(self.path.name + ".new")
-        with beside.open("wb") as file:
-            file.write(b"".join(line(number, sealed) for number, sealed in kept.items()))
+    def _rewrite(self, signed: dict[int, bytes]) -> None:
+        replacement = self.path.with_name(self.path.name + ".new")
+        with replacement.open("wb") as file:
+            file.write(b"".join(_encode_line(number, digest) for number, digest in signed.items()))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, self.path)
-        sync_folder(self.path.parent)
+        os.replace(replacement, self.path)
+        sync_directory(self.path.parent)
 
 
-def line(number: int, sealed: bytes) -> bytes:
-    return f"{number} {sealed.hex()}\n".encode()
+def _encode_line(number: int, digest: bytes) -> bytes:
+    return f"{number} {digest.hex()}\n".encode()
 
 
-def sync_folder(path: Path) -> None:
-    """A new name in a folder is there for good only once the folder is."""
-    folder = os.open(path, os.O_RDONLY)
+def sync_directory(path: Path) -> None:
+    """Make a new name in a directory durable."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
--- a/hillchute/partners/slot_allocation.py
+++ b/hillchute/partners/slot_allocation.py
@@ -1,99 +1,136 @@
-"""Slots to partners by agreed shares, with the fewest moves from what each holds.
+"""Allocation of slots to partners by their agreed shares, with the fewest moves from the present owners.
 
-Owns that mapping alone. Pure: the same inputs give every router the same owners, in whatever order partners
-are named. Must never know what an agreement is, or when a slot may change hands.
+Pure and deterministic: the same inputs give every router the same owners, in whatever order partners are
+named. Knows nothing of agreements, nor of when a slot may change hands.
 """
 
 from collections.abc import Mapping, Sequence
 
 from hillchute.history.slots import SLOTS, weight
 
-EVEN = (
-    0.01  # part of all work by which a partner may be off: half of what is promised, as work is an estimate
-)
+# Part of all load by which a partner may miss its share: half of the promised 0.02, as load is an estimate.
+LOAD_TOLERANCE = 0.01
 
-Owners = tuple[str | None, ...]  # of each slot; None: nobody's
+SlotOwners = tuple[str | None, ...]  # the partner that owns each slot; None: nobody
+NO_OWNERS: SlotOwners = (None,) * SLOTS
 
 
-def targets(held: Sequence[str | None], shares: Mapping[str, int]) -> dict[str, int]:
-    """Slots for each partner, within one of its exact part. Where the rounding leaves a choice, who holds one
-    more already keeps it: so there is no split with fewer moves."""
+def target_slot_counts(current: Sequence[str | None], shares: Mapping[str, int]) -> dict[str, int]:
+    """How many slots each partner is to own, within one of its exact part.
+
+    Where rounding leaves a choice, a partner that already owns one more keeps it, so that no allocation needs
+    fewer moves.
+    """
     total = sum(shares.values())
     if not total:
         return dict.fromkeys(shares, 0)
-    least = {name: SLOTS * share // total for name, share in shares.items()}
-    over = SLOTS - sum(least.values())
-    has = {name: held.count(name) for name in shares}
-    rests = [name for name in shares if SLOTS * shares[name] % total]
-    rests.sort(key=lambda name: (has[name] <= least[name], -(SLOTS * shares[name] % total), name))
-    return {name: least[name] + (name in rests[:over]) for name in shares}
+    rounded_down = {name: SLOTS * share // total for name, share in shares.items()}
+    unassigned = SLOTS - sum(rounded_down.values())
+    owned = {name: current.count(name) for name in shares}
+    fractional = [name for name in shares if SLOTS * shares[name] % total]
+    fractional.sort(
+        key=lambda name: (owned[name] <= rounded_down[name], -(SLOTS * shares[name] % total), name)
+    )
+    rounded_up = fractional[:unassigned]
+    return {name: rounded_down[name] + (name in rounded_up) for name in shares}
+
 
+def allocate_slots(current: Sequence[str | None], shares: Mapping[str, int]) -> SlotOwners:
+    """The owners of all slots by shares, which are whole numbers of any sum.
 
-def split(held: Sequence[str | None], shares: Mapping[str, int]) -> Owners:
-    """The owners by shares (whole numbers, whatever their sum), from those that hold the slots now. A partner
-    without a share, or that is named no more, gives all."""
+    A partner without a share, or that is no longer named, gives up all its slots.
+    """
     if not sum(shares.values()):
-        return (None,) * SLOTS
-    wants = targets(held, shares)
+        return NO_OWNERS
+    missing = target_slot_counts(current, shares)
     owners: list[str | None] = [None] * SLOTS
-    for name, want in wants.items():
-        mine = sorted(
-            (s for s in range(SLOTS) if held[s] == name), key=lambda s: weight(s, name), reverse=True
-        )
-        for slot in mine[:want]:
+    for name, target in missing.items():
+        owned = [slot for slot in range(SLOTS) if current[slot] == name]
+        owned.sort(key=lambda slot: weight(slot, name), reverse=True)
+        for slot in owned[:target]:
             owners[slot] = name
-        wants[name] = want - min(want, len(mine))
+        missing[name] = target - min(target, len(owned))
     for slot in range(SLOTS):
         if owners[slot] is None:
-            name = max((n for n, want in wants.items() if want), key=lambda n: (weight(slot, n), n))
-            owners[slot] = name
-            wants[name] -= 1
+            candidates = [name for name, count in missing.items() if count]
+            new_owner = max(candidates, key=lambda name: (weight(slot, name), name))
+            owners[slot] = new_owner
+            missing[new_owner] -= 1
+    return tuple(owners)
+
+
+def allocate_slots_by_load(
+    current: Sequence[str | None], shares: Mapping[str, int], load: Sequence[int]
+) -> SlotOwners:
+    """The owners by shares of the load that was measured for each slot.
+
+    Each partner is within 0.02 of all load of its part, or within the heaviest slot, which can't be divided.
+    Heavy slots move first, so that few do. Without any load, slots are allocated by count.
+    """
+    total_share = sum(shares.values())
+    total_load = sum(load)
+    if not total_share or not total_load:
+        return allocate_slots(current, shares)
+    owners: list[str | None] = [name if name is not None and shares.get(name) else None for name in current]
+    excess = {name: -total_load * share / total_share for name, share in shares.items()}
+    for slot, owner in enumerate(owners):
+        if owner is not None:
+            excess[owner] += load[slot]
+    _assign_unowned(owners, excess, shares, load)
+    _rebalance(owners, excess, shares, load)
     return tuple(owners)
 
 
-def split_by_work(held: Sequence[str | None], shares: Mapping[str, int], work: Sequence[int]) -> Owners:
-    """The owners by shares of the work that was measured a slot: each within two hundredths of all work of
-    its part, or within the heaviest slot, which can't be parted. Heavy slots move first, so few do."""
-    total, all_work = sum(shares.values()), sum(work)
-    if not total or not all_work:
-        return split(held, shares)
-    owners: list[str | None] = [name if shares.get(name) else None for name in held]
-    off = {name: -all_work * share / total for name, share in shares.items()}
-    for slot, name in enumerate(owners):
-        if name is not None:
-            off[name] += work[slot]
-    nobodys = sorted((s for s in range(SLOTS) if owners[s] is None), key=lambda s: (-work[s], s))
-    for slot in nobodys:
-        name = min((n for n in shares if shares[n]), key=lambda n: (off[n], n))
-        owners[slot] = name
-        off[name] += work[slot]
+def _assign_unowned(
+    owners: list[str | None], excess: dict[str, float], shares: Mapping[str, int], load: Sequence[int]
+) -> None:
+    """Give each unowned slot, the heaviest first, to the partner that is furthest below its share."""
+    unowned = [slot for slot in range(SLOTS) if owners[slot] is None]
+    unowned.sort(key=lambda slot: (-load[slot], slot))
+    for slot in unowned:
+        new_owner = _furthest_below(excess, shares)
+        owners[slot] = new_owner
+        excess[new_owner] += load[slot]
+
+
+def _rebalance(
+    owners: list[str | None], excess: dict[str, float], shares: Mapping[str, int], load: Sequence[int]
+) -> None:
+    """Move one slot at a time from the most loaded partner to the least loaded, while that helps both."""
+    tolerance = LOAD_TOLERANCE * sum(load)
     for _ in range(SLOTS):
-        giver = max(off, key=lambda n: (off[n], n))
-        taker = min((n for n in off if shares[n]), key=lambda n: (off[n], n))
-        if max(off[giver], -off[taker]) <= EVEN * all_work:
-            break
-        slot = to_move(owners, work, giver, off[giver], -off[taker])
+        giver = max(excess, key=lambda name: (excess[name], name))
+        taker = _furthest_below(excess, shares)
+        if max(excess[giver], -excess[taker]) <= tolerance:
+            return
+        slot = _best_slot_to_move(owners, load, giver, excess[giver], -excess[taker])
         if slot is None:
-            break
+            return
         owners[slot] = taker
-        off[giver] -= work[slot]
-        off[taker] += work[slot]
-    return tuple(owners)
+        excess[giver] -= load[slot]
+        excess[taker] += load[slot]
+
+
+def _furthest_below(excess: Mapping[str, float], shares: Mapping[str, int]) -> str:
+    """Of the partners with a share, the one that is furthest below it."""
+    return min((name for name in excess if shares[name]), key=lambda name: (excess[name], name))
 
 
-def to_move(
-    owners: Sequence[str | None], work: Sequence[int], giver: str, over: float, under: float
+def _best_slot_to_move(
+    owners: Sequence[str | None], load: Sequence[int], giver: str, surplus: float, deficit: float
 ) -> int | None:
-    """The giver's slot that brings both nearest to their parts; None if none brings them nearer."""
-    worst = max(over, under)
+    """The giver's slot whose move leaves the smaller of the worst errors; None if none makes it smaller."""
+    worst = max(surplus, deficit)
     best: tuple[float, int] | None = None
-    for slot, name in enumerate(owners):
-        if name == giver and work[slot]:
-            left = max(abs(over - work[slot]), abs(under - work[slot]))
-            if left < worst and (best is None or (left, slot) < best):
-                best = left, slot
+    for slot, owner in enumerate(owners):
+        if owner != giver or not load[slot]:
+            continue
+        remaining = max(abs(surplus - load[slot]), abs(deficit - load[slot]))
+        if remaining < worst and (best is None or (remaining, slot) < best):
+            best = (remaining, slot)
     return best[1] if best else None
 
 
-def moves(held: Sequence[str | None], owners: Sequence[str | None]) -> int:
-    return sum(before != after for before, after in zip(held, owners, strict=True))
+def count_moves(before: Sequence[str | None], after: Sequence[str | None]) -> int:
+    """The number of slots whose owner differs."""
+    return sum(old != new for old, new in zip(before, after, strict=True))
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -19,12 +19,12 @@
 from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
 from hillchute.partners.agreement_ledger import Marker, Offer
+from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.codec import Have, Know, Message, Pass, codec
+from hillchute.partners.forwarding import Passing
 from hillchute.partners.negotiation import Council
-from hillchute.partners.signature_journal import MarksFile, key_in
+from hillchute.partners.signature_journal import SignatureJournal, read_private_key
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.forwarding import Passing
-from hillchute.partners.capacity_pool import floor, homes
 from hillchute.peers.node import PARTNERS, Node
 from hillchute.peers.roster import DEAD
 from hillchute.router.reducer import place
@@ -55,7 +55,7 @@
         self.clock, self.log, self.catalog = clock, log, catalog
         self.judged, self.handle, self.soon, self.unix = judged, handle, soon, unix
         self.settings = settings
-        self.file: MarksFile | None = None
+        self.file: SignatureJournal | None = None
         now = clock()
         about = settings["own"], routers_of(settings), checks_of(settings), seed, now
         self.council = Council(node.me, *about, self.hand())
@@ -73,12 +73,12 @@
         if "key_file" not in self.settings:
             return None
         try:
-            self.file = MarksFile(self.settings["marks_file"])
+            self.file = SignatureJournal(self.settings["marks_file"])
         except MarksNotKept as fault:
             self.log.write("partners", **fault.told)
             return None
-        sign = signer(key_in(self.settings["key_file"]))
-        return Marker(self.settings["own"], sign, self.file.save, self.file.marked)
+        sign = signer(read_private_key(self.settings["key_file"]))
+        return Marker(self.settings["own"], sign, self.file.save, self.file.signed)
 
     def say_offer(self) -> None:
         if self.council.marker is None:
@@ -212,9 +212,9 @@
         routers = council.routers
         whole = quotas.limits["pool"].whole
         if self.homes[0] != council.revision:
-            self.homes = council.revision, homes(whole, council.counted(now), routers)
+            self.homes = council.revision, router_allocations(whole, council.counted(now), routers)
         home = self.homes[1].get(self.node.me, 0)
-        least = floor(whole, max(1, sum(map(len, routers.values()))))
+        least = minimum_allocation(whole, max(1, sum(map(len, routers.values()))))
         known = self.views is not None and self.views.views.in_force(now)
         confined = not (known and council.current() and council.holds(now))
         ours = routers.get(council.partner, frozenset())
@@ -239,8 +239,8 @@
         )
         faults = list(council.refused.values())
         faults += [PartnerBroke(f"texts of number {pair[0].number}", n) for n, pair in self.broke()]
-        if self.file is not None and self.file.fault is not None:
-            faults.append(self.file.fault)
+        if self.file is not None and self.file.error is not None:
+            faults.append(self.file.error)
         standing = {(type(fault).__name__, str(fault)) for fault in faults}
         for fault in faults:
             if (type(fault).__name__, str(fault)) not in self.told:
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -14,12 +14,12 @@
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
 from hillchute.partners.agreement_ledger import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
+from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
+from hillchute.partners.handover import lead_refusal, next_title
 from hillchute.partners.negotiation import BEAT, Council
-from hillchute.partners.handover import follows, leads
-from hillchute.partners.signature_journal import MarksFile
+from hillchute.partners.signature_journal import SignatureJournal
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.capacity_pool import floor, homes
-from hillchute.partners.slot_allocation import moves
+from hillchute.partners.slot_allocation import count_moves
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"], "c": ["c0", "c1"]}
 CHECK = checker({name: public(name) for name in ROUTERS})
@@ -126,7 +126,7 @@
     second = fleet.councils["c1"].text()
     assert (second.number, second.before) == (2, 1) and second.shares["b"] > first.shares["b"]
     gain = second.owner_names().count("b") - first.owner_names().count("b")
-    assert 0 < moves(first.owner_names(), second.owner_names()) <= gain + 1
+    assert 0 < count_moves(first.owner_names(), second.owner_names()) <= gain + 1
     fleet.play()
     assert max(fleet.councils["a0"].ledger.accepted) == 2  # what says the same again is not written
 
@@ -339,7 +339,7 @@
     fleet.tell()
     second = fleet.councils["c1"].text()
     assert set(second.owner_names()) == {"a", "b", "c"}
-    assert moves(first.owner_names(), second.owner_names()) == second.owner_names().count("c")
+    assert count_moves(first.owner_names(), second.owner_names()) == second.owner_names().count("c")
 
 
 # ---- what goes over the wire ----
@@ -398,11 +398,11 @@
 
 
 def test_title_follows_who_is_due_and_its_number_only_rises():
-    first = follows(None, "a", 70)
-    assert first == Title(7, "a") and follows(first, "a", 10**9) is first
-    assert follows(first, "b", 0) == Title(8, "b")
-    assert follows(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
-    assert follows(first, "", 0) is first and follows(None, "", 0) is None
+    first = next_title(None, "a", 70)
+    assert first == Title(7, "a") and next_title(first, "a", 10**9) is first
+    assert next_title(first, "b", 0) == Title(8, "b")
+    assert next_title(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
+    assert next_title(first, "", 0) is first and next_title(None, "", 0) is None
 
 
 @pytest.mark.parametrize(
@@ -419,7 +419,7 @@
 def test_only_the_owner_leads_and_only_once_nothing_of_the_one_before_is_out(
     title, partner, holds, out, verdict
 ):
-    found = leads(title, partner, holds, lambda: out)
+    found = lead_refusal(title, partner, holds, lambda: out)
     assert (found and found[0]) == verdict
     if verdict is Verdict.PASS:
         assert found[1] == "a"
@@ -430,25 +430,25 @@
 
 def test_marks_come_back_from_their_file_and_a_broken_last_line_was_never_given(tmp_path):
     path = tmp_path / "marks"
-    file = MarksFile(path)
+    file = SignatureJournal(path)
     assert file.save(1, b"\1" * 32) and file.save(2, b"\2" * 32)
     with path.open("ab") as broken:
         broken.write(b"3 0303")
-    again = MarksFile(path)
-    assert again.marked == {1: b"\1" * 32, 2: b"\2" * 32}
-    assert again.save(3, b"\3" * 32) and MarksFile(path).marked[3] == b"\3" * 32
+    again = SignatureJournal(path)
+    assert again.signed == {1: b"\1" * 32, 2: b"\2" * 32}
+    assert again.save(3, b"\3" * 32) and SignatureJournal(path).signed[3] == b"\3" * 32
 
 
 def test_file_that_was_changed_or_cannot_be_written_gives_no_mark(tmp_path):
     path = tmp_path / "marks"
     path.write_text("1 zz\n")
     with pytest.raises(MarksNotKept, match="marks"):
-        MarksFile(path)
+        SignatureJournal(path)
     path.write_text("")
-    file = MarksFile(path)
+    file = SignatureJournal(path)
     file.path = tmp_path / "none" / "marks"
-    assert not file.save(1, b"") and file.fault is not None
-    marker = Marker("a", signer(private("a")), file.save, file.marked)
+    assert not file.save(1, b"") and file.error is not None
+    marker = Marker("a", signer(private("a")), file.save, file.signed)
     with pytest.raises(TextNotTaken, match="kept"):
         marker.mark(settle([offer(n) for n in "abc"], 1), offer("a"))
 
@@ -500,8 +500,8 @@
     count = sum(map(len, routers.values()))
     if not count:
         return
-    found = homes(whole, {name: share for name, (share, _) in partners.items()}, routers)
-    least = floor(whole, count)
+    found = router_allocations(whole, {name: share for name, (share, _) in partners.items()}, routers)
+    least = minimum_allocation(whole, count)
     assert sum(found.values()) <= whole and all(units >= least for units in found.values())
     total = sum(share for share, many in partners.values() if many)
     for name, (share, many) in partners.items():
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -23,7 +23,7 @@
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
 from hillchute.partners.agreement_ledger import Mark, settle
-from hillchute.partners.signature_journal import MarksFile
+from hillchute.partners.signature_journal import SignatureJournal
 from hillchute.peers import codec
 from hillchute.peers.link import Address, Link
 from hillchute.peers.node import Node
@@ -88,7 +88,7 @@
 
 def marks_not_kept(tmp_path):
     (tmp_path / "marks").write_text("no mark\n")
-    MarksFile(tmp_path / "marks")
+    SignatureJournal(tmp_path / "marks")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,8 +13,8 @@
 from hillchute.partners import forwarding, handover
 from hillchute.partners.agreement_ledger import Mark, Marker
 from hillchute.partners.codec import Answer, Drop, Got, Know, Pass, Took
-from hillchute.partners.negotiation import Council
 from hillchute.partners.forwarding import AGAIN, KEPT, Passing
+from hillchute.partners.negotiation import Council
 
 KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
 
@@ -373,7 +373,7 @@
     clean(net)
 
 
-LEADS, END, CHOOSE = handover.leads, Passing.end, Passing.choose
+LEADS, END, CHOOSE = handover.lead_refusal, Passing.end, Passing.choose
 
 
 def anybody_leads(title, partner, holds, others_out):
@@ -394,10 +394,10 @@
 
 PLANTED = {
     "nobody waits for what is out": (keeping.Keeper, "others_out", lambda self, *about: False),
-    "anybody leads": (handover, "leads", anybody_leads),
+    "anybody leads": (handover, "lead_refusal", anybody_leads),
     "what may have run is deferred": (Passing, "end", has_not_run),
     "what has no answer ends without one": (Passing, "end", is_no_answer),
-    "titles are never moved": (handover, "follows", lambda title, wanted, now: title or Title(1, wanted)),
+    "titles are never moved": (handover, "next_title", lambda title, wanted, now: title or Title(1, wanted)),
     "nothing is told on": (Council, "all", lambda self, back: Know((), (), (), (), (), back)),
     "a call is not heeded": (Council, "told", lambda self, now, number: None),
     "a mark is for what it was not": (
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -11,7 +11,7 @@
 from hillchute.history.records import Record
 from hillchute.lab.history_net import EPOCH
 from hillchute.partners import signature_journal
-from hillchute.partners.signature_journal import MarksFile
+from hillchute.partners.signature_journal import SignatureJournal
 
 CALLS = ("open", "write", "fsync", "replace", "folder")
 
@@ -21,11 +21,15 @@
 
     def __init__(self, monkeypatch, step, error, torn=0):
         self.step, self.error, self.torn = step, error, torn
-        self.real_open, self.real_fsync, self.real_replace = type(signature_journal.Path()).open, os.fsync, os.replace
+        self.real_open, self.real_fsync, self.real_replace = (
+            type(signature_journal.Path()).open,
+            os.fsync,
+            os.replace,
+        )
         monkeypatch.setattr(type(signature_journal.Path()), "open", lambda path, mode: self.open(path, mode))
         monkeypatch.setattr(signature_journal.os, "fsync", self.fsync)
         monkeypatch.setattr(signature_journal.os, "replace", self.replace)
-        monkeypatch.setattr(signature_journal, "sync_folder", self.folder)
+        monkeypatch.setattr(signature_journal, "sync_directory", self.folder)
 
     def fail(self, step):
         if step == self.step:
@@ -87,33 +91,33 @@
 @pytest.mark.parametrize("killed", [False, True], ids=["goes on", "killed"])
 def test_mark_is_there_if_and_only_if_it_was_acknowledged(path, step, torn, error, killed):
     """One save fails, twice in a row; then the disk is sound again. The program may be killed in between."""
-    file = MarksFile(path)
+    file = SignatureJournal(path)
     assert file.save(1, mark(1))
     for _ in range(2):
         with pytest.MonkeyPatch.context() as patch:
             Failing(patch, step, error, torn)
             acknowledged = file.save(2, mark(2))
-        assert acknowledged or isinstance(file.fault, MarksNotKept)
+        assert acknowledged or isinstance(file.error, MarksNotKept)
         if killed:
-            file = MarksFile(path)
-            assert file.marked[1] == mark(1)
-            assert not acknowledged or file.marked[2] == mark(2)
-    assert file.save(3, mark(3)) and file.fault is None  # no restart was needed
-    known = MarksFile(path).marked
+            file = SignatureJournal(path)
+            assert file.signed[1] == mark(1)
+            assert not acknowledged or file.signed[2] == mark(2)
+    assert file.save(3, mark(3)) and file.error is None  # no restart was needed
+    known = SignatureJournal(path).signed
     assert known[1] == mark(1) and known[3] == mark(3)
     assert set(known) <= {1, 2, 3}
 
 
 def test_sync_that_failed_is_not_made_good_by_the_next(path, monkeypatch):
     """The lines before are written again: what the kernel dropped after a failed sync is not on the disk."""
-    file = MarksFile(path)
+    file = SignatureJournal(path)
     file.save(1, mark(1))
     with pytest.MonkeyPatch.context() as patch:
         Failing(patch, "fsync", errno.EIO)
         assert not file.save(2, mark(2))
     path.write_bytes(b"\0" * 40)  # the page was lost
     assert file.save(2, mark(2))
-    assert MarksFile(path).marked == {1: mark(1), 2: mark(2)}
+    assert SignatureJournal(path).signed == {1: mark(1), 2: mark(2)}
 
 
 @pytest.fixture
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -24,7 +24,7 @@
     words,
 )
 from hillchute.partners.signatures import checker, signer
-from hillchute.partners.slot_allocation import moves, split, split_by_work
+from hillchute.partners.slot_allocation import allocate_slots, allocate_slots_by_load, count_moves
 
 NAMES = ["a", "b", "c", "d", "e"]
 shares = st.dictionaries(st.sampled_from(NAMES), st.integers(0, 1000), min_size=1)
@@ -42,14 +42,14 @@
 @given(seeds, shares.filter(lambda s: sum(s.values())))
 def test_split_is_within_one_slot_of_exact_with_the_fewest_moves(seed, shares):
     held = some_held(seed)
-    owners = split(held, shares)
+    owners = allocate_slots(held, shares)
     total = sum(shares.values())
     for name, share in shares.items():
         assert abs(owners.count(name) - SLOTS * share / total) < 1
         assert share or not owners.count(name)
     assert set(owners) <= shares.keys()
-    assert moves(held, owners) == least_moves(held, shares)
-    assert split(owners, shares) == owners
+    assert count_moves(held, owners) == least_moves(held, shares)
+    assert allocate_slots(owners, shares) == owners
 
 
 @settings(max_examples=60, deadline=None)
@@ -59,17 +59,17 @@
     chance.shuffle(names)
     again = {name: shares[name] for name in names}
     work = [random.Random(seed).randrange(1000) for _ in range(SLOTS)]
-    assert split(held, shares) == split(held, again)
-    assert split_by_work(held, shares, work) == split_by_work(held, again, work)
+    assert allocate_slots(held, shares) == allocate_slots(held, again)
+    assert allocate_slots_by_load(held, shares, work) == allocate_slots_by_load(held, again, work)
 
 
 def test_partner_that_comes_or_goes_moves_its_part_alone():
-    first = split((None,) * SLOTS, {"a": 2, "b": 1})
-    second = split(first, {"a": 2, "b": 1, "c": 1})
-    assert moves(first, second) == second.count("c") == SLOTS // 4
-    third = split(second, {"a": 2, "b": 1})
-    assert moves(second, third) == SLOTS // 4
-    assert split(third, {"a": 0, "b": 0}) == (None,) * SLOTS
+    first = allocate_slots((None,) * SLOTS, {"a": 2, "b": 1})
+    second = allocate_slots(first, {"a": 2, "b": 1, "c": 1})
+    assert count_moves(first, second) == second.count("c") == SLOTS // 4
+    third = allocate_slots(second, {"a": 2, "b": 1})
+    assert count_moves(second, third) == SLOTS // 4
+    assert allocate_slots(third, {"a": 0, "b": 0}) == (None,) * SLOTS
 
 
 @settings(max_examples=80, deadline=None)
@@ -77,7 +77,7 @@
 def test_split_by_work_is_within_two_hundredths_or_the_heaviest_slot(seed, shares):
     held, chance = some_held(seed), random.Random(seed)
     work = [int(1000 * chance.paretovariate(1.2)) for _ in range(SLOTS)]
-    owners = split_by_work(held, shares, work)
+    owners = allocate_slots_by_load(held, shares, work)
     total, all_work = sum(shares.values()), sum(work)
     for name, share in shares.items():
         mine = sum(w for w, owner in zip(work, owners, strict=True) if owner == name)
@@ -88,22 +88,24 @@
 def test_split_by_work_moves_few_slots():
     """From an even split by count, as work drifts apart: far fewer than dealing anew would."""
     shares, chance = {"a": 3, "b": 2, "c": 1}, random.Random(5)
-    held = split((None,) * SLOTS, shares)
+    held = allocate_slots((None,) * SLOTS, shares)
     work = [int(1000 * chance.paretovariate(1.5)) for _ in range(SLOTS)]
-    owners = split_by_work(held, shares, work)
+    owners = allocate_slots_by_load(held, shares, work)
     off = {
         n: sum(work) * s / 6 - sum(w for w, o in zip(work, held, strict=True) if o == n)
         for n, s in shares.items()
     }
     deficit = sum(max(0, gap) for gap in off.values())
     mean = sum(work) / SLOTS
-    assert moves(held, owners) <= 2 + deficit / mean
-    assert split_by_work(owners, shares, work) == owners
+    assert count_moves(held, owners) <= 2 + deficit / mean
+    assert allocate_slots_by_load(owners, shares, work) == owners
 
 
 def test_work_that_nobody_measured_is_split_by_count():
     held = some_held(3)
-    assert split_by_work(held, {"a": 1, "b": 1}, [0] * SLOTS) == split(held, {"a": 1, "b": 1})
+    assert allocate_slots_by_load(held, {"a": 1, "b": 1}, [0] * SLOTS) == allocate_slots(
+        held, {"a": 1, "b": 1}
+    )
 
 
 # ---- agreements ----
@@ -280,7 +282,9 @@
     assert not ledger.hear_notice(msgspec.structs.replace(notice, partner="a"), mark)
     assert ledger.hear_notice(notice, mark)
     assert ledger.shares(1499)["b"] > 0 and ledger.shares(1500)["b"] == 0
-    assert split(split((None,) * SLOTS, ledger.shares(0)), ledger.shares(1500)).count("b") == 0
+    assert (
+        allocate_slots(allocate_slots((None,) * SLOTS, ledger.shares(0)), ledger.shares(1500)).count("b") == 0
+    )
 
 
 def test_silent_partner_keeps_the_old_text_to_its_end():
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -439,7 +439,9 @@
         yield Example(
             f"partners/signed-bytes of {name}",
             value,
-            lambda value, kind=kind, number=number: agreement_ledger.words(kind, number, agreement_ledger.digest(value)),
+            lambda value, kind=kind, number=number: agreement_ledger.words(
+                kind, number, agreement_ledger.digest(value)
+            ),
         )
         yield Example(
             f"partners/signature of {name}",
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -15,7 +15,7 @@
 
 from hillchute.history.disk import Disk
 from hillchute.history.records import FINISHED, FREED, KILLED, OUT, Record
-from hillchute.partners.signature_journal import MarksFile, key_in
+from hillchute.partners.signature_journal import SignatureJournal, read_private_key
 
 DATA = Path(__file__).parent / "data"
 HISTORY, SIGNATURES = "history-v1.sqlite", "signatures-v1.txt"
@@ -71,7 +71,7 @@
     for name, (written, since) in RECORDS.items():
         assert disk.write({name: written}, {name: since})
     disk.close()
-    signatures = MarksFile(folder / SIGNATURES)
+    signatures = SignatureJournal(folder / SIGNATURES)
     for number, digest in SIGNED.items():
         assert signatures.save(number, digest)
 
@@ -141,27 +141,27 @@
 
 def test_stored_signatures_are_read(signatures):
     before = signatures.read_bytes()
-    assert MarksFile(signatures).marked == SIGNED
-    assert list(MarksFile(signatures).marked) == [612, 613, 9_007_199_254_740_991]
+    assert SignatureJournal(signatures).signed == SIGNED
+    assert list(SignatureJournal(signatures).signed) == [612, 613, 9_007_199_254_740_991]
     assert signatures.read_bytes() == before
 
 
 def test_stored_signatures_are_gone_on_with(signatures):
     before = signatures.read_bytes()
-    assert MarksFile(signatures).save(614, b"\xab" * 32)
+    assert SignatureJournal(signatures).save(614, b"\xab" * 32)
     assert signatures.read_bytes() == before + b"614 " + b"ab" * 32 + b"\n"
-    assert MarksFile(signatures).marked == {**SIGNED, 614: b"\xab" * 32}
+    assert SignatureJournal(signatures).signed == {**SIGNED, 614: b"\xab" * 32}
 
 
 def test_stored_signatures_with_a_torn_last_line_are_read_without_it(signatures):
     before = signatures.read_bytes()
     signatures.write_bytes(before + b"614 abab")
-    assert MarksFile(signatures).marked == SIGNED
+    assert SignatureJournal(signatures).signed == SIGNED
     assert signatures.read_bytes() == before
 
 
 def test_signatures_are_written_as_they_were(tmp_path, signatures):
-    file = MarksFile(tmp_path / "new")
+    file = SignatureJournal(tmp_path / "new")
     for number, digest in SIGNED.items():
         assert file.save(number, digest)
     assert (tmp_path / "new").read_bytes() == signatures.read_bytes()
@@ -169,7 +169,7 @@
 
 def test_stored_signing_key_is_read(tmp_path):
     (tmp_path / "key").write_text("000102030405060708090A0B0C0D0E0F101112131415161718191a1b1c1d1e1f\n")
-    assert key_in(tmp_path / "key") == bytes(range(32))
+    assert read_private_key(tmp_path / "key") == bytes(range(32))
 
 
 if __name__ == "__main__":
