--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -4,13 +4,17 @@
 A scripted run (offers, a text, queries that are passed on, a new text under load, a death with such a query
 out, a return, a cut, a notice) is played once; then again, once for each message and each change of it. Owns
 the script and what the ends are compared by. Must never know how the code under it comes to what it does. One
-seed, one run. Played from hillchute.lab.mutants; the changes are history_mutants'.
+seed, one run. Played from hillchute.partners.signatures import SignedKind, content_digest, signed_bytes
+from hillchute.partners.messages import PartnerMessage, Message
+from hillchute.lab.mutants; the changes are history_mutants'.
 
 A liar here is a router: it can say what it likes, but not mark for another partner. It may make holders of
 slots believe what never was, as in the history; but no router may fail at it, no client be answered twice,
 and no text hold that not all have marked.
 """
 
+from typing import get_args
+
 from hillchute.history import codec as history
 from hillchute.history.codec import encoder as history_encoder
 from hillchute.history.policy import Policy
@@ -18,11 +22,12 @@
 from hillchute.lab.history_mutants import HARMLESS, Changing
 from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
 from hillchute.partners import codec
-from hillchute.partners.agreement_ledger import Text, digest, words
+from hillchute.partners.messages import Message, PartnerMessage
+from hillchute.partners.signatures import SignedKind, content_digest, signed_bytes
 
 ROUTERS = 6
 TITLES = history.Entitle, history.Entitled, history.Call, history.Granted, history.Claim, history.Judged
-KINDS = (*codec.KINDS, *TITLES)
+KINDS = (*get_args(Message), *TITLES)
 MAY_BE = (*HARMLESS, "two owners", "deferred and ran", "overtaken")  # what a router that lies may bring about
 
 
@@ -33,7 +38,7 @@
         super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
 
     def unchecked(self, message: object) -> bytes:
-        if isinstance(message, codec.Message):
+        if isinstance(message, PartnerMessage):
             return PARTNERS + codec.encoder.encode(message)
         return HISTORY + history_encoder.encode(message)
 
@@ -69,7 +74,7 @@
         self.advance(7)
         self.mend()
         self.advance(9)
-        self.councils["n2"].leave(self.clock("n2"))  # c's: its part ends with the notice
+        self.councils["n2"].give_notice(self.clock("n2"))  # c's: its part ends with the notice
         self.post("n2")
         self.advance(13)
         self.ask_all(40, 6, self.names)
@@ -84,10 +89,10 @@
                 if texts.setdefault(number, text) != text:
                     self.raised.append(f"{name} has another text of number {number}")
                 for partner in text.shares:
-                    mark = council.ledger.marks.get(digest(text), {}).get(partner)
+                    mark = council.ledger.signatures.get(content_digest(text), {}).get(partner)
                     known = mark is not None and mark.number == number and mark.partner == partner
-                    said = words(Text, number, digest(text))
-                    if not known or not self.check(partner, said, mark.mark):
+                    said = signed_bytes(SignedKind.AGREEMENT, number, content_digest(text))
+                    if not known or not self.check(partner, said, mark.value):
                         self.raised.append(f"{name} accepts text {number} without {partner}'s mark")
         return self
 
@@ -95,8 +100,10 @@
         """Which text holds, whose the slots are, how often each token ran."""
         councils = list(self.councils.values())
         return {
-            "shares": sorted((n, s) for n, s in councils[0].counted(self.clock("n0")).items()),
-            "current": all(c.current() for c in councils),
+            "shares": sorted(
+                (n, s) for n, s in councils[0].ownership.effective_shares(self.clock("n0")).items()
+            ),
+            "current": all(c.ownership.up_to_date() for c in councils),
             "owners": sorted({owner: self.owners().count(owner) for owner in "abc"}.items()),
             "ran_at_most": max(len(runs) for runs in self.runs.values()),
         }
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -25,14 +25,18 @@
 from hillchute.lab import history_net
 from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
-from hillchute.partners.agreement_ledger import WHOLE, Check, Marker, Offer
-from hillchute.partners.forwarding import Passing
-from hillchute.partners.negotiation import Council
-from hillchute.partners.signatures import checker, signer
+from hillchute.partners.agreement_signer import AgreementSigner
+from hillchute.partners.forwarding import QueryForwarder
+from hillchute.partners.messages import AgreementMessage, ForwardOutcome, ForwardQuery, PartnerMessage
+from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.offers import SHARE_TOTAL, Offer
+from hillchute.partners.signatures import Verify, ed25519_signer, ed25519_verifier
 from hillchute.router.reducer import TABLES
 
 HISTORY, PARTNERS = b"h", b"p"  # before a message's bytes, as the datagrams' kinds tell them apart
 YEAR = 365 * 86_400 * SECOND
+ANSWERS = {Verdict.ANSWER: ForwardOutcome.SERVED, Verdict.KILL: ForwardOutcome.FAILED}  # others: REJECTED
+ENDS = {FINISHED: ForwardOutcome.SERVED, FREED: ForwardOutcome.REJECTED}  # others: FAILED
 ANSWERED_BY: Time = 2 * SECOND  # after its patience a client must have its answer: a step, a pause's end
 
 
@@ -49,11 +53,11 @@
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
         self.partner_of = {name: p for p, some in self.partners.items() for name in some}
-        self.councils: dict[str, Council] = {}
-        self.passings: dict[str, Passing] = {}
+        self.councils: dict[str, AgreementProtocol] = {}
+        self.passings: dict[str, QueryForwarder] = {}
         self.files: dict[str, dict[int, bytes]] = defaultdict(dict)  # of each partner, over restarts
         self.offers: dict[str, Offer] = {}
-        self.check: Check = checker({p: public(p) for p in self.partners})
+        self.check: Verify = ed25519_verifier({p: public(p) for p in self.partners})
         self.asks: dict[int, list] = {}  # name, life, asked, patience, answers: of each query of a client
         self.ask_of: dict[tuple[str, int, int], int] = {}  # by claim, and by errand
         self.errand_of: dict[tuple[str, int, int], tuple[int, int]] = {}  # with the claim's number
@@ -71,18 +75,18 @@
 
     def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
         life, partner = self.lives[name], self.partner_of[name]
-        council = Council(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
+        council = AgreementProtocol(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
         self.councils[name] = council
-        if council.marker is not None and partner in self.offers:
+        if council.signer is not None and partner in self.offers:
             self.said_offer(name, self.offers[partner])
 
         def over(other: str, other_life: int) -> bool:
             return living().get(other) != other_life
 
-        self.passings[name] = Passing(name, life, living, over)
-        return Keeper(name, life, self.names, self.book, now, living, deeds=council)
+        self.passings[name] = QueryForwarder(name, life, living, over)
+        return Keeper(name, life, self.names, self.book, now, living, deeds=council.ownership)
 
-    def hand(self, name: str) -> Marker | None:
+    def hand(self, name: str) -> AgreementSigner | None:
         partner = self.partner_of[name]
         if name != self.partners[partner][0]:
             return None
@@ -92,7 +96,7 @@
             kept[number] = sealed
             return True
 
-        return Marker(partner, signer(private(partner)), save, dict(kept))
+        return AgreementSigner(partner, ed25519_signer(private(partner)), save, dict(kept))
 
     def kill(self, name: str) -> None:
         for kept in (self.councils, self.passings):
@@ -104,12 +108,23 @@
         super().kill(name)
 
     def offer(
-        self, partner: str, want: int, least: int = 500, most: int = WHOLE, capacity: int = 100
+        self, partner: str, want: int, least: int = 500, most: int = SHARE_TOTAL, capacity: int = 100
     ) -> None:
         """The operator of a partner makes an offer, at the router that marks; it holds over restarts."""
-        turn = self.offers[partner].turn + 1 if partner in self.offers else 1
+        turn = self.offers[partner].revision + 1 if partner in self.offers else 1
         ends = EPOCH + YEAR
-        said = Offer(partner, turn, 100, want, least, most, 0, ends, 5 * SECOND, 10 * SECOND)
+        said = Offer(
+            partner=partner,
+            revision=turn,
+            capacity=100,
+            desired_share=want,
+            minimum_share=least,
+            maximum_share=most,
+            starts_at=0,
+            ends_at=ends,
+            grace_period=5 * SECOND,
+            notice_period=10 * SECOND,
+        )
         self.offers[partner] = said
         name = self.partners[partner][0]
         if name in self.councils and name not in self.stopped:
@@ -117,18 +132,18 @@
 
     def said_offer(self, name: str, said: Offer) -> None:
         try:
-            self.councils[name].offer(self.clock(name), said)
+            self.councils[name].make_offer(self.clock(name), said)
         except TextNotTaken:
             self.hops["offers not taken"] += 1
 
     def agree(self, **wants: int) -> None:
         for partner in self.partners:
-            self.offer(partner, wants.get(partner, WHOLE // len(self.partners)))
+            self.offer(partner, wants.get(partner, SHARE_TOTAL // len(self.partners)))
 
     # ---- the network --------------------------------------------------------------------------------
 
-    def encoded(self, message: Message | codec.Message) -> bytes:
-        if isinstance(message, codec.Message):
+    def encoded(self, message: Message | PartnerMessage) -> bytes:
+        if isinstance(message, PartnerMessage):
             return PARTNERS + codec.encode(message)
         return HISTORY + history_encode(message)
 
@@ -143,8 +158,8 @@
             self.keepers[to].receive(now, sender, history_decode(data[1:], sender))
         elif data[:1] == PARTNERS:
             message = codec.decode(data[1:], sender)
-            if isinstance(message, codec.Have | codec.Know):
-                self.councils[to].heard(now, sender, message)
+            if isinstance(message, AgreementMessage):
+                self.councils[to].receive(now, sender, message)
             else:
                 self.passings[to].receive(now, sender, message)
         else:
@@ -163,7 +178,7 @@
             return
         self.take_guests(name)
         for part in (self.councils[name], self.passings[name]):
-            out, part.out = part.out, []
+            out, part.outbox = part.outbox, []
             for to, message in out:
                 self.send(name, to, message)
 
@@ -190,10 +205,10 @@
         """A mutating query: no token, nothing that could be answered again."""
         self.ask(name, f"once{self.numbers}", f"{TABLES}{tables}")
 
-    def answered(self, ask: int, how: str) -> None:
+    def answered(self, ask: int, how: ForwardOutcome) -> None:
         """One of a client's queries has its final answer."""
         self.said[f"answered {how}"] += 1
-        if how == "deferred":
+        if how is ForwardOutcome.REJECTED:
             self.turned_away.add(ask)
             self.rule["deferred and ran"] += ask in self.ran_for
         if ask in self.asks:
@@ -212,23 +227,23 @@
         """A claim that does not run here is answered, or passed on if it came from a client."""
         (name, life, _), (token, key, asked) = claim, about
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {Verdict.ANSWER: "finished", Verdict.KILL: "killed"}.get(verdict, "deferred")
+        how = ANSWERS.get(verdict, ForwardOutcome.REJECTED)
         if session is not None:
             if verdict is Verdict.PASS:
                 self.keepers[name].ended(self.clock(name), claim[2], FREED)
-            self.passings[name].answered(self.clock(name), session, how, why, rows)
+            self.passings[name].answer(self.clock(name), session, how, why, rows)
             return
         if verdict is Verdict.PASS:
             self.hops["passed on"] += 1
             passing, now = self.passings[name], self.clock(name)
-            to = passing.choose(self.partners.get(why, ()), "", key)
+            to = passing.choose_target(self.partners.get(why, ()), "", key)
             if to is not None:
                 left = max(0, asked + PATIENCE - self.now)
                 once = key.startswith(TABLES)
-                message = codec.Pass(
+                message = ForwardQuery(
                     0, 0, 0, token, "g", key.encode(), None if once else token, None, 0.0, None, "", left
                 )
-                errand = passing.send(now, to, message, now + left)
+                errand = passing.forward(now, to, message, now + left)
                 self.errand_of[name, life, errand] = ask, claim[2]
                 self.errands[name, life, errand] = ask
                 return
@@ -238,18 +253,18 @@
     def take_guests(self, name: str) -> None:
         """Queries that were passed on come and end."""
         passing, life = self.passings[name], self.lives[name]
-        came, passing.came = passing.came, []
+        came, passing.arrivals = passing.arrivals, []
         for session, message in came:
             self.hops["came"] += 1
-            claim = self.claim(name, message.id, message.statement.decode(), message.left)
+            claim = self.claim(name, message.query_id, message.statement.decode(), message.time_left)
             self.session_of[claim] = session
-        ended, passing.ended = passing.ended, []
+        ended, passing.completions = passing.completions, []
         for number, how, _, rows in ended:
             ask, mine = self.errand_of.pop((name, life, number), (None, 0))
             self.rule["ended twice"] += ask is None
             if mine:
                 self.keepers[name].ended(self.clock(name), mine, FREED)
-            if how == "finished" and rows is None:
+            if how is ForwardOutcome.SERVED and rows is None:
                 self.rule["wrong answer"] += 1
             if ask is not None:
                 self.answered(ask, how)
@@ -281,13 +296,13 @@
         if session is None:
             return self.ask_of.get(claim)
         guest = self.passings[claim[0]].by_session[session]
-        return self.errands.get((guest.sender, guest.life, guest.number))
+        return self.errands.get((guest.sender, guest.incarnation, guest.number))
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = {FINISHED: "finished", FREED: "deferred"}.get(state, "killed")
+        how = ENDS.get(state, ForwardOutcome.FAILED)
         if session is not None:
-            self.passings[claim[0]].answered(self.clock(claim[0]), session, how, "", rows)
+            self.passings[claim[0]].answer(self.clock(claim[0]), session, how, "", rows)
         elif ask is not None:
             self.answered(ask, how)
         super().ended(claim, state, rows)
@@ -318,9 +333,11 @@
         while self.now - since < most * SECOND:
             self.advance(0.5)
             councils = [c for n, c in self.councils.items() if n not in self.stopped]
-            numbers = {c.number for c in councils} | {c.named(self.now) for c in councils}
+            numbers = {c.ownership.agreement_number for c in councils} | {
+                c.ownership.named(self.now) for c in councils
+            }
             if len(numbers) == 1 and 0 not in numbers:
-                owners = [owner or "" for owner in councils[0].owners]
+                owners = [owner or "" for owner in councils[0].ownership.slot_owners]
                 if all(owners) and owners == self.owners():
                     return True
         return False
--- /dev/null
+++ b/hillchute/partners/agreement_signer.py
@@ -0,0 +1,76 @@
+"""The one place that signs for a partner: it signs what its operator offered, and nothing else.
+
+Pure but for the two functions that it is given: one signs bytes, the other makes durable what is signed. A
+partner signs at most one agreement for a number, in rising numbers, and records it before it gives the
+signature away: so no loss, delay or crash makes it sign two.
+"""
+
+from collections.abc import Callable, Mapping
+
+from hillchute.decision.interface import Time
+from hillchute.errors import TextNotTaken
+from hillchute.partners.agreements import Agreement, TerminationNotice, invalid_agreement_field
+from hillchute.partners.offers import Offer
+from hillchute.partners.signatures import (
+    Sign,
+    Signature,
+    SignedKind,
+    SignedNotice,
+    SignedOffer,
+    content_digest,
+    signed_bytes,
+)
+
+
+class AgreementSigner:
+    """Signs for one partner. `signed`: the digests of the agreements that it signed, by number."""
+
+    def __init__(
+        self, partner: str, sign: Sign, record: Callable[[int, bytes], bool], signed: Mapping[int, bytes]
+    ) -> None:
+        """`record` makes a number and a digest durable, if it can; `signed` is what it kept."""
+        self.partner = partner
+        self.sign = sign
+        self.record = record
+        self.signed = dict(signed)
+
+    def sign_agreement(self, agreement: Agreement, own_offer: Offer) -> Signature:
+        """Raises TextNotTaken for what the partner did not offer, or can't sign any more."""
+        if invalid := invalid_agreement_field(agreement):
+            raise TextNotTaken("can't be honoured by anybody", invalid)
+        self._require_as_offered(agreement, own_offer)
+        digest = content_digest(agreement)
+        highest = max(self.signed, default=0)
+        if agreement.number < highest or self.signed.get(agreement.number, digest) != digest:
+            raise TextNotTaken(
+                f"number {highest} is signed already; a new agreement needs a higher one", self.partner
+            )
+        if not self.record(agreement.number, digest):
+            raise TextNotTaken("what is signed can't be kept, so it is not given", self.partner)
+        self.signed[agreement.number] = digest
+        return self._signature(SignedKind.AGREEMENT, agreement.number, digest)
+
+    def _require_as_offered(self, agreement: Agreement, own_offer: Offer) -> None:
+        share = agreement.shares.get(self.partner)
+        minimum = own_offer.minimum_share
+        maximum = own_offer.maximum_share
+        if own_offer.partner != self.partner or share is None or not minimum <= share <= maximum:
+            raise TextNotTaken(f"share {share}, {minimum} to {maximum} were offered", self.partner)
+        same_capacity = agreement.capacities.get(self.partner) == own_offer.capacity
+        within_times = agreement.starts_at >= own_offer.starts_at and agreement.ends_at <= own_offer.ends_at
+        if not same_capacity or not within_times:
+            raise TextNotTaken("capacity or times are not as offered", self.partner)
+
+    def sign_offer(self, offer: Offer) -> SignedOffer:
+        """The partner's own offer, signed so that nobody else can make one in its name."""
+        return SignedOffer(offer, self._signature(SignedKind.OFFER, offer.revision, content_digest(offer)))
+
+    def give_notice(self, agreement: Agreement, now: Time) -> SignedNotice:
+        """The notice that ends the partner's part as early as the agreement allows."""
+        notice = TerminationNotice(self.partner, agreement.number, now + agreement.notice_period)
+        return SignedNotice(
+            notice, self._signature(SignedKind.NOTICE, agreement.number, content_digest(notice))
+        )
+
+    def _signature(self, kind: SignedKind, number: int, digest: bytes) -> Signature:
+        return Signature(self.partner, number, digest, self.sign(signed_bytes(kind, number, digest)))
--- /dev/null
+++ b/hillchute/partners/agreements.py
@@ -0,0 +1,124 @@
+"""An agreement between partners: its terms, how it follows from offers, and the notice that ends a part.
+
+Pure. An agreement names the owner of every slot; they follow from the owners by its predecessor and from the
+shares. So a router that has this agreement alone knows as much as all others. Who signed it, and whether it
+is in force, is the ledger's (agreement_ledger.py). Times are tenths of a millisecond since the Unix epoch.
+"""
+
+from collections.abc import Iterable
+
+import msgspec
+
+from hillchute.decision.interface import Time
+from hillchute.history.slots import SLOTS
+from hillchute.partners.offers import (
+    MAX_COUNTER,
+    MAX_NAME_LENGTH,
+    MAX_PERIOD,
+    MAX_TIMESTAMP,
+    SHARE_TOTAL,
+    Offer,
+    ShareBounds,
+    fit_shares,
+    require_compatible,
+)
+from hillchute.partners.slot_allocation import NO_OWNERS, SlotOwners, allocate_slots
+
+MAX_PARTNERS = 64  # of one agreement
+
+
+class Agreement(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """The terms that hold for all partners from `starts_at` to `ends_at`, once every one of them signed.
+
+    The order of the fields is that of the wire and of what is signed.
+    """
+
+    number: int  # of several agreements in force the highest number counts
+    shares: dict[str, int]  # by partner, in parts of SHARE_TOTAL, which they add up to
+    capacities: dict[str, int]  # cores, by partner
+    starts_at: Time
+    ends_at: Time
+    grace_period: Time  # a partner whose engines are missing for longer counts with what it still contributes
+    notice_period: Time  # how long before it leaves a partner is to say so
+    owners: bytes  # for each slot an index into the partners' names in order
+    predecessor: int = 0  # the number of the agreement whose owners this one starts from
+
+    def slot_owners(self) -> SlotOwners:
+        """The partner that owns each slot."""
+        names = sorted(self.shares)
+        return tuple(names[index] for index in self.owners)
+
+
+class TerminationNotice(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A partner ends its part in an agreement at a time."""
+
+    partner: str
+    agreement_number: int
+    effective_at: Time
+
+
+def invalid_agreement_field(agreement: Agreement) -> str:
+    """The first field that no partner could honour; "" for a valid agreement."""
+    checks = (
+        ("number", 0 < agreement.number < MAX_COUNTER),
+        ("shares", _valid_shares(agreement)),
+        ("capacities", _valid_capacities(agreement)),
+        ("ends_at", 0 <= agreement.starts_at < agreement.ends_at < MAX_TIMESTAMP),
+        ("grace_period", 0 <= agreement.grace_period < MAX_PERIOD),
+        ("notice_period", 0 <= agreement.notice_period < MAX_PERIOD),
+        ("predecessor", 0 <= agreement.predecessor < agreement.number),
+        ("owners", len(agreement.owners) == SLOTS and max(agreement.owners) < len(agreement.shares)),
+    )
+    return next((field for field, valid in checks if not valid), "")
+
+
+def _valid_shares(agreement: Agreement) -> bool:
+    return (
+        0 < len(agreement.shares) <= MAX_PARTNERS
+        and all(0 < len(name) <= MAX_NAME_LENGTH for name in agreement.shares)
+        and all(share >= 0 for share in agreement.shares.values())
+        and sum(agreement.shares.values()) == SHARE_TOTAL
+    )
+
+
+def _valid_capacities(agreement: Agreement) -> bool:
+    same_partners = agreement.capacities.keys() == agreement.shares.keys()
+    return same_partners and all(cores >= 0 for cores in agreement.capacities.values())
+
+
+def derive_agreement(offers: Iterable[Offer], number: int, predecessor: Agreement | None = None) -> Agreement:
+    """The one agreement that follows from all offers and the predecessor; every router derives the same.
+
+    Each partner has its desired share, or as near to it as the others' bounds allow; slots are allocated with
+    the fewest moves; of grace and notice periods the longest counts. Raises TextNotTaken with what can't be
+    met.
+    """
+    offers = sorted(offers, key=lambda offer: offer.partner)
+    require_compatible(offers)
+    shares = fit_shares(
+        {
+            offer.partner: ShareBounds(offer.minimum_share, offer.desired_share, offer.maximum_share)
+            for offer in offers
+        }
+    )
+    current = predecessor.slot_owners() if predecessor is not None else NO_OWNERS
+    names = sorted(shares)
+    return Agreement(
+        number=number,
+        shares=shares,
+        capacities={offer.partner: offer.capacity for offer in offers},
+        starts_at=max(offer.starts_at for offer in offers),
+        ends_at=min(offer.ends_at for offer in offers),
+        grace_period=max(offer.grace_period for offer in offers),
+        notice_period=max(offer.notice_period for offer in offers),
+        owners=bytes(names.index(owner) for owner in allocate_slots(current, shares) if owner is not None),
+        predecessor=predecessor.number if predecessor is not None else 0,
+    )
+
+
+def same_terms(agreement: Agreement, other: Agreement) -> bool:
+    """Whether two agreements differ in nothing but number, predecessor and owners."""
+    renumbered = msgspec.structs.replace(
+        agreement, number=other.number, predecessor=other.predecessor, owners=other.owners
+    )
+    return renumbered == other
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -1,160 +1,114 @@
-"""What routers say to each other of agreements, and of queries that are passed on: typed values to bytes and
-back, each field bounded.
+"""Messages between partners' routers to bytes and back, each field bounded.
 
-Owns the messages, their layout and bounds. Must never do I/O, look at a clock, or believe anything: the mark
-that says which router spoke is the peers' own (peers/codec.py), the marks of partners are in the messages.
-
-Ages and ends are durations, as of when the message was made: no clock is compared with another's.
+No I/O. A receiver believes nothing that is out of its bounds: a router may send what it likes.
 """
 
-from typing import get_args
-
-import msgspec
-
 from hillchute.decision.interface import Time
 from hillchute.history.policy import TEXT
-from hillchute.partners.agreement_ledger import (
-    NAME,
-    PARTNERS,
-    TEXTS,
-    Mark,
-    Notice,
-    Offer,
-    Text,
-    unfit,
-    unfit_offer,
+from hillchute.partners.agreement_ledger import MAX_SIGNED_AGREEMENTS
+from hillchute.partners.agreements import MAX_PARTNERS, TerminationNotice, invalid_agreement_field
+from hillchute.partners.messages import (
+    ForwardAccepted,
+    ForwardCancel,
+    ForwardOutcome,
+    ForwardQuery,
+    ForwardResult,
+    ForwardResultAck,
+    Knowledge,
+    KnowledgeDigest,
+    Message,
 )
+from hillchute.partners.offers import MAX_COUNTER, MAX_NAME_LENGTH, invalid_offer_field
+from hillchute.partners.signatures import DIGEST_BYTES, SIGNATURE_BYTES, Signature
 from hillchute.peers.messages import Codec
 
-WHOLE = 1 << 62
-DAY: Time = 864_000_000
-SEAL, SIGNED = 32, 64  # bytes of a digest, and of a mark on it
-MARKS = PARTNERS * TEXTS
-NOTICES = PARTNERS * 4
-
-
-class Said(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, tag_field="type"):
-    """Any of them."""
-
-
-class Have(Said, tag=1):
-    """What the sender knows, in short."""
-
-    digest: bytes
-
-
-class Know(Said, tag=2):
-    """All that the sender knows. `back`: it wants to hear what it lacks."""
-
-    offers: tuple[tuple[Offer, Mark], ...]
-    texts: tuple[Text, ...]
-    marks: tuple[Mark, ...]
-    notices: tuple[tuple[Notice, Mark], ...]
-    two_texts: tuple[tuple[Mark, Mark], ...]
-    back: bool
-
-
-class Pass(Said, tag=3):
-    """A query for one of the owner's routers, in the life that it is for. `number` and `life` are the
-    sender's; `left`: until its client must have its answer."""
-
-    number: int
-    life: int
-    to_life: int
-    id: str
-    group: str
-    statement: bytes
-    token: str | None
-    cost: int | None
-    memory: float
-    key: str | None
-    customer: str
-    left: Time
+MAX_NUMBER = 1 << 62  # exclusive bound of numbers and incarnations: well inside 64 bits, signed
+MAX_TIME_LEFT: Time = 864_000_000  # one day
+MAX_SIGNATURES = MAX_PARTNERS * MAX_SIGNED_AGREEMENTS  # also of agreements in one message
+MAX_NOTICES = MAX_PARTNERS * 4  # few agreements are known at one time, each with one notice a partner
 
 
-class Took(Said, tag=4):
-    """It is here, and runs if it may."""
-
-    number: int
-    life: int
-
-
-class Answer(Said, tag=5):
-    """How it ended: finished with its rows, deferred or killed. It goes until Got comes."""
-
-    number: int
-    life: int
-    how: str
-    why: str
-    rows: bytes | None
-
-
-class Got(Said, tag=6):
-    number: int
-    life: int
-
-
-class Drop(Said, tag=7):
-    """Nobody waits for it any more."""
-
-    number: int
-    life: int
+def invalid_message_field(message: Message) -> str:
+    """The first field that is out of its bounds; "" for a valid message."""
+    match message:
+        case KnowledgeDigest(digest):
+            return "" if len(digest) == DIGEST_BYTES else "digest"
+        case Knowledge():
+            return _invalid_knowledge_field(message)
+        case ForwardQuery():
+            return _invalid_query_field(message) or _invalid_number(message.number, message.incarnation)
+        case ForwardResult():
+            return _invalid_result_field(message) or _invalid_number(message.number, message.incarnation)
+        case ForwardAccepted() | ForwardResultAck() | ForwardCancel():
+            return _invalid_number(message.number, message.incarnation)
+
+
+def _invalid_number(number: int, incarnation: int) -> str:
+    return "" if 0 <= number < MAX_NUMBER and 0 <= incarnation < MAX_NUMBER else "number"
+
+
+def _invalid_query_field(query: ForwardQuery) -> str:
+    if not (0 < len(query.query_id) <= TEXT and 0 < len(query.group) <= TEXT):
+        return "query_id"
+    if max(len(query.idempotency_key or ""), len(query.ordering_key or ""), len(query.customer)) > TEXT:
+        return "idempotency_key"
+    if not 0 <= (query.cost or 0) <= MAX_NUMBER or not 0 <= query.memory <= MAX_NUMBER:
+        return "cost"
+    if not 0 <= query.time_left <= MAX_TIME_LEFT:
+        return "time_left"
+    return ""
 
 
-Message = Have | Know | Pass | Took | Answer | Got | Drop
-KINDS = get_args(Message)
-HOW = ("finished", "deferred", "killed")
+def _invalid_result_field(result: ForwardResult) -> str:
+    known_outcome = isinstance(result.outcome, ForwardOutcome)
+    return "" if known_outcome and len(result.reason) <= 4 * TEXT else "outcome"
 
 
-def unfit_message(message: Message) -> str:
-    """The first field out of its bounds. Guards against a peer that may mark what it likes."""
-    match message:
-        case Have(digest):
-            return "" if len(digest) == SEAL else "digest"
-        case Know():
-            return unfit_know(message)
-        case Pass():
-            if not (0 < len(message.id) <= TEXT and 0 < len(message.group) <= TEXT):
-                return "id"
-            if max(len(message.token or ""), len(message.key or ""), len(message.customer)) > TEXT:
-                return "token"
-            if not 0 <= (message.cost or 0) <= WHOLE or not 0 <= message.memory <= WHOLE:
-                return "cost"
-            if not 0 <= message.left <= DAY:
-                return "left"
-        case Answer():
-            if message.how not in HOW or len(message.why) > 4 * TEXT:
-                return "how"
-    return "" if 0 <= message.number < WHOLE and 0 <= message.life < WHOLE else "number"
-
-
-def unfit_know(known: Know) -> str:
-    many = (known.offers, PARTNERS), (known.marks, MARKS), (known.texts, MARKS)
-    more = (known.notices, NOTICES), (known.two_texts, PARTNERS)
-    if any(len(some) > most for some, most in (*many, *more)):
+def _invalid_knowledge_field(known: Knowledge) -> str:
+    sizes = (
+        (len(known.offers), MAX_PARTNERS),
+        (len(known.agreements), MAX_SIGNATURES),
+        (len(known.signatures), MAX_SIGNATURES),
+        (len(known.notices), MAX_NOTICES),
+        (len(known.equivocations), MAX_PARTNERS),
+    )
+    if any(size > limit for size, limit in sizes):
         return "too many"
-    marks = [*known.marks, *(mark for _, mark in (*known.offers, *known.notices))]
-    marks += [mark for pair in known.two_texts for mark in pair]
-    if any(unfit_mark(mark) for mark in marks):
-        return "marks"
-    if any(unfit_offer(offer) for offer, _ in known.offers):
+    signatures = [
+        *known.signatures,
+        *(signed.signature for signed in known.offers),
+        *(signed.signature for signed in known.notices),
+        *(signature for proof in known.equivocations for signature in proof),
+    ]
+    if not all(map(_is_valid_signature, signatures)):
+        return "signatures"
+    if any(invalid_offer_field(signed.offer) for signed in known.offers):
         return "offers"
-    if any(unfit(text) for text in known.texts):
-        return "texts"
-    for notice, _ in known.notices:
-        if (
-            not 0 < len(notice.partner) <= NAME
-            or not 0 <= notice.number < WHOLE
-            or not 0 <= notice.at < WHOLE
-        ):
-            return "notices"
+    if any(invalid_agreement_field(agreement) for agreement in known.agreements):
+        return "agreements"
+    if not all(_is_valid_notice(signed.notice) for signed in known.notices):
+        return "notices"
     return ""
 
 
-def unfit_mark(mark: Mark) -> bool:
-    sizes = len(mark.digest) == SEAL and len(mark.mark) == SIGNED
-    return not (sizes and 0 < len(mark.partner) <= NAME and 0 <= mark.number < 1 << 53)
+def _is_valid_signature(signature: Signature) -> bool:
+    return (
+        len(signature.digest) == DIGEST_BYTES
+        and len(signature.value) == SIGNATURE_BYTES
+        and 0 < len(signature.partner) <= MAX_NAME_LENGTH
+        and 0 <= signature.number < MAX_COUNTER
+    )
+
+
+def _is_valid_notice(notice: TerminationNotice) -> bool:
+    return (
+        0 < len(notice.partner) <= MAX_NAME_LENGTH
+        and 0 <= notice.agreement_number < MAX_NUMBER
+        and 0 <= notice.effective_at < MAX_NUMBER
+    )
 
 
-codec = Codec("partners", Message, unfit_message)
-encode, decode, encoder = codec.encode, codec.decode, codec.encoder
+codec = Codec("partners", Message, invalid_message_field)
+encode = codec.encode
+decode = codec.decode
+encoder = codec.encoder
--- a/hillchute/partners/forwarding.py
+++ b/hillchute/partners/forwarding.py
@@ -1,190 +1,285 @@
-"""Queries that are passed on, once, to a router of the partner that owns their slot: as the one who passes on
-and as the one who takes.
+"""Queries that are forwarded, once, to a router of the partner that owns their slot: both ends of it.
 
-Owns what is out on the way, until it is answered here or its answer has arrived there. Pure: events and the
-time in, messages out. Must never run a query, ask the history, or pass on what was passed on to it.
+Pure: events and the time in, messages out. Keeps what is in flight until it is answered here, or its result
+has arrived there. Never runs a query, never asks the history, and never forwards what was forwarded to it.
 
-Whoever passes on answers its client at the latest when that is due, whatever has come. What was sent may have
-been taken, so a query without an answer has failed, unless nothing of it was ever sent. It is for one life of
-one router: a router that started anew takes nothing that was sent to the life before, and a router whose life
-is over answers nothing, so its queries fail at once. Each message goes again until the next step shows that
-it came; each is known by the sender's life and number, so a repeat starts nothing.
+The forwarding router answers its client at the latest at the deadline. What was sent may have been accepted,
+so a query without a result has failed, unless nothing of it was ever sent. A query is for one incarnation of
+one router: a restarted router accepts nothing that was sent to its previous incarnation, and an incarnation
+that is over answers nothing, so its queries fail at once. Each message is sent again until the next step
+shows that it arrived; each is identified by the sender's incarnation and number, so a repeat starts nothing.
 
-Times are whole tenths of a millisecond on a clock of one router.
+Times are tenths of a millisecond on a clock of one router.
 """
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
 
 import msgspec
 
 from hillchute.decision.interface import Time
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.history.slots import slot_of, weight
-from hillchute.partners.codec import Answer, Drop, Got, Pass, Took
+from hillchute.partners.messages import (
+    ForwardAccepted,
+    ForwardCancel,
+    ForwardingMessage,
+    ForwardOutcome,
+    ForwardQuery,
+    ForwardResult,
+    ForwardResultAck,
+)
 from hillchute.peers.messages import MOST
 
-AGAIN: Time = 1_000  # after 0.1 s without a word a message goes again: some ways there and back
-SLOWEST = 4  # doublings of that time
-KEPT: Time = 6_000_000  # so long after its end a query that was taken is known, so that a late repeat is one
-ANSWER_FOR: Time = 20_000  # after its end an answer is sent so long still: its asker has answered by then
-ROWS = MOST - 4096  # bytes of a result that pass: the message has other fields, too
+RETRANSMIT_AFTER: Time = 1_000  # 0.1 s without a response: several round trips
+MAX_DOUBLINGS = 4  # of that time, from one transmission to the next
+KEPT_AFTER_DEADLINE: Time = (
+    6_000_000  # ten minutes: so long an incoming query is known, so that a repeat is one
+)
+RESULT_RETRIES_AFTER_DEADLINE: Time = (
+    20_000  # two seconds: by then the forwarding router has answered its client
+)
+MAX_RESULT_BYTES = MOST - 4096  # of a result that is sent: the message has other fields, too
+MAX_REASON_LENGTH = 256  # characters
 
 
-class Errand(msgspec.Struct):
-    """One that this router passed on."""
+class OutgoingQuery(msgspec.Struct):
+    """A query that this router forwarded."""
 
-    message: Pass
-    to: str
-    due: Time
-    sent: Time
-    tries: int = 0
-    took: bool = False
+    message: ForwardQuery
+    target: str
+    deadline: Time
+    sent_at: Time
+    transmissions: int = 0
+    accepted: bool = False
 
 
-class Guest(msgspec.Struct):
-    """One that was passed on to this router."""
+class IncomingQuery(msgspec.Struct):
+    """A query that was forwarded to this router."""
 
     sender: str
+    number: int  # this and the incarnation are the sender's
+    incarnation: int
+    session: int
+    deadline: Time
+    result: ForwardResult | None = None  # until its arrival is acknowledged
+    sent_at: Time = 0
+    transmissions: int = 0
+    over: bool = False  # its result has arrived, or nobody waits for it
+
+
+class Completion(NamedTuple):
+    """The end of a query that this router forwarded, by its number."""
+
     number: int
-    life: int
+    outcome: ForwardOutcome
+    reason: str
+    rows: bytes | None
+
+
+class Arrival(NamedTuple):
+    """A query that was forwarded to this router and is to run, under a session of its own."""
+
     session: int
-    due: Time
-    answer: Answer | None = None
-    sent: Time = 0
-    tries: int = 0
-    over: bool = False  # its answer has arrived, or nobody wants it
+    query: ForwardQuery
+
 
+class QueryForwarder:
+    """Both ends of forwarding at one router.
+
+    The caller takes what collects in `outbox` (messages with their receivers), `completions`, `arrivals` and
+    `abandoned` (sessions whose result nobody waits for any more), and empties them.
+    """
 
-class Passing:
     def __init__(
         self,
-        me: str,
-        life: int,
-        living: Callable[[], Mapping[str, int]],
-        over: Callable[[str, int], bool],
+        router: str,
+        incarnation: int,
+        live_routers: Callable[[], Mapping[str, int]],
+        is_over: Callable[[str, int], bool],
     ) -> None:
-        """`living`: all routers that live, with their lives. `over`: whether a life of a router is known to
-        be over; one that has said farewell still answers."""
-        self.me, self.life, self.living, self.over = me, life, living, over
-        self.numbers = 0
-        self.errands: dict[int, Errand] = {}
-        self.guests: dict[tuple[str, int, int], Guest] = {}
-        self.by_session: dict[int, Guest] = {}
-        self.sessions = FIRST_GUEST
-        self.out: list[tuple[str, msgspec.Struct]] = []
-        self.ended: list[tuple[int, str, str, bytes | None]] = []  # errands: number, how, why, rows
-        self.came: list[tuple[int, Pass]] = []  # guests to be run, with their sessions
-        self.left: list[int] = []  # sessions that nobody waits for any more
+        """`live_routers`: all that are alive, with their incarnations. `is_over`: whether an incarnation of a
+        router is known to be over; one that is shutting down still answers."""
+        self.router = router
+        self.incarnation = incarnation
+        self.live_routers = live_routers
+        self.is_over = is_over
+        self.last_number = 0
+        self.last_session = FIRST_GUEST
+        self.outgoing: dict[int, OutgoingQuery] = {}
+        self.incoming: dict[tuple[str, int, int], IncomingQuery] = {}  # by sender, incarnation and number
+        self.by_session: dict[int, IncomingQuery] = {}
+        self.outbox: list[tuple[str, ForwardingMessage]] = []
+        self.completions: list[Completion] = []
+        self.arrivals: list[Arrival] = []
+        self.abandoned: list[int] = []
         self.counts: Counter[str] = Counter()
 
-    # ---- as the one who passes on ---------------------------------------------------------------------
-
-    def choose(self, routers: Iterable[str], customer: str, key: str) -> str | None:
-        """Of the owner's routers that live, the same one for all that comes of a slot: so one router leads
-        it, and keeps its homes."""
-        living, slot = self.living(), slot_of(customer, key)
-        lives = [name for name in routers if name in living and name != self.me]
-        return max(lives, key=lambda name: (weight(slot, name), name), default=None)
-
-    def send(self, now: Time, to: str, message: Pass, due: Time) -> int:
-        """Takes a query on, whose numbers and lives are filled in here; its number."""
-        self.numbers += 1
-        about = {"number": self.numbers, "life": self.life, "to_life": self.living().get(to, 0)}
-        errand = Errand(msgspec.structs.replace(message, **about), to, due, now)
-        self.errands[self.numbers] = errand
-        self.counts["passed on"] += 1
-        self.send_errand(now, errand)
-        return self.numbers
-
-    def send_errand(self, now: Time, errand: Errand) -> None:
-        errand.sent, errand.tries = now, errand.tries + 1
-        left = max(0, errand.due - now)
-        self.out.append((errand.to, msgspec.structs.replace(errand.message, left=left)))
-
-    def recall(self, number: int) -> None:
+    # ---- outgoing ------------------------------------------------------------------------------------
+
+    def choose_target(self, routers: Iterable[str], customer: str, key: str) -> str | None:
+        """Of the owner's live routers the same one for all queries of a slot."""
+        live = self.live_routers()
+        slot = slot_of(customer, key)
+        candidates = [name for name in routers if name in live and name != self.router]
+        return max(candidates, key=lambda name: (weight(slot, name), name), default=None)
+
+    def forward(self, now: Time, target: str, message: ForwardQuery, deadline: Time) -> int:
+        """Forward a query, whose number and incarnations are filled in here; returns its number."""
+        self.last_number += 1
+        numbered = msgspec.structs.replace(
+            message,
+            number=self.last_number,
+            incarnation=self.incarnation,
+            target_incarnation=self.live_routers().get(target, 0),
+        )
+        query = OutgoingQuery(numbered, target, deadline, now)
+        self.outgoing[self.last_number] = query
+        self.counts["forwarded"] += 1
+        self.transmit_query(now, query)
+        return self.last_number
+
+    def transmit_query(self, now: Time, query: OutgoingQuery) -> None:
+        """Send a query, for the first time or again, with the time that is left of it."""
+        query.sent_at = now
+        query.transmissions += 1
+        time_left = max(0, query.deadline - now)
+        self.outbox.append((query.target, msgspec.structs.replace(query.message, time_left=time_left)))
+
+    def cancel(self, number: int) -> None:
         """The client has left."""
-        errand = self.errands.pop(number, None)
-        if errand is not None:
-            self.out.append((errand.to, Drop(number, self.life)))
-
-    def end(self, number: int, how: str, why: str, rows: bytes | None = None) -> None:
-        del self.errands[number]
-        self.ended.append((number, how, why, rows))
-
-    # ---- as the one who takes -------------------------------------------------------------------------
-
-    def take(self, now: Time, sender: str, message: Pass) -> None:
-        if message.to_life != self.life:
-            return  # to a life of this router that is over: what it did is not known here
-        name = sender, message.life, message.number
-        guest = self.guests.get(name)
-        if guest is None:
-            self.sessions += 1
-            due = now + message.left
-            guest = Guest(sender, message.number, message.life, self.sessions, due)
-            self.guests[name] = self.by_session[guest.session] = guest
-            self.came.append((guest.session, message))
-            self.counts["taken"] += 1
-        if guest.answer is None and not guest.over:
-            self.out.append((sender, Took(message.number, message.life)))
-
-    def answered(self, now: Time, session: int, how: str, why: str, rows: bytes | None = None) -> None:
-        """The one final answer of a query that was taken."""
-        guest = self.by_session.get(session)
-        if guest is None or guest.answer is not None or guest.over:
+        query = self.outgoing.pop(number, None)
+        if query is not None:
+            self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
+
+    def complete(self, number: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None) -> None:
+        """End a query that this router forwarded."""
+        del self.outgoing[number]
+        self.completions.append(Completion(number, outcome, reason, rows))
+
+    # ---- incoming ------------------------------------------------------------------------------------
+
+    def accept(self, now: Time, sender: str, message: ForwardQuery) -> None:
+        """Take a query that was forwarded to this incarnation, once, and confirm it each time it comes."""
+        if message.target_incarnation != self.incarnation:
+            return  # what the previous incarnation did with it is not known here
+        name = (sender, message.incarnation, message.number)
+        query = self.incoming.get(name)
+        if query is None:
+            self.last_session += 1
+            query = IncomingQuery(
+                sender=sender,
+                number=message.number,
+                incarnation=message.incarnation,
+                session=self.last_session,
+                deadline=now + message.time_left,
+            )
+            self.incoming[name] = query
+            self.by_session[query.session] = query
+            self.arrivals.append(Arrival(query.session, message))
+            self.counts["accepted"] += 1
+        if query.result is None and not query.over:
+            self.outbox.append((sender, ForwardAccepted(message.number, message.incarnation)))
+
+    def answer(
+        self, now: Time, session: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None
+    ) -> None:
+        """The one final answer of a query that was forwarded to this router; any further one is ignored."""
+        query = self.by_session.get(session)
+        if query is None or query.result is not None or query.over:
             return
-        if rows is not None and len(rows) > ROWS:
-            how, why, rows = "killed", f"its result has {len(rows)} bytes, {ROWS} can be passed on", None
-        guest.answer = Answer(guest.number, guest.life, how, why[:256], rows)
-        self.send_answer(now, guest)
+        if rows is not None and len(rows) > MAX_RESULT_BYTES:
+            outcome = ForwardOutcome.FAILED
+            reason = f"its result has {len(rows)} bytes, {MAX_RESULT_BYTES} can be passed on"
+            rows = None
+        query.result = ForwardResult(
+            query.number, query.incarnation, outcome, reason[:MAX_REASON_LENGTH], rows
+        )
+        self.transmit_result(now, query, query.result)
 
-    def send_answer(self, now: Time, guest: Guest) -> None:
-        guest.sent, guest.tries = now, guest.tries + 1
-        self.out.append((guest.sender, guest.answer))
+    def transmit_result(self, now: Time, query: IncomingQuery, result: ForwardResult) -> None:
+        """Send a result, for the first time or again."""
+        query.sent_at = now
+        query.transmissions += 1
+        self.outbox.append((query.sender, result))
 
     @property
-    def owes(self) -> bool:
-        """Whether an answer is on its way, of which nobody has said that it came."""
-        return any(guest.answer is not None for guest in self.guests.values())
+    def has_unacknowledged_results(self) -> bool:
+        """Whether a result is on its way that may not have arrived."""
+        return any(query.result is not None for query in self.incoming.values())
 
-    # ---- in and out -----------------------------------------------------------------------------------
+    # ---- messages and time ---------------------------------------------------------------------------
 
-    def receive(self, now: Time, sender: str, message: msgspec.Struct) -> None:
-        if isinstance(message, Pass):
-            self.take(now, sender, message)
-            return
-        mine = self.errands.get(message.number) if message.life == self.life else None
-        theirs = self.guests.get((sender, message.life, message.number))
+    def receive(self, now: Time, sender: str, message: ForwardingMessage) -> None:
+        """Handle a message of another router."""
         match message:
-            case Took() if mine is not None and mine.to == sender:
-                mine.took = True
-            case Answer(number, life, how, why, rows):
-                if life == self.life:
-                    self.out.append((sender, Got(number, life)))
-                if mine is not None and mine.to == sender:
-                    self.end(number, how, why, rows)
-            case Got() if theirs is not None and theirs.answer is not None:
-                theirs.over, theirs.answer = True, None
-            case Drop() if theirs is not None and not theirs.over:
-                theirs.over = True
-                if theirs.answer is None:
-                    self.left.append(theirs.session)
+            case ForwardQuery():
+                self.accept(now, sender, message)
+            case ForwardAccepted():
+                query = self._outgoing_to(sender, message.number, message.incarnation)
+                if query is not None:
+                    query.accepted = True
+            case ForwardResult():
+                self._receive_result(sender, message)
+            case ForwardResultAck():
+                incoming = self.incoming.get((sender, message.incarnation, message.number))
+                if incoming is not None and incoming.result is not None:
+                    self._close_incoming(incoming)
+            case ForwardCancel():
+                self._receive_cancel(sender, message)
+
+    def _outgoing_to(self, target: str, number: int, incarnation: int) -> OutgoingQuery | None:
+        query = self.outgoing.get(number) if incarnation == self.incarnation else None
+        return query if query is not None and query.target == target else None
+
+    def _receive_result(self, sender: str, message: ForwardResult) -> None:
+        if message.incarnation == self.incarnation:
+            self.outbox.append((sender, ForwardResultAck(message.number, message.incarnation)))
+        if self._outgoing_to(sender, message.number, message.incarnation) is not None:
+            self.complete(message.number, message.outcome, message.reason, message.rows)
+
+    def _receive_cancel(self, sender: str, message: ForwardCancel) -> None:
+        query = self.incoming.get((sender, message.incarnation, message.number))
+        if query is None or query.over:
+            return
+        query.over = True
+        if query.result is None:
+            self.abandoned.append(query.session)
+
+    @staticmethod
+    def _close_incoming(query: IncomingQuery) -> None:
+        query.over = True
+        query.result = None
 
     def tick(self, now: Time) -> None:
-        for number, errand in list(self.errands.items()):
-            if self.over(errand.to, errand.message.to_life):
-                self.end(number, "killed", "its owner's router is gone; it may have run")
-            elif now >= errand.due:
-                self.out.append((errand.to, Drop(number, self.life)))
-                self.end(number, "killed", "no answer from its owner's router; it may have run")
-            elif now - errand.sent >= AGAIN << (SLOWEST if errand.took else min(errand.tries, SLOWEST)):
-                # Where it was taken, too, but seldom: Took may be of a message before the last.
-                self.send_errand(now, errand)
-        for name, guest in list(self.guests.items()):
-            if now - guest.due > KEPT:
-                del self.guests[name], self.by_session[guest.session]
-            elif guest.answer is not None and now - guest.due > ANSWER_FOR:
-                guest.over, guest.answer = True, None
-            elif guest.answer is not None and now - guest.sent >= AGAIN << min(guest.tries, SLOWEST):
-                self.send_answer(now, guest)
+        """Send again what was not confirmed, and end what is past its time."""
+        for number, query in list(self.outgoing.items()):
+            self._tick_outgoing(now, number, query)
+        for name, incoming in list(self.incoming.items()):
+            self._tick_incoming(now, name, incoming)
+
+    def _tick_outgoing(self, now: Time, number: int, query: OutgoingQuery) -> None:
+        if self.is_over(query.target, query.message.target_incarnation):
+            self.complete(number, ForwardOutcome.FAILED, "its owner's router is gone; it may have run")
+            return
+        if now >= query.deadline:
+            self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
+            self.complete(number, ForwardOutcome.FAILED, "no answer from its owner's router; it may have run")
+            return
+        # An accepted query is sent again, too, but seldom: that may have confirmed an earlier transmission.
+        doublings = MAX_DOUBLINGS if query.accepted else min(query.transmissions, MAX_DOUBLINGS)
+        if now - query.sent_at >= RETRANSMIT_AFTER << doublings:
+            self.transmit_query(now, query)
+
+    def _tick_incoming(self, now: Time, name: tuple[str, int, int], query: IncomingQuery) -> None:
+        if now - query.deadline > KEPT_AFTER_DEADLINE:
+            del self.incoming[name]
+            del self.by_session[query.session]
+            return
+        if query.result is None:
+            return
+        if now - query.deadline > RESULT_RETRIES_AFTER_DEADLINE:
+            self._close_incoming(query)
+        elif now - query.sent_at >= RETRANSMIT_AFTER << min(query.transmissions, MAX_DOUBLINGS):
+            self.transmit_result(now, query, query.result)
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -1,294 +1,255 @@
-"""One router's part in what partners agree on: who knows what is told on, who must mark marks, and from it
-follows which text holds and whose each slot is.
+"""The agreement protocol at one router: exchange of what is known, offers, proposals and signatures.
 
-Owns what this router knows (a ledger), its partner's hand if it has it, and the text that it goes by. Pure:
-messages and the time in, messages out. Must never move a title (the slots' holders do), or mark what its
-partner did not offer.
+Pure: messages and the time in, messages out. Signs only what its partner offered (agreement_signer.py). Which
+agreement is followed, and who owns each slot by it, is slot_ownership.py's.
 
-All that is known is a set that only grows, made one by those that meet: so no order, loss or repeat matters.
-Each beat one other is told a digest of it; who has another digest answers with all.
-
-That routers hear of a new text at different times is settled by the calls of the history's views: the router
-that calls names the text that holds, by its own clock, and its view comes into force only with those that do
-not go by a later one. A router goes by the highest text that a call named and that it has; it never goes
-back. Each text's end, and the end of a notice, is by each router's own clock: from then on nothing is granted
-by it, and whoever is wrong in its clock is wrong by as much.
+All that is known is a set that only grows, merged whenever two routers exchange it: so no order, loss or
+repeat matters. At each interval one other router is sent a digest of it; who has another digest answers with
+all it knows.
 """
 
 from collections import Counter
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from zlib import crc32
 
 import msgspec
 
 from hillchute.decision.interface import Time
 from hillchute.errors import TextNotTaken
-from hillchute.history.slots import SLOTS
-from hillchute.history.titles import Title
-from hillchute.history.verdict import Verdict
-from hillchute.partners import handover
-from hillchute.partners.agreement_ledger import Check, Ledger, Marker, Offer, Text, digest, settle
-from hillchute.partners.codec import MARKS, Have, Know
-from hillchute.partners.slot_allocation import SlotOwners, allocate_slots
+from hillchute.partners.agreement_ledger import AgreementLedger
+from hillchute.partners.agreement_signer import AgreementSigner
+from hillchute.partners.agreements import Agreement, derive_agreement, same_terms
+from hillchute.partners.codec import MAX_SIGNATURES
+from hillchute.partners.messages import AgreementMessage, Knowledge, KnowledgeDigest
+from hillchute.partners.offers import Offer
+from hillchute.partners.signatures import Verify, tagged_digest
+from hillchute.partners.slot_ownership import SlotOwnership
+
+EXCHANGE_INTERVAL: Time = 10_000  # one second: a new agreement reaches 24 routers in some five intervals
+EAGER_TARGETS = 3  # routers that are sent the digest at once when anything changed here
+KNOWLEDGE_TAG = b"Know"  # under which all that is known is digested: the same in every version
+
 
-BEAT: Time = 10_000  # between two tellings: a new text has gone round 24 routers in some five of them
-AT_ONCE = 3  # others that are told at once of what began here
+class AgreementProtocol:
+    """One router's part in the negotiation between partners.
 
+    The caller sends what collects in `outbox` (messages with their receivers) and empties it.
+    """
 
-class Council:
     def __init__(
         self,
-        me: str,
+        router: str,
         partner: str,
         partners: Mapping[str, Iterable[str]],
-        check: Check,
+        verify: Verify,
         seed: int,
         now: Time,
-        marker: Marker | None = None,
+        signer: AgreementSigner | None = None,
     ) -> None:
-        """`partners`: the routers of each. `marker`: this router has its partner's key."""
-        self.me, self.partner, self.seed, self.marker = me, partner, seed, marker
-        self.ledger = Ledger(partners, check)
-        self.name_partners(partners)
-        self.own: Offer | None = None  # as the operator file has it
-        self.out: list[tuple[str, Have | Know]] = []
-        self.refused: dict[int, TextNotTaken] = {}  # texts that this partner does not mark, by number
-        self.number = 0  # of the text that this router goes by
-        self.named_last = 0  # as the last call has it
-        self.revision = 1
-        self.beat_at, self.drawn = now, 0
-        self.digest = b""
-        self.capacities: dict[str, int] = {}  # cores of each partner that are there, if that is known
-        self.short: dict[str, Time] = {}  # since when a partner brings less than it agreed to
-        self.owners: SlotOwners = (None,) * SLOTS
-        self.due: tuple = ()  # what the owners were worked out from
+        """`partners`: the routers of each. `signer`: only at the router that has its partner's key."""
+        self.router = router
+        self.partner = partner
+        self.seed = seed
+        self.signer = signer
         self.counts: Counter[str] = Counter()
-
-    def name_partners(self, partners: Mapping[str, Iterable[str]]) -> None:
-        self.routers = {name: frozenset(routers) for name, routers in partners.items()}
+        self.ledger = AgreementLedger(partners, verify)
+        self._set_routers(partners)
+        self.ownership = SlotOwnership(self.ledger, self.partner_of, self.counts)
+        self.own_offer: Offer | None = None  # as the operator file has it
+        self.outbox: list[tuple[str, AgreementMessage]] = []
+        self.proposal_error: TextNotTaken | None = None  # why no agreement follows from the offers
+        self.signing_errors: dict[int, TextNotTaken] = {}  # by number: agreements that are not signed here
+        self.last_exchange_at = now
+        self.draws = 0  # of targets so far
+        self.last_digest = b""
+
+    def _set_routers(self, partners: Mapping[str, Iterable[str]]) -> None:
+        self.routers = {partner: frozenset(routers) for partner, routers in partners.items()}
         self.partner_of = {router: name for name, routers in self.routers.items() for router in routers}
 
-    def named_anew(self, partners: Mapping[str, Iterable[str]], check: Check) -> None:
-        """The operator names other partners."""
-        self.name_partners(partners)
-        self.ledger.named(partners, check)
-        self.revision += 1
+    def set_partners(self, partners: Mapping[str, Iterable[str]], verify: Verify) -> None:
+        """The operator names other partners, or other routers of them."""
+        self._set_routers(partners)
+        self.ledger.set_partners(partners, verify)
+        self.ownership.set_partner_of(self.partner_of)
 
-    # ---- what goes round ----------------------------------------------------------------------------
+    # ---- what the operator decides -----------------------------------------------------------------
 
-    def offer(self, now: Time, offer: Offer) -> None:
-        """This router's partner offers something; one of a lower turn than is known is none."""
+    def make_offer(self, now: Time, offer: Offer) -> None:
+        """This router's partner makes an offer. Raises TextNotTaken unless its revision is a new one."""
+        if self.signer is None:
+            raise TextNotTaken("this router has no key to sign with", "partners.offer")
         known = self.ledger.offers.get(offer.partner)
-        if known is not None and offer != known[0] and offer.turn <= known[0].turn:
-            raise TextNotTaken(f"turn {offer.turn}; {known[0].turn} is known already", "partners.offer.turn")
-        self.own = offer
-        self.ledger.hear_offer(offer, self.marker.offer(offer))
-        self.look(now)
-
-    def leave(self, now: Time) -> None:
-        """This router's partner gives notice to the text that holds."""
-        text = self.text()
-        if text is not None and (text.number, self.partner) not in self.ledger.notices:
-            self.ledger.hear_notice(*self.marker.leave(text, now))
-            self.look(now)
-
-    def heard(self, now: Time, sender: str, message: Have | Know) -> None:
+        if known is not None and offer != known.offer and offer.revision <= known.offer.revision:
+            raise TextNotTaken(
+                f"turn {offer.revision}; {known.offer.revision} is known already", "partners.offer.turn"
+            )
+        self.own_offer = offer
+        self.ledger.record_offer(*self.signer.sign_offer(offer))
+        self.update(now)
+
+    def give_notice(self, now: Time) -> None:
+        """This router's partner gives notice to the agreement that is followed; once is enough."""
+        agreement = self.ownership.agreement()
+        if agreement is None or self.signer is None:
+            return
+        if (agreement.number, self.partner) not in self.ledger.notices:
+            self.ledger.record_notice(*self.signer.give_notice(agreement, now))
+            self.update(now)
+
+    # ---- exchange of what is known -----------------------------------------------------------------
+
+    def receive(self, now: Time, sender: str, message: AgreementMessage) -> None:
+        """Handle a message of another router."""
         match message:
-            case Have(digest):
+            case KnowledgeDigest(digest):
                 if digest != self.state_digest():
-                    self.out.append((sender, self.all(back=True)))
-            case Know():
-                self.take_in(message)
-                if message.back and self.state_digest() != self.digest_of(message):
-                    self.out.append((sender, self.all(back=False)))
-                self.look(now)
-
-    def take_in(self, known: Know) -> None:
+                    self.outbox.append((sender, self.knowledge(reply_wanted=True)))
+            case Knowledge():
+                self._merge(message)
+                if message.reply_wanted and self.state_digest() != _digest_of(message):
+                    self.outbox.append((sender, self.knowledge(reply_wanted=False)))
+                self.update(now)
+
+    def _merge(self, known: Knowledge) -> None:
         ledger = self.ledger
-        for offer, mark in known.offers:
-            self.counts["not believed"] += not ledger.hear_offer(offer, mark)
-        for mark in known.marks:
-            self.counts["not believed"] += not ledger.hear_mark(mark)
-        for text in known.texts:
-            self.counts["not believed"] += not ledger.hear(text)
-        for notice, mark in known.notices:
-            self.counts["not believed"] += not ledger.hear_notice(notice, mark)
-        for one, other in known.two_texts:
-            self.counts["not believed"] += not ledger.hear_two(one, other)
-
-    def all(self, back: bool) -> Know:
+        genuine = [
+            *(ledger.record_offer(offer, signature) for offer, signature in known.offers),
+            *(ledger.record_signature(signature) for signature in known.signatures),
+            *(ledger.record_agreement(agreement) for agreement in known.agreements),
+            *(ledger.record_notice(notice, signature) for notice, signature in known.notices),
+            *(ledger.record_equivocation(first, second) for first, second in known.equivocations),
+        ]
+        self.counts["entries_rejected"] += genuine.count(False)
+
+    def knowledge(self, *, reply_wanted: bool) -> Knowledge:
         """All that this router knows, in one order."""
         ledger = self.ledger
-        marks = [mark for marks in ledger.marks.values() for mark in marks.values()]
-        marks.sort(key=lambda mark: (mark.number, mark.partner, mark.digest), reverse=True)
-        return Know(
-            tuple(ledger.offers[name] for name in sorted(ledger.offers)),
-            tuple(ledger.texts[sealed] for sealed in sorted(ledger.texts) if sealed in ledger.marks),
-            tuple(marks[:MARKS]),
-            tuple(ledger.notices[key] for key in sorted(ledger.notices)),
-            tuple(ledger.two_texts[name] for name in sorted(ledger.two_texts)),
-            back,
+        signatures = [each for signed in ledger.signatures.values() for each in signed.values()]
+        signatures.sort(key=lambda each: (each.number, each.partner, each.digest), reverse=True)
+        return Knowledge(
+            offers=tuple(ledger.offers[partner] for partner in sorted(ledger.offers)),
+            agreements=tuple(
+                ledger.agreements[digest]
+                for digest in sorted(ledger.agreements)
+                if digest in ledger.signatures
+            ),
+            signatures=tuple(signatures[:MAX_SIGNATURES]),
+            notices=tuple(ledger.notices[key] for key in sorted(ledger.notices)),
+            equivocations=tuple(ledger.equivocations[partner] for partner in sorted(ledger.equivocations)),
+            reply_wanted=reply_wanted,
         )
 
-    @staticmethod
-    def digest_of(known: Know) -> bytes:
-        return digest(msgspec.structs.replace(known, back=False))
-
     def state_digest(self) -> bytes:
-        return self.digest_of(self.all(back=False))
+        """The digest of all that this router knows."""
+        return _digest_of(self.knowledge(reply_wanted=False))
 
-    def tick(self, now: Time, living: Iterable[str]) -> None:
-        living = sorted(set(living) & self.partner_of.keys() - {self.me})
+    def tick(self, now: Time, live_routers: Iterable[str]) -> None:
+        """Send the digest when its time has come, or at once when anything changed."""
+        others = sorted(set(live_routers) & self.partner_of.keys() - {self.router})
         digest = self.state_digest()
-        news, self.digest = digest != self.digest, digest
-        if living and (news or now - self.beat_at >= BEAT):
-            self.beat_at = now
-            for name in self.some(living, AT_ONCE if news else 1):
-                self.out.append((name, Have(digest)))
-        if news:
-            self.look(now)
-        self.due_slots(now)
-
-    def some(self, names: list[str], many: int) -> list[str]:
-        self.drawn += 1
-        return sorted(names, key=lambda n: crc32(f"{self.seed}:{self.drawn}:{n}".encode()))[:many]
-
-    # ---- this partner's hand --------------------------------------------------------------------------
-
-    def look(self, now: Time) -> None:
-        """After anything new: what is to be marked is marked; what follows for the slots is worked out."""
-        if self.marker is not None:
-            self.propose(now)
-            self.mark()
-        self.due_slots(now)
+        changed = digest != self.last_digest
+        self.last_digest = digest
+        if others and (changed or now - self.last_exchange_at >= EXCHANGE_INTERVAL):
+            self.last_exchange_at = now
+            for name in self._draw_targets(others, EAGER_TARGETS if changed else 1):
+                self.outbox.append((name, KnowledgeDigest(digest)))
+        if changed:
+            self.update(now)
+        self.ownership.update_owners(now)
+
+    def _draw_targets(self, routers: list[str], count: int) -> list[str]:
+        """Some of the routers, others each time, the same for one seed."""
+        self.draws += 1
+        return sorted(routers, key=lambda name: crc32(f"{self.seed}:{self.draws}:{name}".encode()))[:count]
+
+    # ---- proposals and signatures ------------------------------------------------------------------
+
+    def update(self, now: Time) -> None:
+        """After anything new: propose and sign what is due, and derive the slots' owners."""
+        if self.signer is not None:
+            self._propose(now, self.signer)
+            self._sign_pending(self.signer)
+        self.ownership.update_owners(now)
 
     def offers(self) -> list[Offer]:
+        """The latest offer of each partner that has made any."""
         return [offer for offer, _ in self.ledger.offers.values()]
 
-    def propose(self, now: Time) -> None:
-        """The first partner by name writes the text that follows from all offers, if it says anything new."""
-        offers, last = self.offers(), self.ledger.last()
-        if {offer.partner for offer in offers} != self.ledger.partners or min(
-            self.ledger.partners
-        ) != self.partner:
+    def _propose(self, now: Time, signer: AgreementSigner) -> None:
+        """The first partner by name proposes what follows from all offers, if its terms are new."""
+        offers = self.offers()
+        ledger = self.ledger
+        all_offered = {offer.partner for offer in offers} == ledger.partners
+        if not all_offered or min(ledger.partners) != self.partner:
             return
-        known = [mark.number for marks in self.ledger.marks.values() for mark in marks.values()]
-        number = 1 + max([*known, *self.marker.marked, last.number if last is not None else 0])
+        latest = ledger.latest()
         try:
-            text = settle(offers, number, last)
-        except TextNotTaken as fault:
-            self.refused[0] = fault
+            proposal = derive_agreement(offers, self._next_number(signer), latest)
+        except TextNotTaken as error:
+            self.proposal_error = error
             return
-        self.refused.pop(0, None)
-        waits = (self.ledger.texts.get(sealed) for sealed in self.marker.marked.values())
-        standing = [known for known in (last, *waits) if known is not None]
-        if text.ends <= now or any(like(text, known, last) for known in standing):
+        self.proposal_error = None
+        signed = (ledger.agreements.get(digest) for digest in signer.signed.values())
+        standing = [known for known in (latest, *signed) if known is not None]
+        if proposal.ends_at <= now or any(_is_stated_by(proposal, known, latest) for known in standing):
             return
-        self.ledger.hear(text)
-
-    def mark(self) -> None:
-        """Marks a text that is exactly what follows from all offers that are known here."""
-        last, ledger, refused = self.ledger.last(), self.ledger, {}
-        # Guards against an old file of marks: what others have of our own hand is marked, too.
-        mine = (marks[self.partner] for marks in ledger.marks.values() if self.partner in marks)
-        for mark in mine:
-            self.marker.marked.setdefault(mark.number, mark.digest)
-        for sealed, text in sorted(ledger.texts.items(), key=lambda item: item[1].number):
-            done = self.partner in ledger.marks.get(sealed, {})
-            if done or self.own is None or (last is not None and text.number <= last.number):
+        ledger.record_agreement(proposal)
+
+    def _next_number(self, signer: AgreementSigner) -> int:
+        """One more than the number of anything that is known to be signed or accepted."""
+        latest = self.ledger.latest()
+        numbers = [each.number for signed in self.ledger.signatures.values() for each in signed.values()]
+        return 1 + max([*numbers, *signer.signed, latest.number if latest is not None else 0])
+
+    def _sign_pending(self, signer: AgreementSigner) -> None:
+        """Sign each agreement that is exactly what follows from the offers known here."""
+        ledger = self.ledger
+        latest_number = self._latest_number()
+        self._adopt_own_signatures(signer)
+        self.signing_errors = {}
+        if self.own_offer is None:
+            return
+        for digest, agreement in sorted(ledger.agreements.items(), key=lambda item: item[1].number):
+            if self.partner in ledger.signatures.get(digest, {}) or agreement.number <= latest_number:
                 continue
             try:
-                before = ledger.complete.get(text.before)
-                if text.before < (last.number if last is not None else 0) or (text.before and before is None):
-                    raise TextNotTaken(
-                        f"text {text.number} goes on from {text.before}, not the last known here"
-                    )
-                if text != settle(self.offers(), text.number, before):
-                    raise TextNotTaken(f"text {text.number} is not what follows from the offers known here")
-                mark = self.marker.mark(text, self.own)
-            except TextNotTaken as fault:
-                refused[text.number] = fault
+                self._require_derived(agreement, latest_number)
+                signature = signer.sign_agreement(agreement, self.own_offer)
+            except TextNotTaken as error:
+                self.signing_errors[agreement.number] = error
             else:
-                ledger.hear_mark(mark)
-        self.refused = {n: fault for n, fault in self.refused.items() if n == 0} | refused
-
-    # ---- which text holds, and whose each slot is: what the slots' holders ask --------------------------
-
-    def text(self) -> Text | None:
-        return self.ledger.accepted.get(self.number)
-
-    def named(self, now: Time) -> int:
-        begun = [number for number, text in self.ledger.accepted.items() if text.begins <= now]
-        return max([self.number, *begun])
-
-    def held(self) -> int:
-        return self.number
-
-    def told(self, now: Time, number: int) -> None:
-        """Guards against a caller that names what nobody has: there is nothing to go by then, and the next
-        sane call mends it."""
-        self.named_last = number
-        if number > self.number and number in self.ledger.accepted:
-            self.number = number
-            self.ledger.prune(number)
-            self.counts["texts"] += 1
-        self.due_slots(now)
-
-    def current(self) -> bool:
-        """Whether this router has what the last call named."""
-        return self.number >= self.named_last
-
-    def holds(self, now: Time) -> bool:
-        text = self.text()
-        return text is not None and now < text.ends
-
-    def follows(self, now: Time, slot: int, title: Title | None) -> Title | None:
-        wanted = self.owners[slot] if self.current() and self.holds(now) else None
-        return handover.next_title(title, wanted or "", now)
-
-    def leads(
-        self, now: Time, router: str, title: Title | None, others_out: Callable[[], bool]
-    ) -> tuple[Verdict, str] | None:
-        return handover.lead_refusal(title, self.partner_of.get(router, ""), self.holds(now), others_out)
-
-    def brings(self, now: Time, capacities: Mapping[str, int]) -> None:
-        """Cores of each partner that are listed as ready now."""
-        self.capacities = dict(capacities)
-        self.due_slots(now)
-
-    def counted(self, now: Time) -> dict[str, int]:
-        """Shares as they count: of one that is gone none, of one whose engines are gone for longer than the
-        text bears as much less. In parts of which only the proportions matter."""
-        text = self.text()
-        if text is None:
-            return {}
-        gone, counted = self.ledger.gone(text, now), {}
-        for name, share in text.shares.items():
-            agreed, there = text.capacities[name], self.capacities.get(name)
-            whole = there is None or there >= agreed
-            if whole:
-                self.short.pop(name, None)
-            elif now - self.short.setdefault(name, now) > text.grace:
-                share = share * there // agreed
-            counted[name] = 0 if name in gone else share
-        return counted
-
-    def due_slots(self, now: Time) -> None:
-        text, shares = self.text(), self.counted(now)
-        due = (self.number, self.current(), tuple(sorted(shares.items())))
-        if due == self.due:
-            return
-        self.due = due
-        self.revision += 1
-        if text is None or not sum(shares.values()):
-            self.owners = (None,) * SLOTS
-            return
-        agreed = text.owner_names()
-        self.owners = agreed if shares == text.shares else allocate_slots(agreed, shares)
-
-
-def like(text: Text, known: Text, last: Text | None) -> bool:
-    """Whether a text that is marked, or on its way to be, says the same already."""
-    same = msgspec.structs.replace(text, number=known.number, before=known.before, owners=known.owners)
-    on_its_way = last is None or known.number > last.number
-    return same == known and (not on_its_way or known.before == text.before)
+                ledger.record_signature(signature)
+
+    def _latest_number(self) -> int:
+        latest = self.ledger.latest()
+        return latest.number if latest is not None else 0
+
+    def _adopt_own_signatures(self, signer: AgreementSigner) -> None:
+        """Take over what others have of this partner's signatures, in case its journal is an old copy."""
+        for signed in self.ledger.signatures.values():
+            if self.partner in signed:
+                signature = signed[self.partner]
+                signer.signed.setdefault(signature.number, signature.digest)
+
+    def _require_derived(self, agreement: Agreement, latest_number: int) -> None:
+        """Raise TextNotTaken unless the agreement follows from the offers and the predecessor known here."""
+        number = agreement.number
+        predecessor = self.ledger.fully_signed.get(agreement.predecessor)
+        unknown = agreement.predecessor != 0 and predecessor is None
+        if agreement.predecessor < latest_number or unknown:
+            raise TextNotTaken(
+                f"agreement {number} goes on from {agreement.predecessor}, not the last known here"
+            )
+        if agreement != derive_agreement(self.offers(), number, predecessor):
+            raise TextNotTaken(f"agreement {number} is not what follows from the offers known here")
+
+
+def _digest_of(known: Knowledge) -> bytes:
+    return tagged_digest(KNOWLEDGE_TAG, msgspec.structs.replace(known, reply_wanted=False))
+
+
+def _is_stated_by(proposal: Agreement, known: Agreement, latest: Agreement | None) -> bool:
+    """Whether an agreement that is accepted, or on its way to be, states the proposal's terms already."""
+    pending = latest is None or known.number > latest.number
+    return same_terms(proposal, known) and (not pending or known.predecessor == proposal.predecessor)
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -18,13 +18,15 @@
 from hillchute.history.policy import MS
 from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
-from hillchute.partners.agreement_ledger import Marker, Offer
+from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
-from hillchute.partners.codec import Have, Know, Message, Pass, codec
-from hillchute.partners.forwarding import Passing
-from hillchute.partners.negotiation import Council
+from hillchute.partners.codec import codec
+from hillchute.partners.forwarding import QueryForwarder
+from hillchute.partners.messages import AgreementMessage, ForwardOutcome, ForwardQuery, Message
+from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.offers import Offer
 from hillchute.partners.signature_journal import SignatureJournal, read_private_key
-from hillchute.partners.signatures import checker, signer
+from hillchute.partners.signatures import Equivocation, ed25519_signer, ed25519_verifier
 from hillchute.peers.node import PARTNERS, Node
 from hillchute.peers.roster import DEAD
 from hillchute.router.reducer import place
@@ -32,7 +34,11 @@
 from hillchute.statements.request import Request
 
 GROWS_AFTER: Time = int(LEASE * (1 + 2 * DRIFT)) + LENT  # by then all that have less by a new text use less
-VERDICTS = {"finished": "ANSWER", "deferred": "DEFER", "killed": "KILL"}
+VERDICTS = {
+    ForwardOutcome.SERVED: "ANSWER",
+    ForwardOutcome.REJECTED: "DEFER",
+    ForwardOutcome.FAILED: "KILL",
+}
 
 
 class Partnering(Riding):
@@ -58,8 +64,8 @@
         self.file: SignatureJournal | None = None
         now = clock()
         about = settings["own"], routers_of(settings), checks_of(settings), seed, now
-        self.council = Council(node.me, *about, self.hand())
-        self.passing = Passing(node.me, node.born, node.lives, self.over)
+        self.council = AgreementProtocol(node.me, *about, self.hand())
+        self.passing = QueryForwarder(node.me, node.born, node.lives, self.over)
         self.errands: dict[tuple[str, int], int] = {}  # the passing's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
         self.views: Keeper | None = None  # whose views say which text holds
@@ -68,7 +74,7 @@
         self.homes: tuple[int, dict[str, int]] = (0, {})  # as of the council's revision
         self.say_offer()
 
-    def hand(self) -> Marker | None:
+    def hand(self) -> AgreementSigner | None:
         """What marks for the own partner, on the one router that does."""
         if "key_file" not in self.settings:
             return None
@@ -77,21 +83,18 @@
         except MarksNotKept as fault:
             self.log.write("partners", **fault.told)
             return None
-        sign = signer(read_private_key(self.settings["key_file"]))
-        return Marker(self.settings["own"], sign, self.file.save, self.file.signed)
+        sign = ed25519_signer(read_private_key(self.settings["key_file"]))
+        return AgreementSigner(self.settings["own"], sign, self.file.save, self.file.signed)
 
     def say_offer(self) -> None:
-        if self.council.marker is None:
+        if self.council.signer is None:
             return
-        said = dict(self.settings["offer"])
-        for name in ("begins", "ends", "grace", "notice"):
-            said[name] = said.pop(f"{name}_ms") * MS
         try:
-            self.council.offer(self.clock(), Offer(partner=self.settings["own"], **said))
+            self.council.make_offer(self.clock(), offer_of(self.settings))
         except TextNotTaken as fault:
             self.log.write("partners", **fault.told)
         if self.settings["leave"]:
-            self.council.leave(self.clock())
+            self.council.give_notice(self.clock())
 
     def over(self, name: str, life: int) -> bool:
         peer, window = self.node.roster.peers.get(name), self.node.windows.get(name)
@@ -103,14 +106,14 @@
 
     def pass_on(self, id: str, number: int, owner: str, request: Request, left: Time) -> None:
         customer, key, _ = place(request)
-        to = self.passing.choose(self.council.routers.get(owner, ()), customer, key)
+        to = self.passing.choose_target(self.council.routers.get(owner, ()), customer, key)
         if to is None:
             self.judged(id, number, "DEFER", "no router of its slot's owner is known to live", None)
             return
         about = (request.id, request.group, request.statement, request.token, request.cost, request.memory)
-        message = Pass(0, 0, 0, *about, request.key, request.customer, left)
+        message = ForwardQuery(0, 0, 0, *about, request.key, request.customer, left)
         now = self.clock()
-        mine = self.passing.send(now, to, message, now + left)
+        mine = self.passing.forward(now, to, message, now + left)
         self.errands[id, number], self.queries[mine] = mine, (id, number)
         self.soon()
 
@@ -118,14 +121,14 @@
         mine = self.errands.pop((id, number), None)
         if mine is not None:
             self.queries.pop(mine, None)
-            self.passing.recall(mine)
+            self.passing.cancel(mine)
             self.soon()
 
     def on(self) -> None:
         """What has come of messages and time goes to the reducer."""
-        ended, self.passing.ended = self.passing.ended, []
-        came, self.passing.came = self.passing.came, []
-        left, self.passing.left = self.passing.left, []
+        ended, self.passing.completions = self.passing.completions, []
+        came, self.passing.arrivals = self.passing.arrivals, []
+        left, self.passing.abandoned = self.passing.abandoned, []
         for mine, how, why, rows in ended:
             query = self.queries.pop(mine, None)
             if query is None:
@@ -134,47 +137,53 @@
             try:
                 answer = None if rows is None else rows_out.decode(rows)
             except msgspec.DecodeError:
-                how, why, answer = "killed", "its rows can't be read", None
-            if how == "finished" and answer is None:
-                how, why = "killed", "it has finished; its rows did not come"
+                how, why, answer = ForwardOutcome.FAILED, "its rows can't be read", None
+            if how is ForwardOutcome.SERVED and answer is None:
+                how, why = ForwardOutcome.FAILED, "it has finished; its rows did not come"
             self.judged(*query, VERDICTS[how], f"passed on: {why}", answer)
         for session, message in came:
-            about = message.id, message.group, message.left, message.statement, message.token
-            request = Request(*about, message.cost, message.memory, message.key, message.customer)
+            about = (
+                message.query_id,
+                message.group,
+                message.time_left,
+                message.statement,
+                message.idempotency_key,
+            )
+            request = Request(*about, message.cost, message.memory, message.ordering_key, message.customer)
             self.handle(Asked(session, request, self.unix()))
         for session in left:
             self.handle(Left(session))
-        if self.passing.out or self.council.out:
+        if self.passing.outbox or self.council.outbox:
             self.soon()
 
     # ---- the front of queries that came so ------------------------------------------------------------
 
     def finish(self, session: int, rows: Rows) -> None:
-        self.answer(session, "finished", "", rows_in.encode(rows))
+        self.answer(session, ForwardOutcome.SERVED, "", rows_in.encode(rows))
 
     def defer(self, session: int, after: Time) -> None:
-        self.answer(session, "deferred", "its owner's router turned it away")
+        self.answer(session, ForwardOutcome.REJECTED, "its owner's router turned it away")
 
     def kill(self, session: int, why: str) -> None:
-        self.answer(session, "killed", why)
+        self.answer(session, ForwardOutcome.FAILED, why)
 
     def cut(self, session: int, why: str) -> None:
-        self.answer(session, "killed", why)
+        self.answer(session, ForwardOutcome.FAILED, why)
 
     def begin(self, session: int, stream: Stream) -> None:
         """Results that come as streams are not passed on: keyed and mutating queries have short ones."""
         stream.close()
         self.handle(Spoilt(session, "a result that comes as a stream can't be passed on"))
 
-    def answer(self, session: int, how: str, why: str, rows: bytes | None = None) -> None:
-        self.passing.answered(self.clock(), session, how, why, rows)
+    def answer(self, session: int, how: ForwardOutcome, why: str, rows: bytes | None = None) -> None:
+        self.passing.answer(self.clock(), session, how, why, rows)
         self.soon()
 
     # ---- a rider of the node --------------------------------------------------------------------------
 
     def take(self, now: Time, sender: str, message: Message) -> None:
-        if isinstance(message, Have | Know):
-            self.council.heard(now, sender, message)
+        if isinstance(message, AgreementMessage):
+            self.council.receive(now, sender, message)
         else:
             self.passing.receive(now, sender, message)
         self.on()
@@ -188,8 +197,8 @@
             self.tell(now)
 
     def said(self) -> list[tuple[str, Message]]:
-        some = [*self.passing.out, *self.council.out]
-        self.passing.out, self.council.out = [], []
+        some = [*self.passing.outbox, *self.council.outbox]
+        self.passing.outbox, self.council.outbox = [], []
         return some
 
     # ---- what partners bring ----------------------------------------------------------------------------
@@ -203,7 +212,7 @@
             whose = next((m for m in self.settings["members"] if fits(m, entry, zones, kinds)), None)
             if whose is not None and entry.state == "Ready" and entry.kind < len(cores):
                 brings[whose["name"]] += cores[entry.kind]
-        self.council.brings(self.clock(), brings)
+        self.council.ownership.set_capacities(self.clock(), brings)
 
     def pool(self, quotas: Quotas) -> None:
         """This router's part of the pool, as the text that holds gives it. Where it is not known to hold, for
@@ -211,12 +220,15 @@
         now, council = self.clock(), self.council
         routers = council.routers
         whole = quotas.limits["pool"].whole
-        if self.homes[0] != council.revision:
-            self.homes = council.revision, router_allocations(whole, council.counted(now), routers)
+        if self.homes[0] != council.ownership.revision:
+            self.homes = (
+                council.ownership.revision,
+                router_allocations(whole, council.ownership.effective_shares(now), routers),
+            )
         home = self.homes[1].get(self.node.me, 0)
         least = minimum_allocation(whole, max(1, sum(map(len, routers.values()))))
         known = self.views is not None and self.views.views.in_force(now)
-        confined = not (known and council.current() and council.holds(now))
+        confined = not (known and council.ownership.up_to_date() and council.ownership.is_in_force(now))
         ours = routers.get(council.partner, frozenset())
         quotas.told(now, "pool", home, least, ours, GROWS_AFTER, confined)
 
@@ -224,21 +236,22 @@
 
     def tell(self, now: Time) -> None:
         council = self.council
-        text = council.text()
+        text = council.ownership.agreement()
         self.log.write(
             "partners_count",
-            text=council.number,
-            named=council.named_last,
+            text=council.ownership.agreement_number,
+            named=council.ownership.announced_number,
             known=max(council.ledger.accepted, default=0),
-            holds=council.holds(now),
-            shares=council.counted(now),
-            gone=sorted(council.ledger.gone(text, now)) if text is not None else [],
-            out=len(self.passing.errands),
+            holds=council.ownership.is_in_force(now),
+            shares=council.ownership.effective_shares(now),
+            gone=sorted(council.ledger.departed(text, now)) if text is not None else [],
+            out=len(self.passing.outgoing),
             **dict(self.passing.counts),
             **dict(council.counts),
         )
-        faults = list(council.refused.values())
-        faults += [PartnerBroke(f"texts of number {pair[0].number}", n) for n, pair in self.broke()]
+        faults = [council.proposal_error] if council.proposal_error is not None else []
+        faults += council.signing_errors.values()
+        faults += [PartnerBroke(f"agreements of number {proof.first.number}", n) for n, proof in self.broke()]
         if self.file is not None and self.file.error is not None:
             faults.append(self.file.error)
         standing = {(type(fault).__name__, str(fault)) for fault in faults}
@@ -247,8 +260,8 @@
                 self.log.write("partners", **fault.told)
         self.told = standing
 
-    def broke(self) -> list[tuple[str, tuple]]:
-        return sorted(self.council.ledger.two_texts.items())
+    def broke(self) -> list[tuple[str, Equivocation]]:
+        return sorted(self.council.ledger.equivocations.items())
 
     def renew(self, settings: Mapping[str, object]) -> list[str]:
         """The operator file's partners read again; the paths of what needs a restart."""
@@ -256,18 +269,35 @@
         restart = [f"partners.{n}" for n in names if settings.get(n) != self.settings.get(n)]
         self.settings = settings if not restart else self.settings
         if not restart:
-            self.council.named_anew(routers_of(settings), checks_of(settings))
+            self.council.set_partners(routers_of(settings), checks_of(settings))
             self.say_offer()
             self.soon()
         return restart
 
 
+def offer_of(settings: Mapping[str, object]) -> Offer:
+    """The own partner's offer, as the operator file has it."""
+    said = settings["offer"]
+    return Offer(
+        partner=settings["own"],
+        revision=said["turn"],
+        capacity=said["capacity"],
+        desired_share=said["want"],
+        minimum_share=said["least"],
+        maximum_share=said["most"],
+        starts_at=said["begins_ms"] * MS,
+        ends_at=said["ends_ms"] * MS,
+        grace_period=said["grace_ms"] * MS,
+        notice_period=said["notice_ms"] * MS,
+    )
+
+
 def routers_of(settings: Mapping[str, object]) -> dict[str, list[str]]:
     return {member["name"]: member["routers"] for member in settings["members"]}
 
 
 def checks_of(settings: Mapping[str, object]):
-    return checker({member["name"]: bytes.fromhex(member["key"]) for member in settings["members"]})
+    return ed25519_verifier({member["name"]: bytes.fromhex(member["key"]) for member in settings["members"]})
 
 
 def listed(value: object) -> list:
--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -72,7 +72,7 @@
         if operator.get("history"):
             from hillchute.router.remembering import Remembering
 
-            deeds = self.partnering and self.partnering.council
+            deeds = self.partnering and self.partnering.council.ownership
             about = (operator["history"], self.node, self.clock, log, judged, self.ride, deeds)
             self.remembering = Remembering(*about)
             if self.partnering is not None:
@@ -99,7 +99,7 @@
             return
         end, partnering = self.clock() + HAND_OVER, self.partnering
         while self.clock() < end:
-            owes = partnering is not None and partnering.passing.owes
+            owes = partnering is not None and partnering.passing.has_unacknowledged_results
             if self.remembering.handed_over and not owes:
                 break
             await anyio.sleep(HAND_OVER_STEP)
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -13,28 +13,49 @@
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
-from hillchute.partners.agreement_ledger import TEXTS, WHOLE, Mark, Marker, Offer, Text, digest, settle, words
+from hillchute.partners.agreement_ledger import MAX_SIGNED_AGREEMENTS
+from hillchute.partners.agreement_signer import AgreementSigner
+from hillchute.partners.agreements import Agreement, derive_agreement
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.handover import lead_refusal, next_title
-from hillchute.partners.negotiation import BEAT, Council
+from hillchute.partners.messages import ForwardQuery, ForwardResult, Knowledge, KnowledgeDigest
+from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol
+from hillchute.partners.offers import SHARE_TOTAL, Offer
 from hillchute.partners.signature_journal import SignatureJournal
-from hillchute.partners.signatures import checker, signer
+from hillchute.partners.signatures import (
+    Equivocation,
+    Signature,
+    SignedKind,
+    content_digest,
+    ed25519_signer,
+    ed25519_verifier,
+    signed_bytes,
+)
 from hillchute.partners.slot_allocation import count_moves
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"], "c": ["c0", "c1"]}
-CHECK = checker({name: public(name) for name in ROUTERS})
+CHECK = ed25519_verifier({name: public(name) for name in ROUTERS})
 LATER = EPOCH + 3_600 * SECOND
 
 
 def hand(partner, kept=None):
     kept = {} if kept is None else kept
     save = lambda number, sealed: kept.update({number: sealed}) is None  # noqa: E731
-    return Marker(partner, signer(private(partner)), save, dict(kept))
+    return AgreementSigner(partner, ed25519_signer(private(partner)), save, dict(kept))
 
 
 def offer(partner, want=3000, turn=1, least=500, most=8000, begins=0, ends=LATER, **about):
-    about = {"capacity": 100, "grace": 5 * SECOND, "notice": 10 * SECOND} | about
-    return Offer(partner, turn, want=want, least=least, most=most, begins=begins, ends=ends, **about)
+    about = {"capacity": 100, "grace_period": 5 * SECOND, "notice_period": 10 * SECOND} | about
+    return Offer(
+        partner,
+        revision=turn,
+        desired_share=want,
+        minimum_share=least,
+        maximum_share=most,
+        starts_at=begins,
+        ends_at=ends,
+        **about,
+    )
 
 
 class Round:
@@ -42,7 +63,7 @@
 
     def __init__(self, routers=ROUTERS, seed=1):
         self.now, self.chance, self.routers = EPOCH, random.Random(seed), routers
-        self.check = checker({name: public(name) for name in routers})
+        self.check = ed25519_verifier({name: public(name) for name in routers})
         self.files = {name: {} for name in routers}
         self.councils = {}
         for name, some in routers.items():
@@ -53,10 +74,10 @@
     def start(self, partner, router):
         marker = hand(partner, self.files[partner]) if router == self.routers[partner][0] else None
         about = router, partner, self.routers, self.check, len(self.councils), self.now, marker
-        self.councils[router] = Council(*about)
+        self.councils[router] = AgreementProtocol(*about)
 
     def offer(self, partner, **about):
-        self.councils[self.routers[partner][0]].offer(self.now, offer(partner, **about))
+        self.councils[self.routers[partner][0]].make_offer(self.now, offer(partner, **about))
 
     def play(self, seconds=10.0, living=None):
         for _ in range(int(seconds * 10)):
@@ -67,37 +88,39 @@
             self.deliver(living)
 
     def deliver(self, living=None):
-        while line := [(n, *said) for n, c in self.councils.items() for said in c.out]:
+        while line := [(n, *said) for n, c in self.councils.items() for said in c.outbox]:
             for council in self.councils.values():
-                council.out = []
+                council.outbox = []
             self.chance.shuffle(line)
             for sender, to, message in line:
                 heard = self.chance.random() >= self.loss
                 if heard and (living is None or {sender, to} <= set(living)):
                     data = codec.encode(message)
-                    self.councils[to].heard(self.now, sender, codec.decode(data, sender))
+                    self.councils[to].receive(self.now, sender, codec.decode(data, sender))
 
     def tell(self, number=None):
         """As the calls of a view do it: the highest that has begun at one of them."""
-        number = max(c.named(self.now) for c in self.councils.values()) if number is None else number
+        number = (
+            max(c.ownership.named(self.now) for c in self.councils.values()) if number is None else number
+        )
         for council in self.councils.values():
-            council.told(self.now, number)
+            council.ownership.told(self.now, number)
 
     def agreed(self, **wants):
         for partner in self.routers:
             self.offer(partner, want=wants.get(partner, 3000))
         self.play()
         self.tell()
-        return self.councils["a0"].text()
+        return self.councils["a0"].ownership.agreement()
 
 
 def test_text_that_follows_from_all_offers_holds_at_all_routers():
     fleet = Round()
     text = fleet.agreed(a=5000)
-    assert all(c.text() == text for c in fleet.councils.values()) and text.number == 1
-    assert sum(text.shares.values()) == WHOLE and text.shares["a"] > text.shares["b"]
-    assert {c.owners for c in fleet.councils.values()} == {text.owner_names()}
-    assert abs(text.owner_names().count("a") - SLOTS * text.shares["a"] / WHOLE) < 1
+    assert all(c.ownership.agreement() == text for c in fleet.councils.values()) and text.number == 1
+    assert sum(text.shares.values()) == SHARE_TOTAL and text.shares["a"] > text.shares["b"]
+    assert {c.ownership.slot_owners for c in fleet.councils.values()} == {text.slot_owners()}
+    assert abs(text.slot_owners().count("a") - SLOTS * text.shares["a"] / SHARE_TOTAL) < 1
 
 
 def test_nothing_holds_until_a_call_names_it_and_each_has_it():
@@ -106,14 +129,22 @@
         fleet.offer(partner)
     fleet.play()
     council = fleet.councils["b1"]
-    assert council.named(fleet.now) == 1 and council.held() == 0 and not council.holds(fleet.now)
-    assert council.follows(fleet.now, 0, None) is None
-    council.told(fleet.now, 7)  # named by a caller that has what this one has not
-    assert council.held() == 0 and not council.current()
-    council.told(fleet.now, 1)
-    assert council.held() == 1 and council.current() and council.holds(fleet.now)
-    council.told(fleet.now, 0)  # it never goes back
-    assert council.held() == 1
+    assert (
+        council.ownership.named(fleet.now) == 1
+        and council.ownership.held() == 0
+        and not council.ownership.is_in_force(fleet.now)
+    )
+    assert council.ownership.follows(fleet.now, 0, None) is None
+    council.ownership.told(fleet.now, 7)  # named by a caller that has what this one has not
+    assert council.ownership.held() == 0 and not council.ownership.up_to_date()
+    council.ownership.told(fleet.now, 1)
+    assert (
+        council.ownership.held() == 1
+        and council.ownership.up_to_date()
+        and council.ownership.is_in_force(fleet.now)
+    )
+    council.ownership.told(fleet.now, 0)  # it never goes back
+    assert council.ownership.held() == 1
 
 
 def test_new_offer_makes_a_new_text_that_goes_on_from_the_last_with_few_moves():
@@ -121,12 +152,12 @@
     first = fleet.agreed()
     fleet.offer("b", want=5000, turn=2)
     fleet.play()
-    assert fleet.councils["c1"].text() == first  # until a call names it
+    assert fleet.councils["c1"].ownership.agreement() == first  # until a call names it
     fleet.tell()
-    second = fleet.councils["c1"].text()
-    assert (second.number, second.before) == (2, 1) and second.shares["b"] > first.shares["b"]
-    gain = second.owner_names().count("b") - first.owner_names().count("b")
-    assert 0 < count_moves(first.owner_names(), second.owner_names()) <= gain + 1
+    second = fleet.councils["c1"].ownership.agreement()
+    assert (second.number, second.predecessor) == (2, 1) and second.shares["b"] > first.shares["b"]
+    gain = second.slot_owners().count("b") - first.slot_owners().count("b")
+    assert 0 < count_moves(first.slot_owners(), second.slot_owners()) <= gain + 1
     fleet.play()
     assert max(fleet.councils["a0"].ledger.accepted) == 2  # what says the same again is not written
 
@@ -138,10 +169,10 @@
     fleet.offer("a", want=6000, turn=2, begins=begins)
     fleet.play(20)
     fleet.tell()
-    assert fleet.councils["a1"].text() == first
+    assert fleet.councils["a1"].ownership.agreement() == first
     fleet.play(11)
     fleet.tell()
-    assert fleet.councils["a1"].text().begins == begins
+    assert fleet.councils["a1"].ownership.agreement().starts_at == begins
 
 
 def test_after_its_end_nothing_holds_and_nobody_owns_a_slot_anew():
@@ -152,21 +183,23 @@
     fleet.play()
     fleet.tell()
     council = fleet.councils["a0"]
-    title = council.follows(fleet.now, 3, None)
-    assert council.leads(fleet.now, f"{title.owner}0", title, lambda: False) is None
+    title = council.ownership.follows(fleet.now, 3, None)
+    assert council.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False) is None
     fleet.play(60)
-    assert not council.holds(fleet.now) and council.follows(fleet.now, 3, None) is None
-    verdict, _ = council.leads(fleet.now, f"{title.owner}0", title, lambda: False)
+    assert (
+        not council.ownership.is_in_force(fleet.now) and council.ownership.follows(fleet.now, 3, None) is None
+    )
+    verdict, _ = council.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False)
     assert verdict is Verdict.DEFER
     fleet.offer("a", turn=2, ends=LATER)
     fleet.offer("b", turn=2, ends=LATER)
     fleet.play()
     fleet.tell()
-    assert not council.holds(fleet.now)  # the third is silent
+    assert not council.ownership.is_in_force(fleet.now)  # the third is silent
     fleet.offer("c", turn=2, ends=LATER)
     fleet.play()
     fleet.tell()
-    assert council.holds(fleet.now)
+    assert council.ownership.is_in_force(fleet.now)
 
 
 def test_partner_that_is_silent_leaves_the_old_text_and_its_offer_is_heard_later():
@@ -176,10 +209,10 @@
     fleet.offer("a", want=6000, turn=2)
     fleet.play(20, living=without)
     fleet.tell()
-    assert fleet.councils["a1"].text() == first
+    assert fleet.councils["a1"].ownership.agreement() == first
     fleet.play(20)
     fleet.tell()
-    assert fleet.councils["a1"].text().number == 2
+    assert fleet.councils["a1"].ownership.agreement().number == 2
 
 
 @settings(max_examples=12, deadline=None)
@@ -202,9 +235,9 @@
                 if router == ROUTERS[partner][0] and turns[partner]:
                     # The operator's file has its last offer still.
                     last = [c.ledger.offers.get(partner) for c in fleet.councils.values()]
-                    best = max((known[0] for known in last if known), key=lambda o: o.turn, default=None)
+                    best = max((known[0] for known in last if known), key=lambda o: o.revision, default=None)
                     if best is not None:
-                        fleet.councils[router].offer(fleet.now, best)
+                        fleet.councils[router].make_offer(fleet.now, best)
         fleet.play(chance.choice([0.2, 1, 3]))
         if chance.random() < 0.5:
             fleet.tell()
@@ -217,10 +250,10 @@
     fleet.loss = 0.0
     fleet.play(20)
     fleet.tell()
-    assert len({(c.held(), c.owners) for c in fleet.councils.values()}) == 1
+    assert len({(c.ownership.held(), c.ownership.slot_owners) for c in fleet.councils.values()}) == 1
     offers = [o for o, _ in fleet.councils["a0"].ledger.offers.values()]
-    text = fleet.councils["a0"].text()
-    assert text.shares == settle(offers, 1).shares
+    text = fleet.councils["a0"].ownership.agreement()
+    assert text.shares == derive_agreement(offers, 1).shares
 
 
 def test_offer_in_anothers_name_and_text_that_does_not_follow_are_nothing():
@@ -228,17 +261,17 @@
     fleet.agreed()
     council = fleet.councils["b0"]
     false = offer("a", want=500, turn=9)
-    mark = hand("b").offer(false)
-    assert not council.ledger.hear_offer(false, mark)
-    assert not council.ledger.hear_offer(false, msgspec.structs.replace(mark, partner="a"))
+    mark = hand("b").sign_offer(false).signature
+    assert not council.ledger.record_offer(false, mark)
+    assert not council.ledger.record_offer(false, msgspec.structs.replace(mark, partner="a"))
     # One that all but b have marked, in which b has next to nothing.
-    text = settle([offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2)
+    text = derive_agreement([offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2)
     for name in "ac":
         kept = hand(name)
-        council.ledger.hear_mark(kept.mark(text, offer(name, want=text.shares[name])))
-    council.ledger.hear(text)
-    council.look(fleet.now)
-    assert 2 not in council.ledger.accepted and council.refused[2].what
+        council.ledger.record_signature(kept.sign_agreement(text, offer(name, want=text.shares[name])))
+    council.ledger.record_agreement(text)
+    council.update(fleet.now)
+    assert 2 not in council.ledger.accepted and council.signing_errors[2].what
 
 
 def test_lower_turn_than_is_known_is_refused_and_said():
@@ -252,14 +285,21 @@
 def test_partner_that_marks_two_texts_loses_its_part_at_all_routers():
     fleet = Round()
     text = fleet.agreed()
-    other = settle([offer(n, want=w) for n, w in (("a", 8000), ("b", 1000), ("c", 1000))], 1)
-    false = Mark("a", 1, digest(other), signer(private("a"))(words(Text, 1, digest(other))))
-    fleet.councils["c1"].ledger.hear_mark(false)
+    other = derive_agreement([offer(n, want=w) for n, w in (("a", 8000), ("b", 1000), ("c", 1000))], 1)
+    false = Signature(
+        "a",
+        1,
+        content_digest(other),
+        ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other))),
+    )
+    fleet.councils["c1"].ledger.record_signature(false)
     fleet.play()
     for council in fleet.councils.values():
-        assert set(council.ledger.two_texts) == {"a"}
-        assert council.text() == text and council.counted(fleet.now)["a"] == 0
-        assert set(council.owners) == {"b", "c"}
+        assert set(council.ledger.equivocations) == {"a"}
+        assert (
+            council.ownership.agreement() == text and council.ownership.effective_shares(fleet.now)["a"] == 0
+        )
+        assert set(council.ownership.slot_owners) == {"b", "c"}
 
 
 def test_marks_that_a_partner_gave_are_no_proof_against_it():
@@ -270,53 +310,62 @@
     fleet.offer("a", want=6000, turn=2)
     fleet.play()
     ledger = fleet.councils["b1"].ledger
-    by_text = sorted((m["a"] for m in ledger.marks.values() if "a" in m), key=lambda mark: mark.number)
+    by_text = sorted((m["a"] for m in ledger.signatures.values() if "a" in m), key=lambda mark: mark.number)
     first, second = by_text
-    offers = hand("a").offer(offer("a", want=3000))
+    offers = hand("a").sign_offer(offer("a", want=3000)).signature
     assert first.number == offers.number == 1
-    assert not ledger.hear_two(first, offers) and not ledger.hear_two(offers, first)
-    assert not ledger.hear_two(first, msgspec.structs.replace(second, number=1))
-    assert not ledger.hear_mark(msgspec.structs.replace(offers, number=1))
+    assert not ledger.record_equivocation(first, offers) and not ledger.record_equivocation(offers, first)
+    assert not ledger.record_equivocation(first, msgspec.structs.replace(second, number=1))
+    assert not ledger.record_signature(msgspec.structs.replace(offers, number=1))
     fresh = Round().councils["b0"].ledger
-    assert not fresh.hear_mark(msgspec.structs.replace(second, number=1)) and fresh.hear_mark(second)
-    assert not ledger.two_texts and not fresh.two_texts
+    assert not fresh.record_signature(msgspec.structs.replace(second, number=1)) and fresh.record_signature(
+        second
+    )
+    assert not ledger.equivocations and not fresh.equivocations
 
 
 def test_partner_that_leaves_has_its_part_until_its_notice_is_over():
     fleet = Round()
     fleet.agreed()
-    fleet.councils["c0"].leave(fleet.now)
+    fleet.councils["c0"].give_notice(fleet.now)
     fleet.play(5)
-    assert fleet.councils["a1"].owners.count("c") > 300
+    assert fleet.councils["a1"].ownership.slot_owners.count("c") > 300
     fleet.play(6)
-    assert {c.owners.count("c") for c in fleet.councils.values()} == {0}
+    assert {c.ownership.slot_owners.count("c") for c in fleet.councils.values()} == {0}
 
 
 def test_engines_that_are_gone_longer_than_the_grace_count_as_less():
     fleet = Round()
     text = fleet.agreed()
     council = fleet.councils["a0"]
-    council.brings(fleet.now, {"a": 100, "b": 50, "c": 100})
-    assert council.owners == text.owner_names()
+    council.ownership.set_capacities(fleet.now, {"a": 100, "b": 50, "c": 100})
+    assert council.ownership.slot_owners == text.slot_owners()
     fleet.play(4)
-    assert council.owners == text.owner_names()
+    assert council.ownership.slot_owners == text.slot_owners()
     fleet.play(2)
-    assert council.owners.count("b") < 0.7 * text.owner_names().count("b")
-    council.brings(fleet.now, {"a": 100, "b": 100, "c": 100})
-    assert council.owners == text.owner_names()
+    assert council.ownership.slot_owners.count("b") < 0.7 * text.slot_owners().count("b")
+    council.ownership.set_capacities(fleet.now, {"a": 100, "b": 100, "c": 100})
+    assert council.ownership.slot_owners == text.slot_owners()
 
 
 def test_marks_without_end_are_bounded():
     fleet = Round()
     fleet.agreed()
     ledger = fleet.councils["a0"].ledger
-    sign = signer(private("c"))
-    for n in range(3 * TEXTS):
+    sign = ed25519_signer(private("c"))
+    for n in range(3 * MAX_SIGNED_AGREEMENTS):
         sealed = bytes([n]) * 32
-        assert ledger.hear_mark(Mark("c", 100 + n, sealed, sign(words(Text, 100 + n, sealed))))
-    for n in range(3 * TEXTS):
-        ledger.hear(msgspec.structs.replace(fleet.councils["a0"].text(), number=500 + n))
-    assert len(ledger.marks) <= TEXTS + 1 and len(ledger.texts) <= TEXTS + 1
+        assert ledger.record_signature(
+            Signature("c", 100 + n, sealed, sign(signed_bytes(SignedKind.AGREEMENT, 100 + n, sealed)))
+        )
+    for n in range(3 * MAX_SIGNED_AGREEMENTS):
+        ledger.record_agreement(
+            msgspec.structs.replace(fleet.councils["a0"].ownership.agreement(), number=500 + n)
+        )
+    assert (
+        len(ledger.signatures) <= MAX_SIGNED_AGREEMENTS + 1
+        and len(ledger.agreements) <= MAX_SIGNED_AGREEMENTS + 1
+    )
     assert 1 in ledger.accepted
 
 
@@ -324,22 +373,22 @@
     two = {name: ROUTERS[name] for name in "ab"}
     fleet = Round(two)
     first = fleet.agreed()
-    assert set(first.owner_names()) == {"a", "b"}
+    assert set(first.slot_owners()) == {"a", "b"}
     fleet.routers = ROUTERS
     fleet.files["c"] = {}
     for council in fleet.councils.values():
-        council.named_anew(ROUTERS, CHECK)
+        council.set_partners(ROUTERS, CHECK)
     fleet.check = CHECK
     for router in ROUTERS["c"]:
         fleet.start("c", router)
     fleet.play(5)
-    assert fleet.councils["a0"].text() == first
+    assert fleet.councils["a0"].ownership.agreement() == first
     fleet.offer("c")
     fleet.play()
     fleet.tell()
-    second = fleet.councils["c1"].text()
-    assert set(second.owner_names()) == {"a", "b", "c"}
-    assert count_moves(first.owner_names(), second.owner_names()) == second.owner_names().count("c")
+    second = fleet.councils["c1"].ownership.agreement()
+    assert set(second.slot_owners()) == {"a", "b", "c"}
+    assert count_moves(first.slot_owners(), second.slot_owners()) == second.slot_owners().count("c")
 
 
 # ---- what goes over the wire ----
@@ -348,8 +397,8 @@
 def some_know():
     fleet = Round()
     fleet.agreed()
-    fleet.councils["a0"].leave(fleet.now)
-    return fleet.councils["a0"].all(back=True)
+    fleet.councils["a0"].give_notice(fleet.now)
+    return fleet.councils["a0"].knowledge(reply_wanted=True)
 
 
 @settings(max_examples=200, deadline=None)
@@ -362,20 +411,19 @@
     assert codec.decode(codec.encode(message), "x") == message
 
 
-ONE = codec.Pass(1, 1, 1, "id", "g", b"s", "t", 5, 1.0, "k", "", 10)
+ONE = ForwardQuery(1, 1, 1, "id", "g", b"s", "t", 5, 1.0, "k", "", 10)
 
 
 @pytest.mark.parametrize(
     ("message", "field"),
     [
-        (codec.Have(b"short"), "digest"),
-        (msgspec.structs.replace(ONE, id=""), "id"),
-        (msgspec.structs.replace(ONE, token="t" * 500), "token"),
+        (KnowledgeDigest(b"short"), "digest"),
+        (msgspec.structs.replace(ONE, query_id=""), "query_id"),
+        (msgspec.structs.replace(ONE, idempotency_key="t" * 500), "idempotency_key"),
         (msgspec.structs.replace(ONE, cost=-1), "cost"),
-        (msgspec.structs.replace(ONE, left=-1), "left"),
+        (msgspec.structs.replace(ONE, time_left=-1), "time_left"),
         (msgspec.structs.replace(ONE, number=-1), "number"),
-        (codec.Answer(1, 1, "perhaps", "", None), "how"),
-        (codec.Know((), (), (), (), ((Mark("a", 1, b"", b""),) * 2,), False), "marks"),
+        (Knowledge((), (), (), (), (Equivocation(*[Signature("a", 1, b"", b"")] * 2),), False), "signatures"),
     ],
 )
 def test_field_out_of_bounds_is_named(message, field):
@@ -385,12 +433,22 @@
         codec.decode(codec.encoder.encode(message), "x")
 
 
+def test_outcome_that_is_none_is_neither_written_nor_read():
+    message = ForwardResult(1, 1, "perhaps", "", None)
+    with pytest.raises(ValueError, match="outcome"):
+        codec.encode(message)
+    with pytest.raises(DatagramDropped, match="perhaps"):
+        codec.decode(codec.encoder.encode(message), "x")
+
+
 def test_all_that_is_known_comes_back_as_it_was():
     known = some_know()
-    assert known.offers and known.texts and known.marks and known.notices
+    assert known.offers and known.agreements and known.signatures and known.notices
     assert codec.decode(codec.encode(known), "x") == known
-    bad = msgspec.structs.replace(known, texts=(msgspec.structs.replace(known.texts[0], owners=b""),))
-    with pytest.raises(ValueError, match="texts"):
+    bad = msgspec.structs.replace(
+        known, agreements=(msgspec.structs.replace(known.agreements[0], owners=b""),)
+    )
+    with pytest.raises(ValueError, match="agreements"):
         codec.encode(bad)
 
 
@@ -448,9 +506,9 @@
     file = SignatureJournal(path)
     file.path = tmp_path / "none" / "marks"
     assert not file.save(1, b"") and file.error is not None
-    marker = Marker("a", signer(private("a")), file.save, file.signed)
+    marker = AgreementSigner("a", ed25519_signer(private("a")), file.save, file.signed)
     with pytest.raises(TextNotTaken, match="kept"):
-        marker.mark(settle([offer(n) for n in "abc"], 1), offer("a"))
+        marker.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
 
 
 def test_old_file_of_marks_is_made_whole_by_what_others_know():
@@ -459,11 +517,14 @@
     fleet.agreed()
     fleet.files["b"].clear()
     fleet.start("b", "b0")
-    fleet.play(3 * BEAT / SECOND)
+    fleet.play(3 * EXCHANGE_INTERVAL / SECOND)
     fleet.offer("b", want=5000, turn=2)
     fleet.play()
     fleet.tell()
-    assert fleet.councils["b0"].text().number == 2 and not fleet.councils["a0"].ledger.two_texts
+    assert (
+        fleet.councils["b0"].ownership.agreement().number == 2
+        and not fleet.councils["a0"].ledger.equivocations
+    )
 
 
 def test_second_text_for_a_number_is_not_marked_though_the_file_forgot_the_first():
@@ -475,16 +536,24 @@
     fleet.start("b", "b0")
     fleet.play(4, living=["a1", "b0", "b1"])
     council = fleet.councils["b0"]
-    council.offer(fleet.now, offer("b"))
+    council.make_offer(fleet.now, offer("b"))
     changed = offer("a", want=6000, turn=3)
-    council.ledger.hear_offer(changed, hand("a").offer(changed))
-    other = settle(council.offers(), 2, first)
-    false = Mark("a", 2, digest(other), signer(private("a"))(words(Text, 2, digest(other))))
-    council.ledger.hear_mark(false)
-    council.ledger.hear(other)
-    council.look(fleet.now)
-    assert sum("b" in m for m in council.ledger.marks.values() if any(x.number == 2 for x in m.values())) == 1
-    assert "b" not in council.ledger.two_texts and council.refused[2].what
+    council.ledger.record_offer(changed, hand("a").sign_offer(changed).signature)
+    other = derive_agreement(council.offers(), 2, first)
+    false = Signature(
+        "a",
+        2,
+        content_digest(other),
+        ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 2, content_digest(other))),
+    )
+    council.ledger.record_signature(false)
+    council.ledger.record_agreement(other)
+    council.update(fleet.now)
+    assert (
+        sum("b" in m for m in council.ledger.signatures.values() if any(x.number == 2 for x in m.values()))
+        == 1
+    )
+    assert "b" not in council.ledger.equivocations and council.signing_errors[2].what
 
 
 # ---- shares of the pool ----
@@ -492,7 +561,9 @@
 
 @settings(max_examples=150, deadline=None)
 @given(
-    st.dictionaries(st.sampled_from("abcde"), st.tuples(st.integers(0, WHOLE), st.integers(0, 9)), min_size=1)
+    st.dictionaries(
+        st.sampled_from("abcde"), st.tuples(st.integers(0, SHARE_TOTAL), st.integers(0, 9)), min_size=1
+    )
 )
 def test_homes_are_the_shares_and_never_more_than_the_whole(partners):
     whole = 1_000_000
@@ -511,5 +582,5 @@
 
 
 def test_text_has_what_every_router_needs():
-    text = settle([offer(n) for n in "abc"], 4, None)
-    assert isinstance(text, Text) and len(text.owners) == SLOTS and text.grace == 5 * SECOND
+    text = derive_agreement([offer(n) for n in "abc"], 4, None)
+    assert isinstance(text, Agreement) and len(text.owners) == SLOTS and text.grace_period == 5 * SECOND
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -22,8 +22,9 @@
 from hillchute.membership import event_bus
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.operator import reading
-from hillchute.partners.agreement_ledger import Mark, settle
+from hillchute.partners.agreements import derive_agreement
 from hillchute.partners.signature_journal import SignatureJournal
+from hillchute.partners.signatures import Equivocation, Signature
 from hillchute.peers import codec
 from hillchute.peers.link import Address, Link
 from hillchute.peers.node import Node
@@ -83,7 +84,7 @@
 
 
 def text_not_taken(tmp_path):
-    settle([], 1)
+    derive_agreement([], 1)
 
 
 def marks_not_kept(tmp_path):
@@ -179,8 +180,8 @@
     none = [lambda *about: None] * 4
     about = reading.hold(text)["partners"], node, {}, 1, lambda: EPOCH, log
     partnering = Partnering(*about, *none)
-    two = [Mark("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
-    partnering.council.ledger.two_texts["x"] = tuple(two)
+    two = [Signature("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
+    partnering.council.ledger.equivocations["x"] = Equivocation(*two)
     partnering.tell(EPOCH)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,10 +11,20 @@
 from hillchute.history.verdict import Verdict
 from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
 from hillchute.partners import forwarding, handover
-from hillchute.partners.agreement_ledger import Mark, Marker
-from hillchute.partners.codec import Answer, Drop, Got, Know, Pass, Took
-from hillchute.partners.forwarding import AGAIN, KEPT, Passing
-from hillchute.partners.negotiation import Council
+from hillchute.partners.agreement_signer import AgreementSigner
+from hillchute.partners.forwarding import KEPT_AFTER_DEADLINE, RETRANSMIT_AFTER, QueryForwarder
+from hillchute.partners.messages import (
+    ForwardAccepted,
+    ForwardCancel,
+    ForwardOutcome,
+    ForwardQuery,
+    ForwardResult,
+    ForwardResultAck,
+    Knowledge,
+)
+from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.signatures import Signature
+from hillchute.partners.slot_ownership import SlotOwnership
 
 KEEPS = Policy(rows=True, least_ms=90_000, most_ms=600_000)
 
@@ -60,8 +70,8 @@
     key, send = key_of(net, "a"), net.send
 
     def losing(name, to, message):
-        if isinstance(message, Pass) and not lost:
-            lost.append(message.id)
+        if isinstance(message, ForwardQuery) and not lost:
+            lost.append(message.query_id)
         else:
             send(name, to, message)
 
@@ -141,10 +151,12 @@
     net.offer("a", 500, 0, 600)
     for council in net.councils.values():
         council.ledger.offers.clear()
-    net.offers["a"] = msgspec.structs.replace(net.offers["a"], turn=9)
+    net.offers["a"] = msgspec.structs.replace(net.offers["a"], revision=9)
     net.said_offer("n0", net.offers["a"])
     for partner in "bc":
-        net.offers[partner] = msgspec.structs.replace(net.offers["a"], partner=partner, most=8000, want=5000)
+        net.offers[partner] = msgspec.structs.replace(
+            net.offers["a"], partner=partner, maximum_share=8000, desired_share=5000
+        )
         net.said_offer(net.partners[partner][0], net.offers[partner])
     assert net.settled() and net.agreed()
     assert before[slot] == "a" != net.owners()[slot]
@@ -247,119 +259,119 @@
     dead: set[tuple[str, int]] = set()
     lives = {"r": 1, "s": 2}
     over = lambda name, life: (name, life) in dead  # noqa: E731
-    return Passing("r", 1, lambda: lives, over), Passing("s", 2, lambda: lives, over), dead
+    return QueryForwarder("r", 1, lambda: lives, over), QueryForwarder("s", 2, lambda: lives, over), dead
 
 
-QUERY = Pass(0, 0, 0, "id", "g", b"s", "t", None, 0.0, "k", "", 0)
+QUERY = ForwardQuery(0, 0, 0, "id", "g", b"s", "t", None, 0.0, "k", "", 0)
 
 
 def carry(sender, receiver, now=0, most=99):
-    out, sender.out = sender.out, []
+    out, sender.outbox = sender.outbox, []
     for _, message in out[:most]:
-        receiver.receive(now, sender.me, message)
+        receiver.receive(now, sender.router, message)
 
 
 def test_query_goes_and_its_answer_comes_once_however_often_each_is_said():
     r, s, _ = pair()
-    number = r.send(0, "s", QUERY, 10 * SECOND)
+    number = r.forward(0, "s", QUERY, 10 * SECOND)
     for _ in range(3):
-        r.send_errand(0, r.errands[number])
+        r.transmit_query(0, r.outgoing[number])
     carry(r, s)
-    assert len(s.came) == 1 and s.came[0][1].left == 10 * SECOND
-    session = s.came[0][0]
-    s.answered(0, session, "finished", "", b"rows")
-    s.answered(0, session, "killed", "", None)
+    assert len(s.arrivals) == 1 and s.arrivals[0][1].time_left == 10 * SECOND
+    session = s.arrivals[0][0]
+    s.answer(0, session, ForwardOutcome.SERVED, "", b"rows")
+    s.answer(0, session, ForwardOutcome.FAILED, "", None)
     for _ in range(3):
-        s.send_answer(0, s.by_session[session])
+        s.transmit_result(0, s.by_session[session], s.by_session[session].result)
     carry(s, r)
-    assert r.ended == [(number, "finished", "", b"rows")]
+    assert r.completions == [(number, ForwardOutcome.SERVED, "", b"rows")]
     carry(r, s)
-    assert s.by_session[session].over and not s.out
+    assert s.by_session[session].over and not s.outbox
 
 
 def test_answer_that_is_lost_comes_again_and_a_late_repeat_starts_nothing():
     r, s, _ = pair()
-    r.send(0, "s", QUERY, 10 * SECOND)
-    again = r.out[0][1]
+    r.forward(0, "s", QUERY, 10 * SECOND)
+    again = r.outbox[0][1]
     carry(r, s)
-    s.answered(0, s.came[0][0], "deferred", "full")
-    s.out.clear()  # lost
-    s.tick(8 * AGAIN)
+    s.answer(0, s.arrivals[0][0], ForwardOutcome.REJECTED, "full")
+    s.outbox.clear()  # lost
+    s.tick(8 * RETRANSMIT_AFTER)
     carry(s, r)
-    assert [how for _, how, _, _ in r.ended] == ["deferred"]
-    s.receive(KEPT, "r", again)
-    assert len(s.came) == 1
-    s.tick(10 * SECOND + KEPT + 1)
-    assert not s.guests and not s.by_session
+    assert [how for _, how, _, _ in r.completions] == ["deferred"]
+    s.receive(KEPT_AFTER_DEADLINE, "r", again)
+    assert len(s.arrivals) == 1
+    s.tick(10 * SECOND + KEPT_AFTER_DEADLINE + 1)
+    assert not s.incoming and not s.by_session
 
 
 def test_answer_that_nobody_hears_is_given_up():
     r, s, _ = pair()
-    r.send(0, "s", QUERY, SECOND)
+    r.forward(0, "s", QUERY, SECOND)
     carry(r, s)
-    s.answered(0, s.came[0][0], "finished", "", b"rows")
-    assert s.owes
-    for now in range(0, 4 * SECOND, AGAIN):
+    s.answer(0, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"rows")
+    assert s.has_unacknowledged_results
+    for now in range(0, 4 * SECOND, RETRANSMIT_AFTER):
         s.tick(now)
-    assert not s.owes and len(s.out) < 12
-    s.out.clear()
+    assert not s.has_unacknowledged_results and len(s.outbox) < 12
+    s.outbox.clear()
     s.tick(5 * SECOND)
-    assert not s.out and s.guests
+    assert not s.outbox and s.incoming
 
 
 def test_query_for_a_life_that_is_over_is_not_taken_by_the_next():
     r, s, dead = pair()
-    number = r.send(0, "s", QUERY, 10 * SECOND)
-    anew = Passing("s", 3, s.living, s.over)
+    number = r.forward(0, "s", QUERY, 10 * SECOND)
+    anew = QueryForwarder("s", 3, s.live_routers, s.is_over)
     carry(r, anew)
-    assert not anew.came
+    assert not anew.arrivals
     dead.add(("s", 2))
-    r.tick(AGAIN)
-    assert r.ended == [(number, "killed", "its owner's router is gone; it may have run", None)]
+    r.tick(RETRANSMIT_AFTER)
+    assert r.completions == [(number, "killed", "its owner's router is gone; it may have run", None)]
 
 
 def test_query_without_an_answer_has_failed_when_it_is_due_and_is_dropped_there():
     r, s, _ = pair()
-    number = r.send(0, "s", QUERY, SECOND)
+    number = r.forward(0, "s", QUERY, SECOND)
     carry(r, s)
     r.tick(SECOND)
-    assert [(n, how) for n, how, _, _ in r.ended] == [(number, "killed")]
-    assert any(isinstance(message, Drop) for _, message in r.out)
+    assert [(n, how) for n, how, _, _ in r.completions] == [(number, "killed")]
+    assert any(isinstance(message, ForwardCancel) for _, message in r.outbox)
     carry(r, s)
-    assert s.left == [s.came[0][0]]
-    s.answered(SECOND, s.came[0][0], "finished", "", b"")
-    assert not any(isinstance(message, Answer) for _, message in s.out)
+    assert s.abandoned == [s.arrivals[0][0]]
+    s.answer(SECOND, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"")
+    assert not any(isinstance(message, ForwardResult) for _, message in s.outbox)
 
 
 def test_client_that_leaves_takes_its_query_back():
     r, s, _ = pair()
-    number = r.send(0, "s", QUERY, SECOND)
+    number = r.forward(0, "s", QUERY, SECOND)
     carry(r, s)
-    r.recall(number)
+    r.cancel(number)
     carry(r, s)
-    assert s.left and not r.errands
-    r.receive(0, "s", Answer(number, 1, "finished", "", b""))
-    assert not r.ended and any(isinstance(message, Got) for _, message in r.out)
+    assert s.abandoned and not r.outgoing
+    r.receive(0, "s", ForwardResult(number, 1, ForwardOutcome.SERVED, "", b""))
+    assert not r.completions and any(isinstance(message, ForwardResultAck) for _, message in r.outbox)
 
 
 def test_words_of_another_router_end_nothing():
     r, s, _ = pair()
-    number = r.send(0, "s", QUERY, SECOND)
-    for word in (Took(number, 1), Answer(number, 1, "finished", "", b"")):
+    number = r.forward(0, "s", QUERY, SECOND)
+    for word in (ForwardAccepted(number, 1), ForwardResult(number, 1, ForwardOutcome.SERVED, "", b"")):
         r.receive(0, "x", word)
-    assert not r.errands[number].took and not r.ended
+    assert not r.outgoing[number].accepted and not r.completions
     carry(r, s)
-    s.receive(0, "x", Drop(number, 1))
-    assert not s.left
+    s.receive(0, "x", ForwardCancel(number, 1))
+    assert not s.abandoned
 
 
 def test_result_that_is_too_long_to_pass_fails_and_says_so():
     r, s, _ = pair()
-    r.send(0, "s", QUERY, SECOND)
+    r.forward(0, "s", QUERY, SECOND)
     carry(r, s)
-    s.answered(0, s.came[0][0], "finished", "", b"x" * (forwarding.ROWS + 1))
+    s.answer(0, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"x" * (forwarding.MAX_RESULT_BYTES + 1))
     carry(s, r)
-    (_, how, why, rows) = r.ended[0]
+    (_, how, why, rows) = r.completions[0]
     assert how == "killed" and "bytes" in why and rows is None
 
 
@@ -373,7 +385,7 @@
     clean(net)
 
 
-LEADS, END, CHOOSE = handover.lead_refusal, Passing.end, Passing.choose
+LEADS, END = handover.lead_refusal, QueryForwarder.complete
 
 
 def anybody_leads(title, partner, holds, others_out):
@@ -382,12 +394,12 @@
 
 
 def has_not_run(self, number, how, why, rows=None):
-    END(self, number, "deferred" if how == "killed" else how, why, rows)
+    END(self, number, ForwardOutcome.REJECTED if how == "killed" else how, why, rows)
 
 
 def is_no_answer(self, number, how, why, rows=None):
     if how == "killed":
-        del self.errands[number]
+        del self.outgoing[number]
     else:
         END(self, number, how, why, rows)
 
@@ -395,17 +407,21 @@
 PLANTED = {
     "nobody waits for what is out": (keeping.Keeper, "others_out", lambda self, *about: False),
     "anybody leads": (handover, "lead_refusal", anybody_leads),
-    "what may have run is deferred": (Passing, "end", has_not_run),
-    "what has no answer ends without one": (Passing, "end", is_no_answer),
+    "what may have run is deferred": (QueryForwarder, "complete", has_not_run),
+    "what has no answer ends without one": (QueryForwarder, "complete", is_no_answer),
     "titles are never moved": (handover, "next_title", lambda title, wanted, now: title or Title(1, wanted)),
-    "nothing is told on": (Council, "all", lambda self, back: Know((), (), (), (), (), back)),
-    "a call is not heeded": (Council, "told", lambda self, now, number: None),
+    "nothing is told on": (
+        AgreementProtocol,
+        "knowledge",
+        lambda self, reply_wanted: Knowledge((), (), (), (), (), reply_wanted),
+    ),
+    "a call is not heeded": (SlotOwnership, "told", lambda self, now, number: None),
     "a mark is for what it was not": (
-        Marker,
-        "mark",
-        lambda self, text, own: Mark(self.me, text.number, bytes(32), self.sign(bytes(32))),
+        AgreementSigner,
+        "sign_agreement",
+        lambda self, text, own: Signature(self.partner, text.number, bytes(32), self.sign(bytes(32))),
     ),
-    "slots go to no one": (Council, "due_slots", lambda self, now: None),
+    "slots go to no one": (SlotOwnership, "update_owners", lambda self, now: None),
 }
 
 
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -212,9 +212,9 @@
 def test_offer_of_the_operator_file_is_known_and_a_lower_turn_is_said(tmp_path):
     held, log, stated = partnering(tmp_path)
     (offer, _) = held.council.ledger.offers["a"]
-    assert (offer.partner, offer.want, offer.ends) == ("a", 5000, 90)
+    assert (offer.partner, offer.desired_share, offer.ends_at) == ("a", 5000, 90)
     held.renew(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
-    assert held.council.ledger.offers["a"][0].want == 6000
+    assert held.council.ledger.offers["a"][0].desired_share == 6000
     held.renew(stated | {"offer": stated["offer"] | {"turn": 2}})
     assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["TextNotTaken"]
     assert held.renew(stated | {"own": "b"}) == ["partners.own"]
@@ -222,10 +222,10 @@
 
 def test_router_without_the_key_marks_nothing_and_a_bad_file_of_marks_is_said(tmp_path):
     held, _, _ = partnering(tmp_path, marks=False)
-    assert held.council.marker is None and not held.council.ledger.offers
+    assert held.council.signer is None and not held.council.ledger.offers
     (tmp_path / "m").write_text("what\n")
     held, log, _ = partnering(tmp_path)
-    assert held.council.marker is None
+    assert held.council.signer is None
     assert [fields["error"] for _, fields in log.lines] == ["MarksNotKept"]
 
 
@@ -239,7 +239,7 @@
         Listing(5, 0, 0, 1, 0, "Terminating", 1.0),
     ]
     held.listed(listings)
-    assert held.council.capacities == {"a": 40, "b": 32}
+    assert held.council.ownership.capacities == {"a": 40, "b": 32}
 
 
 def test_nobody_of_the_owner_lives_so_the_query_is_deferred(tmp_path):
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -11,19 +11,18 @@
 from hillchute.errors import TextNotTaken
 from hillchute.history.slots import SLOTS
 from hillchute.lab.partners import least_moves
-from hillchute.partners.agreement_ledger import (
-    WHOLE,
-    Ledger,
-    Mark,
-    Marker,
-    Offer,
-    Text,
-    digest,
-    settle,
-    unfit,
-    words,
+from hillchute.partners.agreement_ledger import AgreementLedger
+from hillchute.partners.agreement_signer import AgreementSigner
+from hillchute.partners.agreements import derive_agreement, invalid_agreement_field
+from hillchute.partners.offers import SHARE_TOTAL, Offer
+from hillchute.partners.signatures import (
+    Signature,
+    SignedKind,
+    content_digest,
+    ed25519_signer,
+    ed25519_verifier,
+    signed_bytes,
 )
-from hillchute.partners.signatures import checker, signer
 from hillchute.partners.slot_allocation import allocate_slots, allocate_slots_by_load, count_moves
 
 NAMES = ["a", "b", "c", "d", "e"]
@@ -113,11 +112,13 @@
 KEYS = {name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32) for n, name in enumerate("abc", 1)}
 PUBLIC = {name: key.public_key().public_bytes_raw() for name, key in KEYS.items()}
 DAY = 864_000_000
-CHECK = checker(PUBLIC)
+CHECK = ed25519_verifier(PUBLIC)
 
 
 def offer(partner, want=3000, least=1000, most=8000, turn=1, begins=0, ends=DAY, capacity=100):
-    return Offer(partner, turn, capacity, want, least, most, begins, ends, grace=100, notice=1000)
+    return Offer(
+        partner, turn, capacity, want, least, most, begins, ends, grace_period=100, notice_period=1000
+    )
 
 
 def marker(name, kept=None, save=True):
@@ -128,22 +129,24 @@
             kept[number] = sealed
         return save
 
-    return Marker(name, signer(bytes([1 + "abc".index(name)]) * 32), keep, kept)
+    return AgreementSigner(name, ed25519_signer(bytes([1 + "abc".index(name)]) * 32), keep, kept)
 
 
 def agreed(number=1, offers=None, ledger=None, **times):
     """A text with the marks of all, in a ledger."""
     offers = offers or [offer(name, **times) for name in "abc"]
-    text = settle(offers, number)
-    ledger = ledger or Ledger("abc", CHECK)
-    ledger.hear(text)
+    text = derive_agreement(offers, number)
+    ledger = ledger or AgreementLedger("abc", CHECK)
+    ledger.record_agreement(text)
     for one in offers:
-        assert ledger.hear_mark(marker(one.partner).mark(text, one))
+        assert ledger.record_signature(marker(one.partner).sign_agreement(text, one))
     return text, ledger
 
 
 bounds = st.lists(
-    st.tuples(st.integers(0, WHOLE), st.integers(0, WHOLE), st.integers(0, WHOLE)).map(sorted),
+    st.tuples(st.integers(0, SHARE_TOTAL), st.integers(0, SHARE_TOTAL), st.integers(0, SHARE_TOTAL)).map(
+        sorted
+    ),
     min_size=1,
     max_size=6,
 )
@@ -153,16 +156,16 @@
 @given(bounds)
 def test_shares_add_up_and_keep_everybodys_bounds(bounds):
     offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
-    if not sum(b[0] for b in bounds) <= WHOLE <= sum(b[2] for b in bounds):
+    if not sum(b[0] for b in bounds) <= SHARE_TOTAL <= sum(b[2] for b in bounds):
         with pytest.raises(TextNotTaken):
-            settle(offers, 1)
+            derive_agreement(offers, 1)
         return
-    text = settle(offers, 1)
-    assert sum(text.shares.values()) == WHOLE and not unfit(text)
-    assert all(o.least <= text.shares[o.partner] <= o.most for o in offers)
-    assert text == settle(offers[::-1], 1)
-    if sum(o.want for o in offers) == WHOLE:
-        assert all(text.shares[o.partner] == o.want for o in offers)
+    text = derive_agreement(offers, 1)
+    assert sum(text.shares.values()) == SHARE_TOTAL and not invalid_agreement_field(text)
+    assert all(o.minimum_share <= text.shares[o.partner] <= o.maximum_share for o in offers)
+    assert text == derive_agreement(offers[::-1], 1)
+    if sum(o.desired_share for o in offers) == SHARE_TOTAL:
+        assert all(text.shares[o.partner] == o.desired_share for o in offers)
 
 
 @pytest.mark.parametrize(
@@ -177,14 +180,14 @@
 )
 def test_offers_that_do_not_meet_say_where(offers, where):
     with pytest.raises(TextNotTaken) as fault:
-        settle(offers, 1)
+        derive_agreement(offers, 1)
     assert fault.value.where == where
 
 
 def test_text_is_in_force_with_every_mark_from_its_time_to_its_end():
     text, ledger = agreed(begins=50)
     assert [ledger.in_force(now) for now in (49, 50, DAY - 1, DAY)] == [None, text, text, None]
-    assert sum(ledger.shares(50).values()) == WHOLE and ledger.shares(DAY) == {}
+    assert sum(ledger.shares(50).values()) == SHARE_TOTAL and ledger.shares(DAY) == {}
 
 
 @settings(max_examples=120, deadline=None)
@@ -193,44 +196,44 @@
     """Two routers hear the same in other orders, and not all of it: each has the old text or the new one, the
     new one only with all marks, and both the same once they have heard the same."""
     old, _ = agreed()
-    ledgers = [agreed(ledger=Ledger("abc", CHECK))[1] for _ in range(2)]
+    ledgers = [agreed(ledger=AgreementLedger("abc", CHECK))[1] for _ in range(2)]
     offers = [offer(name, want=3000 + 500 * n, begins=100) for n, name in enumerate("abc")]
-    new = settle(offers, 2)
-    messages = [new, *(marker(o.partner).mark(new, o) for o in offers)]
+    new = derive_agreement(offers, 2)
+    messages = [new, *(marker(o.partner).sign_agreement(new, o) for o in offers)]
     heard = [set(), set()]
     line = [(router, n) for router in (0, 1) for n in range(4) if router * 4 + n not in lost] * 2
     chance.shuffle(line)
     for router, n in line:
-        (ledgers[router].hear if n == 0 else ledgers[router].hear_mark)(messages[n])
+        (ledgers[router].record_agreement if n == 0 else ledgers[router].record_signature)(messages[n])
         heard[router].add(n)
         want = new if heard[router] == {0, 1, 2, 3} else old
         assert ledgers[router].in_force(200) == want
         assert ledgers[router].in_force(99) == old
     for ledger in ledgers:
-        ledger.hear(new)
-        assert all(ledger.hear_mark(mark) for mark in messages[1:])
+        ledger.record_agreement(new)
+        assert all(ledger.record_signature(mark) for mark in messages[1:])
     assert [ledger.in_force(200) for ledger in ledgers] == [new, new]
 
 
 def test_partner_marks_one_text_for_a_number_also_after_a_crash():
     kept, own = {}, offer("a")
-    text, other = (settle([own, offer("b", want=w)], 3) for w in (3000, 5000))
-    first = marker("a", kept).mark(text, own)
+    text, other = (derive_agreement([own, offer("b", want=w)], 3) for w in (3000, 5000))
+    first = marker("a", kept).sign_agreement(text, own)
     again = marker("a", kept)  # it has crashed, and read what it kept
-    assert again.mark(text, own) == first
+    assert again.sign_agreement(text, own) == first
     with pytest.raises(TextNotTaken, match="number 3"):
-        again.mark(other, own)
+        again.sign_agreement(other, own)
     with pytest.raises(TextNotTaken, match="number 3"):
-        again.mark(settle([own, offer("b")], 2), own)
-    assert again.mark(settle([own, offer("b", want=5000)], 4), own).number == 4
+        again.sign_agreement(derive_agreement([own, offer("b")], 2), own)
+    assert again.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
 
 
 def test_mark_that_cannot_be_kept_is_not_given():
     own = offer("a")
     hand = marker("a", save=False)
     with pytest.raises(TextNotTaken, match="kept"):
-        hand.mark(settle([own, offer("b")], 1), own)
-    assert not hand.marked
+        hand.sign_agreement(derive_agreement([own, offer("b")], 1), own)
+    assert not hand.signed
 
 
 @pytest.mark.parametrize(
@@ -244,43 +247,47 @@
     ],
 )
 def test_partner_marks_nothing_that_it_did_not_offer(own):
-    text = settle([offer("a"), offer("b", want=7000)], 1)
+    text = derive_agreement([offer("a"), offer("b", want=7000)], 1)
     with pytest.raises(TextNotTaken):
-        marker("a").mark(text, own)
+        marker("a").sign_agreement(text, own)
 
 
 def test_marks_of_others_or_on_other_texts_count_for_nothing():
-    text = settle([offer(name) for name in "abc"], 1)
-    ledger = Ledger("abc", CHECK)
-    ledger.hear(text)
-    good = marker("a").mark(text, offer("a"))
-    assert not ledger.hear_mark(msgspec.structs.replace(good, partner="b"))
-    assert not ledger.hear_mark(msgspec.structs.replace(good, partner="x"))
-    assert not ledger.hear_mark(msgspec.structs.replace(good, digest=b"other"))
-    assert not ledger.hear(msgspec.structs.replace(text, shares={"a": WHOLE + 1}))
+    text = derive_agreement([offer(name) for name in "abc"], 1)
+    ledger = AgreementLedger("abc", CHECK)
+    ledger.record_agreement(text)
+    good = marker("a").sign_agreement(text, offer("a"))
+    assert not ledger.record_signature(msgspec.structs.replace(good, partner="b"))
+    assert not ledger.record_signature(msgspec.structs.replace(good, partner="x"))
+    assert not ledger.record_signature(msgspec.structs.replace(good, digest=b"other"))
+    assert not ledger.record_agreement(msgspec.structs.replace(text, shares={"a": SHARE_TOTAL + 1}))
     for name in "bc":
-        ledger.hear_mark(marker(name).mark(text, offer(name)))
+        ledger.record_signature(marker(name).sign_agreement(text, offer(name)))
     assert ledger.in_force(1) is None
-    ledger.hear_mark(good)
+    ledger.record_signature(good)
     assert ledger.in_force(1) == text
 
 
 def test_partner_that_marks_two_texts_has_no_part_any_more():
     text, ledger = agreed()
-    hand = signer(bytes([1]) * 32)
-    other = settle([offer("a", want=8000, least=8000), offer("b"), offer("c")], 1)
-    ledger.hear(other)
-    ledger.hear_mark(Mark("a", 1, digest(other), hand(words(Text, 1, digest(other)))))
+    hand = ed25519_signer(bytes([1]) * 32)
+    other = derive_agreement([offer("a", want=8000, least=8000), offer("b"), offer("c")], 1)
+    ledger.record_agreement(other)
+    ledger.record_signature(
+        Signature(
+            "a", 1, content_digest(other), hand(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other)))
+        )
+    )
     assert ledger.in_force(1) == text
     assert ledger.shares(1)["a"] == 0 and ledger.shares(1)["b"] == text.shares["b"]
 
 
 def test_partner_that_withdraws_has_its_part_until_its_notice_has_run_out():
     text, ledger = agreed()
-    notice, mark = marker("b").leave(text, 500)
-    assert not ledger.hear_notice(msgspec.structs.replace(notice, at=0), mark)
-    assert not ledger.hear_notice(msgspec.structs.replace(notice, partner="a"), mark)
-    assert ledger.hear_notice(notice, mark)
+    notice, mark = marker("b").give_notice(text, 500)
+    assert not ledger.record_notice(msgspec.structs.replace(notice, effective_at=0), mark)
+    assert not ledger.record_notice(msgspec.structs.replace(notice, partner="a"), mark)
+    assert ledger.record_notice(notice, mark)
     assert ledger.shares(1499)["b"] > 0 and ledger.shares(1500)["b"] == 0
     assert (
         allocate_slots(allocate_slots((None,) * SLOTS, ledger.shares(0)), ledger.shares(1500)).count("b") == 0
@@ -290,8 +297,8 @@
 def test_silent_partner_keeps_the_old_text_to_its_end():
     old, ledger = agreed()
     offers = [offer(name, want=2000, begins=100) for name in "abc"]
-    new = settle(offers, 2)
-    ledger.hear(new)
+    new = derive_agreement(offers, 2)
+    ledger.record_agreement(new)
     for one in offers[:2]:
-        ledger.hear_mark(marker(one.partner).mark(new, one))
+        ledger.record_signature(marker(one.partner).sign_agreement(new, one))
     assert ledger.in_force(DAY - 1) == old and ledger.in_force(DAY) is None
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -10,9 +10,11 @@
 from hillchute.lab import partners_mutants
 from hillchute.lab.history_mutants import drawn, mutant, paths
 from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
-from hillchute.partners import codec, negotiation
-from hillchute.partners.agreement_ledger import Ledger, Mark, Offer
-from hillchute.partners.forwarding import Passing
+from hillchute.partners.agreement_ledger import AgreementLedger
+from hillchute.partners.forwarding import Completion, QueryForwarder
+from hillchute.partners.messages import ForwardResult, Knowledge
+from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.signatures import Signature, SignedKind, SignedOffer, content_digest
 
 
 @pytest.fixture(scope="module")
@@ -31,7 +33,7 @@
 def test_every_kind_of_message_and_what_stands_in_its_rows_is_changed(plain):
     met = {type(plain.messages[at]) for at, _, _ in drawn(plain, 1, None, KINDS)}
     assert met == set(KINDS)
-    known = next(m for m in plain.messages if isinstance(m, codec.Know) and m.offers and m.texts)
+    known = next(m for m in plain.messages if isinstance(m, Knowledge) and m.offers and m.agreements)
     names = {len(path) for path in paths(known)}
     assert names == {1, 3, 4} or max(names) >= 4  # an offer's own fields, in a pair, in a row
 
@@ -59,21 +61,21 @@
 
 
 def some_marks(self, sealed):
-    text = self.texts.get(sealed)
+    text = self.agreements.get(sealed)
     if text is not None:
-        self.complete[text.number] = self.accepted[text.number] = text
+        self.fully_signed[text.number] = self.accepted[text.number] = text
 
 
 def any_turn(self, offer, mark):
-    if self.signed(Offer, mark):
-        self.offers[offer.partner] = offer, mark
+    if self.is_genuine(SignedKind.OFFER, mark):
+        self.offers[offer.partner] = SignedOffer(offer, mark)
     return True
 
 
 def ends_again(self, number, how, why, rows=None):
-    self.ended.append((number, how, why, rows))
-    self.ended.append((number, how, why, rows))
-    self.errands.pop(number)
+    self.completions.append(Completion(number, how, why, rows))
+    self.completions.append(Completion(number, how, why, rows))
+    self.outgoing.pop(number)
 
 
 def says_nothing(self, sender, word):
@@ -83,17 +85,24 @@
 NETWORK = ("left out", "twice", "late by 40", "again much later")
 LIES = ("another's", "zero", "one more", "most")
 PLANTED = {
-    "a mark is not checked": (Ledger, "signed", anybodys, codec.Know, LIES, 3),
-    "some marks are enough": (Ledger, "accept", some_marks, codec.Know, ("left out", "none"), 0),
-    "an offer is not held against its mark": (Ledger, "hear_offer", any_turn, codec.Know, LIES, 4),
-    "an answer is two": (Passing, "end", ends_again, codec.Answer, NETWORK[:2], 0),
+    "a mark is not checked": (AgreementLedger, "is_genuine", anybodys, Knowledge, LIES, 3),
+    "some marks are enough": (
+        AgreementLedger,
+        "accept_if_signed",
+        some_marks,
+        Knowledge,
+        ("left out", "none"),
+        0,
+    ),
+    "an offer is not held against its mark": (AgreementLedger, "record_offer", any_turn, Knowledge, LIES, 4),
+    "an answer is two": (QueryForwarder, "complete", ends_again, ForwardResult, NETWORK[:2], 0),
     "a title is not confirmed": (Keeper, "entitled", says_nothing, history.Entitled, NETWORK[:1], 0),
     "a title is sent once": (Keeper, "entitle", says_nothing, history.Entitle, NETWORK[:1], 0),
     "who knows more is not asked": (
-        negotiation.Council,
+        AgreementProtocol,
         "state_digest",
         lambda self: bytes(32),
-        codec.Know,
+        Knowledge,
         NETWORK[:1],
         0,
     ),
@@ -108,13 +117,13 @@
 
 
 def test_code_as_it_stands_is_found_clean(plain):
-    assert not finds(plain, codec.Know, LIES, 3, most=4)
+    assert not finds(plain, Knowledge, LIES, 3, most=4)
 
 
 def test_marks_of_others_are_checked_by_the_rig_itself(plain):
     """The rig's own look at texts: one without a mark is said."""
     ledger = plain.councils["n0"].ledger
     (number, text) = next(iter(ledger.accepted.items()))
-    marks = ledger.marks[negotiation.digest(text)]
+    marks = ledger.signatures[content_digest(text)]
     assert {mark.partner for mark in marks.values()} == set(text.shares)
-    assert all(isinstance(mark, Mark) and mark.number == number for mark in marks.values())
+    assert all(isinstance(mark, Signature) and mark.number == number for mark in marks.values())
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -31,7 +31,7 @@
 from hillchute.history import codec as history
 from hillchute.history import policy, records, titles, verdict, views
 from hillchute.membership import event_bus
-from hillchute.partners import agreement_ledger, signatures
+from hillchute.partners import agreements, messages, offers, signatures
 from hillchute.partners import codec as partners
 from hillchute.peers import codec as peers
 from hillchute.peers import node, parts, roster
@@ -328,33 +328,37 @@
 # ---- partners: messages, and what is signed ----------------------------------------------------------
 
 
-def signed_values() -> tuple[agreement_ledger.Offer, agreement_ledger.Text, agreement_ledger.Notice]:
-    offer = agreement_ledger.Offer(
+def signed_values() -> tuple[offers.Offer, agreements.Agreement, agreements.TerminationNotice]:
+    offer = offers.Offer(
         partner="partner-a",
-        turn=601,
+        revision=601,
         capacity=602,
-        want=603,
-        least=600,
-        most=700,
-        begins=606,
-        ends=607,
-        grace=608,
-        notice=609,
+        desired_share=603,
+        minimum_share=600,
+        maximum_share=700,
+        starts_at=606,
+        ends_at=607,
+        grace_period=608,
+        notice_period=609,
     )
     owners = bytes(n % 2 for n in range(1024))
     shares, capacities = {"partner-b": 4000, "partner-a": 6000}, {"partner-b": 611, "partner-a": 612}
-    text = agreement_ledger.Text(
+    text = agreements.Agreement(
         number=613,
         shares=shares,
         capacities=capacities,
-        begins=614,
-        ends=615,
-        grace=616,
-        notice=617,
+        starts_at=614,
+        ends_at=615,
+        grace_period=616,
+        notice_period=617,
         owners=owners,
-        before=610,
+        predecessor=610,
+    )
+    return (
+        offer,
+        text,
+        agreements.TerminationNotice(partner="partner-a", agreement_number=621, effective_at=622),
     )
-    return offer, text, agreement_ledger.Notice(partner="partner-a", number=621, at=622)
 
 
 def partners_examples() -> Iterator[Example]:
@@ -363,91 +367,111 @@
             f"partners/{name}", message, partners.encode, lambda data: partners.decode(data, "router-a")
         )
 
-    def mark(number: int) -> agreement_ledger.Mark:
-        return agreement_ledger.Mark(
+    def signature(number: int) -> signatures.Signature:
+        return signatures.Signature(
             partner=f"partner-{number}",
             number=number,
             digest=bytes([number]) * 32,
-            mark=bytes([number + 1]) * 64,
+            value=bytes([number + 1]) * 64,
         )
 
     offer, text, notice = signed_values()
-    later = agreement_ledger.Text(
+    later = agreements.Agreement(
         number=631,
         shares={"p": 10_000},
         capacities={"p": 632},
-        begins=633,
-        ends=634,
-        grace=635,
-        notice=636,
+        starts_at=633,
+        ends_at=634,
+        grace_period=635,
+        notice_period=636,
         owners=bytes(1024),
     )
-    early = agreement_ledger.Offer(
-        partner="partner-b", turn=641, capacity=642, want=643, least=640, most=700, begins=644, ends=645
+    early = offers.Offer(
+        partner="partner-b",
+        revision=641,
+        capacity=642,
+        desired_share=643,
+        minimum_share=640,
+        maximum_share=700,
+        starts_at=644,
+        ends_at=645,
     )
 
-    yield example("gossip-digest", partners.Have(digest=bytes(range(32))))
+    yield example("gossip-digest", messages.KnowledgeDigest(digest=bytes(range(32))))
     yield example(
         "gossip-state",
-        partners.Know(
-            offers=((offer, mark(11)), (early, mark(13))),
-            texts=(text, later),
-            marks=(mark(15), mark(17)),
-            notices=((notice, mark(19)),),
-            two_texts=((mark(21), mark(23)),),
-            back=True,
+        messages.Knowledge(
+            offers=(
+                signatures.SignedOffer(offer, signature(11)),
+                signatures.SignedOffer(early, signature(13)),
+            ),
+            agreements=(text, later),
+            signatures=(signature(15), signature(17)),
+            notices=(signatures.SignedNotice(notice, signature(19)),),
+            equivocations=(signatures.Equivocation(signature(21), signature(23)),),
+            reply_wanted=True,
         ),
     )
     yield example(
         "gossip-state, empty",
-        partners.Know(offers=(), texts=(), marks=(), notices=(), two_texts=(), back=False),
+        messages.Knowledge(
+            offers=(), agreements=(), signatures=(), notices=(), equivocations=(), reply_wanted=False
+        ),
     )
-    query = partners.Pass(
+    query = messages.ForwardQuery(
         number=651,
-        life=652,
-        to_life=653,
-        id="query-1",
+        incarnation=652,
+        target_incarnation=653,
+        query_id="query-1",
         group="group-1",
         statement=b"\x00select\xff",
-        token="token-1",
+        idempotency_key="token-1",
         cost=654,
         memory=655.5,
-        key="key-1",
+        ordering_key="key-1",
         customer="customer-1",
-        left=656,
+        time_left=656,
     )
-    bare = msgspec.structs.replace(query, token=None, cost=None, key=None)
+    bare = msgspec.structs.replace(query, idempotency_key=None, cost=None, ordering_key=None)
     yield example("forwarded-query", query)
     yield example("forwarded-query, optional fields absent", bare)
-    yield example("forward-accepted", partners.Took(number=661, life=662))
+    yield example("forward-accepted", messages.ForwardAccepted(number=661, incarnation=662))
     yield example(
         "forward-result",
-        partners.Answer(number=671, life=672, how="finished", why="a reason", rows=b"\x00rows\xff"),
+        messages.ForwardResult(
+            number=671,
+            incarnation=672,
+            outcome=messages.ForwardOutcome.SERVED,
+            reason="a reason",
+            rows=b"\x00rows\xff",
+        ),
     )
-    for name, how in (("served", "finished"), ("rejected", "deferred"), ("failed", "killed")):
-        message = partners.Answer(number=671, life=672, how=how, why="a reason", rows=None)
-        yield example(f"forward-result, {name}, optional fields absent", message)
-    yield example("forward-result-acknowledgement", partners.Got(number=681, life=682))
-    yield example("forward-cancelled", partners.Drop(number=691, life=692))
+    for outcome in messages.ForwardOutcome:
+        message = messages.ForwardResult(
+            number=671, incarnation=672, outcome=outcome, reason="a reason", rows=None
+        )
+        yield example(f"forward-result, {outcome.name.lower()}, optional fields absent", message)
+    yield example("forward-result-acknowledgement", messages.ForwardResultAck(number=681, incarnation=682))
+    yield example("forward-cancelled", messages.ForwardCancel(number=691, incarnation=692))
 
 
 def signature_examples() -> Iterator[Example]:
     """What is signed begins with the name of the kind, which other routers and kept files know."""
     for name, value, number in zip(("offer", "agreement", "notice"), signed_values(), (601, 613, 621)):
-        kind = type(value)
-        yield Example(f"partners/signed-digest of {name}", value, agreement_ledger.digest)
+        kind = signatures.kind_of(value)
+        yield Example(f"partners/signed-digest of {name}", value, signatures.content_digest)
         yield Example(
             f"partners/signed-bytes of {name}",
             value,
-            lambda value, kind=kind, number=number: agreement_ledger.words(
-                kind, number, agreement_ledger.digest(value)
+            lambda value, kind=kind, number=number: signatures.signed_bytes(
+                kind, number, signatures.content_digest(value)
             ),
         )
         yield Example(
             f"partners/signature of {name}",
             value,
-            lambda value, kind=kind, number=number: signatures.signer(PRIVATE_KEY)(
-                agreement_ledger.words(kind, number, agreement_ledger.digest(value))
+            lambda value, kind=kind, number=number: signatures.ed25519_signer(PRIVATE_KEY)(
+                signatures.signed_bytes(kind, number, signatures.content_digest(value))
             ),
         )
 
@@ -662,7 +686,7 @@
 
 @pytest.mark.parametrize(
     ("prefix", "messages"),
-    [("history/", get_args(history.Message)), ("partners/", get_args(partners.Message))],
+    [("history/", get_args(history.Message)), ("partners/", get_args(messages.Message))],
     ids=["history", "partners"],
 )
 def test_each_message_type_has_an_example(prefix, messages):
@@ -877,7 +901,7 @@
 
 def test_recorded_signatures_are_taken():
     public = Ed25519PrivateKey.from_private_bytes(PRIVATE_KEY).public_key().public_bytes_raw()
-    check = signatures.checker({"partner-a": public})
+    check = signatures.ed25519_verifier({"partner-a": public})
     for name in ("offer", "agreement", "notice"):
         signed = bytes.fromhex(recorded()[f"partners/signed-bytes of {name}"])
         signature = bytes.fromhex(recorded()[f"partners/signature of {name}"])
