--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -28,7 +28,7 @@
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.forwarding import QueryForwarder
 from hillchute.partners.messages import AgreementMessage, ForwardOutcome, ForwardQuery, PartnerMessage
-from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.negotiation import AgreementProtocol, Membership
 from hillchute.partners.offers import SHARE_TOTAL, Offer
 from hillchute.partners.signatures import Verify, ed25519_signer, ed25519_verifier
 from hillchute.router.reducer import TABLES
@@ -75,7 +75,9 @@
 
     def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
         life, partner = self.lives[name], self.partner_of[name]
-        council = AgreementProtocol(name, partner, self.partners, self.check, self.seed, now, self.hand(name))
+        council = AgreementProtocol(
+            Membership(name, partner, self.partners, self.check), self.seed, now, self.hand(name)
+        )
         self.councils[name] = council
         if council.signer is not None and partner in self.offers:
             self.said_offer(name, self.offers[partner])
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -10,6 +10,7 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 from zlib import crc32
 
 import msgspec
@@ -30,6 +31,15 @@
 KNOWLEDGE_TAG = b"Know"  # under which all that is known is digested: the same in every version
 
 
+class Membership(NamedTuple):
+    """The partners as one router's operator file names them."""
+
+    router: str
+    partner: str  # whose router it is
+    routers: Mapping[str, Iterable[str]]  # of each partner
+    verify: Verify  # by the partners' public keys
+
+
 class AgreementProtocol:
     """One router's part in the negotiation between partners.
 
@@ -37,23 +47,16 @@
     """
 
     def __init__(
-        self,
-        router: str,
-        partner: str,
-        partners: Mapping[str, Iterable[str]],
-        verify: Verify,
-        seed: int,
-        now: Time,
-        signer: AgreementSigner | None = None,
+        self, membership: Membership, seed: int, now: Time, signer: AgreementSigner | None = None
     ) -> None:
-        """`partners`: the routers of each. `signer`: only at the router that has its partner's key."""
-        self.router = router
-        self.partner = partner
+        """`signer`: only at the router that has its partner's key. `seed`: of the choice of targets."""
+        self.router = membership.router
+        self.partner = membership.partner
         self.seed = seed
         self.signer = signer
         self.counts: Counter[str] = Counter()
-        self.ledger = AgreementLedger(partners, verify)
-        self._set_routers(partners)
+        self.ledger = AgreementLedger(membership.routers, membership.verify)
+        self._set_routers(membership.routers)
         self.ownership = SlotOwnership(self.ledger, self.partner_of, self.counts)
         self.own_offer: Offer | None = None  # as the operator file has it
         self.outbox: list[tuple[str, AgreementMessage]] = []
@@ -63,14 +66,14 @@
         self.draws = 0  # of targets so far
         self.last_digest = b""
 
-    def _set_routers(self, partners: Mapping[str, Iterable[str]]) -> None:
-        self.routers = {partner: frozenset(routers) for partner, routers in partners.items()}
-        self.partner_of = {router: name for name, routers in self.routers.items() for router in routers}
+    def _set_routers(self, routers: Mapping[str, Iterable[str]]) -> None:
+        self.routers = {partner: frozenset(names) for partner, names in routers.items()}
+        self.partner_of = {router: partner for partner, names in self.routers.items() for router in names}
 
-    def set_partners(self, partners: Mapping[str, Iterable[str]], verify: Verify) -> None:
+    def set_partners(self, routers: Mapping[str, Iterable[str]], verify: Verify) -> None:
         """The operator names other partners, or other routers of them."""
-        self._set_routers(partners)
-        self.ledger.set_partners(partners, verify)
+        self._set_routers(routers)
+        self.ledger.set_partners(routers, verify)
         self.ownership.set_partner_of(self.partner_of)
 
     # ---- what the operator decides -----------------------------------------------------------------
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -23,7 +23,7 @@
 from hillchute.partners.codec import codec
 from hillchute.partners.forwarding import QueryForwarder
 from hillchute.partners.messages import AgreementMessage, ForwardOutcome, ForwardQuery, Message
-from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.partners.negotiation import AgreementProtocol, Membership
 from hillchute.partners.offers import Offer
 from hillchute.partners.signature_journal import SignatureJournal, read_private_key
 from hillchute.partners.signatures import Equivocation, ed25519_signer, ed25519_verifier
@@ -63,8 +63,8 @@
         self.settings = settings
         self.file: SignatureJournal | None = None
         now = clock()
-        about = settings["own"], routers_of(settings), checks_of(settings), seed, now
-        self.council = AgreementProtocol(node.me, *about, self.hand())
+        membership = Membership(node.me, settings["own"], routers_of(settings), checks_of(settings))
+        self.council = AgreementProtocol(membership, seed, now, self.hand())
         self.passing = QueryForwarder(node.me, node.born, node.lives, self.over)
         self.errands: dict[tuple[str, int], int] = {}  # the passing's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
--- a/tests/test_council.py
+++ b/tests/test_negotiation.py
@@ -19,7 +19,7 @@
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.handover import lead_refusal, next_title
 from hillchute.partners.messages import ForwardQuery, ForwardResult, Knowledge, KnowledgeDigest
-from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol
+from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol, Membership
 from hillchute.partners.offers import SHARE_TOTAL, Offer
 from hillchute.partners.signature_journal import SignatureJournal
 from hillchute.partners.signatures import (
@@ -73,8 +73,8 @@
 
     def start(self, partner, router):
         marker = hand(partner, self.files[partner]) if router == self.routers[partner][0] else None
-        about = router, partner, self.routers, self.check, len(self.councils), self.now, marker
-        self.councils[router] = AgreementProtocol(*about)
+        membership = Membership(router, partner, self.routers, self.check)
+        self.councils[router] = AgreementProtocol(membership, len(self.councils), self.now, marker)
 
     def offer(self, partner, **about):
         self.councils[self.routers[partner][0]].make_offer(self.now, offer(partner, **about))
