--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -116,17 +116,17 @@
     )
 
 
-class MarksNotKept(HillchuteError):
-    """The file of what a partner has marked can't be read or written; `where` is the file."""
+class SignatureJournalError(HillchuteError):
+    """The file of what a partner has signed can't be read or written; `where` is the file."""
 
     remedy = (
         "see that `partners.marks_file` names a file in a folder that the router may write to, with room, and"
-        " that no line of it was changed; until then this partner marks no text, and the last one holds"
+        " that no line of it was changed; until then this partner signs no agreement, and the last one holds"
     )
 
 
-class PartnerBroke(HillchuteError):
-    """A partner has marked two texts for one number; `where` is its name. Its part goes to the others."""
+class PartnerEquivocationError(HillchuteError):
+    """A partner has signed two agreements of one number; `where` is its name. Its part goes to the others."""
 
     remedy = (
         "ask that partner whether two of its routers have its `partners.key_file`, or an old"
@@ -135,7 +135,7 @@
     )
 
 
-class TextNotTaken(HillchuteError):
-    """A text between partners that can't be agreed to; `where` is the field or the partner."""
+class AgreementRejectedError(HillchuteError):
+    """An agreement between partners that can't be signed or derived; `where` is the field or the partner."""
 
     remedy = "compare `partners.offer` of all partners; make a new offer with a higher turn, then send SIGHUP"
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -1,16 +1,14 @@
 """One message between partners' routers changed at a time: the real code under a clock and a network of its
 own.
 
-A scripted run (offers, a text, queries that are passed on, a new text under load, a death with such a query
+A scripted run (offers, an agreement, forwarded queries, a new agreement under load, a death with such a query
 out, a return, a cut, a notice) is played once; then again, once for each message and each change of it. Owns
 the script and what the ends are compared by. Must never know how the code under it comes to what it does. One
-seed, one run. Played from hillchute.partners.signatures import SignedKind, content_digest, signed_bytes
-from hillchute.partners.messages import PartnerMessage, Message
-from hillchute.lab.mutants; the changes are history_mutants'.
+seed, one run. Played from hillchute.lab.mutants; the changes are history_mutants'.
 
-A liar here is a router: it can say what it likes, but not mark for another partner. It may make holders of
+A liar here is a router: it can say what it likes, but not sign for another partner. It may make holders of
 slots believe what never was, as in the history; but no router may fail at it, no client be answered twice,
-and no text hold that not all have marked.
+and no agreement be in force that not all have signed.
 """
 
 from typing import get_args
@@ -52,7 +50,7 @@
     def script(self) -> "Net":
         self.agree()
         if not (self.settled() and self.agreed()):
-            self.raised.append("no text came to hold")
+            self.raised.append("no agreement came into force")
             return self
         self.ask_all(0, 8, self.names)
         self.offer("b", 7000)
@@ -64,7 +62,7 @@
         for name in self.names:
             self.ask(name, f"d{name}", "k1")
         self.advance(0.2)
-        self.kill("n4")  # b's, with queries that were passed on to it
+        self.kill("n4")  # b's, with queries that were forwarded to it
         self.advance(9)
         self.start("n4")
         self.advance(9)
@@ -74,7 +72,7 @@
         self.advance(7)
         self.mend()
         self.advance(9)
-        self.councils["n2"].give_notice(self.clock("n2"))  # c's: its part ends with the notice
+        self.protocols["n2"].give_notice(self.clock("n2"))  # c's: its part ends with the notice
         self.post("n2")
         self.advance(13)
         self.ask_all(40, 6, self.names)
@@ -83,27 +81,29 @@
             self.raised.append("did not come to rest")
         if self.unanswered():
             self.raised.append(f"{self.unanswered()} clients without an answer")
-        texts: dict[int, object] = {}
-        for name, council in self.councils.items():
-            for number, text in council.ledger.accepted.items():
-                if texts.setdefault(number, text) != text:
-                    self.raised.append(f"{name} has another text of number {number}")
-                for partner in text.shares:
-                    mark = council.ledger.signatures.get(content_digest(text), {}).get(partner)
-                    known = mark is not None and mark.number == number and mark.partner == partner
-                    said = signed_bytes(SignedKind.AGREEMENT, number, content_digest(text))
-                    if not known or not self.check(partner, said, mark.value):
-                        self.raised.append(f"{name} accepts text {number} without {partner}'s mark")
+        agreements: dict[int, object] = {}
+        for name, protocol in self.protocols.items():
+            for number, agreement in protocol.ledger.accepted.items():
+                if agreements.setdefault(number, agreement) != agreement:
+                    self.raised.append(f"{name} has another agreement of number {number}")
+                for partner in agreement.shares:
+                    signature = protocol.ledger.signatures.get(content_digest(agreement), {}).get(partner)
+                    known = (
+                        signature is not None and signature.number == number and signature.partner == partner
+                    )
+                    content = signed_bytes(SignedKind.AGREEMENT, number, content_digest(agreement))
+                    if not known or not self.check(partner, content, signature.value):
+                        self.raised.append(f"{name} accepts agreement {number} without {partner}'s signature")
         return self
 
     def end(self) -> dict[str, object]:
-        """Which text holds, whose the slots are, how often each token ran."""
-        councils = list(self.councils.values())
+        """Which agreement is followed, whose the slots are, how often each token ran."""
+        protocols = list(self.protocols.values())
         return {
             "shares": sorted(
-                (n, s) for n, s in councils[0].ownership.effective_shares(self.clock("n0")).items()
+                (n, s) for n, s in protocols[0].ownership.effective_shares(self.clock("n0")).items()
             ),
-            "current": all(c.ownership.up_to_date() for c in councils),
+            "current": all(c.ownership.up_to_date() for c in protocols),
             "owners": sorted({owner: self.owners().count(owner) for owner in "abc"}.items()),
             "ran_at_most": max(len(runs) for runs in self.runs.values()),
         }
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -1,9 +1,9 @@
 """Routers of several partners over one network that loses, delays, repeats and cuts, in simulated time:
-offers and texts, titles of slots, queries that are passed on; on top of the history's net, whose clients,
-engines and faults these are. What breaks a rule is told by what clients and engines saw.
+offers and agreements, titles of slots, forwarded queries; on top of the history's net, whose clients, engines
+and faults these are. What breaks a rule is decided by what clients and engines saw.
 
-Owns the partners, their hands and files, and the counts of rules broken by them. Must never know how a router
-decides.
+Owns the partners, their signers and journals, and the counts of rules broken by them. Must never know how a
+router decides.
 """
 
 import random
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from hillchute.decision.interface import Time
-from hillchute.errors import DatagramDropped, TextNotTaken
+from hillchute.errors import AgreementRejectedError, DatagramDropped
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
@@ -53,17 +53,19 @@
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
         self.partner_of = {name: p for p, some in self.partners.items() for name in some}
-        self.councils: dict[str, AgreementProtocol] = {}
-        self.passings: dict[str, QueryForwarder] = {}
-        self.files: dict[str, dict[int, bytes]] = defaultdict(dict)  # of each partner, over restarts
+        self.protocols: dict[str, AgreementProtocol] = {}
+        self.forwarders: dict[str, QueryForwarder] = {}
+        self.journals: dict[str, dict[int, bytes]] = defaultdict(dict)  # of each partner, over restarts
         self.offers: dict[str, Offer] = {}
         self.check: Verify = ed25519_verifier({p: public(p) for p in self.partners})
         self.asks: dict[int, list] = {}  # name, life, asked, patience, answers: of each query of a client
-        self.ask_of: dict[tuple[str, int, int], int] = {}  # by claim, and by errand
-        self.errand_of: dict[tuple[str, int, int], tuple[int, int]] = {}  # with the claim's number
+        self.ask_of: dict[tuple[str, int, int], int] = {}  # by claim
+        self.claim_of_forwarded: dict[
+            tuple[str, int, int], tuple[int, int]
+        ] = {}  # the client's query and the claim's number
         self.ran_last: dict[tuple[str, int, str], int] = {}  # of one router's clients and a key: the last
-        self.errands: dict[tuple[str, int, int], int] = {}  # all that ever were
-        self.session_of: dict[tuple[str, int, int], int] = {}  # of claims for guests
+        self.forwarded: dict[tuple[str, int, int], int] = {}  # client's query of each that ever was
+        self.session_of: dict[tuple[str, int, int], int] = {}  # of claims for incoming forwarded queries
         self.led: dict[str, list[tuple[Time, Time, str]]] = defaultdict(list)  # key: when, by whose router
         self.ran_for: set[int] = set()  # queries of clients that ran
         self.turned_away: set[int] = set()  # and those that were told that they did not
@@ -75,35 +77,35 @@
 
     def keeper(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Keeper:
         life, partner = self.lives[name], self.partner_of[name]
-        council = AgreementProtocol(
-            Membership(name, partner, self.partners, self.check), self.seed, now, self.hand(name)
+        protocol = AgreementProtocol(
+            Membership(name, partner, self.partners, self.check), self.seed, now, self.signer_of(name)
         )
-        self.councils[name] = council
-        if council.signer is not None and partner in self.offers:
-            self.said_offer(name, self.offers[partner])
+        self.protocols[name] = protocol
+        if protocol.signer is not None and partner in self.offers:
+            self.publish_offer(name, self.offers[partner])
 
         def over(other: str, other_life: int) -> bool:
             return living().get(other) != other_life
 
-        self.passings[name] = QueryForwarder(name, life, living, over)
-        return Keeper(name, life, self.names, self.book, now, living, deeds=council.ownership)
+        self.forwarders[name] = QueryForwarder(name, life, living, over)
+        return Keeper(name, life, self.names, self.book, now, living, deeds=protocol.ownership)
 
-    def hand(self, name: str) -> AgreementSigner | None:
+    def signer_of(self, name: str) -> AgreementSigner | None:
         partner = self.partner_of[name]
         if name != self.partners[partner][0]:
             return None
-        kept = self.files[partner]
+        journal = self.journals[partner]
 
-        def save(number: int, sealed: bytes) -> bool:
-            kept[number] = sealed
+        def record(number: int, digest: bytes) -> bool:
+            journal[number] = digest
             return True
 
-        return AgreementSigner(partner, ed25519_signer(private(partner)), save, dict(kept))
+        return AgreementSigner(partner, ed25519_signer(private(partner)), record, dict(journal))
 
     def kill(self, name: str) -> None:
-        for kept in (self.councils, self.passings):
+        for kept in (self.protocols, self.forwarders):
             kept.pop(name, None)
-        for kept in (self.ask_of, self.errand_of, self.session_of):
+        for kept in (self.ask_of, self.claim_of_forwarded, self.session_of):
             for claim in [claim for claim in kept if claim[0] == name]:
                 del kept[claim]
         self.asks = {ask: about for ask, about in self.asks.items() if about[0] != name}
@@ -112,7 +114,7 @@
     def offer(
         self, partner: str, want: int, least: int = 500, most: int = SHARE_TOTAL, capacity: int = 100
     ) -> None:
-        """The operator of a partner makes an offer, at the router that marks; it holds over restarts."""
+        """The operator of a partner makes an offer, at the router that signs; it holds over restarts."""
         turn = self.offers[partner].revision + 1 if partner in self.offers else 1
         ends = EPOCH + YEAR
         said = Offer(
@@ -129,14 +131,14 @@
         )
         self.offers[partner] = said
         name = self.partners[partner][0]
-        if name in self.councils and name not in self.stopped:
-            self.said_offer(name, said)
+        if name in self.protocols and name not in self.stopped:
+            self.publish_offer(name, said)
 
-    def said_offer(self, name: str, said: Offer) -> None:
+    def publish_offer(self, name: str, said: Offer) -> None:
         try:
-            self.councils[name].make_offer(self.clock(name), said)
-        except TextNotTaken:
-            self.hops["offers not taken"] += 1
+            self.protocols[name].make_offer(self.clock(name), said)
+        except AgreementRejectedError:
+            self.hops["offers rejected"] += 1
 
     def agree(self, **wants: int) -> None:
         for partner in self.partners:
@@ -161,25 +163,25 @@
         elif data[:1] == PARTNERS:
             message = codec.decode(data[1:], sender)
             if isinstance(message, AgreementMessage):
-                self.councils[to].receive(now, sender, message)
+                self.protocols[to].receive(now, sender, message)
             else:
-                self.passings[to].receive(now, sender, message)
+                self.forwarders[to].receive(now, sender, message)
         else:
             raise DatagramDropped("of no kind", sender)
         self.post(to)
 
     def tick(self, name: str) -> None:
         now = self.clock(name)
-        self.councils[name].tick(now, self.seen[name].keys())
-        self.passings[name].tick(now)
+        self.protocols[name].tick(now, self.seen[name].keys())
+        self.forwarders[name].tick(now)
         super().tick(name)
 
     def post(self, name: str) -> None:
         super().post(name)
         if name not in self.keepers:
             return
-        self.take_guests(name)
-        for part in (self.councils[name], self.passings[name]):
+        self.run_forwarded(name)
+        for part in (self.protocols[name], self.forwarders[name]):
             out, part.outbox = part.outbox, []
             for to, message in out:
                 self.send(name, to, message)
@@ -226,43 +228,43 @@
         rows: bytes | None,
         about: tuple[str, str, Time],
     ) -> None:
-        """A claim that does not run here is answered, or passed on if it came from a client."""
+        """A claim that does not run here is answered, or forwarded if it came from a client."""
         (name, life, _), (token, key, asked) = claim, about
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
         how = ANSWERS.get(verdict, ForwardOutcome.REJECTED)
         if session is not None:
             if verdict is Verdict.PASS:
                 self.keepers[name].ended(self.clock(name), claim[2], FREED)
-            self.passings[name].answer(self.clock(name), session, how, why, rows)
+            self.forwarders[name].answer(self.clock(name), session, how, why, rows)
             return
         if verdict is Verdict.PASS:
-            self.hops["passed on"] += 1
-            passing, now = self.passings[name], self.clock(name)
-            to = passing.choose_target(self.partners.get(why, ()), "", key)
+            self.hops["forwarded"] += 1
+            forwarder, now = self.forwarders[name], self.clock(name)
+            to = forwarder.choose_target(self.partners.get(why, ()), "", key)
             if to is not None:
                 left = max(0, asked + PATIENCE - self.now)
                 once = key.startswith(TABLES)
                 message = ForwardQuery(
                     0, 0, 0, token, "g", key.encode(), None if once else token, None, 0.0, None, "", left
                 )
-                errand = passing.forward(now, to, message, now + left)
-                self.errand_of[name, life, errand] = ask, claim[2]
-                self.errands[name, life, errand] = ask
+                forwarded = forwarder.forward(now, to, message, now + left)
+                self.claim_of_forwarded[name, life, forwarded] = ask, claim[2]
+                self.forwarded[name, life, forwarded] = ask
                 return
             self.keepers[name].ended(now, claim[2], FREED)
         self.answered(ask, how)
 
-    def take_guests(self, name: str) -> None:
-        """Queries that were passed on come and end."""
-        passing, life = self.passings[name], self.lives[name]
-        came, passing.arrivals = passing.arrivals, []
+    def run_forwarded(self, name: str) -> None:
+        """Forwarded queries arrive and end."""
+        forwarder, life = self.forwarders[name], self.lives[name]
+        came, forwarder.arrivals = forwarder.arrivals, []
         for session, message in came:
-            self.hops["came"] += 1
+            self.hops["arrived"] += 1
             claim = self.claim(name, message.query_id, message.statement.decode(), message.time_left)
             self.session_of[claim] = session
-        ended, passing.completions = passing.completions, []
+        ended, forwarder.completions = forwarder.completions, []
         for number, how, _, rows in ended:
-            ask, mine = self.errand_of.pop((name, life, number), (None, 0))
+            ask, mine = self.claim_of_forwarded.pop((name, life, number), (None, 0))
             self.rule["ended twice"] += ask is None
             if mine:
                 self.keepers[name].ended(self.clock(name), mine, FREED)
@@ -293,18 +295,18 @@
         self.led[key].append((begin, end, partner))
 
     def ask_for(self, claim: tuple[str, int, int]) -> int | None:
-        """The client's query that a claim is for, also where it was passed on."""
+        """The client's query that a claim is for, also where it was forwarded."""
         session = self.session_of.get(claim)
         if session is None:
             return self.ask_of.get(claim)
-        guest = self.passings[claim[0]].by_session[session]
-        return self.errands.get((guest.sender, guest.incarnation, guest.number))
+        incoming = self.forwarders[claim[0]].by_session[session]
+        return self.forwarded.get((incoming.sender, incoming.incarnation, incoming.number))
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
         how = ENDS.get(state, ForwardOutcome.FAILED)
         if session is not None:
-            self.passings[claim[0]].answer(self.clock(claim[0]), session, how, "", rows)
+            self.forwarders[claim[0]].answer(self.clock(claim[0]), session, how, "", rows)
         elif ask is not None:
             self.answered(ask, how)
         super().ended(claim, state, rows)
@@ -330,16 +332,16 @@
         return found
 
     def agreed(self, most: float = 60) -> bool:
-        """Plays until all go by one text and every slot is whose it is by that."""
+        """Plays until all follow one agreement and every slot has the owner that it names."""
         since = self.now
         while self.now - since < most * SECOND:
             self.advance(0.5)
-            councils = [c for n, c in self.councils.items() if n not in self.stopped]
-            numbers = {c.ownership.agreement_number for c in councils} | {
-                c.ownership.named(self.now) for c in councils
+            protocols = [c for n, c in self.protocols.items() if n not in self.stopped]
+            numbers = {c.ownership.agreement_number for c in protocols} | {
+                c.ownership.named(self.now) for c in protocols
             }
             if len(numbers) == 1 and 0 not in numbers:
-                owners = [owner or "" for owner in councils[0].ownership.slot_owners]
+                owners = [owner or "" for owner in protocols[0].ownership.slot_owners]
                 if all(owners) and owners == self.owners():
                     return True
         return False
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -25,7 +25,7 @@
 
 
 def partner_of(number: int) -> str:
-    """Routers are dealt to the partners in turn; the first of each marks."""
+    """Routers are dealt to the partners in turn; the first of each signs."""
     return PARTNERS[number % len(PARTNERS)]
 
 
--- a/hillchute/partners/__init__.py
+++ b/hillchute/partners/__init__.py
@@ -1,3 +1,1 @@
-"""Several operators over one pool of engines: which of them owns which slots, by shares that they agreed
-on.
-"""
+"""Several operators over one pool of engines: agreements on shares, slot ownership, and forwarded queries."""
--- a/hillchute/partners/agreement_signer.py
+++ b/hillchute/partners/agreement_signer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 
 from hillchute.decision.interface import Time
-from hillchute.errors import TextNotTaken
+from hillchute.errors import AgreementRejectedError
 from hillchute.partners.agreements import Agreement, TerminationNotice, invalid_agreement_field
 from hillchute.partners.offers import Offer
 from hillchute.partners.signatures import (
@@ -35,18 +35,18 @@
         self.signed = dict(signed)
 
     def sign_agreement(self, agreement: Agreement, own_offer: Offer) -> Signature:
-        """Raises TextNotTaken for what the partner did not offer, or can't sign any more."""
+        """Raises AgreementRejectedError for what the partner did not offer, or can't sign any more."""
         if invalid := invalid_agreement_field(agreement):
-            raise TextNotTaken("can't be honoured by anybody", invalid)
+            raise AgreementRejectedError("can't be honoured by anybody", invalid)
         self._require_as_offered(agreement, own_offer)
         digest = content_digest(agreement)
         highest = max(self.signed, default=0)
         if agreement.number < highest or self.signed.get(agreement.number, digest) != digest:
-            raise TextNotTaken(
+            raise AgreementRejectedError(
                 f"number {highest} is signed already; a new agreement needs a higher one", self.partner
             )
         if not self.record(agreement.number, digest):
-            raise TextNotTaken("what is signed can't be kept, so it is not given", self.partner)
+            raise AgreementRejectedError("what is signed can't be kept, so it is not given", self.partner)
         self.signed[agreement.number] = digest
         return self._signature(SignedKind.AGREEMENT, agreement.number, digest)
 
@@ -55,11 +55,11 @@
         minimum = own_offer.minimum_share
         maximum = own_offer.maximum_share
         if own_offer.partner != self.partner or share is None or not minimum <= share <= maximum:
-            raise TextNotTaken(f"share {share}, {minimum} to {maximum} were offered", self.partner)
+            raise AgreementRejectedError(f"share {share}, {minimum} to {maximum} were offered", self.partner)
         same_capacity = agreement.capacities.get(self.partner) == own_offer.capacity
         within_times = agreement.starts_at >= own_offer.starts_at and agreement.ends_at <= own_offer.ends_at
         if not same_capacity or not within_times:
-            raise TextNotTaken("capacity or times are not as offered", self.partner)
+            raise AgreementRejectedError("capacity or times are not as offered", self.partner)
 
     def sign_offer(self, offer: Offer) -> SignedOffer:
         """The partner's own offer, signed so that nobody else can make one in its name."""
--- a/hillchute/partners/agreements.py
+++ b/hillchute/partners/agreements.py
@@ -90,8 +90,8 @@
     """The one agreement that follows from all offers and the predecessor; every router derives the same.
 
     Each partner has its desired share, or as near to it as the others' bounds allow; slots are allocated with
-    the fewest moves; of grace and notice periods the longest counts. Raises TextNotTaken with what can't be
-    met.
+    the fewest moves; of grace and notice periods the longest counts. Raises AgreementRejectedError with what
+    can't be met.
     """
     offers = sorted(offers, key=lambda offer: offer.partner)
     require_compatible(offers)
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import TextNotTaken
+from hillchute.errors import AgreementRejectedError
 from hillchute.partners.agreement_ledger import AgreementLedger
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.agreements import Agreement, derive_agreement, same_terms
@@ -60,8 +60,10 @@
         self.ownership = SlotOwnership(self.ledger, self.partner_of, self.counts)
         self.own_offer: Offer | None = None  # as the operator file has it
         self.outbox: list[tuple[str, AgreementMessage]] = []
-        self.proposal_error: TextNotTaken | None = None  # why no agreement follows from the offers
-        self.signing_errors: dict[int, TextNotTaken] = {}  # by number: agreements that are not signed here
+        self.proposal_error: AgreementRejectedError | None = None  # why no agreement follows from the offers
+        self.signing_errors: dict[
+            int, AgreementRejectedError
+        ] = {}  # by number: agreements that are not signed here
         self.last_exchange_at = now
         self.draws = 0  # of targets so far
         self.last_digest = b""
@@ -79,12 +81,12 @@
     # ---- what the operator decides -----------------------------------------------------------------
 
     def make_offer(self, now: Time, offer: Offer) -> None:
-        """This router's partner makes an offer. Raises TextNotTaken unless its revision is a new one."""
+        """This router's partner makes an offer. Raises AgreementRejectedError if its revision is not new."""
         if self.signer is None:
-            raise TextNotTaken("this router has no key to sign with", "partners.offer")
+            raise AgreementRejectedError("this router has no key to sign with", "partners.offer")
         known = self.ledger.offers.get(offer.partner)
         if known is not None and offer != known.offer and offer.revision <= known.offer.revision:
-            raise TextNotTaken(
+            raise AgreementRejectedError(
                 f"turn {offer.revision}; {known.offer.revision} is known already", "partners.offer.turn"
             )
         self.own_offer = offer
@@ -189,7 +191,7 @@
         latest = ledger.latest()
         try:
             proposal = derive_agreement(offers, self._next_number(signer), latest)
-        except TextNotTaken as error:
+        except AgreementRejectedError as error:
             self.proposal_error = error
             return
         self.proposal_error = None
@@ -219,7 +221,7 @@
             try:
                 self._require_derived(agreement, latest_number)
                 signature = signer.sign_agreement(agreement, self.own_offer)
-            except TextNotTaken as error:
+            except AgreementRejectedError as error:
                 self.signing_errors[agreement.number] = error
             else:
                 ledger.record_signature(signature)
@@ -236,16 +238,16 @@
                 signer.signed.setdefault(signature.number, signature.digest)
 
     def _require_derived(self, agreement: Agreement, latest_number: int) -> None:
-        """Raise TextNotTaken unless the agreement follows from the offers and the predecessor known here."""
+        """Raise AgreementRejectedError unless the agreement follows from what is known here."""
         number = agreement.number
         predecessor = self.ledger.fully_signed.get(agreement.predecessor)
         unknown = agreement.predecessor != 0 and predecessor is None
         if agreement.predecessor < latest_number or unknown:
-            raise TextNotTaken(
+            raise AgreementRejectedError(
                 f"agreement {number} goes on from {agreement.predecessor}, not the last known here"
             )
         if agreement != derive_agreement(self.offers(), number, predecessor):
-            raise TextNotTaken(f"agreement {number} is not what follows from the offers known here")
+            raise AgreementRejectedError(f"agreement {number} is not what follows from the offers known here")
 
 
 def _digest_of(known: Knowledge) -> bytes:
--- a/hillchute/partners/offers.py
+++ b/hillchute/partners/offers.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.errors import TextNotTaken
+from hillchute.errors import AgreementRejectedError
 
 SHARE_TOTAL = 10_000  # parts that the shares of an agreement add up to: hundredths of a percent
 MAX_NAME_LENGTH = 64  # characters of a partner's name
@@ -60,19 +60,19 @@
 
 
 def require_compatible(offers: Iterable[Offer]) -> None:
-    """Raise TextNotTaken, with what can't be met, unless some agreement satisfies all offers."""
+    """Raise AgreementRejectedError, with what can't be met, unless some agreement satisfies all offers."""
     offers = list(offers)
     if not offers:
-        raise TextNotTaken("nobody offers anything")
+        raise AgreementRejectedError("nobody offers anything")
     for offer in offers:
         if not 0 <= offer.minimum_share <= offer.desired_share <= offer.maximum_share <= SHARE_TOTAL:
-            raise TextNotTaken("expected least <= want <= most", offer.partner)
+            raise AgreementRejectedError("expected least <= want <= most", offer.partner)
     if sum(offer.minimum_share for offer in offers) > SHARE_TOTAL:
-        raise TextNotTaken("all want more at the least than there is", "least")
+        raise AgreementRejectedError("all want more at the least than there is", "least")
     if sum(offer.maximum_share for offer in offers) < SHARE_TOTAL:
-        raise TextNotTaken("all take less at the most than there is", "most")
+        raise AgreementRejectedError("all take less at the most than there is", "most")
     if max(offer.starts_at for offer in offers) >= min(offer.ends_at for offer in offers):
-        raise TextNotTaken("the times offered have none in common", "begins")
+        raise AgreementRejectedError("the times offered have none in common", "begins")
 
 
 def fit_shares(bounds: Mapping[str, ShareBounds]) -> dict[str, int]:
--- a/hillchute/partners/signature_journal.py
+++ b/hillchute/partners/signature_journal.py
@@ -7,7 +7,7 @@
 import os
 from pathlib import Path
 
-from hillchute.errors import MarksNotKept
+from hillchute.errors import SignatureJournalError
 
 PRIVATE_KEY_BYTES = 32  # of Ed25519
 
@@ -27,14 +27,14 @@
     """
 
     def __init__(self, path: str | Path) -> None:
-        """Open or create the file. Raises MarksNotKept if it can't be read, or was changed."""
+        """Open or create the file. Raises SignatureJournalError if it can't be read, or was changed."""
         self.path = Path(path)
         self.signed: dict[int, bytes] = {}
-        self.error: MarksNotKept | None = None
+        self.error: SignatureJournalError | None = None
         try:
             self._load()
         except (OSError, ValueError) as error:
-            raise MarksNotKept(str(error), str(self.path)) from error
+            raise SignatureJournalError(str(error), str(self.path)) from error
 
     def _load(self) -> None:
         data = self.path.read_bytes() if self.path.exists() else b""
@@ -64,7 +64,7 @@
             else:
                 self._rewrite(signed)
         except OSError as error:
-            self.error = MarksNotKept(str(error), str(self.path))
+            self.error = SignatureJournalError(str(error), str(self.path))
             return False
         self.signed[number] = digest
         self.error = None
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -12,7 +12,7 @@
 from hillchute.accord.quotas import LENT, Quotas
 from hillchute.decision.interface import Listing, Time
 from hillchute.engines.words import Rows, Stream
-from hillchute.errors import MarksNotKept, PartnerBroke, TextNotTaken
+from hillchute.errors import AgreementRejectedError, PartnerEquivocationError, SignatureJournalError
 from hillchute.fronts.events import Asked, Left, Spoilt
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import MS
@@ -80,7 +80,7 @@
             return None
         try:
             self.file = SignatureJournal(self.settings["marks_file"])
-        except MarksNotKept as fault:
+        except SignatureJournalError as fault:
             self.log.write("partners", **fault.told)
             return None
         sign = ed25519_signer(read_private_key(self.settings["key_file"]))
@@ -91,7 +91,7 @@
             return
         try:
             self.council.make_offer(self.clock(), offer_of(self.settings))
-        except TextNotTaken as fault:
+        except AgreementRejectedError as fault:
             self.log.write("partners", **fault.told)
         if self.settings["leave"]:
             self.council.give_notice(self.clock())
@@ -251,7 +251,10 @@
         )
         faults = [council.proposal_error] if council.proposal_error is not None else []
         faults += council.signing_errors.values()
-        faults += [PartnerBroke(f"agreements of number {proof.first.number}", n) for n, proof in self.broke()]
+        faults += [
+            PartnerEquivocationError(f"agreements of number {proof.first.number}", n)
+            for n, proof in self.broke()
+        ]
         if self.file is not None and self.file.error is not None:
             faults.append(self.file.error)
         standing = {(type(fault).__name__, str(fault)) for fault in faults}
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -83,13 +83,13 @@
     Disk(tmp_path / "none" / "h.db")
 
 
-def text_not_taken(tmp_path):
+def agreement_rejected(tmp_path):
     derive_agreement([], 1)
 
 
-def marks_not_kept(tmp_path):
-    (tmp_path / "marks").write_text("no mark\n")
-    SignatureJournal(tmp_path / "marks")
+def signature_journal_unreadable(tmp_path):
+    (tmp_path / "signatures").write_text("no signature\n")
+    SignatureJournal(tmp_path / "signatures")
 
 
 @pytest.mark.parametrize(
@@ -101,8 +101,8 @@
         (errors.DatagramDropped, datagram_dropped),
         (errors.PeersNotReachable, peers_not_reachable),
         (errors.DiskNotUsable, disk_not_usable),
-        (errors.TextNotTaken, text_not_taken),
-        (errors.MarksNotKept, marks_not_kept),
+        (errors.AgreementRejectedError, agreement_rejected),
+        (errors.SignatureJournalError, signature_journal_unreadable),
     ],
 )
 def test_type_is_raised_by_a_path_and_says_what_where_and_what_to_do(tmp_path, error, path):
@@ -172,7 +172,7 @@
     rig.close()
 
 
-def partner_broke(log, tmp_path):
+def partner_equivocated(log, tmp_path):
     text = f"""history: {{number: 2, default: {{}}}}
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
@@ -190,7 +190,7 @@
     [
         (errors.ListsDiffer, lists_differ),
         (errors.ClockBehind, clock_behind),
-        (errors.PartnerBroke, partner_broke),
+        (errors.PartnerEquivocationError, partner_equivocated),
         (errors.BookNotTaken, book_not_taken),
         (errors.BookNotCurrent, book_not_current),
         (errors.DiskNotUsable, disk_in_the_log),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -56,10 +56,10 @@
     key = key_of(net, "a")
     net.ask("n0", "t0", key)
     net.advance(3)
-    assert net.said["RUN: new"] == 1 and not net.hops["passed on"]
+    assert net.said["RUN: new"] == 1 and not net.hops["forwarded"]
     net.ask("n1", "t1", key)
     net.advance(3)
-    assert net.hops["passed on"] == net.hops["came"] == 1 and net.said["RUN: new"] == 2
+    assert net.hops["forwarded"] == net.hops["arrived"] == 1 and net.said["RUN: new"] == 2
     assert net.said["answered finished"] == 2
     assert {partner for _, _, partner in net.led[key]} == {"a"}
     clean(net)
@@ -90,7 +90,7 @@
     net.advance(3)
     net.ask("n2", "t0", key)
     net.advance(2)
-    assert net.said["ANSWER: finished before"] == 1 and not net.hops["passed on"]
+    assert net.said["ANSWER: finished before"] == 1 and not net.hops["forwarded"]
     clean(net)
 
 
@@ -99,7 +99,7 @@
     for tables in range(9):
         net.change("n0", tables)
     net.advance(4)
-    assert net.said["answered finished"] + net.said["answered killed"] == 9 and net.hops["passed on"]
+    assert net.said["answered finished"] + net.said["answered killed"] == 9 and net.hops["forwarded"]
     assert any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
     net.advance((STILL_OUT + 6 * SECOND) / SECOND)
     assert not any(k.record.once for keeper in net.keepers.values() for k in keeper.shelf.all())
@@ -149,15 +149,15 @@
     net.start("n0")
     net.offers.clear()  # their turns begin again with this: nobody is to know an earlier one
     net.offer("a", 500, 0, 600)
-    for council in net.councils.values():
-        council.ledger.offers.clear()
+    for protocol in net.protocols.values():
+        protocol.ledger.offers.clear()
     net.offers["a"] = msgspec.structs.replace(net.offers["a"], revision=9)
-    net.said_offer("n0", net.offers["a"])
+    net.publish_offer("n0", net.offers["a"])
     for partner in "bc":
         net.offers[partner] = msgspec.structs.replace(
             net.offers["a"], partner=partner, maximum_share=8000, desired_share=5000
         )
-        net.said_offer(net.partners[partner][0], net.offers[partner])
+        net.publish_offer(net.partners[partner][0], net.offers[partner])
     assert net.settled() and net.agreed()
     assert before[slot] == "a" != net.owners()[slot]
     other = next(n for n in net.names if net.partner_of[n] == net.owners()[slot])
@@ -247,7 +247,7 @@
 def test_storm_breaks_no_rule(seed):
     net = net_of(seed=seed, loss=0.05, twice=0.05, never=0.05)
     assert storm(net, seed, 45)
-    assert net.hops["passed on"] and len(net.runs) > 10
+    assert net.hops["forwarded"] and len(net.runs) > 10
     clean(net)
 
 
@@ -381,7 +381,7 @@
 def test_agreements_that_swing_under_load_break_no_rule():
     net = net_of(loss=0.05, twice=0.05)
     assert rush(net, 1)
-    assert net.hops["came"] > 200 and len(net.runs) > 200
+    assert net.hops["arrived"] > 200 and len(net.runs) > 200
     clean(net)
 
 
--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hillchute.errors import MarksNotKept
+from hillchute.errors import SignatureJournalError
 from hillchute.history.disk import Disk
 from hillchute.history.records import Record
 from hillchute.lab.history_net import EPOCH
@@ -97,7 +97,7 @@
         with pytest.MonkeyPatch.context() as patch:
             Failing(patch, step, error, torn)
             acknowledged = file.save(2, mark(2))
-        assert acknowledged or isinstance(file.error, MarksNotKept)
+        assert acknowledged or isinstance(file.error, SignatureJournalError)
         if killed:
             file = SignatureJournal(path)
             assert file.signed[1] == mark(1)
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import DatagramDropped, MarksNotKept, TextNotTaken
+from hillchute.errors import AgreementRejectedError, DatagramDropped, SignatureJournalError
 from hillchute.history.slots import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
@@ -38,7 +38,7 @@
 LATER = EPOCH + 3_600 * SECOND
 
 
-def hand(partner, kept=None):
+def signer_of(partner, kept=None):
     kept = {} if kept is None else kept
     save = lambda number, sealed: kept.update({number: sealed}) is None  # noqa: E731
     return AgreementSigner(partner, ed25519_signer(private(partner)), save, dict(kept))
@@ -59,67 +59,67 @@
 
 
 class Round:
-    """All councils and what passes between them."""
+    """All protocols and what passes between them."""
 
     def __init__(self, routers=ROUTERS, seed=1):
         self.now, self.chance, self.routers = EPOCH, random.Random(seed), routers
         self.check = ed25519_verifier({name: public(name) for name in routers})
         self.files = {name: {} for name in routers}
-        self.councils = {}
+        self.protocols = {}
         for name, some in routers.items():
             for router in some:
                 self.start(name, router)
         self.loss = 0.0
 
     def start(self, partner, router):
-        marker = hand(partner, self.files[partner]) if router == self.routers[partner][0] else None
+        marker = signer_of(partner, self.files[partner]) if router == self.routers[partner][0] else None
         membership = Membership(router, partner, self.routers, self.check)
-        self.councils[router] = AgreementProtocol(membership, len(self.councils), self.now, marker)
+        self.protocols[router] = AgreementProtocol(membership, len(self.protocols), self.now, marker)
 
     def offer(self, partner, **about):
-        self.councils[self.routers[partner][0]].make_offer(self.now, offer(partner, **about))
+        self.protocols[self.routers[partner][0]].make_offer(self.now, offer(partner, **about))
 
     def play(self, seconds=10.0, living=None):
         for _ in range(int(seconds * 10)):
             self.now += SECOND // 10
-            for name, council in self.councils.items():
+            for name, protocol in self.protocols.items():
                 if living is None or name in living:
-                    council.tick(self.now, living or self.councils)
+                    protocol.tick(self.now, living or self.protocols)
             self.deliver(living)
 
     def deliver(self, living=None):
-        while line := [(n, *said) for n, c in self.councils.items() for said in c.outbox]:
-            for council in self.councils.values():
-                council.outbox = []
+        while line := [(n, *said) for n, c in self.protocols.items() for said in c.outbox]:
+            for protocol in self.protocols.values():
+                protocol.outbox = []
             self.chance.shuffle(line)
             for sender, to, message in line:
                 heard = self.chance.random() >= self.loss
                 if heard and (living is None or {sender, to} <= set(living)):
                     data = codec.encode(message)
-                    self.councils[to].receive(self.now, sender, codec.decode(data, sender))
+                    self.protocols[to].receive(self.now, sender, codec.decode(data, sender))
 
     def tell(self, number=None):
         """As the calls of a view do it: the highest that has begun at one of them."""
         number = (
-            max(c.ownership.named(self.now) for c in self.councils.values()) if number is None else number
+            max(c.ownership.named(self.now) for c in self.protocols.values()) if number is None else number
         )
-        for council in self.councils.values():
-            council.ownership.told(self.now, number)
+        for protocol in self.protocols.values():
+            protocol.ownership.told(self.now, number)
 
     def agreed(self, **wants):
         for partner in self.routers:
             self.offer(partner, want=wants.get(partner, 3000))
         self.play()
         self.tell()
-        return self.councils["a0"].ownership.agreement()
+        return self.protocols["a0"].ownership.agreement()
 
 
 def test_text_that_follows_from_all_offers_holds_at_all_routers():
     fleet = Round()
     text = fleet.agreed(a=5000)
-    assert all(c.ownership.agreement() == text for c in fleet.councils.values()) and text.number == 1
+    assert all(c.ownership.agreement() == text for c in fleet.protocols.values()) and text.number == 1
     assert sum(text.shares.values()) == SHARE_TOTAL and text.shares["a"] > text.shares["b"]
-    assert {c.ownership.slot_owners for c in fleet.councils.values()} == {text.slot_owners()}
+    assert {c.ownership.slot_owners for c in fleet.protocols.values()} == {text.slot_owners()}
     assert abs(text.slot_owners().count("a") - SLOTS * text.shares["a"] / SHARE_TOTAL) < 1
 
 
@@ -128,23 +128,23 @@
     for partner in ROUTERS:
         fleet.offer(partner)
     fleet.play()
-    council = fleet.councils["b1"]
+    protocol = fleet.protocols["b1"]
     assert (
-        council.ownership.named(fleet.now) == 1
-        and council.ownership.held() == 0
-        and not council.ownership.is_in_force(fleet.now)
+        protocol.ownership.named(fleet.now) == 1
+        and protocol.ownership.held() == 0
+        and not protocol.ownership.is_in_force(fleet.now)
     )
-    assert council.ownership.follows(fleet.now, 0, None) is None
-    council.ownership.told(fleet.now, 7)  # named by a caller that has what this one has not
-    assert council.ownership.held() == 0 and not council.ownership.up_to_date()
-    council.ownership.told(fleet.now, 1)
+    assert protocol.ownership.follows(fleet.now, 0, None) is None
+    protocol.ownership.told(fleet.now, 7)  # named by a caller that has what this one has not
+    assert protocol.ownership.held() == 0 and not protocol.ownership.up_to_date()
+    protocol.ownership.told(fleet.now, 1)
     assert (
-        council.ownership.held() == 1
-        and council.ownership.up_to_date()
-        and council.ownership.is_in_force(fleet.now)
+        protocol.ownership.held() == 1
+        and protocol.ownership.up_to_date()
+        and protocol.ownership.is_in_force(fleet.now)
     )
-    council.ownership.told(fleet.now, 0)  # it never goes back
-    assert council.ownership.held() == 1
+    protocol.ownership.told(fleet.now, 0)  # it never goes back
+    assert protocol.ownership.held() == 1
 
 
 def test_new_offer_makes_a_new_text_that_goes_on_from_the_last_with_few_moves():
@@ -152,14 +152,14 @@
     first = fleet.agreed()
     fleet.offer("b", want=5000, turn=2)
     fleet.play()
-    assert fleet.councils["c1"].ownership.agreement() == first  # until a call names it
+    assert fleet.protocols["c1"].ownership.agreement() == first  # until a call names it
     fleet.tell()
-    second = fleet.councils["c1"].ownership.agreement()
+    second = fleet.protocols["c1"].ownership.agreement()
     assert (second.number, second.predecessor) == (2, 1) and second.shares["b"] > first.shares["b"]
     gain = second.slot_owners().count("b") - first.slot_owners().count("b")
     assert 0 < count_moves(first.slot_owners(), second.slot_owners()) <= gain + 1
     fleet.play()
-    assert max(fleet.councils["a0"].ledger.accepted) == 2  # what says the same again is not written
+    assert max(fleet.protocols["a0"].ledger.accepted) == 2  # what says the same again is not written
 
 
 def test_text_begins_in_its_time_and_the_old_one_stands_until_then():
@@ -169,10 +169,10 @@
     fleet.offer("a", want=6000, turn=2, begins=begins)
     fleet.play(20)
     fleet.tell()
-    assert fleet.councils["a1"].ownership.agreement() == first
+    assert fleet.protocols["a1"].ownership.agreement() == first
     fleet.play(11)
     fleet.tell()
-    assert fleet.councils["a1"].ownership.agreement().starts_at == begins
+    assert fleet.protocols["a1"].ownership.agreement().starts_at == begins
 
 
 def test_after_its_end_nothing_holds_and_nobody_owns_a_slot_anew():
@@ -182,37 +182,38 @@
         fleet.offer(partner, ends=ends)
     fleet.play()
     fleet.tell()
-    council = fleet.councils["a0"]
-    title = council.ownership.follows(fleet.now, 3, None)
-    assert council.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False) is None
+    protocol = fleet.protocols["a0"]
+    title = protocol.ownership.follows(fleet.now, 3, None)
+    assert protocol.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False) is None
     fleet.play(60)
     assert (
-        not council.ownership.is_in_force(fleet.now) and council.ownership.follows(fleet.now, 3, None) is None
+        not protocol.ownership.is_in_force(fleet.now)
+        and protocol.ownership.follows(fleet.now, 3, None) is None
     )
-    verdict, _ = council.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False)
+    verdict, _ = protocol.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False)
     assert verdict is Verdict.DEFER
     fleet.offer("a", turn=2, ends=LATER)
     fleet.offer("b", turn=2, ends=LATER)
     fleet.play()
     fleet.tell()
-    assert not council.ownership.is_in_force(fleet.now)  # the third is silent
+    assert not protocol.ownership.is_in_force(fleet.now)  # the third is silent
     fleet.offer("c", turn=2, ends=LATER)
     fleet.play()
     fleet.tell()
-    assert council.ownership.is_in_force(fleet.now)
+    assert protocol.ownership.is_in_force(fleet.now)
 
 
 def test_partner_that_is_silent_leaves_the_old_text_and_its_offer_is_heard_later():
     fleet = Round()
     first = fleet.agreed()
-    without = [n for n in fleet.councils if n[0] != "c"]
+    without = [n for n in fleet.protocols if n[0] != "c"]
     fleet.offer("a", want=6000, turn=2)
     fleet.play(20, living=without)
     fleet.tell()
-    assert fleet.councils["a1"].ownership.agreement() == first
+    assert fleet.protocols["a1"].ownership.agreement() == first
     fleet.play(20)
     fleet.tell()
-    assert fleet.councils["a1"].ownership.agreement().number == 2
+    assert fleet.protocols["a1"].ownership.agreement().number == 2
 
 
 @settings(max_examples=12, deadline=None)
@@ -234,15 +235,15 @@
                 fleet.start(partner, router)
                 if router == ROUTERS[partner][0] and turns[partner]:
                     # The operator's file has its last offer still.
-                    last = [c.ledger.offers.get(partner) for c in fleet.councils.values()]
+                    last = [c.ledger.offers.get(partner) for c in fleet.protocols.values()]
                     best = max((known[0] for known in last if known), key=lambda o: o.revision, default=None)
                     if best is not None:
-                        fleet.councils[router].make_offer(fleet.now, best)
+                        fleet.protocols[router].make_offer(fleet.now, best)
         fleet.play(chance.choice([0.2, 1, 3]))
         if chance.random() < 0.5:
             fleet.tell()
-        for council in fleet.councils.values():
-            for number, text in council.ledger.accepted.items():
+        for protocol in fleet.protocols.values():
+            for number, text in protocol.ledger.accepted.items():
                 assert seen.setdefault(number, text) == text
     for partner in ROUTERS:
         if not turns[partner]:
@@ -250,35 +251,35 @@
     fleet.loss = 0.0
     fleet.play(20)
     fleet.tell()
-    assert len({(c.ownership.held(), c.ownership.slot_owners) for c in fleet.councils.values()}) == 1
-    offers = [o for o, _ in fleet.councils["a0"].ledger.offers.values()]
-    text = fleet.councils["a0"].ownership.agreement()
+    assert len({(c.ownership.held(), c.ownership.slot_owners) for c in fleet.protocols.values()}) == 1
+    offers = [o for o, _ in fleet.protocols["a0"].ledger.offers.values()]
+    text = fleet.protocols["a0"].ownership.agreement()
     assert text.shares == derive_agreement(offers, 1).shares
 
 
 def test_offer_in_anothers_name_and_text_that_does_not_follow_are_nothing():
     fleet = Round()
     fleet.agreed()
-    council = fleet.councils["b0"]
+    protocol = fleet.protocols["b0"]
     false = offer("a", want=500, turn=9)
-    mark = hand("b").sign_offer(false).signature
-    assert not council.ledger.record_offer(false, mark)
-    assert not council.ledger.record_offer(false, msgspec.structs.replace(mark, partner="a"))
+    mark = signer_of("b").sign_offer(false).signature
+    assert not protocol.ledger.record_offer(false, mark)
+    assert not protocol.ledger.record_offer(false, msgspec.structs.replace(mark, partner="a"))
     # One that all but b have marked, in which b has next to nothing.
     text = derive_agreement([offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2)
     for name in "ac":
-        kept = hand(name)
-        council.ledger.record_signature(kept.sign_agreement(text, offer(name, want=text.shares[name])))
-    council.ledger.record_agreement(text)
-    council.update(fleet.now)
-    assert 2 not in council.ledger.accepted and council.signing_errors[2].what
+        kept = signer_of(name)
+        protocol.ledger.record_signature(kept.sign_agreement(text, offer(name, want=text.shares[name])))
+    protocol.ledger.record_agreement(text)
+    protocol.update(fleet.now)
+    assert 2 not in protocol.ledger.accepted and protocol.signing_errors[2].what
 
 
 def test_lower_turn_than_is_known_is_refused_and_said():
     fleet = Round()
     fleet.agreed()
     fleet.offer("a", want=4000, turn=5)
-    with pytest.raises(TextNotTaken, match="turn 4; 5"):
+    with pytest.raises(AgreementRejectedError, match="turn 4; 5"):
         fleet.offer("a", want=500, turn=4)
 
 
@@ -292,14 +293,15 @@
         content_digest(other),
         ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other))),
     )
-    fleet.councils["c1"].ledger.record_signature(false)
+    fleet.protocols["c1"].ledger.record_signature(false)
     fleet.play()
-    for council in fleet.councils.values():
-        assert set(council.ledger.equivocations) == {"a"}
+    for protocol in fleet.protocols.values():
+        assert set(protocol.ledger.equivocations) == {"a"}
         assert (
-            council.ownership.agreement() == text and council.ownership.effective_shares(fleet.now)["a"] == 0
+            protocol.ownership.agreement() == text
+            and protocol.ownership.effective_shares(fleet.now)["a"] == 0
         )
-        assert set(council.ownership.slot_owners) == {"b", "c"}
+        assert set(protocol.ownership.slot_owners) == {"b", "c"}
 
 
 def test_marks_that_a_partner_gave_are_no_proof_against_it():
@@ -309,15 +311,15 @@
     fleet.agreed()
     fleet.offer("a", want=6000, turn=2)
     fleet.play()
-    ledger = fleet.councils["b1"].ledger
+    ledger = fleet.protocols["b1"].ledger
     by_text = sorted((m["a"] for m in ledger.signatures.values() if "a" in m), key=lambda mark: mark.number)
     first, second = by_text
-    offers = hand("a").sign_offer(offer("a", want=3000)).signature
+    offers = signer_of("a").sign_offer(offer("a", want=3000)).signature
     assert first.number == offers.number == 1
     assert not ledger.record_equivocation(first, offers) and not ledger.record_equivocation(offers, first)
     assert not ledger.record_equivocation(first, msgspec.structs.replace(second, number=1))
     assert not ledger.record_signature(msgspec.structs.replace(offers, number=1))
-    fresh = Round().councils["b0"].ledger
+    fresh = Round().protocols["b0"].ledger
     assert not fresh.record_signature(msgspec.structs.replace(second, number=1)) and fresh.record_signature(
         second
     )
@@ -327,31 +329,31 @@
 def test_partner_that_leaves_has_its_part_until_its_notice_is_over():
     fleet = Round()
     fleet.agreed()
-    fleet.councils["c0"].give_notice(fleet.now)
+    fleet.protocols["c0"].give_notice(fleet.now)
     fleet.play(5)
-    assert fleet.councils["a1"].ownership.slot_owners.count("c") > 300
+    assert fleet.protocols["a1"].ownership.slot_owners.count("c") > 300
     fleet.play(6)
-    assert {c.ownership.slot_owners.count("c") for c in fleet.councils.values()} == {0}
+    assert {c.ownership.slot_owners.count("c") for c in fleet.protocols.values()} == {0}
 
 
 def test_engines_that_are_gone_longer_than_the_grace_count_as_less():
     fleet = Round()
     text = fleet.agreed()
-    council = fleet.councils["a0"]
-    council.ownership.set_capacities(fleet.now, {"a": 100, "b": 50, "c": 100})
-    assert council.ownership.slot_owners == text.slot_owners()
+    protocol = fleet.protocols["a0"]
+    protocol.ownership.set_capacities(fleet.now, {"a": 100, "b": 50, "c": 100})
+    assert protocol.ownership.slot_owners == text.slot_owners()
     fleet.play(4)
-    assert council.ownership.slot_owners == text.slot_owners()
+    assert protocol.ownership.slot_owners == text.slot_owners()
     fleet.play(2)
-    assert council.ownership.slot_owners.count("b") < 0.7 * text.slot_owners().count("b")
-    council.ownership.set_capacities(fleet.now, {"a": 100, "b": 100, "c": 100})
-    assert council.ownership.slot_owners == text.slot_owners()
+    assert protocol.ownership.slot_owners.count("b") < 0.7 * text.slot_owners().count("b")
+    protocol.ownership.set_capacities(fleet.now, {"a": 100, "b": 100, "c": 100})
+    assert protocol.ownership.slot_owners == text.slot_owners()
 
 
 def test_marks_without_end_are_bounded():
     fleet = Round()
     fleet.agreed()
-    ledger = fleet.councils["a0"].ledger
+    ledger = fleet.protocols["a0"].ledger
     sign = ed25519_signer(private("c"))
     for n in range(3 * MAX_SIGNED_AGREEMENTS):
         sealed = bytes([n]) * 32
@@ -360,7 +362,7 @@
         )
     for n in range(3 * MAX_SIGNED_AGREEMENTS):
         ledger.record_agreement(
-            msgspec.structs.replace(fleet.councils["a0"].ownership.agreement(), number=500 + n)
+            msgspec.structs.replace(fleet.protocols["a0"].ownership.agreement(), number=500 + n)
         )
     assert (
         len(ledger.signatures) <= MAX_SIGNED_AGREEMENTS + 1
@@ -376,17 +378,17 @@
     assert set(first.slot_owners()) == {"a", "b"}
     fleet.routers = ROUTERS
     fleet.files["c"] = {}
-    for council in fleet.councils.values():
-        council.set_partners(ROUTERS, CHECK)
+    for protocol in fleet.protocols.values():
+        protocol.set_partners(ROUTERS, CHECK)
     fleet.check = CHECK
     for router in ROUTERS["c"]:
         fleet.start("c", router)
     fleet.play(5)
-    assert fleet.councils["a0"].ownership.agreement() == first
+    assert fleet.protocols["a0"].ownership.agreement() == first
     fleet.offer("c")
     fleet.play()
     fleet.tell()
-    second = fleet.councils["c1"].ownership.agreement()
+    second = fleet.protocols["c1"].ownership.agreement()
     assert set(second.slot_owners()) == {"a", "b", "c"}
     assert count_moves(first.slot_owners(), second.slot_owners()) == second.slot_owners().count("c")
 
@@ -397,8 +399,8 @@
 def some_know():
     fleet = Round()
     fleet.agreed()
-    fleet.councils["a0"].give_notice(fleet.now)
-    return fleet.councils["a0"].knowledge(reply_wanted=True)
+    fleet.protocols["a0"].give_notice(fleet.now)
+    return fleet.protocols["a0"].knowledge(reply_wanted=True)
 
 
 @settings(max_examples=200, deadline=None)
@@ -500,14 +502,14 @@
 def test_file_that_was_changed_or_cannot_be_written_gives_no_mark(tmp_path):
     path = tmp_path / "marks"
     path.write_text("1 zz\n")
-    with pytest.raises(MarksNotKept, match="marks"):
+    with pytest.raises(SignatureJournalError, match="marks"):
         SignatureJournal(path)
     path.write_text("")
     file = SignatureJournal(path)
     file.path = tmp_path / "none" / "marks"
     assert not file.save(1, b"") and file.error is not None
     marker = AgreementSigner("a", ed25519_signer(private("a")), file.save, file.signed)
-    with pytest.raises(TextNotTaken, match="kept"):
+    with pytest.raises(AgreementRejectedError, match="kept"):
         marker.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
 
 
@@ -522,8 +524,8 @@
     fleet.play()
     fleet.tell()
     assert (
-        fleet.councils["b0"].ownership.agreement().number == 2
-        and not fleet.councils["a0"].ledger.equivocations
+        fleet.protocols["b0"].ownership.agreement().number == 2
+        and not fleet.protocols["a0"].ledger.equivocations
     )
 
 
@@ -531,29 +533,29 @@
     fleet = Round()
     first = fleet.agreed()
     fleet.offer("a", want=5000, turn=2)
-    fleet.play(living=[n for n in fleet.councils if n[0] != "c"])  # a and b have marked it, c is silent
+    fleet.play(living=[n for n in fleet.protocols if n[0] != "c"])  # a and b have marked it, c is silent
     fleet.files["b"].clear()
     fleet.start("b", "b0")
     fleet.play(4, living=["a1", "b0", "b1"])
-    council = fleet.councils["b0"]
-    council.make_offer(fleet.now, offer("b"))
+    protocol = fleet.protocols["b0"]
+    protocol.make_offer(fleet.now, offer("b"))
     changed = offer("a", want=6000, turn=3)
-    council.ledger.record_offer(changed, hand("a").sign_offer(changed).signature)
-    other = derive_agreement(council.offers(), 2, first)
+    protocol.ledger.record_offer(changed, signer_of("a").sign_offer(changed).signature)
+    other = derive_agreement(protocol.offers(), 2, first)
     false = Signature(
         "a",
         2,
         content_digest(other),
         ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 2, content_digest(other))),
     )
-    council.ledger.record_signature(false)
-    council.ledger.record_agreement(other)
-    council.update(fleet.now)
+    protocol.ledger.record_signature(false)
+    protocol.ledger.record_agreement(other)
+    protocol.update(fleet.now)
     assert (
-        sum("b" in m for m in council.ledger.signatures.values() if any(x.number == 2 for x in m.values()))
+        sum("b" in m for m in protocol.ledger.signatures.values() if any(x.number == 2 for x in m.values()))
         == 1
     )
-    assert "b" not in council.ledger.equivocations and council.signing_errors[2].what
+    assert "b" not in protocol.ledger.equivocations and protocol.signing_errors[2].what
 
 
 # ---- shares of the pool ----
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -216,7 +216,7 @@
     held.renew(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
     assert held.council.ledger.offers["a"][0].desired_share == 6000
     held.renew(stated | {"offer": stated["offer"] | {"turn": 2}})
-    assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["TextNotTaken"]
+    assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["AgreementRejectedError"]
     assert held.renew(stated | {"own": "b"}) == ["partners.own"]
 
 
@@ -226,7 +226,7 @@
     (tmp_path / "m").write_text("what\n")
     held, log, _ = partnering(tmp_path)
     assert held.council.signer is None
-    assert [fields["error"] for _, fields in log.lines] == ["MarksNotKept"]
+    assert [fields["error"] for _, fields in log.lines] == ["SignatureJournalError"]
 
 
 def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import TextNotTaken
+from hillchute.errors import AgreementRejectedError
 from hillchute.history.slots import SLOTS
 from hillchute.lab.partners import least_moves
 from hillchute.partners.agreement_ledger import AgreementLedger
@@ -157,7 +157,7 @@
 def test_shares_add_up_and_keep_everybodys_bounds(bounds):
     offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
     if not sum(b[0] for b in bounds) <= SHARE_TOTAL <= sum(b[2] for b in bounds):
-        with pytest.raises(TextNotTaken):
+        with pytest.raises(AgreementRejectedError):
             derive_agreement(offers, 1)
         return
     text = derive_agreement(offers, 1)
@@ -179,7 +179,7 @@
     ],
 )
 def test_offers_that_do_not_meet_say_where(offers, where):
-    with pytest.raises(TextNotTaken) as fault:
+    with pytest.raises(AgreementRejectedError) as fault:
         derive_agreement(offers, 1)
     assert fault.value.where == where
 
@@ -221,9 +221,9 @@
     first = marker("a", kept).sign_agreement(text, own)
     again = marker("a", kept)  # it has crashed, and read what it kept
     assert again.sign_agreement(text, own) == first
-    with pytest.raises(TextNotTaken, match="number 3"):
+    with pytest.raises(AgreementRejectedError, match="number 3"):
         again.sign_agreement(other, own)
-    with pytest.raises(TextNotTaken, match="number 3"):
+    with pytest.raises(AgreementRejectedError, match="number 3"):
         again.sign_agreement(derive_agreement([own, offer("b")], 2), own)
     assert again.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
 
@@ -231,7 +231,7 @@
 def test_mark_that_cannot_be_kept_is_not_given():
     own = offer("a")
     hand = marker("a", save=False)
-    with pytest.raises(TextNotTaken, match="kept"):
+    with pytest.raises(AgreementRejectedError, match="kept"):
         hand.sign_agreement(derive_agreement([own, offer("b")], 1), own)
     assert not hand.signed
 
@@ -248,7 +248,7 @@
 )
 def test_partner_marks_nothing_that_it_did_not_offer(own):
     text = derive_agreement([offer("a"), offer("b", want=7000)], 1)
-    with pytest.raises(TextNotTaken):
+    with pytest.raises(AgreementRejectedError):
         marker("a").sign_agreement(text, own)
 
 
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -122,7 +122,7 @@
 
 def test_marks_of_others_are_checked_by_the_rig_itself(plain):
     """The rig's own look at texts: one without a mark is said."""
-    ledger = plain.councils["n0"].ledger
+    ledger = plain.protocols["n0"].ledger
     (number, text) = next(iter(ledger.accepted.items()))
     marks = ledger.signatures[content_digest(text)]
     assert {mark.partner for mark in marks.values()} == set(text.shares)
