--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -106,7 +106,7 @@
     clean(net)
 
 
-def test_new_text_moves_titles_and_new_owner_waits_for_what_is_out():
+def test_new_agreement_moves_titles_and_new_owner_waits_for_what_is_out():
     net = net_of(copies=2)
     before = net.owners()
     net.offer("a", 8000)
@@ -229,7 +229,7 @@
     clean(net)
 
 
-def test_no_text_no_title_nothing_runs_until_partners_agree():
+def test_no_agreement_no_title_nothing_runs_until_partners_agree():
     net = PartnersNet(1, 6, founded(copies=1, default=KEEPS))
     assert net.settled()
     net.ask("n0", "t0", "k0")
@@ -416,10 +416,12 @@
         lambda self, reply_wanted: Knowledge((), (), (), (), (), reply_wanted),
     ),
     "a call is not heeded": (SlotOwnership, "told", lambda self, now, number: None),
-    "a mark is for what it was not": (
+    "a signature is for what it was not": (
         AgreementSigner,
         "sign_agreement",
-        lambda self, text, own: Signature(self.partner, text.number, bytes(32), self.sign(bytes(32))),
+        lambda self, agreement, own: Signature(
+            self.partner, agreement.number, bytes(32), self.sign(bytes(32))
+        ),
     ),
     "slots go to no one": (SlotOwnership, "update_owners", lambda self, now: None),
 }
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -1,4 +1,4 @@
-"""What partners agree on, as it goes round among routers: one text for all, whatever is lost between them."""
+"""What partners agree on, as it goes round among routers: one agreement for all, whatever is lost."""
 
 import random
 
@@ -40,7 +40,7 @@
 
 def signer_of(partner, kept=None):
     kept = {} if kept is None else kept
-    save = lambda number, sealed: kept.update({number: sealed}) is None  # noqa: E731
+    save = lambda number, digest: kept.update({number: digest}) is None  # noqa: E731
     return AgreementSigner(partner, ed25519_signer(private(partner)), save, dict(kept))
 
 
@@ -72,9 +72,9 @@
         self.loss = 0.0
 
     def start(self, partner, router):
-        marker = signer_of(partner, self.files[partner]) if router == self.routers[partner][0] else None
+        signer = signer_of(partner, self.files[partner]) if router == self.routers[partner][0] else None
         membership = Membership(router, partner, self.routers, self.check)
-        self.protocols[router] = AgreementProtocol(membership, len(self.protocols), self.now, marker)
+        self.protocols[router] = AgreementProtocol(membership, len(self.protocols), self.now, signer)
 
     def offer(self, partner, **about):
         self.protocols[self.routers[partner][0]].make_offer(self.now, offer(partner, **about))
@@ -114,13 +114,15 @@
         return self.protocols["a0"].ownership.agreement()
 
 
-def test_text_that_follows_from_all_offers_holds_at_all_routers():
+def test_agreement_that_follows_from_all_offers_holds_at_all_routers():
     fleet = Round()
-    text = fleet.agreed(a=5000)
-    assert all(c.ownership.agreement() == text for c in fleet.protocols.values()) and text.number == 1
-    assert sum(text.shares.values()) == SHARE_TOTAL and text.shares["a"] > text.shares["b"]
-    assert {c.ownership.slot_owners for c in fleet.protocols.values()} == {text.slot_owners()}
-    assert abs(text.slot_owners().count("a") - SLOTS * text.shares["a"] / SHARE_TOTAL) < 1
+    agreement = fleet.agreed(a=5000)
+    assert (
+        all(c.ownership.agreement() == agreement for c in fleet.protocols.values()) and agreement.number == 1
+    )
+    assert sum(agreement.shares.values()) == SHARE_TOTAL and agreement.shares["a"] > agreement.shares["b"]
+    assert {c.ownership.slot_owners for c in fleet.protocols.values()} == {agreement.slot_owners()}
+    assert abs(agreement.slot_owners().count("a") - SLOTS * agreement.shares["a"] / SHARE_TOTAL) < 1
 
 
 def test_nothing_holds_until_a_call_names_it_and_each_has_it():
@@ -147,7 +149,7 @@
     assert protocol.ownership.held() == 1
 
 
-def test_new_offer_makes_a_new_text_that_goes_on_from_the_last_with_few_moves():
+def test_new_offer_makes_a_new_agreement_that_goes_on_from_the_last_with_few_moves():
     fleet = Round()
     first = fleet.agreed()
     fleet.offer("b", want=5000, turn=2)
@@ -162,7 +164,7 @@
     assert max(fleet.protocols["a0"].ledger.accepted) == 2  # what says the same again is not written
 
 
-def test_text_begins_in_its_time_and_the_old_one_stands_until_then():
+def test_agreement_begins_in_its_time_and_the_old_one_stands_until_then():
     fleet = Round()
     first = fleet.agreed()
     begins = fleet.now + 30 * SECOND
@@ -203,7 +205,7 @@
     assert protocol.ownership.is_in_force(fleet.now)
 
 
-def test_partner_that_is_silent_leaves_the_old_text_and_its_offer_is_heard_later():
+def test_partner_that_is_silent_leaves_the_old_agreement_and_its_offer_is_heard_later():
     fleet = Round()
     first = fleet.agreed()
     without = [n for n in fleet.protocols if n[0] != "c"]
@@ -218,8 +220,8 @@
 
 @settings(max_examples=12, deadline=None)
 @given(st.integers(0, 10**6))
-def test_losses_crashes_and_restarts_leave_one_text(seed):
-    """At every moment all texts that any router has are marked by all, and no number has two."""
+def test_losses_crashes_and_restarts_leave_one_agreement(seed):
+    """At every moment all agreements that any router has are signed by all, and no number has two."""
     fleet, chance = Round(seed=seed), random.Random(seed)
     fleet.loss = 0.3
     turns = dict.fromkeys(ROUTERS, 0)
@@ -243,8 +245,8 @@
         if chance.random() < 0.5:
             fleet.tell()
         for protocol in fleet.protocols.values():
-            for number, text in protocol.ledger.accepted.items():
-                assert seen.setdefault(number, text) == text
+            for number, agreement in protocol.ledger.accepted.items():
+                assert seen.setdefault(number, agreement) == agreement
     for partner in ROUTERS:
         if not turns[partner]:
             fleet.offer(partner)
@@ -253,24 +255,28 @@
     fleet.tell()
     assert len({(c.ownership.held(), c.ownership.slot_owners) for c in fleet.protocols.values()}) == 1
     offers = [o for o, _ in fleet.protocols["a0"].ledger.offers.values()]
-    text = fleet.protocols["a0"].ownership.agreement()
-    assert text.shares == derive_agreement(offers, 1).shares
+    agreement = fleet.protocols["a0"].ownership.agreement()
+    assert agreement.shares == derive_agreement(offers, 1).shares
 
 
-def test_offer_in_anothers_name_and_text_that_does_not_follow_are_nothing():
+def test_offer_in_anothers_name_and_agreement_that_does_not_follow_are_nothing():
     fleet = Round()
     fleet.agreed()
     protocol = fleet.protocols["b0"]
     false = offer("a", want=500, turn=9)
-    mark = signer_of("b").sign_offer(false).signature
-    assert not protocol.ledger.record_offer(false, mark)
-    assert not protocol.ledger.record_offer(false, msgspec.structs.replace(mark, partner="a"))
-    # One that all but b have marked, in which b has next to nothing.
-    text = derive_agreement([offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2)
+    signature = signer_of("b").sign_offer(false).signature
+    assert not protocol.ledger.record_offer(false, signature)
+    assert not protocol.ledger.record_offer(false, msgspec.structs.replace(signature, partner="a"))
+    # One that all but b have signed, in which b has next to nothing.
+    agreement = derive_agreement(
+        [offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2
+    )
     for name in "ac":
         kept = signer_of(name)
-        protocol.ledger.record_signature(kept.sign_agreement(text, offer(name, want=text.shares[name])))
-    protocol.ledger.record_agreement(text)
+        protocol.ledger.record_signature(
+            kept.sign_agreement(agreement, offer(name, want=agreement.shares[name]))
+        )
+    protocol.ledger.record_agreement(agreement)
     protocol.update(fleet.now)
     assert 2 not in protocol.ledger.accepted and protocol.signing_errors[2].what
 
@@ -283,9 +289,9 @@
         fleet.offer("a", want=500, turn=4)
 
 
-def test_partner_that_marks_two_texts_loses_its_part_at_all_routers():
+def test_partner_that_signs_two_agreements_loses_its_part_at_all_routers():
     fleet = Round()
-    text = fleet.agreed()
+    agreement = fleet.agreed()
     other = derive_agreement([offer(n, want=w) for n, w in (("a", 8000), ("b", 1000), ("c", 1000))], 1)
     false = Signature(
         "a",
@@ -298,21 +304,23 @@
     for protocol in fleet.protocols.values():
         assert set(protocol.ledger.equivocations) == {"a"}
         assert (
-            protocol.ownership.agreement() == text
+            protocol.ownership.agreement() == agreement
             and protocol.ownership.effective_shares(fleet.now)["a"] == 0
         )
         assert set(protocol.ownership.slot_owners) == {"b", "c"}
 
 
-def test_marks_that_a_partner_gave_are_no_proof_against_it():
-    """A router that lies has all of them: an offer's and a text's of one number, a later text's with its
-    number changed."""
+def test_signatures_that_a_partner_gave_are_no_proof_against_it():
+    """A router that lies has an offer's and an agreement's of one number, a later agreement's
+    with its number changed."""
     fleet = Round()
     fleet.agreed()
     fleet.offer("a", want=6000, turn=2)
     fleet.play()
     ledger = fleet.protocols["b1"].ledger
-    by_text = sorted((m["a"] for m in ledger.signatures.values() if "a" in m), key=lambda mark: mark.number)
+    by_text = sorted(
+        (m["a"] for m in ledger.signatures.values() if "a" in m), key=lambda signature: signature.number
+    )
     first, second = by_text
     offers = signer_of("a").sign_offer(offer("a", want=3000)).signature
     assert first.number == offers.number == 1
@@ -338,27 +346,27 @@
 
 def test_engines_that_are_gone_longer_than_the_grace_count_as_less():
     fleet = Round()
-    text = fleet.agreed()
+    agreement = fleet.agreed()
     protocol = fleet.protocols["a0"]
     protocol.ownership.set_capacities(fleet.now, {"a": 100, "b": 50, "c": 100})
-    assert protocol.ownership.slot_owners == text.slot_owners()
+    assert protocol.ownership.slot_owners == agreement.slot_owners()
     fleet.play(4)
-    assert protocol.ownership.slot_owners == text.slot_owners()
+    assert protocol.ownership.slot_owners == agreement.slot_owners()
     fleet.play(2)
-    assert protocol.ownership.slot_owners.count("b") < 0.7 * text.slot_owners().count("b")
+    assert protocol.ownership.slot_owners.count("b") < 0.7 * agreement.slot_owners().count("b")
     protocol.ownership.set_capacities(fleet.now, {"a": 100, "b": 100, "c": 100})
-    assert protocol.ownership.slot_owners == text.slot_owners()
+    assert protocol.ownership.slot_owners == agreement.slot_owners()
 
 
-def test_marks_without_end_are_bounded():
+def test_signatures_without_end_are_bounded():
     fleet = Round()
     fleet.agreed()
     ledger = fleet.protocols["a0"].ledger
     sign = ed25519_signer(private("c"))
     for n in range(3 * MAX_SIGNED_AGREEMENTS):
-        sealed = bytes([n]) * 32
+        digest = bytes([n]) * 32
         assert ledger.record_signature(
-            Signature("c", 100 + n, sealed, sign(signed_bytes(SignedKind.AGREEMENT, 100 + n, sealed)))
+            Signature("c", 100 + n, digest, sign(signed_bytes(SignedKind.AGREEMENT, 100 + n, digest)))
         )
     for n in range(3 * MAX_SIGNED_AGREEMENTS):
         ledger.record_agreement(
@@ -371,7 +379,7 @@
     assert 1 in ledger.accepted
 
 
-def test_partner_that_comes_is_in_the_next_text():
+def test_partner_that_comes_is_in_the_next_agreement():
     two = {name: ROUTERS[name] for name in "ab"}
     fleet = Round(two)
     first = fleet.agreed()
@@ -485,10 +493,10 @@
         assert found[1] == "a"
 
 
-# ---- the file of marks ----
+# ---- the file of signatures ----
 
 
-def test_marks_come_back_from_their_file_and_a_broken_last_line_was_never_given(tmp_path):
+def test_signatures_come_back_from_their_file_and_a_broken_last_line_was_never_given(tmp_path):
     path = tmp_path / "marks"
     file = SignatureJournal(path)
     assert file.save(1, b"\1" * 32) and file.save(2, b"\2" * 32)
@@ -499,7 +507,7 @@
     assert again.save(3, b"\3" * 32) and SignatureJournal(path).signed[3] == b"\3" * 32
 
 
-def test_file_that_was_changed_or_cannot_be_written_gives_no_mark(tmp_path):
+def test_file_that_was_changed_or_cannot_be_written_gives_no_signature(tmp_path):
     path = tmp_path / "marks"
     path.write_text("1 zz\n")
     with pytest.raises(SignatureJournalError, match="marks"):
@@ -508,13 +516,13 @@
     file = SignatureJournal(path)
     file.path = tmp_path / "none" / "marks"
     assert not file.save(1, b"") and file.error is not None
-    marker = AgreementSigner("a", ed25519_signer(private("a")), file.save, file.signed)
+    signer = AgreementSigner("a", ed25519_signer(private("a")), file.save, file.signed)
     with pytest.raises(AgreementRejectedError, match="kept"):
-        marker.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
+        signer.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
 
 
-def test_old_file_of_marks_is_made_whole_by_what_others_know():
-    """A copy of yesterday was put back: the partner would mark a second text for a number."""
+def test_old_file_of_signatures_is_made_whole_by_what_others_know():
+    """A copy of yesterday was put back: the partner would sign a second agreement for a number."""
     fleet = Round()
     fleet.agreed()
     fleet.files["b"].clear()
@@ -529,11 +537,11 @@
     )
 
 
-def test_second_text_for_a_number_is_not_marked_though_the_file_forgot_the_first():
+def test_second_agreement_for_a_number_is_not_signed_though_the_file_forgot_the_first():
     fleet = Round()
     first = fleet.agreed()
     fleet.offer("a", want=5000, turn=2)
-    fleet.play(living=[n for n in fleet.protocols if n[0] != "c"])  # a and b have marked it, c is silent
+    fleet.play(living=[n for n in fleet.protocols if n[0] != "c"])  # a and b have signed it, c is silent
     fleet.files["b"].clear()
     fleet.start("b", "b0")
     fleet.play(4, living=["a1", "b0", "b1"])
@@ -583,6 +591,10 @@
             assert mine >= (1 - 1 / 16) * share * whole / total - 2 * count
 
 
-def test_text_has_what_every_router_needs():
-    text = derive_agreement([offer(n) for n in "abc"], 4, None)
-    assert isinstance(text, Agreement) and len(text.owners) == SLOTS and text.grace_period == 5 * SECOND
+def test_agreement_has_what_every_router_needs():
+    agreement = derive_agreement([offer(n) for n in "abc"], 4, None)
+    assert (
+        isinstance(agreement, Agreement)
+        and len(agreement.owners) == SLOTS
+        and agreement.grace_period == 5 * SECOND
+    )
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -1,4 +1,4 @@
-"""Partners: slots by agreed shares with the fewest moves; texts that all of them have marked."""
+"""Partners: slots by agreed shares with the fewest moves; agreements that all of them have signed."""
 
 import random
 
@@ -121,26 +121,26 @@
     )
 
 
-def marker(name, kept=None, save=True):
+def signer_for(name, kept=None, save=True):
     kept = {} if kept is None else kept
 
-    def keep(number, sealed):
+    def keep(number, digest):
         if save:
-            kept[number] = sealed
+            kept[number] = digest
         return save
 
     return AgreementSigner(name, ed25519_signer(bytes([1 + "abc".index(name)]) * 32), keep, kept)
 
 
 def agreed(number=1, offers=None, ledger=None, **times):
-    """A text with the marks of all, in a ledger."""
+    """An agreement with the signatures of all, in a ledger."""
     offers = offers or [offer(name, **times) for name in "abc"]
-    text = derive_agreement(offers, number)
+    agreement = derive_agreement(offers, number)
     ledger = ledger or AgreementLedger("abc", CHECK)
-    ledger.record_agreement(text)
+    ledger.record_agreement(agreement)
     for one in offers:
-        assert ledger.record_signature(marker(one.partner).sign_agreement(text, one))
-    return text, ledger
+        assert ledger.record_signature(signer_for(one.partner).sign_agreement(agreement, one))
+    return agreement, ledger
 
 
 bounds = st.lists(
@@ -160,12 +160,12 @@
         with pytest.raises(AgreementRejectedError):
             derive_agreement(offers, 1)
         return
-    text = derive_agreement(offers, 1)
-    assert sum(text.shares.values()) == SHARE_TOTAL and not invalid_agreement_field(text)
-    assert all(o.minimum_share <= text.shares[o.partner] <= o.maximum_share for o in offers)
-    assert text == derive_agreement(offers[::-1], 1)
+    agreement = derive_agreement(offers, 1)
+    assert sum(agreement.shares.values()) == SHARE_TOTAL and not invalid_agreement_field(agreement)
+    assert all(o.minimum_share <= agreement.shares[o.partner] <= o.maximum_share for o in offers)
+    assert agreement == derive_agreement(offers[::-1], 1)
     if sum(o.desired_share for o in offers) == SHARE_TOTAL:
-        assert all(text.shares[o.partner] == o.desired_share for o in offers)
+        assert all(agreement.shares[o.partner] == o.desired_share for o in offers)
 
 
 @pytest.mark.parametrize(
@@ -184,22 +184,22 @@
     assert fault.value.where == where
 
 
-def test_text_is_in_force_with_every_mark_from_its_time_to_its_end():
-    text, ledger = agreed(begins=50)
-    assert [ledger.in_force(now) for now in (49, 50, DAY - 1, DAY)] == [None, text, text, None]
+def test_agreement_is_in_force_with_every_signature_from_its_time_to_its_end():
+    agreement, ledger = agreed(begins=50)
+    assert [ledger.in_force(now) for now in (49, 50, DAY - 1, DAY)] == [None, agreement, agreement, None]
     assert sum(ledger.shares(50).values()) == SHARE_TOTAL and ledger.shares(DAY) == {}
 
 
 @settings(max_examples=120, deadline=None)
 @given(st.randoms(use_true_random=False), st.sets(st.integers(0, 7)))
-def test_old_or_new_text_whatever_is_lost_repeated_or_late(chance, lost):
-    """Two routers hear the same in other orders, and not all of it: each has the old text or the new one, the
-    new one only with all marks, and both the same once they have heard the same."""
+def test_old_or_new_agreement_whatever_is_lost_repeated_or_late(chance, lost):
+    """Two routers hear the same in other orders, and not all of it: each has the old agreement or the new
+    one, the new one only with all signatures, and both the same once they have heard the same."""
     old, _ = agreed()
     ledgers = [agreed(ledger=AgreementLedger("abc", CHECK))[1] for _ in range(2)]
     offers = [offer(name, want=3000 + 500 * n, begins=100) for n, name in enumerate("abc")]
     new = derive_agreement(offers, 2)
-    messages = [new, *(marker(o.partner).sign_agreement(new, o) for o in offers)]
+    messages = [new, *(signer_for(o.partner).sign_agreement(new, o) for o in offers)]
     heard = [set(), set()]
     line = [(router, n) for router in (0, 1) for n in range(4) if router * 4 + n not in lost] * 2
     chance.shuffle(line)
@@ -211,16 +211,16 @@
         assert ledgers[router].in_force(99) == old
     for ledger in ledgers:
         ledger.record_agreement(new)
-        assert all(ledger.record_signature(mark) for mark in messages[1:])
+        assert all(ledger.record_signature(signature) for signature in messages[1:])
     assert [ledger.in_force(200) for ledger in ledgers] == [new, new]
 
 
-def test_partner_marks_one_text_for_a_number_also_after_a_crash():
+def test_partner_signs_one_agreement_for_a_number_also_after_a_crash():
     kept, own = {}, offer("a")
-    text, other = (derive_agreement([own, offer("b", want=w)], 3) for w in (3000, 5000))
-    first = marker("a", kept).sign_agreement(text, own)
-    again = marker("a", kept)  # it has crashed, and read what it kept
-    assert again.sign_agreement(text, own) == first
+    agreement, other = (derive_agreement([own, offer("b", want=w)], 3) for w in (3000, 5000))
+    first = signer_for("a", kept).sign_agreement(agreement, own)
+    again = signer_for("a", kept)  # it has crashed, and read what it kept
+    assert again.sign_agreement(agreement, own) == first
     with pytest.raises(AgreementRejectedError, match="number 3"):
         again.sign_agreement(other, own)
     with pytest.raises(AgreementRejectedError, match="number 3"):
@@ -228,9 +228,9 @@
     assert again.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
 
 
-def test_mark_that_cannot_be_kept_is_not_given():
+def test_signature_that_cannot_be_kept_is_not_given():
     own = offer("a")
-    hand = marker("a", save=False)
+    hand = signer_for("a", save=False)
     with pytest.raises(AgreementRejectedError, match="kept"):
         hand.sign_agreement(derive_agreement([own, offer("b")], 1), own)
     assert not hand.signed
@@ -246,30 +246,30 @@
         offer("b"),
     ],
 )
-def test_partner_marks_nothing_that_it_did_not_offer(own):
-    text = derive_agreement([offer("a"), offer("b", want=7000)], 1)
+def test_partner_signs_nothing_that_it_did_not_offer(own):
+    agreement = derive_agreement([offer("a"), offer("b", want=7000)], 1)
     with pytest.raises(AgreementRejectedError):
-        marker("a").sign_agreement(text, own)
+        signer_for("a").sign_agreement(agreement, own)
 
 
-def test_marks_of_others_or_on_other_texts_count_for_nothing():
-    text = derive_agreement([offer(name) for name in "abc"], 1)
+def test_signatures_of_others_or_on_other_agreements_count_for_nothing():
+    agreement = derive_agreement([offer(name) for name in "abc"], 1)
     ledger = AgreementLedger("abc", CHECK)
-    ledger.record_agreement(text)
-    good = marker("a").sign_agreement(text, offer("a"))
+    ledger.record_agreement(agreement)
+    good = signer_for("a").sign_agreement(agreement, offer("a"))
     assert not ledger.record_signature(msgspec.structs.replace(good, partner="b"))
     assert not ledger.record_signature(msgspec.structs.replace(good, partner="x"))
     assert not ledger.record_signature(msgspec.structs.replace(good, digest=b"other"))
-    assert not ledger.record_agreement(msgspec.structs.replace(text, shares={"a": SHARE_TOTAL + 1}))
+    assert not ledger.record_agreement(msgspec.structs.replace(agreement, shares={"a": SHARE_TOTAL + 1}))
     for name in "bc":
-        ledger.record_signature(marker(name).sign_agreement(text, offer(name)))
+        ledger.record_signature(signer_for(name).sign_agreement(agreement, offer(name)))
     assert ledger.in_force(1) is None
     ledger.record_signature(good)
-    assert ledger.in_force(1) == text
+    assert ledger.in_force(1) == agreement
 
 
-def test_partner_that_marks_two_texts_has_no_part_any_more():
-    text, ledger = agreed()
+def test_partner_that_signs_two_agreements_has_no_part_any_more():
+    agreement, ledger = agreed()
     hand = ed25519_signer(bytes([1]) * 32)
     other = derive_agreement([offer("a", want=8000, least=8000), offer("b"), offer("c")], 1)
     ledger.record_agreement(other)
@@ -278,27 +278,27 @@
             "a", 1, content_digest(other), hand(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other)))
         )
     )
-    assert ledger.in_force(1) == text
-    assert ledger.shares(1)["a"] == 0 and ledger.shares(1)["b"] == text.shares["b"]
+    assert ledger.in_force(1) == agreement
+    assert ledger.shares(1)["a"] == 0 and ledger.shares(1)["b"] == agreement.shares["b"]
 
 
 def test_partner_that_withdraws_has_its_part_until_its_notice_has_run_out():
-    text, ledger = agreed()
-    notice, mark = marker("b").give_notice(text, 500)
-    assert not ledger.record_notice(msgspec.structs.replace(notice, effective_at=0), mark)
-    assert not ledger.record_notice(msgspec.structs.replace(notice, partner="a"), mark)
-    assert ledger.record_notice(notice, mark)
+    agreement, ledger = agreed()
+    notice, signature = signer_for("b").give_notice(agreement, 500)
+    assert not ledger.record_notice(msgspec.structs.replace(notice, effective_at=0), signature)
+    assert not ledger.record_notice(msgspec.structs.replace(notice, partner="a"), signature)
+    assert ledger.record_notice(notice, signature)
     assert ledger.shares(1499)["b"] > 0 and ledger.shares(1500)["b"] == 0
     assert (
         allocate_slots(allocate_slots((None,) * SLOTS, ledger.shares(0)), ledger.shares(1500)).count("b") == 0
     )
 
 
-def test_silent_partner_keeps_the_old_text_to_its_end():
+def test_silent_partner_keeps_the_old_agreement_to_its_end():
     old, ledger = agreed()
     offers = [offer(name, want=2000, begins=100) for name in "abc"]
     new = derive_agreement(offers, 2)
     ledger.record_agreement(new)
     for one in offers[:2]:
-        ledger.record_signature(marker(one.partner).sign_agreement(new, one))
+        ledger.record_signature(signer_for(one.partner).sign_agreement(new, one))
     assert ledger.in_force(DAY - 1) == old and ledger.in_force(DAY) is None
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -56,19 +56,19 @@
     return False
 
 
-def anybodys(self, kind, mark):
-    return mark.partner in self.partners
+def anybodys(self, kind, signature):
+    return signature.partner in self.partners
 
 
-def some_marks(self, sealed):
-    text = self.agreements.get(sealed)
-    if text is not None:
-        self.fully_signed[text.number] = self.accepted[text.number] = text
+def some_signatures(self, digest):
+    agreement = self.agreements.get(digest)
+    if agreement is not None:
+        self.fully_signed[agreement.number] = self.accepted[agreement.number] = agreement
 
 
-def any_turn(self, offer, mark):
-    if self.is_genuine(SignedKind.OFFER, mark):
-        self.offers[offer.partner] = SignedOffer(offer, mark)
+def any_turn(self, offer, signature):
+    if self.is_genuine(SignedKind.OFFER, signature):
+        self.offers[offer.partner] = SignedOffer(offer, signature)
     return True
 
 
@@ -85,16 +85,23 @@
 NETWORK = ("left out", "twice", "late by 40", "again much later")
 LIES = ("another's", "zero", "one more", "most")
 PLANTED = {
-    "a mark is not checked": (AgreementLedger, "is_genuine", anybodys, Knowledge, LIES, 3),
-    "some marks are enough": (
+    "a signature is not checked": (AgreementLedger, "is_genuine", anybodys, Knowledge, LIES, 3),
+    "some signatures are enough": (
         AgreementLedger,
         "accept_if_signed",
-        some_marks,
+        some_signatures,
         Knowledge,
         ("left out", "none"),
         0,
     ),
-    "an offer is not held against its mark": (AgreementLedger, "record_offer", any_turn, Knowledge, LIES, 4),
+    "an offer is not held against its signature": (
+        AgreementLedger,
+        "record_offer",
+        any_turn,
+        Knowledge,
+        LIES,
+        4,
+    ),
     "an answer is two": (QueryForwarder, "complete", ends_again, ForwardResult, NETWORK[:2], 0),
     "a title is not confirmed": (Keeper, "entitled", says_nothing, history.Entitled, NETWORK[:1], 0),
     "a title is sent once": (Keeper, "entitle", says_nothing, history.Entitle, NETWORK[:1], 0),
@@ -120,10 +127,12 @@
     assert not finds(plain, Knowledge, LIES, 3, most=4)
 
 
-def test_marks_of_others_are_checked_by_the_rig_itself(plain):
-    """The rig's own look at texts: one without a mark is said."""
+def test_signatures_of_others_are_checked_by_the_rig_itself(plain):
+    """The rig's own look at agreements: one without a signature is said."""
     ledger = plain.protocols["n0"].ledger
-    (number, text) = next(iter(ledger.accepted.items()))
-    marks = ledger.signatures[content_digest(text)]
-    assert {mark.partner for mark in marks.values()} == set(text.shares)
-    assert all(isinstance(mark, Signature) and mark.number == number for mark in marks.values())
+    (number, agreement) = next(iter(ledger.accepted.items()))
+    signatures = ledger.signatures[content_digest(agreement)]
+    assert {signature.partner for signature in signatures.values()} == set(agreement.shares)
+    assert all(
+        isinstance(signature, Signature) and signature.number == number for signature in signatures.values()
+    )
