--- a/hillchute/accord/company.py
+++ b/hillchute/accord/company.py
@@ -161,7 +161,7 @@
 
     def heard(self, now: Time, sender: str, data: bytes) -> None:
         """A parcel that its sender marked; what of it is news to the module waits in `fresh`. Raises
-        DatagramDropped for what can't be read, of which nothing counts."""
+        InvalidDatagramError for what can't be read, of which nothing counts."""
         parcel = codec.decode(data, sender)
         fresh = self.signals.heard(now, sender, parcel.news)
         (self.unlike.discard if parcel.edition == self.edition else self.unlike.add)(sender)
@@ -258,9 +258,9 @@
     # ---- what follows ---------------------------------------------------------------------------------
 
     def room(self, now: Time, engine: EngineId, tips: float, span: Time) -> float:
-        """Core time that may still go to an engine that warms, by what is known of all that has. Lots
-        (teamwork.draw_lot) keep the sum in the mean, also where nothing is heard; this closes what chance
-        has let past."""
+        """Core time that may still go to an engine that warms, by what is known of all that has. Permits
+        (slow_start.draw_permit) keep the sum in the mean, also where nothing is heard; this closes what
+        chance has let past."""
         sent = self.sent.get(engine, deque())
         while sent and sent[0][0] <= now - span:
             sent.popleft()
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from hillchute.decision.interface import Time
-from hillchute.errors import AgreementRejectedError, DatagramDropped
+from hillchute.errors import InvalidAgreementError, InvalidDatagramError
 from hillchute.history.codec import Message
 from hillchute.history.codec import decode as history_decode
 from hillchute.history.codec import encode as history_encode
@@ -137,7 +137,7 @@
     def publish_offer(self, name: str, said: Offer) -> None:
         try:
             self.protocols[name].make_offer(self.clock(name), said)
-        except AgreementRejectedError:
+        except InvalidAgreementError:
             self.hops["offers rejected"] += 1
 
     def agree(self, **wants: int) -> None:
@@ -167,7 +167,7 @@
             else:
                 self.forwarders[to].receive(now, sender, message)
         else:
-            raise DatagramDropped("of no kind", sender)
+            raise InvalidDatagramError("of no kind", sender)
         self.post(to)
 
     def tick(self, name: str) -> None:
--- a/hillchute/partners/agreements.py
+++ b/hillchute/partners/agreements.py
@@ -90,7 +90,7 @@
     """The one agreement that follows from all offers and the predecessor; every router derives the same.
 
     Each partner has its desired share, or as near to it as the others' bounds allow; slots are allocated with
-    the fewest moves; of grace and notice periods the longest counts. Raises AgreementRejectedError with what
+    the fewest moves; of grace and notice periods the longest counts. Raises InvalidAgreementError with what
     can't be met.
     """
     offers = sorted(offers, key=lambda offer: offer.partner)
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from hillchute.accord.quotas import LENT, Quotas
-from hillchute.decision.interface import Listing, Time
+from hillchute.decision.interface import EndpointState, Listing, Time
 from hillchute.engines.words import Rows, Stream
-from hillchute.errors import AgreementRejectedError, PartnerEquivocationError, SignatureJournalError
+from hillchute.errors import InvalidAgreementError, PartnerEquivocationError, SignatureJournalError
 from hillchute.fronts.events import Asked, Left, Spoilt
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import MS
@@ -81,7 +81,7 @@
         try:
             self.file = SignatureJournal(self.settings["marks_file"])
         except SignatureJournalError as fault:
-            self.log.write("partners", **fault.told)
+            self.log.write("partners", **fault.log_fields)
             return None
         sign = ed25519_signer(read_private_key(self.settings["key_file"]))
         return AgreementSigner(self.settings["own"], sign, self.file.save, self.file.signed)
@@ -91,8 +91,8 @@
             return
         try:
             self.council.make_offer(self.clock(), offer_of(self.settings))
-        except AgreementRejectedError as fault:
-            self.log.write("partners", **fault.told)
+        except InvalidAgreementError as fault:
+            self.log.write("partners", **fault.log_fields)
         if self.settings["leave"]:
             self.council.give_notice(self.clock())
 
@@ -210,7 +210,7 @@
         brings = {member["name"]: 0 for member in self.settings["members"]}
         for entry in listings:
             whose = next((m for m in self.settings["members"] if fits(m, entry, zones, kinds)), None)
-            if whose is not None and entry.state == "Ready" and entry.kind < len(cores):
+            if whose is not None and entry.state == EndpointState.READY and entry.kind < len(cores):
                 brings[whose["name"]] += cores[entry.kind]
         self.council.ownership.set_capacities(self.clock(), brings)
 
@@ -260,7 +260,7 @@
         standing = {(type(fault).__name__, str(fault)) for fault in faults}
         for fault in faults:
             if (type(fault).__name__, str(fault)) not in self.told:
-                self.log.write("partners", **fault.told)
+                self.log.write("partners", **fault.log_fields)
         self.told = standing
 
     def broke(self) -> list[tuple[str, Equivocation]]:
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -5,10 +5,11 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT
 
-from hillchute.decision.teamwork import MOST_LATE, SECOND
+from hillchute.decision.admission import MOST_LATE
+from hillchute.decision.interface import SECOND
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
-from hillchute.net.system import SYSTEM
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import lateness, rounds, shutdown
 from hillchute.router.lateness import Lateness
 from hillchute.router.rounds import Rounds
@@ -168,12 +169,12 @@
 
 def test_late_loop_turns_away_what_is_of_least_value_first(desk):
     for _ in range(20):
-        desk.router.welcome(0, LOOKUP, 0.0)
-        desk.router.welcome(0, REPORT, 0.0)
-    assert desk.router.welcome(0, LOOKUP, MOST_LATE / 10)
-    assert not desk.router.welcome(0, LOOKUP, MOST_LATE / 2)
-    assert desk.router.welcome(0, REPORT, MOST_LATE - 1) and desk.router.welcome(0, LOAD, MOST_LATE - 1)
-    assert not desk.router.welcome(0, REPORT, MOST_LATE)
+        desk.router.admits(0, LOOKUP, 0.0)
+        desk.router.admits(0, REPORT, 0.0)
+    assert desk.router.admits(0, LOOKUP, MOST_LATE / 10)
+    assert not desk.router.admits(0, LOOKUP, MOST_LATE / 2)
+    assert desk.router.admits(0, REPORT, MOST_LATE - 1) and desk.router.admits(0, LOAD, MOST_LATE - 1)
+    assert not desk.router.admits(0, REPORT, MOST_LATE)
 
 
 # ---- the end ----------------------------------------------------------------------------------------
@@ -229,9 +230,9 @@
     """Stands in for a session's pipe."""
 
     def __init__(self, left=b"", unread=False):
-        self.left, self.waiting, self.closed = left, unread, False
+        self.unsent, self.waiting, self.closed = left, unread, False
 
-    def unread(self):
+    def has_unread(self):
         return self.waiting
 
     def close(self):
@@ -240,7 +241,7 @@
 
 def door(*wires):
     """A door whose places are all taken by sessions in a step that is not complete."""
-    poller = SimpleNamespace(system=SYSTEM)
+    poller = SimpleNamespace(system=SYSTEM_CALLS)
     made = Door(len(wires), 1000, poller, Rounds(), None, lambda: 0, lambda session: None, None, None, None)
     for number, wire in enumerate(wires):
         client = made.clients[number] = Client(number, 1000)
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import AgreementRejectedError, DatagramDropped, SignatureJournalError
+from hillchute.errors import InvalidAgreementError, InvalidDatagramError, SignatureJournalError
 from hillchute.history.slots import SLOTS
 from hillchute.history.titles import Title
 from hillchute.history.verdict import Verdict
@@ -278,14 +278,14 @@
         )
     protocol.ledger.record_agreement(agreement)
     protocol.update(fleet.now)
-    assert 2 not in protocol.ledger.accepted and protocol.signing_errors[2].what
+    assert 2 not in protocol.ledger.accepted and protocol.signing_errors[2].detail
 
 
 def test_lower_turn_than_is_known_is_refused_and_said():
     fleet = Round()
     fleet.agreed()
     fleet.offer("a", want=4000, turn=5)
-    with pytest.raises(AgreementRejectedError, match="turn 4; 5"):
+    with pytest.raises(InvalidAgreementError, match="turn 4; 5"):
         fleet.offer("a", want=500, turn=4)
 
 
@@ -416,7 +416,7 @@
 def test_whatever_comes_is_read_or_dropped(data):
     try:
         message = codec.decode(data, "x")
-    except DatagramDropped:
+    except InvalidDatagramError:
         return
     assert codec.decode(codec.encode(message), "x") == message
 
@@ -439,7 +439,7 @@
 def test_field_out_of_bounds_is_named(message, field):
     with pytest.raises(ValueError, match=field):
         codec.encode(message)
-    with pytest.raises(DatagramDropped, match=field):
+    with pytest.raises(InvalidDatagramError, match=field):
         codec.decode(codec.encoder.encode(message), "x")
 
 
@@ -447,7 +447,7 @@
     message = ForwardResult(1, 1, "perhaps", "", None)
     with pytest.raises(ValueError, match="outcome"):
         codec.encode(message)
-    with pytest.raises(DatagramDropped, match="perhaps"):
+    with pytest.raises(InvalidDatagramError, match="perhaps"):
         codec.decode(codec.encoder.encode(message), "x")
 
 
@@ -517,7 +517,7 @@
     file.path = tmp_path / "none" / "marks"
     assert not file.save(1, b"") and file.error is not None
     signer = AgreementSigner("a", ed25519_signer(private("a")), file.save, file.signed)
-    with pytest.raises(AgreementRejectedError, match="kept"):
+    with pytest.raises(InvalidAgreementError, match="kept"):
         signer.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
 
 
@@ -563,7 +563,7 @@
         sum("b" in m for m in protocol.ledger.signatures.values() if any(x.number == 2 for x in m.values()))
         == 1
     )
-    assert "b" not in protocol.ledger.equivocations and protocol.signing_errors[2].what
+    assert "b" not in protocol.ledger.equivocations and protocol.signing_errors[2].detail
 
 
 # ---- shares of the pool ----
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.errors import AgreementRejectedError
+from hillchute.errors import InvalidAgreementError
 from hillchute.history.slots import SLOTS
 from hillchute.lab.partners import least_moves
 from hillchute.partners.agreement_ledger import AgreementLedger
@@ -157,7 +157,7 @@
 def test_shares_add_up_and_keep_everybodys_bounds(bounds):
     offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
     if not sum(b[0] for b in bounds) <= SHARE_TOTAL <= sum(b[2] for b in bounds):
-        with pytest.raises(AgreementRejectedError):
+        with pytest.raises(InvalidAgreementError):
             derive_agreement(offers, 1)
         return
     agreement = derive_agreement(offers, 1)
@@ -179,9 +179,9 @@
     ],
 )
 def test_offers_that_do_not_meet_say_where(offers, where):
-    with pytest.raises(AgreementRejectedError) as fault:
+    with pytest.raises(InvalidAgreementError) as fault:
         derive_agreement(offers, 1)
-    assert fault.value.where == where
+    assert fault.value.location == where
 
 
 def test_agreement_is_in_force_with_every_signature_from_its_time_to_its_end():
@@ -221,9 +221,9 @@
     first = signer_for("a", kept).sign_agreement(agreement, own)
     again = signer_for("a", kept)  # it has crashed, and read what it kept
     assert again.sign_agreement(agreement, own) == first
-    with pytest.raises(AgreementRejectedError, match="number 3"):
+    with pytest.raises(InvalidAgreementError, match="number 3"):
         again.sign_agreement(other, own)
-    with pytest.raises(AgreementRejectedError, match="number 3"):
+    with pytest.raises(InvalidAgreementError, match="number 3"):
         again.sign_agreement(derive_agreement([own, offer("b")], 2), own)
     assert again.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
 
@@ -231,7 +231,7 @@
 def test_signature_that_cannot_be_kept_is_not_given():
     own = offer("a")
     hand = signer_for("a", save=False)
-    with pytest.raises(AgreementRejectedError, match="kept"):
+    with pytest.raises(InvalidAgreementError, match="kept"):
         hand.sign_agreement(derive_agreement([own, offer("b")], 1), own)
     assert not hand.signed
 
@@ -248,7 +248,7 @@
 )
 def test_partner_signs_nothing_that_it_did_not_offer(own):
     agreement = derive_agreement([offer("a"), offer("b", want=7000)], 1)
-    with pytest.raises(AgreementRejectedError):
+    with pytest.raises(InvalidAgreementError):
         signer_for("a").sign_agreement(agreement, own)
 
 
