--- a/hillchute/partners/capacity_pool.py
+++ b/hillchute/partners/capacity_pool.py
@@ -1,7 +1,7 @@
 """Division of the engine pool's capacity among routers, by the shares of their partners.
 
-Pure. What is in use, lent or requested is the quotas' business (accord/quotas.py), whose limit `pool` takes
-its allocations from here.
+Pure. What is in use, lent or requested is the quota leases' business (coordination/quota_leases.py), whose
+limit `pool` takes its allocations from here.
 """
 
 from collections.abc import Iterable, Mapping
--- a/tests/test_accord.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Choices that add up over routers: the pairs of routers and engines."""
+"""Decisions of many routers that add up: subsets of engines, jitter."""
 
 import random
 from collections import Counter
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillchute.accord import subsets, turns
-from hillchute.accord.subsets import Sight, pairs
+from hillchute.coordination import jitter, subsetting
+from hillchute.coordination.subsetting import Subset, all_pairs
 from hillchute.decision.interface import (
     SECOND,
     AttemptResult,
@@ -38,7 +38,7 @@
 @given(fleets, st.integers(1, 16))
 def test_routers_that_engines_serve_differ_by_one_at_the_most(fleet, size):
     routers, engines = fleet
-    counts = served(pairs(engines, routers, size))
+    counts = served(all_pairs(engines, routers, size))
     assert set(counts) <= engines and sum(counts.values()) == routers * min(size, len(engines))
     for some in (engines, {e for e in engines if e % 3 == 0}, {e for e in engines if e % 3 == 1}):
         widths = [counts[e] for e in some]  # of one kind or zone as well
@@ -50,33 +50,33 @@
 def test_engine_that_goes_or_comes_moves_two_parts_of_all_at_the_most(fleet, other):
     routers, engines = fleet
     engines = engines | {other}
-    all_of_them, without = pairs(engines, routers), pairs(engines - {other}, routers)
+    all_of_them, without = all_pairs(engines, routers), all_pairs(engines - {other}, routers)
     most = 2 * -(-len(all_of_them) // len(engines))
     assert len(without - all_of_them) <= most and len(all_of_them - without) <= most
     # Nobody loses an engine that stays because another goes, nor gains one because another comes.
     left = {pair for pair in all_of_them if pair[1] != other}
-    assert len(engines) <= subsets.SIZE or left <= without
+    assert len(engines) <= subsetting.SUBSET_SIZE or left <= without
 
 
 @settings(max_examples=30, deadline=None)
 @given(fleets)
 def test_engine_that_drains_gives_its_pairs_to_as_many_others_as_it_had(fleet):
     routers, engines = fleet
-    if len(engines) <= subsets.SIZE + 1:
+    if len(engines) <= subsetting.SUBSET_SIZE + 1:
         return
     one = max(engines)
-    gained = pairs(engines - {one}, routers) - pairs(engines, routers)
-    had = served(pairs(engines, routers))[one]
+    gained = all_pairs(engines - {one}, routers) - all_pairs(engines, routers)
+    had = served(all_pairs(engines, routers))[one]
     each = -(-had // (len(engines) - 1))
     assert len(gained) == had and max(served(gained).values(), default=0) <= each
 
 
 @pytest.mark.parametrize("routers, count", SIZES)
-def test_router_works_out_its_own_part_of_the_pairs_alone(routers, count):
-    engines = [subsets.mixed(n) for n in range(count)]
-    every = pairs(engines, routers)
+def test_router_computes_its_own_subset_alone(routers, count):
+    engines = [subsetting.mix(n) for n in range(count)]
+    every = all_pairs(engines, routers)
     for me in range(0, routers, max(1, routers // 7)):
-        assert Sight(me, routers).near(reversed(engines)) == {e for r, e in every if r == me}
+        assert Subset(me, routers).select(reversed(engines)) == {e for r, e in every if r == me}
 
 
 def test_router_that_comes_moves_its_own_part_and_no_more():
@@ -85,7 +85,7 @@
         moved, gained = [], []
         for n in range(routers, routers + 12):
             engines = range(1000 * n, 1000 * n + count)
-            before, after = pairs(engines, n), pairs(engines, n + 1)
+            before, after = all_pairs(engines, n), all_pairs(engines, n + 1)
             moved.append(len(before - after) / len(before))
             gained.append(sum(r < n for r, _ in after - before) / len(before))
         assert max(moved) <= 2 / routers and max(gained) <= 1 / routers
@@ -94,41 +94,41 @@
 
 def test_no_router_is_left_with_nothing_and_few_with_little():
     for routers, count in [(200, 80), (230, 300), (1000, 512)]:
-        sizes = Counter(router for router, _ in pairs(range(count), routers))
+        sizes = Counter(router for router, _ in all_pairs(range(count), routers))
         assert len(sizes) == routers and sum(size < 4 for size in sizes.values()) < routers / 25
 
 
-def test_few_engines_are_all_in_sight_and_numbers_from_one_do_no_harm():
-    assert Sight(2, 3).near(range(8)) == set(range(8))
-    assert Sight(3, 3).near(range(80)) == Sight(0, 3).near(range(80))
-    assert Sight(0, 0).near([]) == frozenset()
+def test_few_engines_are_all_in_the_subset_and_numbers_from_one_do_no_harm():
+    assert Subset(2, 3).select(range(8)) == set(range(8))
+    assert Subset(3, 3).select(range(80)) == Subset(0, 3).select(range(80))
+    assert Subset(0, 0).select([]) == frozenset()
 
 
 def test_list_that_changes_costs_no_more_than_the_engines_that_are_new(monkeypatch):
     asked = []
-    rank = subsets.Rank
-    monkeypatch.setattr(subsets, "Rank", lambda engine, me: asked.append(engine) or rank(engine, me))
-    sight = Sight(0, 200)
-    sight.near(range(80))
+    rank = subsetting.RouterRank
+    monkeypatch.setattr(subsetting, "RouterRank", lambda engine, me: asked.append(engine) or rank(engine, me))
+    subset = Subset(0, 200)
+    subset.select(range(80))
     asked.clear()
-    sight.near(range(3, 83))
+    subset.select(range(3, 83))
     assert sorted(asked) == [80, 81, 82]
-    sight.near(range(3, 83))
-    assert len(asked) == 3 and len(sight.ranks) == 80  # those that are gone are forgotten
+    subset.select(range(3, 83))
+    assert len(asked) == 3 and len(subset.ranks) == 80  # those that are gone are forgotten
 
 
 @pytest.mark.parametrize("routers, many", [(1, 5), (3, 30), (40, 200), (200, 80), (230, 800)])
-def test_engines_in_sight_are_the_pairs_whatever_changes_came_before(routers, many):
+def test_subset_is_independent_of_earlier_endpoint_lists(routers, many):
     chance = random.Random(routers)
-    sights = {me: Sight(me, routers) for me in {0, routers // 2, routers - 1}}
+    subsets = {me: Subset(me, routers) for me in {0, routers // 2, routers - 1}}
     for _ in range(6):
         engines = chance.sample(range(2 * many), chance.randint(0, many))
-        wanted = pairs(engines, routers)
-        for me, sight in sights.items():
-            assert sight.near(engines) == {engine for router, engine in wanted if router == me}
+        wanted = all_pairs(engines, routers)
+        for me, subset in subsets.items():
+            assert subset.select(engines) == {engine for router, engine in wanted if router == me}
 
 
-# ---- turns ------------------------------------------------------------------------------------------
+# ---- jitter -----------------------------------------------------------------------------------------
 
 
 def most_within(moments, span):
@@ -139,37 +139,37 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 400), st.text(max_size=8), st.floats(0.02, 1.0))
-def test_all_that_learn_in_one_instant_take_turns_within_the_stated_bound(routers, thing, part):
-    places = [turns.place(router, thing) for router in range(routers)]
-    assert most_within(places, part) <= turns.most_by_number(routers, part)
+def test_routers_that_learn_at_one_instant_act_within_the_stated_bound(routers, thing, part):
+    places = [jitter.position(router, thing) for router in range(routers)]
+    assert most_within(places, part) <= jitter.max_by_number(routers, part)
 
 
 @pytest.mark.parametrize("wrong", [0.5, 1.0, 1.5])
 def test_count_that_is_wrong_by_half_makes_the_sum_as_much_larger_or_smaller(wrong):
     """Five routers in each 100 ms are wished for, of 200; the count tells half, or half as much again."""
-    span = turns.window(int(200 * wrong), 5, 1000)
-    moments = [turns.turn(router, "engine 7", span) for router in range(200)]
-    assert most_within(moments, 1000) <= turns.most_by_number(200, 1000 / span)
-    assert turns.most_by_number(200, 1000 / span) <= 5 / wrong + turns.MORE + 1
+    span = jitter.window_length(int(200 * wrong), 5, 1000)
+    moments = [jitter.delay_by_number(router, "engine 7", span) for router in range(200)]
+    assert most_within(moments, 1000) <= jitter.max_by_number(200, 1000 / span)
+    assert jitter.max_by_number(200, 1000 / span) <= 5 / wrong + jitter.GOLDEN_RATIO_EXCESS + 1
 
 
-def test_router_that_restarts_keeps_its_place_and_no_router_is_always_first():
-    assert turns.turn(17, "list 5", 10_000) == turns.turn(17, "list 5", 10_000)
-    first = {min(range(200), key=lambda router: turns.place(router, thing)) for thing in range(50)}
+def test_router_that_restarts_keeps_its_position_and_no_router_is_always_first():
+    assert jitter.delay_by_number(17, "list 5", 10_000) == jitter.delay_by_number(17, "list 5", 10_000)
+    first = {min(range(200), key=lambda router: jitter.position(router, thing)) for thing in range(50)}
     assert len(first) > 30
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_turns_by_chance_pass_their_bound_no_more_often_than_stated(seed):
+def test_moments_by_chance_pass_their_bound_no_more_often_than_stated(seed):
     chance, odds = random.Random(seed), 1e-3
-    most = turns.most_by_chance(200, 0.05, odds)
+    most = jitter.max_by_chance(200, 0.05, odds)
     counts = [sum(chance.random() < 0.05 for _ in range(200)) for _ in range(300)]
     assert sum(count > most for count in counts) <= 3  # 0.3 in the mean; over 3 once in some thousand seeds
     assert most < 200 * 0.05 * 3
 
 
 def test_waits_that_began_together_end_apart_and_in_the_mean_alike():
-    waits = [turns.spread(1000, n / 100) for n in range(100)]
+    waits = [jitter.randomized(1000, n / 100) for n in range(100)]
     assert min(waits) == 500 and max(waits) < 1500 and abs(sum(waits) / 100 - 1000) < 10
 
 
@@ -185,23 +185,23 @@
     fleet = [waits(seed) for seed in range(200)]
     for one_try in zip(*fleet):
         assert min(one_try) >= 0.125 and max(one_try) < 0.375
-        assert most_within(one_try, 0.0125) <= turns.most_by_chance(200, 0.05, 1e-6)
+        assert most_within(one_try, 0.0125) <= jitter.max_by_chance(200, 0.05, 1e-6)
     assert waits(5) == waits(5)
 
 
-def test_engines_in_sight_follow_the_list_that_the_router_is_told():
+def test_subset_follows_the_endpoint_list_that_the_router_receives():
     entries = [
         event_bus.Entry(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
     ]
     reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
     reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
-    assert reducer.module.pool.subset == Sight(7, 200).near(range(80)) != frozenset()
+    assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.pool.subset)
     listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
     reducer.reduce(
         events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
-    assert reducer.module.pool.subset == Sight(7, 200).near(n for n in range(80) if n != gone)
+    assert reducer.module.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
 
 
 # ---- their use in the module ------------------------------------------------------------------------
