--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -30,17 +30,21 @@
 
 
 class Net(Changing, PartnersNet):
+    """Six routers of three partners, of whose messages one may be changed."""
+
     def __init__(self, seed: int, at: int = -1, change: str = "", path: tuple = ()) -> None:
         self.listen(at, change, path)
         policy = Policy(rows=True, least_ms=90_000, most_ms=600_000)
         super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
 
     def unchecked(self, message: object) -> bytes:
+        """The bytes of a message whose fields need not be within their bounds."""
         if isinstance(message, PartnerMessage):
             return PARTNERS + codec.encoder.encode(message)
         return HISTORY + history_encoder.encode(message)
 
     def ask_all(self, first: int, many: int, names: list[str], every: float = 0.3) -> None:
+        """Queries one after another at the routers in turn, each `every` seconds."""
         for n in range(first, first + many):
             self.ask(names[n % len(names)], f"t{n}", f"k{n % 4}")
             if n % 3 == 0:
@@ -48,10 +52,23 @@
             self.advance(every)
 
     def script(self) -> "Net":
+        """Play the whole run; what went wrong is in `raised`."""
         self.agree()
         if not (self.settled() and self.agreed()):
             self.raised.append("no agreement came into force")
             return self
+        self.agree_anew_under_load()
+        self.lose_routers()
+        self.leave_agreement()
+        if not (self.settled(40) and self.agreed(40)):
+            self.raised.append("did not come to rest")
+        if self.unanswered():
+            self.raised.append(f"{self.unanswered()} clients without an answer")
+        self.check_agreements()
+        return self
+
+    def agree_anew_under_load(self) -> None:
+        """Another agreement while queries run, and then the same queries again."""
         self.ask_all(0, 8, self.names)
         self.offer("b", 7000)
         self.ask_all(8, 10, self.names, 0.2)
@@ -59,6 +76,9 @@
         for n in range(4):  # what ran is known, wherever it is asked for again
             self.ask(self.names[(n + 1) % ROUTERS], f"t{n}", f"k{n % 4}")
         self.advance(3)
+
+    def lose_routers(self) -> None:
+        """A router dies and returns; then two routers are cut off for a while."""
         for name in self.names:
             self.ask(name, f"d{name}", "k1")
         self.advance(0.2)
@@ -72,15 +92,17 @@
         self.advance(7)
         self.mend()
         self.advance(9)
+
+    def leave_agreement(self) -> None:
+        """A partner gives notice, and its part ends."""
         self.protocols["n2"].give_notice(self.clock("n2"))  # c's: its part ends with the notice
         self.post("n2")
         self.advance(13)
         self.ask_all(40, 6, self.names)
         self.advance(6)
-        if not (self.settled(40) and self.agreed(40)):
-            self.raised.append("did not come to rest")
-        if self.unanswered():
-            self.raised.append(f"{self.unanswered()} clients without an answer")
+
+    def check_agreements(self) -> None:
+        """No number has two agreements, and each that is accepted has every partner's signature."""
         agreements: dict[int, object] = {}
         for name, protocol in self.protocols.items():
             for number, agreement in protocol.ledger.accepted.items():
@@ -94,7 +116,6 @@
                     content = signed_bytes(SignedKind.AGREEMENT, number, content_digest(agreement))
                     if not known or not self.check(partner, content, signature.value):
                         self.raised.append(f"{name} accepts agreement {number} without {partner}'s signature")
-        return self
 
     def end(self) -> dict[str, object]:
         """Which agreement is followed, whose the slots are, how often each token ran."""
@@ -110,4 +131,5 @@
 
 
 def play(seed: int, most: int | None = None, jobs: int | None = None) -> dict[str, object]:
+    """Play some mutants of one seed; counts of those that broke something."""
     return history_mutants.play(seed, most, jobs, Net, KINDS, MAY_BE)
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -30,6 +30,8 @@
 
 
 class Partnership:
+    """The partners' part of every router's operator file."""
+
     def __init__(self, folder: Path, routers: list[str], began: float) -> None:
         self.folder, self.routers, self.began = folder, routers, began
         self.turns = dict.fromkeys(PARTNERS, 1)
@@ -52,6 +54,7 @@
         return f"partners: {{{about}}}"
 
     def offer(self, partner: str, want: int) -> None:
+        """Another offer of a partner, for its operator file."""
         self.turns[partner] += 1
         self.wants[partner] = want
 
@@ -120,4 +123,5 @@
 
 
 def known(queries: Iterable) -> dict[str, About]:
+    """Key, statement and group of each query, by its id."""
     return {q.id: (q.key, q.statement, q.group) for q in queries}
