--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -18,9 +18,10 @@
 import anyio
 import orjson
 
-from hillchute.history.policy import Book, Policy
-from hillchute.history.records import FINISHED, Record, Shelf
-from hillchute.history.slots import slot_of
+from hillchute.history.record_store import RecordStore
+from hillchute.history.records import Record, RecordState
+from hillchute.history.retention import RetentionPolicies, RetentionPolicy
+from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
 from hillchute.lab.processes import Together
@@ -89,18 +90,18 @@
 
 def a_record(n: int) -> Record:
     whose = (1, f"router-{n % 200}", 1_700_000_000_000, n, 50_000)
-    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *whose, FINISHED, None)
+    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *whose, RecordState.SERVED, None)
 
 
 def memory() -> float:
     """Bytes that a record without rows takes."""
-    book, shelf = Book(default=Policy(most=1000)), Shelf()
+    policies, store = RetentionPolicies(default=RetentionPolicy(most=1000)), RecordStore()
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for n in range(RECORDS):
-        shelf.put(a_record(n), EPOCH + n, 0, book)
-    shelf.moved.clear()  # nobody reads it here: with a disk it is emptied at each write
+        store.put(a_record(n), EPOCH + n, 0, policies)
+    store.unsaved.clear()  # nobody reads it here: with a disk it is emptied at each write
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -110,22 +111,22 @@
 def repair(seed: int, routers: int = 6) -> dict[str, float]:
     """A holder of some of them dies; until all slots have their copies again: simulated time, and
     the processor's own that all routers needed."""
-    net = HistoryNet(seed, routers, founded(copies=1, default=Policy(most=1000)))
+    net = HistoryNet(seed, routers, founded(copies=1, default=RetentionPolicy(most=1000)))
     if not net.settled():
         raise RuntimeError("no view came into force")
-    view = net.keepers["n0"].views.view
+    view = net.replicas["n0"].views.view
     for n in range(RECORDS):
         record = a_record(n)
-        for keeper in net.keepers.values():
-            if keeper.me in keeper.holders_of(slot_of(record.customer, record.key)):
-                keeper.shelf.put(record, net.now, 0, net.book)
-    for keeper in net.keepers.values():
-        keeper.shelf.moved.clear()
-    held = sum(k.shelf.of.total() for k in net.keepers.values())
+        for replica in net.replicas.values():
+            if replica.name in replica.authority.holders_of(slot_of(record.customer, record.ordering_key)):
+                replica.records.put(record, net.now, 0, net.policies)
+    for replica in net.replicas.values():
+        replica.records.unsaved.clear()
+    held = sum(k.records.count_by_customer.total() for k in net.replicas.values())
     net.kill("n5")
     began, cpu = net.now, time.process_time()
     settled = net.settled(120)
-    again = sum(k.shelf.of.total() for k in net.keepers.values())
+    again = sum(k.records.count_by_customer.total() for k in net.replicas.values())
     return {
         "records": RECORDS,
         "members_before": len(view.members),
--- a/hillchute/partners/agreements.py
+++ b/hillchute/partners/agreements.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.slots import SLOTS
+from hillchute.history.slot_placement import SLOTS
 from hillchute.partners.offers import (
     MAX_COUNTER,
     MAX_NAME_LENGTH,
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -4,7 +4,7 @@
 """
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import TEXT
+from hillchute.history.retention import MAX_TEXT
 from hillchute.partners.agreement_ledger import MAX_SIGNED_AGREEMENTS
 from hillchute.partners.agreements import MAX_PARTNERS, TerminationNotice, invalid_agreement_field
 from hillchute.partners.messages import (
@@ -20,7 +20,7 @@
 )
 from hillchute.partners.offers import MAX_COUNTER, MAX_NAME_LENGTH, invalid_offer_field
 from hillchute.partners.signatures import DIGEST_BYTES, SIGNATURE_BYTES, Signature
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 MAX_NUMBER = 1 << 62  # exclusive bound of numbers and incarnations: well inside 64 bits, signed
 MAX_TIME_LEFT: Time = 864_000_000  # one day
@@ -48,9 +48,9 @@
 
 
 def _invalid_query_field(query: ForwardQuery) -> str:
-    if not (0 < len(query.query_id) <= TEXT and 0 < len(query.group) <= TEXT):
+    if not (0 < len(query.query_id) <= MAX_TEXT and 0 < len(query.group) <= MAX_TEXT):
         return "query_id"
-    if max(len(query.idempotency_key or ""), len(query.ordering_key or ""), len(query.customer)) > TEXT:
+    if max(len(query.idempotency_key or ""), len(query.ordering_key or ""), len(query.customer)) > MAX_TEXT:
         return "idempotency_key"
     if not 0 <= (query.cost or 0) <= MAX_NUMBER or not 0 <= query.memory <= MAX_NUMBER:
         return "cost"
@@ -61,7 +61,7 @@
 
 def _invalid_result_field(result: ForwardResult) -> str:
     known_outcome = isinstance(result.outcome, ForwardOutcome)
-    return "" if known_outcome and len(result.reason) <= 4 * TEXT else "outcome"
+    return "" if known_outcome and len(result.reason) <= 4 * MAX_TEXT else "outcome"
 
 
 def _invalid_knowledge_field(known: Knowledge) -> str:
@@ -108,7 +108,7 @@
     )
 
 
-codec = Codec("partners", Message, invalid_message_field)
+codec = MessageCodec("partners", Message, invalid_message_field)
 encode = codec.encode
 decode = codec.decode
 encoder = codec.encoder
--- a/hillchute/partners/forwarding.py
+++ b/hillchute/partners/forwarding.py
@@ -20,7 +20,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.fronts.events import FIRST_GUEST
-from hillchute.history.slots import slot_of, weight
+from hillchute.history.slot_placement import slot_of, weight
 from hillchute.partners.messages import (
     ForwardAccepted,
     ForwardCancel,
@@ -30,7 +30,7 @@
     ForwardResult,
     ForwardResultAck,
 )
-from hillchute.peers.messages import MOST
+from hillchute.peers.messages import MAX_MESSAGE_BYTES
 
 RETRANSMIT_AFTER: Time = 1_000  # 0.1 s without a response: several round trips
 MAX_DOUBLINGS = 4  # of that time, from one transmission to the next
@@ -40,7 +40,7 @@
 RESULT_RETRIES_AFTER_DEADLINE: Time = (
     20_000  # two seconds: by then the forwarding router has answered its client
 )
-MAX_RESULT_BYTES = MOST - 4096  # of a result that is sent: the message has other fields, too
+MAX_RESULT_BYTES = MAX_MESSAGE_BYTES - 4096  # of a result that is sent: the message has other fields, too
 MAX_REASON_LENGTH = 256  # characters
 
 
--- a/hillchute/partners/handover.py
+++ b/hillchute/partners/handover.py
@@ -9,7 +9,7 @@
 flight are recorded where the new owner's queries are granted, and none of the same key or table group is
 granted until they are over. That is reported by the router that led them, or, where that router died, stalled
 or was cut off, follows from time: after the query's timeout and the longest time that an attempt can remain
-in flight, nothing of it is left (records.STILL_OUT). A router that stalled finds its query past its deadline
+in flight, nothing of it is left (COMPLETION_GRACE). A router that stalled finds its query past its deadline
 when it resumes, and sends nothing.
 
 Times are tenths of a millisecond since the Unix epoch.
@@ -18,13 +18,13 @@
 from collections.abc import Callable
 
 from hillchute.decision.interface import Time
-from hillchute.history.titles import Title
-from hillchute.history.verdict import Verdict
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
 
 UNITS_PER_MILLISECOND = 10  # of Time
 
 
-def next_title(title: Title | None, owner: str, now: Time) -> Title | None:
+def next_title(title: OwnershipLease | None, owner: str, now: Time) -> OwnershipLease | None:
     """The title that is to stand for a slot; the given one where nothing is to change.
 
     `owner` is the partner that the agreement in force names, "" if there is none: then the present owner
@@ -34,25 +34,25 @@
     if not owner or (title is not None and title.owner == owner):
         return title
     successor = title.number + 1 if title is not None else 1
-    return Title(max(successor, now // UNITS_PER_MILLISECOND), owner)
+    return OwnershipLease(max(successor, now // UNITS_PER_MILLISECOND), owner)
 
 
 def lead_refusal(
-    title: Title | None, partner: str, in_force: bool, others_in_flight: Callable[[], bool]
-) -> tuple[Verdict, str] | None:
+    title: OwnershipLease | None, partner: str, in_force: bool, others_in_flight: Callable[[], bool]
+) -> tuple[ClaimDecision, str] | None:
     """Why a query of the slot from one of `partner`'s routers is not granted, or None where it may be.
 
     `in_force`: whether any agreement is. `others_in_flight`: whether a query of the same key that was led
     under an earlier title may still be running.
     """
     if not in_force:
-        return Verdict.DEFER, "no agreement of the partners holds"
+        return ClaimDecision.REJECT, "no agreement of the partners holds"
     if title is None:
-        return Verdict.DEFER, "nobody owns its slot yet"
+        return ClaimDecision.REJECT, "nobody owns its slot yet"
     if not partner:
-        return Verdict.DEFER, "its router is no partner's"
+        return ClaimDecision.REJECT, "its router is no partner's"
     if title.owner != partner:
-        return Verdict.PASS, title.owner
+        return ClaimDecision.FORWARD, title.owner
     if others_in_flight():
-        return Verdict.WAIT, "the owner before has something out"
+        return ClaimDecision.WAIT, "the owner before has something out"
     return None
--- a/hillchute/partners/messages.py
+++ b/hillchute/partners/messages.py
@@ -2,7 +2,7 @@
 
 Each class is one message; `tag` is its number on the wire and the order of fields that of the wire. No I/O
 and no clock. Durations are as of when the message was made: no clock is compared with another's. That a
-message is from the router it names is ensured by the peers' datagrams (peers/codec.py); partners' signatures
+message is from the router it names is ensured by peers/datagrams.py; partners' signatures
 are in the messages.
 """
 
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -31,7 +31,7 @@
 KNOWLEDGE_TAG = b"Know"  # under which all that is known is digested: the same in every version
 
 
-class Membership(NamedTuple):
+class PartnerMembership(NamedTuple):
     """The partners as one router's operator file names them."""
 
     router: str
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, membership: Membership, seed: int, now: Time, signer: AgreementSigner | None = None
+        self, membership: PartnerMembership, seed: int, now: Time, signer: AgreementSigner | None = None
     ) -> None:
         """`signer`: only at the router that has its partner's key. `seed`: of the choice of targets."""
         self.router = membership.router
--- a/hillchute/partners/slot_allocation.py
+++ b/hillchute/partners/slot_allocation.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from hillchute.history.slots import SLOTS, weight
+from hillchute.history.slot_placement import SLOTS, weight
 
 # Part of all load by which a partner may miss its share: half of the promised 0.02, as load is an estimate.
 LOAD_TOLERANCE = 0.01
--- a/hillchute/partners/slot_ownership.py
+++ b/hillchute/partners/slot_ownership.py
@@ -16,8 +16,8 @@
 from typing import NamedTuple
 
 from hillchute.decision.interface import Time
-from hillchute.history.titles import Title
-from hillchute.history.verdict import Verdict
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.partners import handover
 from hillchute.partners.agreement_ledger import AgreementLedger
 from hillchute.partners.agreements import Agreement
@@ -76,14 +76,14 @@
             self.counts["agreements_followed"] += 1
         self.update_owners(now)
 
-    def follows(self, now: Time, slot: int, title: Title | None) -> Title | None:
+    def follows(self, now: Time, slot: int, title: OwnershipLease | None) -> OwnershipLease | None:
         """The title that is to stand for a slot; the given one where nothing is to change."""
         owner = self.slot_owners[slot] if self.up_to_date() and self.is_in_force(now) else None
         return handover.next_title(title, owner or "", now)
 
     def leads(
-        self, now: Time, router: str, title: Title | None, others_out: Callable[[], bool]
-    ) -> tuple[Verdict, str] | None:
+        self, now: Time, router: str, title: OwnershipLease | None, others_out: Callable[[], bool]
+    ) -> tuple[ClaimDecision, str] | None:
         """Why a router's query of a slot can't be granted; None where it can."""
         partner = self.partner_of.get(router, "")
         return handover.lead_refusal(title, partner, self.is_in_force(now), others_out)
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -14,8 +14,8 @@
 from hillchute.engines.words import Rows, Stream
 from hillchute.errors import InvalidAgreementError, PartnerEquivocationError, SignatureJournalError
 from hillchute.fronts.events import Asked, Left, Spoilt
-from hillchute.history.keeper import Keeper
-from hillchute.history.policy import MS
+from hillchute.history.replica import Replica
+from hillchute.history.retention import MS
 from hillchute.history.views import DRIFT, LEASE
 from hillchute.log import Log
 from hillchute.partners.agreement_signer import AgreementSigner
@@ -23,12 +23,12 @@
 from hillchute.partners.codec import codec
 from hillchute.partners.forwarding import QueryForwarder
 from hillchute.partners.messages import AgreementMessage, ForwardOutcome, ForwardQuery, Message
-from hillchute.partners.negotiation import AgreementProtocol, Membership
+from hillchute.partners.negotiation import AgreementProtocol, PartnerMembership
 from hillchute.partners.offers import Offer
 from hillchute.partners.signature_journal import SignatureJournal, read_private_key
 from hillchute.partners.signatures import Equivocation, ed25519_signer, ed25519_verifier
-from hillchute.peers.node import PARTNERS, Node
-from hillchute.peers.roster import DEAD
+from hillchute.peers.datagrams import DatagramKind, PeerState
+from hillchute.peers.node import Node
 from hillchute.router.reducer import place
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
@@ -58,18 +58,18 @@
     ) -> None:
         """`judged` is told how queries ended that were passed on; `handle` is given events of those that came
         so; `soon` is told when there is something to be sent; `unix` is the reducer's clock."""
-        super().__init__(node, PARTNERS, codec)
+        super().__init__(node, DatagramKind.PARTNERS_FRAGMENT, codec)
         self.clock, self.log, self.catalog = clock, log, catalog
         self.judged, self.handle, self.soon, self.unix = judged, handle, soon, unix
         self.settings = settings
         self.file: SignatureJournal | None = None
         now = clock()
-        membership = Membership(node.me, settings["own"], routers_of(settings), checks_of(settings))
+        membership = PartnerMembership(node.name, settings["own"], routers_of(settings), checks_of(settings))
         self.council = AgreementProtocol(membership, seed, now, self.hand())
-        self.passing = QueryForwarder(node.me, node.born, node.lives, self.over)
+        self.passing = QueryForwarder(node.name, node.generation, node.generations, self.over)
         self.errands: dict[tuple[str, int], int] = {}  # the passing's, of each of the reducer's
         self.queries: dict[int, tuple[str, int]] = {}
-        self.views: Keeper | None = None  # whose views say which text holds
+        self.views: Replica | None = None  # whose views say which text holds
         self.logged = now
         self.told: set[tuple[str, str]] = set()  # faults that stand, and are in the log
         self.homes: tuple[int, dict[str, int]] = (0, {})  # as of the council's revision
@@ -98,10 +98,10 @@
             self.council.give_notice(self.clock())
 
     def over(self, name: str, life: int) -> bool:
-        peer, window = self.node.roster.peers.get(name), self.node.windows.get(name)
-        if peer is None or peer.state == DEAD:
+        peer, window = self.node.failure_detector.peers.get(name), self.node.replay_windows.get(name)
+        if peer is None or peer.state == PeerState.DEAD:
             return True
-        return window is not None and life != 0 and window.born > life
+        return window is not None and life != 0 and window.generation > life
 
     # ---- the reducer's queries ----------------------------------------------------------------------
 
@@ -190,7 +190,7 @@
         self.on()
 
     def tick(self, now: Time) -> None:
-        self.council.tick(now, self.node.living())
+        self.council.tick(now, self.node.live_peers())
         self.passing.tick(now)
         self.on()
         if now - self.logged >= LOGGED:
@@ -226,7 +226,7 @@
                 council.ownership.revision,
                 router_allocations(whole, council.ownership.effective_shares(now), routers),
             )
-        home = self.homes[1].get(self.node.me, 0)
+        home = self.homes[1].get(self.node.name, 0)
         least = minimum_allocation(whole, max(1, sum(map(len, routers.values()))))
         known = self.views is not None and self.views.views.in_force(now)
         confined = not (known and council.ownership.up_to_date() and council.ownership.is_in_force(now))
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -27,9 +27,9 @@
     Wake,
     WatchEndpoints,
 )
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.fronts.events import FIRST_GUEST
-from hillchute.membership import event_bus
 from hillchute.router.desk import Desk
 from hillchute.router.events import (
     Asked,
--- a/hillchute/router/riding.py
+++ b/hillchute/router/riding.py
@@ -7,9 +7,9 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows
-from hillchute.peers.messages import Codec
+from hillchute.peers.fragmentation import Reassembler
+from hillchute.peers.messages import MessageCodec
 from hillchute.peers.node import Node
-from hillchute.peers.parts import Joiner
 
 LOGGED: Time = 50_000  # between two lines on a rider
 
@@ -17,9 +17,9 @@
 
 
 class Riding:
-    def __init__(self, node: Node, kind: int, codec: Codec) -> None:
-        self.node, self.codec, self.joiner = node, codec, Joiner()
-        node.riders[kind] = self
+    def __init__(self, node: Node, kind: int, codec: MessageCodec) -> None:
+        self.node, self.codec, self.reassembler = node, codec, Reassembler()
+        node.channels[kind] = self
 
     def take(self, now: Time, sender: str, message: object) -> None:
         raise NotImplementedError
@@ -28,16 +28,16 @@
         """What waits to go, and waits no more."""
         raise NotImplementedError
 
-    def heard(self, now: Time, sender: str, piece: bytes) -> None:
-        whole = self.joiner.take(now, sender, piece)
+    def receive_fragment(self, now: Time, sender: str, fragment: bytes) -> None:
+        whole = self.reassembler.add(now, sender, fragment)
         if whole is not None:
             self.take(now, sender, self.codec.decode(whole, sender))
 
-    def out(self) -> list[tuple[str, bytes]]:
+    def take_outgoing(self) -> list[tuple[str, bytes]]:
         out = []
         for to, message in self.said():
             try:
                 out.append((to, self.codec.encode(message)))
             except ValueError as fault:
-                self.node.dropped[f"{self.codec.whose} not sent: {fault}"] += 1
+                self.node.dropped[f"{self.codec.subsystem} not sent: {fault}"] += 1
         return out
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from hillchute.errors import InvalidAgreementError, InvalidDatagramError, SignatureJournalError
-from hillchute.history.slots import SLOTS
-from hillchute.history.titles import Title
-from hillchute.history.verdict import Verdict
+from hillchute.history.claim_decision import ClaimDecision
+from hillchute.history.ownership_leases import OwnershipLease
+from hillchute.history.slot_placement import SLOTS
 from hillchute.lab.partners_net import EPOCH, SECOND, private, public
 from hillchute.partners import codec
 from hillchute.partners.agreement_ledger import MAX_SIGNED_AGREEMENTS
@@ -19,7 +19,7 @@
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.handover import lead_refusal, next_title
 from hillchute.partners.messages import ForwardQuery, ForwardResult, Knowledge, KnowledgeDigest
-from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol, Membership
+from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol, PartnerMembership
 from hillchute.partners.offers import SHARE_TOTAL, Offer
 from hillchute.partners.signature_journal import SignatureJournal
 from hillchute.partners.signatures import (
@@ -73,7 +73,7 @@
 
     def start(self, partner, router):
         signer = signer_of(partner, self.files[partner]) if router == self.routers[partner][0] else None
-        membership = Membership(router, partner, self.routers, self.check)
+        membership = PartnerMembership(router, partner, self.routers, self.check)
         self.protocols[router] = AgreementProtocol(membership, len(self.protocols), self.now, signer)
 
     def offer(self, partner, **about):
@@ -193,7 +193,7 @@
         and protocol.ownership.follows(fleet.now, 3, None) is None
     )
     verdict, _ = protocol.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False)
-    assert verdict is Verdict.DEFER
+    assert verdict is ClaimDecision.REJECT
     fleet.offer("a", turn=2, ends=LATER)
     fleet.offer("b", turn=2, ends=LATER)
     fleet.play()
@@ -467,8 +467,8 @@
 
 def test_title_follows_who_is_due_and_its_number_only_rises():
     first = next_title(None, "a", 70)
-    assert first == Title(7, "a") and next_title(first, "a", 10**9) is first
-    assert next_title(first, "b", 0) == Title(8, "b")
+    assert first == OwnershipLease(7, "a") and next_title(first, "a", 10**9) is first
+    assert next_title(first, "b", 0) == OwnershipLease(8, "b")
     assert next_title(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
     assert next_title(first, "", 0) is first and next_title(None, "", 0) is None
 
@@ -476,12 +476,12 @@
 @pytest.mark.parametrize(
     ("title", "partner", "holds", "out", "verdict"),
     [
-        (Title(1, "a"), "a", True, False, None),
-        (Title(1, "a"), "a", False, False, Verdict.DEFER),
-        (None, "a", True, False, Verdict.DEFER),
-        (Title(1, "a"), "", True, False, Verdict.DEFER),
-        (Title(1, "a"), "b", True, True, Verdict.PASS),
-        (Title(1, "a"), "a", True, True, Verdict.WAIT),
+        (OwnershipLease(1, "a"), "a", True, False, None),
+        (OwnershipLease(1, "a"), "a", False, False, ClaimDecision.REJECT),
+        (None, "a", True, False, ClaimDecision.REJECT),
+        (OwnershipLease(1, "a"), "", True, False, ClaimDecision.REJECT),
+        (OwnershipLease(1, "a"), "b", True, True, ClaimDecision.FORWARD),
+        (OwnershipLease(1, "a"), "a", True, True, ClaimDecision.WAIT),
     ],
 )
 def test_only_the_owner_leads_and_only_once_nothing_of_the_one_before_is_out(
@@ -489,7 +489,7 @@
 ):
     found = lead_refusal(title, partner, holds, lambda: out)
     assert (found and found[0]) == verdict
-    if verdict is Verdict.PASS:
+    if verdict is ClaimDecision.FORWARD:
         assert found[1] == "a"
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,10 +18,10 @@
 )
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.decision.slow_start import (
-    COLD_SHARE,
     FEWEST_QUERIES,
     PERMIT_WINDOWS,
     UNUSED_WINDOWS,
+    WARM_UP_BUDGET_SHARE,
     PermitLedger,
 )
 
@@ -56,9 +56,9 @@
 
 
 def share_sent(allowed, living):
-    """Calls that all routers send it in a window in the mean: COLD_SHARE of what it can do, where the
-    budget is MULTIPLE of that."""
-    return allowed * COLD_SHARE / MULTIPLE * living
+    """Calls that all routers send it in a window in the mean: WARM_UP_BUDGET_SHARE of what it can do, where
+    the budget is MULTIPLE of that."""
+    return allowed * WARM_UP_BUDGET_SHARE / MULTIPLE * living
 
 
 @pytest.mark.parametrize("allowed", ALLOWED)
@@ -76,7 +76,7 @@
 
 
 def test_calculation_would_find_a_share_that_is_too_large():
-    assert tail(share_sent(30, MULTIPLE / COLD_SHARE), budget(30)) > ODDS
+    assert tail(share_sent(30, MULTIPLE / WARM_UP_BUDGET_SHARE), budget(30)) > ODDS
 
 
 class Fleet:
@@ -156,21 +156,25 @@
     assert fleet.most() <= budget(30)
 
 
-def test_queries_that_wait_with_their_permits_are_not_sent_in_one_instant(make_desk):
+def test_queries_that_wait_with_their_permits_are_not_sent_in_one_instant(make_harness):
     """No engine has room for a while; then all that wait could go at once."""
-    desk = make_desk(n_instances=1)
-    desk.list(1, 2, 3, started=1)
-    for e in desk.router.engines.values():
+    harness = make_harness(n_instances=1)
+    harness.list_engines(1, 2, 3, started=1)
+    for e in harness.router.engines.values():
         e.ejected_until = 4 * FALL
     waiting = [
-        desk.take(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND) for n in range(4 * FALL // 100)
+        harness.arrive(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND)
+        for n in range(4 * FALL // 100)
     ]
-    desk.verbs(4 * FALL - 1)
+    harness.decisions(4 * FALL - 1)
     drawn = sum(q.permit_engine is not None for q in waiting)
     may_go = [
         q
         for q in waiting
-        if any(desk.router.placement.is_eligible(desk.router.now, e, q) for e in desk.router.engines.values())
+        if any(
+            harness.router.placement.is_eligible(harness.router.now, e, q)
+            for e in harness.router.engines.values()
+        )
     ]
     assert drawn > 2 * len(may_go) > 0
 
