--- /dev/null
+++ b/hillchute/partners/forwarding.py
@@ -0,0 +1,285 @@
+"""Queries that are forwarded, once, to a router of the partner that owns their slot: both ends of it.
+
+Pure: events and the time in, messages out. Keeps what is in flight until it is answered here, or its result
+has arrived there. Never runs a query, never asks the history, and never forwards what was forwarded to it.
+
+The forwarding router answers its client at the latest at the deadline. What was sent may have been accepted,
+so a query without a result has failed, unless nothing of it was ever sent. A query is for one incarnation of
+one router: a restarted router accepts nothing that was sent to its previous incarnation, and an incarnation
+that is over answers nothing, so its queries fail at once. Each message is sent again until the next step
+shows that it arrived; each is identified by the sender's incarnation and number, so a repeat starts nothing.
+
+Times are tenths of a millisecond on a clock of one router.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from hillchute.decision.interface import Time
+from hillchute.fronts.events import FIRST_GUEST
+from hillchute.history.slot_placement import slot_of, weight
+from hillchute.partners.messages import (
+    ForwardAccepted,
+    ForwardCancel,
+    ForwardingMessage,
+    ForwardOutcome,
+    ForwardQuery,
+    ForwardResult,
+    ForwardResultAck,
+)
+from hillchute.peers.messages import MAX_MESSAGE_BYTES
+
+RETRANSMIT_AFTER: Time = 1_000  # 0.1 s without a response: several round trips
+MAX_DOUBLINGS = 4  # of that time, from one transmission to the next
+KEPT_AFTER_DEADLINE: Time = (
+    6_000_000  # ten minutes: so long an incoming query is known, so that a repeat is one
+)
+RESULT_RETRIES_AFTER_DEADLINE: Time = (
+    20_000  # two seconds: by then the forwarding router has answered its client
+)
+MAX_RESULT_BYTES = MAX_MESSAGE_BYTES - 4096  # of a result that is sent: the message has other fields, too
+MAX_REASON_LENGTH = 256  # characters
+
+
+class OutgoingQuery(msgspec.Struct):
+    """A query that this router forwarded."""
+
+    message: ForwardQuery
+    target: str
+    deadline: Time
+    sent_at: Time
+    transmissions: int = 0
+    accepted: bool = False
+
+
+class IncomingQuery(msgspec.Struct):
+    """A query that was forwarded to this router."""
+
+    sender: str
+    number: int  # this and the incarnation are the sender's
+    incarnation: int
+    session: int
+    deadline: Time
+    result: ForwardResult | None = None  # until its arrival is acknowledged
+    sent_at: Time = 0
+    transmissions: int = 0
+    over: bool = False  # its result has arrived, or nobody waits for it
+
+
+class Completion(NamedTuple):
+    """The end of a query that this router forwarded, by its number."""
+
+    number: int
+    outcome: ForwardOutcome
+    reason: str
+    rows: bytes | None
+
+
+class Arrival(NamedTuple):
+    """A query that was forwarded to this router and is to run, under a session of its own."""
+
+    session: int
+    query: ForwardQuery
+
+
+class QueryForwarder:
+    """Both ends of forwarding at one router.
+
+    The caller takes what collects in `outbox` (messages with their receivers), `completions`, `arrivals` and
+    `abandoned` (sessions whose result nobody waits for any more), and empties them.
+    """
+
+    def __init__(
+        self,
+        router: str,
+        incarnation: int,
+        live_routers: Callable[[], Mapping[str, int]],
+        is_over: Callable[[str, int], bool],
+    ) -> None:
+        """`live_routers`: all that are alive, with their incarnations. `is_over`: whether an incarnation of a
+        router is known to be over; one that is shutting down still answers."""
+        self.router = router
+        self.incarnation = incarnation
+        self.live_routers = live_routers
+        self.is_over = is_over
+        self.last_number = 0
+        self.last_session = FIRST_GUEST
+        self.outgoing: dict[int, OutgoingQuery] = {}
+        self.incoming: dict[tuple[str, int, int], IncomingQuery] = {}  # by sender, incarnation and number
+        self.by_session: dict[int, IncomingQuery] = {}
+        self.outbox: list[tuple[str, ForwardingMessage]] = []
+        self.completions: list[Completion] = []
+        self.arrivals: list[Arrival] = []
+        self.abandoned: list[int] = []
+        self.counts: Counter[str] = Counter()
+
+    # ---- outgoing ------------------------------------------------------------------------------------
+
+    def choose_target(self, routers: Iterable[str], customer: str, key: str) -> str | None:
+        """Of the owner's live routers the same one for all queries of a slot."""
+        live = self.live_routers()
+        slot = slot_of(customer, key)
+        candidates = [name for name in routers if name in live and name != self.router]
+        return max(candidates, key=lambda name: (weight(slot, name), name), default=None)
+
+    def forward(self, now: Time, target: str, message: ForwardQuery, deadline: Time) -> int:
+        """Forward a query, whose number and incarnations are filled in here; returns its number."""
+        self.last_number += 1
+        numbered = msgspec.structs.replace(
+            message,
+            number=self.last_number,
+            incarnation=self.incarnation,
+            target_incarnation=self.live_routers().get(target, 0),
+        )
+        query = OutgoingQuery(numbered, target, deadline, now)
+        self.outgoing[self.last_number] = query
+        self.counts["forwarded"] += 1
+        self.transmit_query(now, query)
+        return self.last_number
+
+    def transmit_query(self, now: Time, query: OutgoingQuery) -> None:
+        """Send a query, for the first time or again, with the time that is left of it."""
+        query.sent_at = now
+        query.transmissions += 1
+        time_left = max(0, query.deadline - now)
+        self.outbox.append((query.target, msgspec.structs.replace(query.message, time_left=time_left)))
+
+    def cancel(self, number: int) -> None:
+        """The client has left."""
+        query = self.outgoing.pop(number, None)
+        if query is not None:
+            self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
+
+    def complete(self, number: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None) -> None:
+        """End a query that this router forwarded."""
+        del self.outgoing[number]
+        self.completions.append(Completion(number, outcome, reason, rows))
+
+    # ---- incoming ------------------------------------------------------------------------------------
+
+    def accept(self, now: Time, sender: str, message: ForwardQuery) -> None:
+        """Take a query that was forwarded to this incarnation, once, and confirm it each time it comes."""
+        if message.target_incarnation != self.incarnation:
+            return  # what the previous incarnation did with it is not known here
+        name = (sender, message.incarnation, message.number)
+        query = self.incoming.get(name)
+        if query is None:
+            self.last_session += 1
+            query = IncomingQuery(
+                sender=sender,
+                number=message.number,
+                incarnation=message.incarnation,
+                session=self.last_session,
+                deadline=now + message.time_left,
+            )
+            self.incoming[name] = query
+            self.by_session[query.session] = query
+            self.arrivals.append(Arrival(query.session, message))
+            self.counts["accepted"] += 1
+        if query.result is None and not query.over:
+            self.outbox.append((sender, ForwardAccepted(message.number, message.incarnation)))
+
+    def answer(
+        self, now: Time, session: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None
+    ) -> None:
+        """The one final answer of a query that was forwarded to this router; any further one is ignored."""
+        query = self.by_session.get(session)
+        if query is None or query.result is not None or query.over:
+            return
+        if rows is not None and len(rows) > MAX_RESULT_BYTES:
+            outcome = ForwardOutcome.FAILED
+            reason = f"its result has {len(rows)} bytes, {MAX_RESULT_BYTES} can be passed on"
+            rows = None
+        query.result = ForwardResult(
+            query.number, query.incarnation, outcome, reason[:MAX_REASON_LENGTH], rows
+        )
+        self.transmit_result(now, query, query.result)
+
+    def transmit_result(self, now: Time, query: IncomingQuery, result: ForwardResult) -> None:
+        """Send a result, for the first time or again."""
+        query.sent_at = now
+        query.transmissions += 1
+        self.outbox.append((query.sender, result))
+
+    @property
+    def has_unacknowledged_results(self) -> bool:
+        """Whether a result is on its way that may not have arrived."""
+        return any(query.result is not None for query in self.incoming.values())
+
+    # ---- messages and time ---------------------------------------------------------------------------
+
+    def receive(self, now: Time, sender: str, message: ForwardingMessage) -> None:
+        """Handle a message of another router."""
+        match message:
+            case ForwardQuery():
+                self.accept(now, sender, message)
+            case ForwardAccepted():
+                query = self._outgoing_to(sender, message.number, message.incarnation)
+                if query is not None:
+                    query.accepted = True
+            case ForwardResult():
+                self._receive_result(sender, message)
+            case ForwardResultAck():
+                incoming = self.incoming.get((sender, message.incarnation, message.number))
+                if incoming is not None and incoming.result is not None:
+                    self._close_incoming(incoming)
+            case ForwardCancel():
+                self._receive_cancel(sender, message)
+
+    def _outgoing_to(self, target: str, number: int, incarnation: int) -> OutgoingQuery | None:
+        query = self.outgoing.get(number) if incarnation == self.incarnation else None
+        return query if query is not None and query.target == target else None
+
+    def _receive_result(self, sender: str, message: ForwardResult) -> None:
+        if message.incarnation == self.incarnation:
+            self.outbox.append((sender, ForwardResultAck(message.number, message.incarnation)))
+        if self._outgoing_to(sender, message.number, message.incarnation) is not None:
+            self.complete(message.number, message.outcome, message.reason, message.rows)
+
+    def _receive_cancel(self, sender: str, message: ForwardCancel) -> None:
+        query = self.incoming.get((sender, message.incarnation, message.number))
+        if query is None or query.over:
+            return
+        query.over = True
+        if query.result is None:
+            self.abandoned.append(query.session)
+
+    @staticmethod
+    def _close_incoming(query: IncomingQuery) -> None:
+        query.over = True
+        query.result = None
+
+    def tick(self, now: Time) -> None:
+        """Send again what was not confirmed, and end what is past its time."""
+        for number, query in list(self.outgoing.items()):
+            self._tick_outgoing(now, number, query)
+        for name, incoming in list(self.incoming.items()):
+            self._tick_incoming(now, name, incoming)
+
+    def _tick_outgoing(self, now: Time, number: int, query: OutgoingQuery) -> None:
+        if self.is_over(query.target, query.message.target_incarnation):
+            self.complete(number, ForwardOutcome.FAILED, "its owner's router is gone; it may have run")
+            return
+        if now >= query.deadline:
+            self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
+            self.complete(number, ForwardOutcome.FAILED, "no answer from its owner's router; it may have run")
+            return
+        # An accepted query is sent again, too, but seldom: that may have confirmed an earlier transmission.
+        doublings = MAX_DOUBLINGS if query.accepted else min(query.transmissions, MAX_DOUBLINGS)
+        if now - query.sent_at >= RETRANSMIT_AFTER << doublings:
+            self.transmit_query(now, query)
+
+    def _tick_incoming(self, now: Time, name: tuple[str, int, int], query: IncomingQuery) -> None:
+        if now - query.deadline > KEPT_AFTER_DEADLINE:
+            del self.incoming[name]
+            del self.by_session[query.session]
+            return
+        if query.result is None:
+            return
+        if now - query.deadline > RESULT_RETRIES_AFTER_DEADLINE:
+            self._close_incoming(query)
+        elif now - query.sent_at >= RETRANSMIT_AFTER << min(query.transmissions, MAX_DOUBLINGS):
+            self.transmit_result(now, query, query.result)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -24,8 +24,9 @@
 from hillchute.lab.faulty_system import Fault, FaultySystemCalls
 from hillchute.lab.history_net import EPOCH
 from hillchute.operator import reading
-from hillchute.partners.agreement import Mark, settle
-from hillchute.partners.kept import MarksFile
+from hillchute.partners.agreements import derive_agreement
+from hillchute.partners.signature_journal import SignatureJournal
+from hillchute.partners.signatures import Equivocation, Signature
 from hillchute.peers import datagrams
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, TransportCallbacks
@@ -86,13 +87,13 @@
     SqliteStore(tmp_path / "none" / "h.db")
 
 
-def text_not_taken(tmp_path: Path) -> None:
-    settle([], 1)
+def agreement_rejected(tmp_path: Path) -> None:
+    derive_agreement([], 1)
 
 
-def marks_not_kept(tmp_path: Path) -> None:
-    (tmp_path / "marks").write_text("no mark\n")
-    MarksFile(tmp_path / "marks")
+def signature_journal_unreadable(tmp_path: Path) -> None:
+    (tmp_path / "signatures").write_text("no signature\n")
+    SignatureJournal(tmp_path / "signatures")
 
 
 @pytest.mark.parametrize(
@@ -104,8 +105,8 @@
         (errors.InvalidDatagramError, datagram_dropped),
         (errors.PeerListenError, peers_not_reachable),
         (errors.HistoryStorageError, disk_not_usable),
-        (errors.InvalidAgreementError, text_not_taken),
-        (errors.SignatureJournalError, marks_not_kept),
+        (errors.InvalidAgreementError, agreement_rejected),
+        (errors.SignatureJournalError, signature_journal_unreadable),
     ],
 )
 def test_type_is_raised_by_a_path_and_says_what_where_and_what_to_do(
@@ -182,7 +183,7 @@
     rig.close()
 
 
-def partner_broke(log: RecordingLog, tmp_path: Path) -> None:
+def partner_equivocated(log: RecordingLog, tmp_path: Path) -> None:
     text = f"""history: {{number: 2, default: {{}}}}
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
@@ -190,8 +191,8 @@
     none = [lambda *about: None] * 4
     about = reading.hold(text)["partners"], node, {}, 1, lambda: EPOCH, log
     partnering = Partnering(*about, *none)
-    two = [Mark("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
-    partnering.council.ledger.two_texts["x"] = tuple(two)
+    two = [Signature("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
+    partnering.council.ledger.equivocations["x"] = Equivocation(*two)
     partnering.tell(EPOCH)
 
 
@@ -200,7 +201,7 @@
     [
         (errors.PeerListMismatchError, lists_differ),
         (errors.ClockBehindError, clock_behind),
-        (errors.PartnerEquivocationError, partner_broke),
+        (errors.PartnerEquivocationError, partner_equivocated),
         (errors.PoliciesRejectedError, book_not_taken),
         (errors.StalePoliciesError, book_not_current),
         (errors.HistoryStorageError, disk_in_the_log),
