--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -32,13 +32,15 @@
 from hillchute.decision.interface import EngineId, Report, Time
 
 LIMIT_UNITS = 1_000_000  # units of a limit: parts in a million
+WARM_UP_LIMIT = "cold"  # the limit of work on warming engines, as messages and the decision module name it
+HEALTH_CHECK_SHARE = "probes"  # the share of health checks, as the decision module names it
 REPORT_BYTES_PER_DIGEST = 700  # with all else in it a datagram is still not fragmented
 REPORT_HEADER_BYTES = 12
 FIGURE_BYTES = 5
 # Of the work that overloads a warming engine: at this much known to be sent there by all, it gets no more for
 # a while. Two sides of a partition that hear nothing of each other then reach the whole of it at most.
 MAX_WARM_UP_SHARE = 0.5
-PROBE_SHARE = 0.25  # health checks a query beside those of engines drawn: what one finds all of them learn
+CHECKS_PER_QUERY = 0.25  # beside checks of the engine that a query draws: what one router finds, others learn
 STATE_LIFETIME: Time = SECOND  # a fleet state is computed anew at least so often
 
 
@@ -56,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What the decision module gets: see its `nearby` and `roster`."""
+    """What the decision module gets: see its `on_subset` and `on_endpoint_list`."""
 
     subset: frozenset[EngineId]
     closed: frozenset[EngineId]  # by witnesses; the own endpoint list does not say so yet
@@ -325,9 +327,9 @@
             # Warming engines outside the subset are left to the routers that have them in theirs; in return
             # this router's share of all warming engines goes to those of its subset.
             excluded |= dict.fromkeys(warming.keys() - own_warming, 0.0)
-            share = limits.get("cold", 1 / len(self.router_names))
-            limits["cold"] = min(1.0, share * len(warming) / len(own_warming))
-        return limits | {"probes": PROBE_SHARE} | excluded
+            share = limits.get(WARM_UP_LIMIT, 1 / len(self.router_names))
+            limits[WARM_UP_LIMIT] = min(1.0, share * len(warming) / len(own_warming))
+        return limits | {HEALTH_CHECK_SHARE: CHECKS_PER_QUERY} | excluded
 
     def next_lease_expiry(self, now: Time) -> Time:
         """When the first borrowed lease expires, at most STATE_LIFETIME from now."""
--- a/hillchute/coordination/load_signals.py
+++ b/hillchute/coordination/load_signals.py
@@ -42,6 +42,7 @@
 MAX_FIGURES = 8  # of a load report
 MAX_TOTALS = 64  # kept of one witness about one engine: over the window, ten a second at most
 LONG_AGO: Time = -(10**12)  # before any time on the clock
+FAILURE_TOPIC = "ill"  # part of a hash: another value moves every router's return to an engine
 HUNDREDTH_OF_SECOND: Time = SECOND // 100  # the unit in which warm-up work travels
 
 
@@ -188,7 +189,8 @@
         signals = self.engines.get(engine)
         if signals is None or now - signals.own_result_at < OWN_PRECEDENCE:
             return 0
-        backoff = FAILURE_BACKOFF + delay_by_number(self.router_number, ("ill", engine), RECOVERY_SPREAD)
+        delay = delay_by_number(self.router_number, (FAILURE_TOPIC, engine), RECOVERY_SPREAD)
+        backoff = FAILURE_BACKOFF + delay
         signals.failures = {witness: at for witness, at in signals.failures.items() if now - at < backoff}
         return len(signals.failures)
 
--- a/hillchute/coordination/own_observations.py
+++ b/hillchute/coordination/own_observations.py
@@ -6,6 +6,7 @@
 
 from collections import deque
 from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
 from hillchute.coordination import codec
 from hillchute.coordination.load_signals import FAILURE_BACKOFF, MAX_REPORT_AGE, SECOND, TimedFigures
@@ -24,16 +25,30 @@
 ENTRIES_BESIDE_PING = 8  # failures, drains or totals of warm-up work that go with one ping
 
 
+class KnownDrain(NamedTuple):
+    """The endpoint list's event that drained an engine, and when it was received."""
+
+    event_number: int
+    received_at: Time
+
+
+class SentWork(NamedTuple):
+    """Core time that was sent to a warming engine, and when."""
+
+    sent_at: Time
+    core_time: Time
+
+
 class OwnObservations:
     """One router's own observations. `columns`: the figures of a load report that are sent, in order."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
         self.columns = columns
         self.load_reports: dict[EngineId, TimedFigures] = {}  # the last of each engine
-        self.failures: dict[EngineId, Time] = {}
-        self.drains: dict[EngineId, tuple[int, Time]] = {}  # the event's number, when it was received
+        self.failures: dict[EngineId, Time] = {}  # when the last one happened
+        self.drains: dict[EngineId, KnownDrain] = {}
         self.warm_up_totals: dict[EngineId, int] = {}  # hundredths of a second, since this router started
-        self.recent_work: dict[EngineId, deque[tuple[Time, Time]]] = {}  # when, core time
+        self.recent_work: dict[EngineId, deque[SentWork]] = {}  # oldest first
         self.received: dict[int, int] = {}  # queries by group
         self.rejected: dict[int, int] = {}
         self.drain_page = 0  # which drains go next, where they are too many for one message
@@ -43,11 +58,11 @@
     ) -> None:
         """The endpoint list has reached an event: new drains are kept, those that are over forgotten."""
         for engine in closed - self.drains.keys():
-            self.drains[engine] = event_number, now
+            self.drains[engine] = KnownDrain(event_number, now)
         over = [
             engine
-            for engine, (_, received_at) in self.drains.items()
-            if engine in ready or now - received_at > DRAIN_RETENTION
+            for engine, drain in self.drains.items()
+            if engine in ready or now - drain.received_at > DRAIN_RETENTION
         ]
         for engine in over:
             del self.drains[engine]
@@ -80,7 +95,7 @@
         """A query was sent to a warming engine."""
         hundredths = max(0, core_time) // (SECOND // 100)
         self.warm_up_totals[engine] = self.warm_up_totals.get(engine, 0) + hundredths
-        self.recent_work.setdefault(engine, deque()).append((now, core_time))
+        self.recent_work.setdefault(engine, deque()).append(SentWork(now, core_time))
 
     def count_query(self, group: int, *, rejected: bool) -> None:
         """A query of a group was received, or was rejected."""
@@ -105,7 +120,7 @@
 
     def drain_notices(self) -> list[DrainNotice]:
         """All drains that are kept."""
-        return [DrainNotice(engine, event_number) for engine, (event_number, _) in self.drains.items()]
+        return [DrainNotice(engine, drain.event_number) for engine, drain in self.drains.items()]
 
     def beside_ping(self, now: Time) -> Observations:
         """All but load reports, as much as goes with one ping; drains take turns."""
@@ -133,9 +148,9 @@
     def recent_warm_up_work(self, now: Time, engine: EngineId, window: Time) -> Time:
         """Core time that this router sent to an engine within a window; forgets what is older."""
         work = self.recent_work.get(engine, deque())
-        while work and work[0][0] <= now - window:
+        while work and work[0].sent_at <= now - window:
             work.popleft()
-        return sum(core_time for _, core_time in work)
+        return sum(entry.core_time for entry in work)
 
 
 def to_figure(report: Mapping[str, float], name: str) -> int:
