--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -21,7 +21,7 @@
     Submit,
 )
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.membership import event_bus
+from hillchute.discovery import event_bus
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
 from hillchute.router.service import Service
@@ -191,15 +191,15 @@
 
 def test_subset_follows_the_endpoint_list_that_the_router_receives():
     entries = [
-        event_bus.Entry(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
+        event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
     ]
     reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
-    reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
+    reducer.reduce(events.Notified(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
     assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.pool.subset)
     listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
     reducer.reduce(
-        events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
+        events.Notified(event_bus.WatchEvent(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
     assert reducer.module.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
 
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -35,17 +35,17 @@
     Wake,
     WatchEndpoints,
 )
+from hillchute.discovery import event_bus
 from hillchute.engines.line import wire as line
 from hillchute.fronts.flight import answers as flight
 from hillchute.fronts.flight import tickets
 from hillchute.fronts.mysql import packets as mysql
+from hillchute.history import claim_decision, messages, ownership_leases, records, retention, views
 from hillchute.history import codec as history
-from hillchute.history import policy, records, titles, verdict, views
-from hillchute.membership import event_bus
 from hillchute.partners import agreement, marks
 from hillchute.partners import codec as partners
-from hillchute.peers import codec as peers
-from hillchute.peers import node, parts, roster
+from hillchute.peers import datagrams as peers
+from hillchute.peers import fragmentation
 
 RECORDED = Path(__file__).parent / "data" / "recorded_bytes.json"
 PEER_KEY = bytes(range(1, 33))
@@ -99,41 +99,56 @@
             lambda data: peers.decode(data, "router-b", {"router-a": PEER_KEY}),
         )
 
-    states = {"alive": roster.ALIVE, "suspected": roster.SUSPECT, "dead": roster.DEAD, "left": roster.LEFT}
+    states = {
+        "alive": peers.PeerState.ALIVE,
+        "suspected": peers.PeerState.SUSPECT,
+        "dead": peers.PeerState.DEAD,
+        "left": peers.PeerState.LEFT,
+    }
     rumours = tuple(
         peers.Rumour(name=f"of-{name}", state=state, incarnation=100 + state, witness=f"by-{state}")
         for name, state in states.items()
     )
     kinds = {
-        "ping": roster.PING,
-        "ping-answer": roster.ANSWERED,
-        "indirect-ping-request": roster.ASK,
-        "indirect-ping-answer": roster.TOLD,
-        "payload": node.LOAD,
-        "state-request": node.ALL,
-        "history-fragment": node.HISTORY,
-        "partners-fragment": node.PARTNERS,
+        "ping": peers.DatagramKind.PING,
+        "ping-answer": peers.DatagramKind.PING_ACK,
+        "indirect-ping-request": peers.DatagramKind.INDIRECT_PING,
+        "indirect-ping-answer": peers.DatagramKind.INDIRECT_PING_ACK,
+        "payload": peers.DatagramKind.PAYLOAD,
+        "state-request": peers.DatagramKind.STATE_REQUEST,
+        "history-fragment": peers.DatagramKind.HISTORY_FRAGMENT,
+        "partners-fragment": peers.DatagramKind.PARTNERS_FRAGMENT,
     }
     for name, kind in kinds.items():
         full = peers.Datagram(
             sender="router-a",
             receiver="router-b",
-            born=1_700_000_000_001,
-            heard=1_700_000_000_002,
+            generation=1_700_000_000_001,
+            receiver_generation=1_700_000_000_002,
             sequence=300 + kind,
             kind=kind,
-            number=400 + kind,
-            about="router-c",
+            ping_number=400 + kind,
+            subject="router-c",
             rumours=rumours,
-            load=b"\x00payload\xff",
+            payload=b"\x00payload\xff",
         )
         yield example(name, full)
     yield example(
         "ping, optional fields absent",
-        peers.Datagram(sender="router-a", receiver="router-b", born=5, heard=0, sequence=6, kind=0, number=7),
+        peers.Datagram(
+            sender="router-a",
+            receiver="router-b",
+            generation=5,
+            receiver_generation=0,
+            sequence=6,
+            kind=0,
+            ping_number=7,
+        ),
+    )
+    piece = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
+    yield Example(
+        "peers/fragment", piece, fragmentation.fragment_encoder.encode, fragmentation.fragment_decoder.decode
     )
-    piece = parts.Piece(number=1, part=2, parts=3, data=b"\x00piece\xff")
-    yield Example("peers/fragment", piece, parts.encoder.encode, parts.decoder.decode)
 
 
 def history_examples() -> Iterator[Example]:
@@ -145,15 +160,15 @@
     one, two, three = (1001, "router-a"), (1002, "router-b"), (1003, "router-c")
     view = views.View(
         number=1001,
-        speaker="router-a",
+        coordinator="router-a",
         members={"router-b": 5, "router-a": 4},
         copies=3,
-        before=two,
-        were={"router-c": 6},
-        had=2,
-        first=True,
+        predecessor=two,
+        predecessor_members={"router-c": 6},
+        predecessor_copies=2,
+        is_first=True,
     )
-    base = policy.Policy(
+    base = retention.RetentionPolicy(
         least_ms=1100,
         most_ms=2200,
         most=33,
@@ -170,152 +185,180 @@
         "customer-c": msgspec.structs.replace(base, hold=False),
         "customer-d": msgspec.structs.replace(base, rows=False, replay=True),
     }
-    forgets = (policy.Forget(before=91, customer="customer-f", key="key-f"), policy.Forget(before=92))
-    book = policy.Book(
-        number=81, copies=3, erase_ms=4000, founded=82, default=base, customers=customers, forgets=forgets
+    forgets = (
+        retention.ErasureRequest(before=91, customer="customer-f", ordering_key="key-f"),
+        retention.ErasureRequest(before=92),
+    )
+    book = retention.RetentionPolicies(
+        number=81,
+        copies=3,
+        erase_ms=4000,
+        founded=82,
+        default=base,
+        customers=customers,
+        erasure_requests=forgets,
     )
     record = records.Record(
         customer="customer-r",
-        key="key-r",
-        token="token-r",
-        taken=201,
-        place=202,
+        ordering_key="key-r",
+        idempotency_key="token-r",
+        granted_at=201,
+        sequence=202,
         attempt=203,
-        owner="router-o",
-        life=204,
-        claim=205,
-        patience=206,
+        router="router-o",
+        incarnation=204,
+        claim_number=205,
+        timeout=206,
         state=2,
         rows=b"\x00r\xff",
-        title=207,
+        lease_number=207,
     )
     bare = records.Record(
         customer="customer-r",
-        key="key-r",
-        token="token-r",
-        taken=201,
-        place=202,
+        ordering_key="key-r",
+        idempotency_key="token-r",
+        granted_at=201,
+        sequence=202,
         attempt=203,
-        owner="router-o",
-        life=204,
-        claim=205,
-        patience=206,
+        router="router-o",
+        incarnation=204,
+        claim_number=205,
+        timeout=206,
     )
-    title = titles.Title(number=301, owner="partner-t")
+    title = ownership_leases.OwnershipLease(number=301, owner="partner-t")
 
-    yield example("prepare", history.Ask(view=one, have=two))
+    yield example("prepare", messages.PromiseRequest(view=one, adopted=two))
     yield example(
         "promise",
-        history.Promised(
-            promise=views.Promise(asked=one, given=True, highest=two, remembers=False, adopted=view)
+        messages.PromiseReply(
+            promise=views.Promise(requested=one, given=True, highest=two, remembers=False, adopted=view)
         ),
     )
     yield example(
         "promise, optional fields absent",
-        history.Promised(
-            promise=views.Promise(asked=one, given=False, highest=two, remembers=False, adopted=views.View())
+        messages.PromiseReply(
+            promise=views.Promise(
+                requested=one, given=False, highest=two, remembers=False, adopted=views.View()
+            )
+        ),
+    )
+    yield example(
+        "lease-request",
+        messages.Heartbeat(
+            view=one, sent_at=401, echo=402, lease_remaining=403, policies_number=404, agreement_number=405
         ),
     )
-    yield example("lease-request", history.Call(view=one, sent=401, echo=402, rest=403, book=404, text=405))
     yield example(
         "lease-request, optional fields absent",
-        history.Call(view=one, sent=401, echo=402, rest=403, book=404),
+        messages.Heartbeat(view=one, sent_at=401, echo=402, lease_remaining=403, policies_number=404),
     )
     yield example(
         "lease-grant",
-        history.Granted(
+        messages.HeartbeatReply(
             grant=views.Grant(
                 view=one,
-                sent=411,
-                at=412,
+                sent_at=411,
+                granted_at=412,
                 given=True,
-                lacks=False,
-                have=two,
+                lacks_view=False,
+                adopted=two,
                 highest=three,
-                book=413,
-                text=414,
+                policies_number=413,
+                agreement_number=414,
             )
         ),
     )
     yield example(
         "lease-grant, optional fields absent",
-        history.Granted(
+        messages.HeartbeatReply(
             grant=views.Grant(
-                view=one, sent=411, at=412, given=False, lacks=False, have=two, highest=three, book=413
+                view=one,
+                sent_at=411,
+                granted_at=412,
+                given=False,
+                lacks_view=False,
+                adopted=two,
+                highest=three,
+                policies_number=413,
             )
         ),
     )
-    yield example("view", history.Text(view=view))
-    yield example("view, optional fields absent", history.Text(view=views.View()))
+    yield example("view", messages.ViewAnnouncement(view=view))
+    yield example("view, optional fields absent", messages.ViewAnnouncement(view=views.View()))
     yield example(
         "view-change",
-        history.Change(view=one, base=two, copies=4, gone=("router-x", "router-y"), come={"router-z": 421}),
+        messages.ViewUpdate(
+            view=one, base=two, copies=4, removed=("router-x", "router-y"), added={"router-z": 421}
+        ),
+    )
+    yield example("policies-request", messages.PoliciesRequest(above=431))
+    yield example("policies", messages.PoliciesUpdate(policies=book))
+    yield example(
+        "policies, optional fields absent", messages.PoliciesUpdate(policies=retention.RetentionPolicies())
     )
-    yield example("policies-request", history.WantBook(above=431))
-    yield example("policies", history.BookIs(book=book))
-    yield example("policies, optional fields absent", history.BookIs(book=policy.Book()))
     yield example(
         "claim-request",
-        history.Claim(
+        messages.ClaimRequest(
             view=one,
             number=441,
-            life=442,
+            incarnation=442,
             customer="customer-q",
-            key="key-q",
-            token="token-q",
-            left=443,
+            ordering_key="key-q",
+            idempotency_key="token-q",
+            time_left=443,
             ordered=False,
-            once=True,
+            is_transient=True,
         ),
     )
     yield example(
         "claim-request, optional fields absent",
-        history.Claim(
+        messages.ClaimRequest(
             view=one,
             number=441,
-            life=442,
+            incarnation=442,
             customer="customer-q",
-            key="key-q",
-            token="token-q",
-            left=443,
+            ordering_key="key-q",
+            idempotency_key="token-q",
+            time_left=443,
             ordered=True,
         ),
     )
     yield example(
-        "claim-verdict", history.Judged(number=451, life=452, verdict=5, why="a reason", record=record)
+        "claim-verdict",
+        messages.ClaimReply(number=451, incarnation=452, decision=5, reason="a reason", record=record),
     )
     verdicts = {
-        "run": verdict.Verdict.RUN,
-        "answer": verdict.Verdict.ANSWER,
-        "wait": verdict.Verdict.WAIT,
-        "reject": verdict.Verdict.DEFER,
-        "fail": verdict.Verdict.KILL,
-        "forward": verdict.Verdict.PASS,
+        "run": claim_decision.ClaimDecision.RUN,
+        "answer": claim_decision.ClaimDecision.REPLAY,
+        "wait": claim_decision.ClaimDecision.WAIT,
+        "reject": claim_decision.ClaimDecision.REJECT,
+        "fail": claim_decision.ClaimDecision.FAIL,
+        "forward": claim_decision.ClaimDecision.FORWARD,
     }
     for name, each in verdicts.items():
         yield example(
             f"claim-verdict, {name}, optional fields absent",
-            history.Judged(number=451, life=452, verdict=each.value, why="a reason"),
+            messages.ClaimReply(number=451, incarnation=452, decision=each.value, reason="a reason"),
         )
-    yield example("run-ended", history.End(view=one, record=record))
+    yield example("run-ended", messages.Completion(view=one, record=record))
     states = {
-        "out": records.OUT,
-        "freed": records.FREED,
-        "finished": records.FINISHED,
-        "killed": records.KILLED,
+        "out": records.RecordState.RUNNING,
+        "freed": records.RecordState.NOT_RUN,
+        "finished": records.RecordState.SERVED,
+        "killed": records.RecordState.FAILED,
     }
     for name, state in states.items():
         ended = msgspec.structs.replace(bare, state=state)
         yield example(
-            f"run-ended, record {name}, optional fields absent", history.End(view=one, record=ended)
+            f"run-ended, record {name}, optional fields absent", messages.Completion(view=one, record=ended)
         )
-    yield example("run-ended-acknowledgement", history.Ended(number=461, life=462))
-    yield example("replicate", history.Store(view=one, number=471, record=record, age=472))
-    yield example("replicate-acknowledgement", history.Stored(view=one, number=481, done=True))
-    yield example("slot-request", history.Fetch(view=one, slot=491, epoch=two))
+    yield example("run-ended-acknowledgement", messages.CompletionReply(number=461, incarnation=462))
+    yield example("replicate", messages.ReplicateRequest(view=one, number=471, record=record, age=472))
+    yield example("replicate-acknowledgement", messages.ReplicateReply(view=one, number=481, stored=True))
+    yield example("slot-request", messages.SlotRequest(view=one, slot=491, epoch=two))
     yield example(
         "slot-part",
-        history.Data(
+        messages.SlotPart(
             view=one,
             slot=501,
             part=1,
@@ -323,19 +366,19 @@
             records=(record, bare),
             ages=(504, 505),
             lost=506,
-            title=title,
+            lease=title,
         ),
     )
     yield example(
         "slot-part, optional fields absent",
-        history.Data(view=one, slot=501, part=0, parts=1, records=(), ages=(), lost=None),
+        messages.SlotPart(view=one, slot=501, part=0, parts=1, records=(), ages=(), lost=None),
     )
     yield example(
         "slot-redirect",
-        history.Elsewhere(view=one, slot=511, epoch=two, sources={"router-s": 512, "router-r": 513}),
+        messages.SlotRedirect(view=one, slot=511, epoch=two, sources={"router-s": 512, "router-r": 513}),
     )
-    yield example("ownership-lease", history.Entitle(view=one, slot=521, title=title))
-    yield example("ownership-lease-acknowledgement", history.Entitled(view=one, slot=531, number=532))
+    yield example("ownership-lease", messages.LeaseUpdate(view=one, slot=521, lease=title))
+    yield example("ownership-lease-acknowledgement", messages.LeaseReply(view=one, slot=531, number=532))
 
 
 # ---- partners: messages, and what is signed ----------------------------------------------------------
@@ -499,8 +542,8 @@
 
 
 def event_bus_examples() -> Iterator[Example]:
-    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.subscribe)
-    yield Example("event-bus/subscribe from the start", 0, event_bus.subscribe)
+    yield Example("event-bus/subscribe", 0x0102030405060708, event_bus.encode_subscription)
+    yield Example("event-bus/subscribe from the start", 0, event_bus.encode_subscription)
     yield Example("event-bus/engine-name", 0x1A2B, lambda value: event_bus.engine_name(value).encode())
 
 
@@ -673,7 +716,7 @@
 
 @pytest.mark.parametrize(
     ("prefix", "messages"),
-    [("history/", get_args(history.Message)), ("partners/", get_args(partners.Message))],
+    [("history/", get_args(messages.Message)), ("partners/", get_args(partners.Message))],
     ids=["history", "partners"],
 )
 def test_each_message_type_has_an_example(prefix, messages):
@@ -692,10 +735,10 @@
 
 def test_each_verdict_and_state_of_a_record_has_an_example():
     values = example_values("history/")
-    verdicts = {value.verdict for value in values if isinstance(value, history.Judged)}
-    assert verdicts == {each.value for each in verdict.Verdict}
-    states = {value.record.state for value in values if isinstance(value, history.End)}
-    assert states == set(range(records.KILLED + 1))
+    verdicts = {value.decision for value in values if isinstance(value, messages.ClaimReply)}
+    assert verdicts == {each.value for each in claim_decision.ClaimDecision}
+    states = {value.record.state for value in values if isinstance(value, messages.Completion)}
+    assert states == set(records.RecordState)
 
 
 def test_each_command_to_an_engine_has_an_example():
@@ -808,7 +851,7 @@
 
 BUS_RECORD = "01020304 0a010203 1f90 {state} 05 06 0007 000009c4 0000000000000064"
 BUS_READY, BUS_TERMINATING, BUS_NO_MORE = (BUS_RECORD.format(state=state) for state in ("00", "01", "02"))
-BUS_ENTRY = event_bus.Entry(
+BUS_ENTRY = event_bus.Endpoint(
     listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", nominal=2.5),
     host="10.1.2.3",
     port=8080,
@@ -816,14 +859,17 @@
 BUS_GONE = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Gone"))
 BUS_LEAVING = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Terminating"))
 BUS_FRAMES = {
-    "nothing": ("00000009 0000000000000011 00", event_bus.Update(number=17, mode="Nothing", entries=())),
+    "nothing": (
+        "00000009 0000000000000011 00",
+        event_bus.WatchEvent(offset=17, kind="Nothing", endpoints=()),
+    ),
     "complete": (
         f"00000024 0000000000000012 01 {BUS_READY}",
-        event_bus.Update(number=18, mode="Complete", entries=(BUS_ENTRY,)),
+        event_bus.WatchEvent(offset=18, kind="Complete", endpoints=(BUS_ENTRY,)),
     ),
     "partial": (
         f"0000003f 0000000000000013 02 {BUS_TERMINATING} {BUS_NO_MORE}",
-        event_bus.Update(number=19, mode="Partial", entries=(BUS_LEAVING, BUS_GONE)),
+        event_bus.WatchEvent(offset=19, kind="Partial", endpoints=(BUS_LEAVING, BUS_GONE)),
     ),
 }
 
@@ -831,7 +877,7 @@
 @pytest.mark.parametrize("name", BUS_FRAMES)
 def test_frame_of_the_event_bus_is_read_as_recorded(name):
     data, update = BUS_FRAMES[name]
-    assert list(event_bus.Decoder().feed(bytes.fromhex(data))) == [update]
+    assert list(event_bus.WatchEventDecoder().feed(bytes.fromhex(data))) == [update]
 
 
 def test_start_of_the_event_bus_is_read_as_recorded():
@@ -850,20 +896,20 @@
         {"offset": "17", "topology": {"snapshot": True, "endpoints": [endpoint]}},
         {"offset": 18, "topology": {"endpoints": [least]}},
     ]
-    first = event_bus.Entry(
+    first = event_bus.Endpoint(
         listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", nominal=2.5),
         host="10.1.2.3",
         port=8080,
     )
-    second = event_bus.Entry(
+    second = event_bus.Endpoint(
         listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", nominal=1.0),
         host="10.1.2.4",
         port=8081,
     )
-    found = event_bus.from_json({"batch": batch}, ["north", "west", "east"], ["small", "large"])
+    found = event_bus.initial_watch_events({"batch": batch}, ["north", "west", "east"], ["small", "large"])
     assert list(found) == [
-        event_bus.Update(number=17, mode="Complete", entries=(first,)),
-        event_bus.Update(number=18, mode="Partial", entries=(second,)),
+        event_bus.WatchEvent(offset=17, kind="Complete", endpoints=(first,)),
+        event_bus.WatchEvent(offset=18, kind="Partial", endpoints=(second,)),
     ]
 
 
