--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -14,6 +14,7 @@
 
 from collections import Counter
 from collections.abc import Iterable
+from typing import assert_never
 
 from hillchute.decision.interface import Time
 from hillchute.errors import StalePoliciesError
@@ -194,6 +195,8 @@
             case LeaseUpdate() | LeaseReply():
                 if self.leases is not None:
                     self.leases.receive(sender, message)
+            case _:
+                assert_never(message)
 
     # ---- time -----------------------------------------------------------------------------------------
 
