--- /dev/null
+++ b/hillchute/partners/slot_allocation.py
@@ -0,0 +1,136 @@
+"""Allocation of slots to partners by their agreed shares, with the fewest moves from the present owners.
+
+Pure and deterministic: the same inputs give every router the same owners, in whatever order partners are
+named. Knows nothing of agreements, nor of when a slot may change hands.
+"""
+
+from collections.abc import Mapping, Sequence
+
+from hillchute.history.slot_placement import SLOTS, weight
+
+# Part of all load by which a partner may miss its share: half of the promised 0.02, as load is an estimate.
+LOAD_TOLERANCE = 0.01
+
+SlotOwners = tuple[str | None, ...]  # the partner that owns each slot; None: nobody
+NO_OWNERS: SlotOwners = (None,) * SLOTS
+
+
+def target_slot_counts(current: Sequence[str | None], shares: Mapping[str, int]) -> dict[str, int]:
+    """How many slots each partner is to own, within one of its exact part.
+
+    Where rounding leaves a choice, a partner that already owns one more keeps it, so that no allocation needs
+    fewer moves.
+    """
+    total = sum(shares.values())
+    if not total:
+        return dict.fromkeys(shares, 0)
+    rounded_down = {name: SLOTS * share // total for name, share in shares.items()}
+    unassigned = SLOTS - sum(rounded_down.values())
+    owned = {name: current.count(name) for name in shares}
+    fractional = [name for name in shares if SLOTS * shares[name] % total]
+    fractional.sort(
+        key=lambda name: (owned[name] <= rounded_down[name], -(SLOTS * shares[name] % total), name)
+    )
+    rounded_up = fractional[:unassigned]
+    return {name: rounded_down[name] + (name in rounded_up) for name in shares}
+
+
+def allocate_slots(current: Sequence[str | None], shares: Mapping[str, int]) -> SlotOwners:
+    """The owners of all slots by shares, which are whole numbers of any sum.
+
+    A partner without a share, or that is no longer named, gives up all its slots.
+    """
+    if not sum(shares.values()):
+        return NO_OWNERS
+    missing = target_slot_counts(current, shares)
+    owners: list[str | None] = [None] * SLOTS
+    for name, target in missing.items():
+        owned = [slot for slot in range(SLOTS) if current[slot] == name]
+        owned.sort(key=lambda slot: weight(slot, name), reverse=True)
+        for slot in owned[:target]:
+            owners[slot] = name
+        missing[name] = target - min(target, len(owned))
+    for slot in range(SLOTS):
+        if owners[slot] is None:
+            candidates = [name for name, count in missing.items() if count]
+            new_owner = max(candidates, key=lambda name: (weight(slot, name), name))
+            owners[slot] = new_owner
+            missing[new_owner] -= 1
+    return tuple(owners)
+
+
+def allocate_slots_by_load(
+    current: Sequence[str | None], shares: Mapping[str, int], load: Sequence[int]
+) -> SlotOwners:
+    """The owners by shares of the load that was measured for each slot.
+
+    Each partner is within 0.02 of all load of its part, or within the heaviest slot, which can't be divided.
+    Heavy slots move first, so that few do. Without any load, slots are allocated by count.
+    """
+    total_share = sum(shares.values())
+    total_load = sum(load)
+    if not total_share or not total_load:
+        return allocate_slots(current, shares)
+    owners: list[str | None] = [name if name is not None and shares.get(name) else None for name in current]
+    excess = {name: -total_load * share / total_share for name, share in shares.items()}
+    for slot, owner in enumerate(owners):
+        if owner is not None:
+            excess[owner] += load[slot]
+    _assign_unowned(owners, excess, shares, load)
+    _rebalance(owners, excess, shares, load)
+    return tuple(owners)
+
+
+def _assign_unowned(
+    owners: list[str | None], excess: dict[str, float], shares: Mapping[str, int], load: Sequence[int]
+) -> None:
+    """Give each unowned slot, the heaviest first, to the partner that is furthest below its share."""
+    unowned = [slot for slot in range(SLOTS) if owners[slot] is None]
+    unowned.sort(key=lambda slot: (-load[slot], slot))
+    for slot in unowned:
+        new_owner = _furthest_below(excess, shares)
+        owners[slot] = new_owner
+        excess[new_owner] += load[slot]
+
+
+def _rebalance(
+    owners: list[str | None], excess: dict[str, float], shares: Mapping[str, int], load: Sequence[int]
+) -> None:
+    """Move one slot at a time from the most loaded partner to the least loaded, while that helps both."""
+    tolerance = LOAD_TOLERANCE * sum(load)
+    for _ in range(SLOTS):
+        giver = max(excess, key=lambda name: (excess[name], name))
+        taker = _furthest_below(excess, shares)
+        if max(excess[giver], -excess[taker]) <= tolerance:
+            return
+        slot = _best_slot_to_move(owners, load, giver, excess[giver], -excess[taker])
+        if slot is None:
+            return
+        owners[slot] = taker
+        excess[giver] -= load[slot]
+        excess[taker] += load[slot]
+
+
+def _furthest_below(excess: Mapping[str, float], shares: Mapping[str, int]) -> str:
+    """Of the partners with a share, the one that is furthest below it."""
+    return min((name for name in excess if shares[name]), key=lambda name: (excess[name], name))
+
+
+def _best_slot_to_move(
+    owners: Sequence[str | None], load: Sequence[int], giver: str, surplus: float, deficit: float
+) -> int | None:
+    """The giver's slot whose move leaves the smaller of the worst errors; None if none makes it smaller."""
+    worst = max(surplus, deficit)
+    best: tuple[float, int] | None = None
+    for slot, owner in enumerate(owners):
+        if owner != giver or not load[slot]:
+            continue
+        remaining = max(abs(surplus - load[slot]), abs(deficit - load[slot]))
+        if remaining < worst and (best is None or (remaining, slot) < best):
+            best = (remaining, slot)
+    return best[1] if best else None
+
+
+def count_moves(before: Sequence[str | None], after: Sequence[str | None]) -> int:
+    """The number of slots whose owner differs."""
+    return sum(old != new for old, new in zip(before, after, strict=True))
