--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -409,7 +409,8 @@
 
     def charge(self) -> None:
         """Lets events and reads cost their time, where the real ones do."""
-        world, reduce, took = self.world, self.service.reducer.reduce, self.service.reducer.lateness.took
+        world, reduce = self.world, self.service.reducer.reduce
+        took = self.service.reducer.loop_lag.record_query_delay
 
         def reduce_at_a_price(event, now):
             effects = reduce(event, now)
@@ -422,7 +423,7 @@
             took(now, by)
 
         self.service.reducer.reduce = reduce_at_a_price
-        self.service.reducer.lateness.took = took_late
+        self.service.reducer.loop_lag.record_query_delay = took_late
 
     # ---- the script -------------------------------------------------------------------------------
 
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -43,8 +43,8 @@
     Stream,
     Tick,
 )
-from hillchute.router.lateness import Lateness
 from hillchute.router.lines import Leg, Line, Lines, Query
+from hillchute.router.loop_lag import LoopLag
 from hillchute.statements.request import Request
 
 COUNT_EVERY = 10_000  # tenths of a millisecond between two lines of the log that count the answers
@@ -58,7 +58,7 @@
         self.module = module
         self.desk = Desk(max(1, catalog.get("tick", 1)))
         self.lines = Lines(self.desk, module, catalog, most_lines, self.send, self.leg_over)
-        self.lateness = Lateness()
+        self.loop_lag = LoopLag()
         self.groups = {str(catalog.get(f"groups.{n}.name")): n for n in range(catalog.get("groups.count", 0))}
         self.open_cap = catalog.get("limits.open_cap") or sys.maxsize  # none is stated, none holds
         self.tokened = {n for n in self.groups.values() if catalog.get(f"groups.{n}.effect") == "tokened"}
@@ -103,7 +103,7 @@
         desk.begin(now, informed=not isinstance(event, Said))
         if desk.due and desk.due[0][0] <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one that rings.
-            self.lateness.seen(now, now - desk.due[0][0])
+            self.loop_lag.record_lag(now, now - desk.due[0][0])
         try:
             self.takes[type(event)](*event)
         except Exception:
@@ -166,12 +166,12 @@
             self.desk.ask(Defer(session, 0))
             return
         group = self.groups[request.group]
-        if not self.module.welcome(now, group, self.lateness.standing):
+        if not self.module.welcome(now, group, self.loop_lag.standing_delay):
             self.desk.ask(Defer(session, 0))
             self.tally(request.group, "turned away", now - since)
             return
         # Guards rule 1 on a loaded machine: bytes are read and answers written as late as timers come.
-        due = since + request.patience - self.lateness.margin(request.patience)
+        due = since + request.patience - self.loop_lag.answer_margin(request.patience)
         if self.end is not None:
             due = min(due, self.end)
         q = Query(request, session, since, due, self.desk.number())
@@ -313,7 +313,7 @@
         """One line a second for all answers, not one each: the log is read by people."""
         answers = {f"{group} {how}": [n, round(ms / n, 1)] for (group, how), (n, ms) in self.counts.items()}
         now = self.desk.now
-        late, behind = self.lateness.worst / 10, self.lateness.standing / 10
+        late, behind = self.loop_lag.worst / 10, self.loop_lag.standing_delay / 10
         self.desk.note("answers", count_and_mean_ms=answers, open=len(self.asking), late=late, behind=behind)
         # Hundreds of engines in each line would cost more than queries do: only those that there is news of.
         told = [p for e, p in self.lines.peers.items() if self.lines.news_of(e, now - COUNT_EVERY)]
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -100,7 +100,7 @@
             log,
             clock,
             left=self.gave_up,
-            margin=self.reducer.lateness.margin,
+            margin=self.reducer.loop_lag.answer_margin,
             passed=lambda session: self.handle(events.Passed(session)),
             unreadable=lambda session, why: self.handle(events.Spoilt(session, why)),
         )
@@ -331,7 +331,7 @@
         start = self.clock()
         for taken, waiting in enumerate(rounds.queries(start)):
             now = self.clock()
-            self.reducer.lateness.took(now, now - waiting.ready)
+            self.reducer.loop_lag.record_query_delay(now, now - waiting.ready)
             self.handle(events.Asked(waiting.session, waiting.request, waiting.since))
             if taken and now - start > QUERIES_TIME:
                 break
@@ -340,7 +340,7 @@
             rounds.accepted(before, all=self.door.accept(rounds.accepts))
         ended = self.clock()
         if ended - began > ENGINES_TIME + QUERIES_TIME:
-            self.reducer.lateness.seen(ended, ended - began)
+            self.reducer.loop_lag.record_lag(ended, ended - began)
 
     def departures(self, clients: list[Ready]) -> None:
         """All that have left are let go before anything follows from it: the place of one must not go to a
@@ -437,7 +437,7 @@
     def leave(self) -> None:
         """The router was told to end."""
         signalled = self.arrivals.get(signal.SIGTERM, self.clock())
-        self.shutdown = Shutdown(signalled, self.station.closing, self.reducer.lateness.worst)
+        self.shutdown = Shutdown(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
         self.handle(events.Closing(self.shutdown.end))
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -9,8 +9,8 @@
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
 from hillchute.net.system import SYSTEM
-from hillchute.router import lateness, rounds, shutdown
-from hillchute.router.lateness import Lateness
+from hillchute.router import loop_lag, rounds, shutdown
+from hillchute.router.loop_lag import LoopLag
 from hillchute.router.rounds import Rounds
 from hillchute.router.shutdown import Shutdown, Step
 from hillchute.router.trace import Trace
@@ -35,7 +35,7 @@
 
 
 def test_checker_finds_answers_that_leave_no_time_for_a_pause(monkeypatch):
-    monkeypatch.setattr(Lateness, "margin", lambda self, patience: 0)
+    monkeypatch.setattr(LoopLag, "answer_margin", lambda self, client_timeout: 0)
     assert any("too late" in fault for fault in faults())
 
 
@@ -137,33 +137,33 @@
 
 
 def test_pause_is_forgotten_slowly_however_often_it_is_asked():
-    late = Lateness()
-    late.seen(SECOND, lateness.LEAST + 1000)
+    late = LoopLag()
+    late.record_lag(SECOND, loop_lag.MINIMUM_LAG + 1000)
     for now in range(SECOND, 3 * SECOND, 7):
-        late.seen(now, 0)
-    assert lateness.LEAST + 790 <= late.worst <= lateness.LEAST + 810
+        late.record_lag(now, 0)
+    assert loop_lag.MINIMUM_LAG + 790 <= late.worst <= loop_lag.MINIMUM_LAG + 810
 
 
 def test_margin_leaves_half_of_a_short_patience():
-    late = Lateness()
-    assert late.margin(1000) == 500
-    assert late.margin(9 * SECOND) == lateness.LEAST + lateness.OUTSIDE
-    late.took(0, SECOND)
-    assert late.margin(9 * SECOND) == SECOND + lateness.OUTSIDE
+    late = LoopLag()
+    assert late.answer_margin(1000) == 500
+    assert late.answer_margin(9 * SECOND) == loop_lag.MINIMUM_LAG + loop_lag.CONNECT_DELAY
+    late.record_query_delay(0, SECOND)
+    assert late.answer_margin(9 * SECOND) == SECOND + loop_lag.CONNECT_DELAY
 
 
-def test_pause_that_is_over_is_no_standing_lateness():
-    late = Lateness()
+def test_pause_that_is_over_is_no_standing_delay():
+    late = LoopLag()
     for now in range(0, 3000, 50):  # a pause of 0.2 s, then what came meanwhile, ever less late
-        late.took(now, max(0, 2000 - now))
-    assert late.standing == 0
+        late.record_query_delay(now, max(0, 2000 - now))
+    assert late.standing_delay == 0
     for now in range(3000, 6000, 50):
-        late.took(now, 700 + now % 300)
-    assert late.standing >= 700
-    late.took(6001, 3)
-    assert late.standing == 3
-    late.took(10 * SECOND, 900)
-    assert late.standing == 0  # nothing was asked for a while
+        late.record_query_delay(now, 700 + now % 300)
+    assert late.standing_delay >= 700
+    late.record_query_delay(6001, 3)
+    assert late.standing_delay == 3
+    late.record_query_delay(10 * SECOND, 900)
+    assert late.standing_delay == 0  # nothing was asked for a while
 
 
 def test_late_loop_turns_away_what_is_of_least_value_first(desk):
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -26,7 +26,7 @@
 from hillchute.membership import event_bus
 from hillchute.net.pipe import Pipe
 from hillchute.net.system import SYSTEM
-from hillchute.router import config, events, lateness, service
+from hillchute.router import config, events, loop_lag, service
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
@@ -451,7 +451,9 @@
 
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
     line = rig.sent(patience=SECOND)
-    effects = rig.do(events.Tick(), SECOND - lateness.Lateness().margin(SECOND) - rig.reducer.module.margin)
+    effects = rig.do(
+        events.Tick(), SECOND - loop_lag.LoopLag().answer_margin(SECOND) - rig.reducer.module.margin
+    )
     assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, events.Send)]
     assert [type(e) for e in effects if isinstance(e, events.Defer | events.Kill)] == [events.Defer]
     assert not rig.say(line, "ACK", now=SECOND, kind=events.Finish)
@@ -510,7 +512,7 @@
     rig.ask(id="b" * 16, session=2, patience=SECOND // 2)
     first_look = rig.reducer.desk.due[0][0]
     rig.ask(now=first_look + 6000, patience=5 * SECOND)
-    assert rig.reducer.queries["a" * 16].due == first_look + 5 * SECOND - lateness.OUTSIDE
+    assert rig.reducer.queries["a" * 16].due == first_look + 5 * SECOND - loop_lag.CONNECT_DELAY
 
 
 def test_closing_answers_everything_by_its_end(rig):
