--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -32,11 +32,11 @@
 from hillchute.net.poller import Poller, Ready
 from hillchute.router import config, events
 from hillchute.router.config import SECOND, Station
+from hillchute.router.event_trace import EventTrace
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
 from hillchute.router.rounds import BACKLOG, ENGINES_TIME, QUERIES_TIME, Rounds
 from hillchute.router.shutdown import Shutdown, Step
-from hillchute.router.trace import Trace
 
 SWEEP = 0.1  # seconds between two looks for sessions too long in one step
 STEP = 0.01  # seconds between two looks at how far the end has come
@@ -77,7 +77,7 @@
         self.kinds = kinds_named(station.catalog)
         self.poller = poller or Poller()
         self.rounds = Rounds()
-        self.trace = Trace()
+        self.trace = EventTrace()
         operator = operator or {}
         module = Teamwork(station.seed, station.catalog, clock())
         self.peering = None
@@ -175,7 +175,7 @@
 
     def handle_one(self, event: events.Event) -> None:
         now = self.clock()
-        self.trace.add((now, *events.told_by(event)))
+        self.trace.record(now, events.told_by(event))
         sends: dict[int, list[words.Command]] = {}
         for effect in self.reducer.reduce(event, now):
             if isinstance(effect, events.Send):
@@ -296,7 +296,7 @@
         if now - self.dumped < SECOND:
             return
         self.dumped = now
-        for part in self.trace.lines(last):
+        for part in self.trace.batches(last):
             self.log.write("trace", events=part)
 
     # ---- rounds -----------------------------------------------------------------------------------
@@ -480,7 +480,7 @@
             async for number in signals:
                 self.log.write("signal", number=int(number))
                 if number == signal.SIGUSR1:
-                    for part in self.trace.lines():
+                    for part in self.trace.batches():
                         self.log.write("trace", events=part)
                 elif number != signal.SIGHUP:
                     self.lifecycle.enter(Phase.CLOSING)
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -10,10 +10,10 @@
 from hillchute.lab import slowloop
 from hillchute.net.system import SYSTEM
 from hillchute.router import loop_lag, rounds, shutdown
+from hillchute.router.event_trace import EventTrace
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.rounds import Rounds
 from hillchute.router.shutdown import Shutdown, Step
-from hillchute.router.trace import Trace
 from hillchute.statements.request import Request
 
 
@@ -214,12 +214,12 @@
 
 
 def test_trace_keeps_the_last_events_with_their_times():
-    trace = Trace(kept=150)
+    trace = EventTrace(capacity=150)
     for n in range(200):
-        trace.add((n, "Tick", n))
-    lines = list(trace.lines())
-    assert [len(line) for line in lines] == [100, 50]
-    assert lines[-1][-1] == [0.0, "Tick", 199] and lines[0][0] == [-14.9, "Tick", 50]
+        trace.record(n, ("Tick", n))
+    batches = list(trace.batches())
+    assert [len(batch) for batch in batches] == [100, 50]
+    assert batches[-1][-1] == [0.0, "Tick", 199] and batches[0][0] == [-14.9, "Tick", 50]
 
 
 # ---- sessions ---------------------------------------------------------------------------------------
