--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -13,8 +13,8 @@
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.membership import event_bus
-from hillchute.router.desk import Desk
 from hillchute.router.events import Connect, HangUp, Send
+from hillchute.router.reducer_context import ReducerContext
 from hillchute.statements.request import Request
 
 
@@ -82,14 +82,14 @@
 
     def __init__(
         self,
-        desk: Desk,
+        context: ReducerContext,
         module: Router,
         catalog: Mapping[str, object],
         most: int,
         send: Callable[[Leg, Line], None],
         over: Callable[[Leg, str], None],
     ) -> None:
-        self.desk, self.module, self.most = desk, module, most
+        self.context, self.module, self.most = context, module, most
         self.send, self.over = send, over
         self.streams = catalog.get("limits.streams_per_conn", 1)
         self.connect_wait: Time = catalog.get("limits.connect_timeout", 0)
@@ -122,7 +122,7 @@
 
     def silent(self, line: Line) -> bool:
         """Something is open on it, and nothing has come for longer than notes and probes take."""
-        now = self.desk.now
+        now = self.context.now
         if now - line.heard <= self.silence:
             return False
         # A stream is silent while its client does not read: its own end bounds it.
@@ -140,21 +140,21 @@
         if self.silent(line):
             self.cut(line, "silent")
         else:
-            self.desk.at(self.desk.now + self.silence // 4, self.listen, number)
+            self.context.call_at(self.context.now + self.silence // 4, self.listen, number)
 
     def cut(self, line: Line, why: str) -> None:
         """Ends a connection of no more use from this side."""
-        self.desk.ask(HangUp(line.number))
+        self.context.emit(HangUp(line.number))
         self.lost(line.number, why)
 
     def open_line(self, peer: Peer) -> Line | None:
         if len(self.lines) >= self.most and not self.make_room():
-            self.desk.note("no_connection", engine=event_bus.engine_name(peer.engine), open=len(self.lines))
+            self.context.log("no_connection", engine=event_bus.engine_name(peer.engine), open=len(self.lines))
             return None
-        line = Line(self.desk.number(), peer.engine, used=self.desk.now)
+        line = Line(self.context.next_number(), peer.engine, used=self.context.now)
         self.lines[line.number] = peer.lines[line.number] = line
-        self.desk.ask(Connect(line.number, peer.host, peer.port))
-        self.desk.at(self.desk.now + self.connect_wait, self.connect_over, line.number)
+        self.context.emit(Connect(line.number, peer.host, peer.port))
+        self.context.call_at(self.context.now + self.connect_wait, self.connect_over, line.number)
         return line
 
     def make_room(self) -> bool:
@@ -169,34 +169,34 @@
         line = self.lines.get(number)
         if line is None:
             return
-        now = self.desk.now
+        now = self.context.now
         line.up, line.heard = True, now
         for tag in line.probes:
-            self.desk.ask(Send(line.number, words.Probe(tag)))
+            self.context.emit(Send(line.number, words.Probe(tag)))
         while line.waiting:
             self.send(line.waiting.popleft(), line)
-        self.desk.at(now + self.silence, self.listen, number)
+        self.context.call_at(now + self.silence, self.listen, number)
         if self.keepalive:
-            self.desk.at(now + self.keepalive // 2, self.rest, line)
+            self.context.call_at(now + self.keepalive // 2, self.rest, line)
 
     def rest(self, line: Line) -> None:
         """Closes an idle connection before the engine does, so that no request crosses a close."""
         if line.number not in self.lines:
             return
-        if not line.legs and self.desk.now - line.used >= self.keepalive // 2:
+        if not line.legs and self.context.now - line.used >= self.keepalive // 2:
             self.drop(line)
         else:
-            self.desk.at(max(line.used, self.desk.now) + self.keepalive // 2, self.rest, line)
+            self.context.call_at(max(line.used, self.context.now) + self.keepalive // 2, self.rest, line)
 
     def drop(self, line: Line) -> None:
         self.forget(line)
-        self.desk.ask(HangUp(line.number))
+        self.context.emit(HangUp(line.number))
 
     def connect_over(self, number: int) -> None:
         """A connection that has not come up in its time is given up."""
         line = self.lines.get(number)
         if line is not None and not line.up:
-            self.desk.ask(HangUp(number))
+            self.context.emit(HangUp(number))
             self.not_connected(number, ConnectFault.UNREACHED)
 
     def not_connected(self, number: int, fault: ConnectFault) -> None:
@@ -207,8 +207,8 @@
         self.forget(line)
         result = fault.value
         for tag in line.probes:
-            self.module.probed(self.desk.now, line.engine, result, None)
-            self.desk.note("probe", engine=event_bus.engine_name(line.engine), tag=tag, result=result)
+            self.module.probed(self.context.now, line.engine, result, None)
+            self.context.log("probe", engine=event_bus.engine_name(line.engine), tag=tag, result=result)
         while line.waiting:
             self.over(line.waiting.popleft(), result)
 
@@ -218,12 +218,12 @@
             return
         self.forget(line)
         name = event_bus.engine_name(line.engine)
-        self.desk.note("line_lost", engine=name, why=why, open=len(line.legs))
+        self.context.log("line_lost", engine=name, why=why, open=len(line.legs))
         for id, leg in list(line.legs.items()):
             self.over(leg, "superseded" if id in never_left else "severed")
         for tag in line.probes:
             result = "superseded" if tag in never_left else "severed"
-            self.module.probed(self.desk.now, line.engine, result, None)
+            self.module.probed(self.context.now, line.engine, result, None)
 
     def forget(self, line: Line) -> None:
         self.lines.pop(line.number, None)
@@ -233,29 +233,29 @@
     # ---- probes -----------------------------------------------------------------------------------
 
     def probe(self, engine: int) -> None:
-        now, line = self.desk.now, self.line_for(self.peers[engine], None)
+        now, line = self.context.now, self.line_for(self.peers[engine], None)
         if line is None:
             self.module.probed(now, engine, "superseded", None)
             return
-        tag = f"p{self.desk.number()}"
+        tag = f"p{self.context.next_number()}"
         line.probes[tag] = now
         line.used = now
-        self.desk.at(now + self.connect_wait, self.probe_over, line, tag)
+        self.context.call_at(now + self.connect_wait, self.probe_over, line, tag)
         if line.up:
-            self.desk.ask(Send(line.number, words.Probe(tag)))
+            self.context.emit(Send(line.number, words.Probe(tag)))
 
     def probed(self, line: Line, answer: words.Probed) -> None:
         sent = line.probes.pop(answer.tag, None)
         if sent is None:
             return
-        self.desk.informed = True
-        if self.desk.now - sent <= self.connect_wait:
-            self.module.probed(self.desk.now, line.engine, answer.result, answer.report)
+        self.context.module_notified = True
+        if self.context.now - sent <= self.connect_wait:
+            self.module.probed(self.context.now, line.engine, answer.result, answer.report)
 
     def probe_over(self, line: Line, tag: str) -> None:
         """No answer in time. The tag stays known: it may still come, and a silent line is told by it."""
         if tag in line.probes and line.number in self.lines:
-            self.module.probed(self.desk.now, line.engine, "overdue", None)
+            self.module.probed(self.context.now, line.engine, "overdue", None)
 
     # ---- the list of engines ----------------------------------------------------------------------
 
@@ -279,9 +279,9 @@
         if news.mode == "Complete":
             for engine, peer in self.peers.items():
                 peer.ready = peer.ready and engine in listed
-        self.module.roster(self.desk.now, news.mode, [entry.listing for entry in news.entries])
+        self.module.roster(self.context.now, news.mode, [entry.listing for entry in news.entries])
         ready = [engine for engine, known in self.module.engines.items() if known.ready]
-        self.module.nearby(self.desk.now, self.sight.near(ready))
+        self.module.nearby(self.context.now, self.sight.near(ready))
         forgotten = len(self.peers) != len(self.module.engines)
         for engine, peer in list(self.peers.items()) if forgotten else ():
             if engine not in self.module.engines:  # gone, with nothing out
@@ -289,7 +289,7 @@
                     self.drop(line)
                 del self.peers[engine]
         states = {event_bus.engine_name(e): entry.listing.state for e, entry in listed.items()}
-        self.desk.note("roster", number=news.number, mode=news.mode, engines=states)
+        self.context.log("roster", number=news.number, mode=news.mode, engines=states)
 
     def move(self, peer: Peer) -> None:
         """The engine is another process now: what waits for a connection to the old one was never sent."""
@@ -306,11 +306,11 @@
     def news_of(self, engine: int, since: Time) -> bool:
         """Whether something is out there, was heard of it since then, or it rests."""
         known = self.module.engines[engine]
-        return bool(known.out) or known.reported_at >= since or known.rest_until > self.desk.now
+        return bool(known.out) or known.reported_at >= since or known.rest_until > self.context.now
 
     def picture(self, peer: Peer) -> dict[str, object]:
         """What is believed of an engine, beside what is open on the connections to it."""
-        known, now = self.module.engines[peer.engine], self.desk.now
+        known, now = self.module.engines[peer.engine], self.context.now
         return {
             "ready": peer.ready,
             "lines": len(peer.lines),
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -14,7 +14,6 @@
 from hillchute.engines import words
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.membership import event_bus
-from hillchute.router.desk import Desk
 from hillchute.router.events import (
     Asked,
     Claim,
@@ -45,6 +44,7 @@
 )
 from hillchute.router.lines import Leg, Line, Lines, Query
 from hillchute.router.loop_lag import LoopLag
+from hillchute.router.reducer_context import ReducerContext
 from hillchute.statements.request import Request
 
 COUNT_EVERY = 10_000  # tenths of a millisecond between two lines of the log that count the answers
@@ -56,8 +56,8 @@
 class Reducer:
     def __init__(self, module: Router, catalog: Mapping[str, object], most_lines: int) -> None:
         self.module = module
-        self.desk = Desk(max(1, catalog.get("tick", 1)))
-        self.lines = Lines(self.desk, module, catalog, most_lines, self.send, self.leg_over)
+        self.context = ReducerContext(max(1, catalog.get("tick", 1)))
+        self.lines = Lines(self.context, module, catalog, most_lines, self.send, self.leg_over)
         self.loop_lag = LoopLag()
         self.groups = {str(catalog.get(f"groups.{n}.name")): n for n in range(catalog.get("groups.count", 0))}
         self.open_cap = catalog.get("limits.open_cap") or sys.maxsize  # none is stated, none holds
@@ -98,29 +98,29 @@
 
     def reduce(self, event: Event, now: Time) -> list[Effect]:
         """Takes one event in; the effects that follow from it, in order."""
-        desk = self.desk
+        context = self.context
         # What engines say part by part tells the module nothing that it decides by, unless a part says so.
-        desk.begin(now, informed=not isinstance(event, Said))
-        if desk.due and desk.due[0][0] <= now:
+        context.begin_event(now, module_notified=not isinstance(event, Said))
+        if context.timers and context.timers[0].due <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one that rings.
-            self.loop_lag.record_lag(now, now - desk.due[0][0])
+            self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
             self.takes[type(event)](*event)
         except Exception:
-            desk.fault(type(event).__name__)
-        desk.ring()
-        if desk.informed:
+            context.log_exception(type(event).__name__)
+        context.run_due_timers()
+        if context.module_notified:
             self.pull()
-        desk.set_alarm()
-        return desk.effects
+        context.update_alarm()
+        return context.effects
 
     def pull(self) -> None:
         """Takes decisions until there is none."""
         try:
-            while (decision := self.module.decide(self.desk.now)) is not None:
+            while (decision := self.module.decide(self.context.now)) is not None:
                 self.carry_out(decision)
         except Exception:
-            self.desk.fault("decision")
+            self.context.log_exception("decision")
 
     def carry_out(self, decision: tuple) -> None:
         match decision:
@@ -138,17 +138,17 @@
             case ("probe", engine):
                 self.lines.probe(engine)
             case ("wake", at, name):
-                self.desk.at(at, self.woken, name)
+                self.context.call_at(at, self.woken, name)
             case ("watch",):
                 pass  # the event bus is always followed
 
     def woken(self, name: str) -> None:
-        self.module.woken(self.desk.now, name)
+        self.module.woken(self.context.now, name)
 
     def peered(self, news: list[tuple[int, Report, Time]]) -> None:
         for engine, report, age in news:
-            self.module.probed(self.desk.now, engine, "heard", report, age)
-        self.module.stand(self.desk.now)
+            self.module.probed(self.context.now, engine, "heard", report, age)
+        self.module.stand(self.context.now)
 
     # ---- queries ----------------------------------------------------------------------------------
 
@@ -156,36 +156,40 @@
         """The timers that are due are looked at with every event."""
 
     def take(self, session: int, request: Request, since: Time) -> None:
-        now = self.desk.now
+        now = self.context.now
         fault = self.misfit(session, request)
         if fault:
-            self.desk.ask(Kill(session, fault))
-            self.desk.note("misread", session=session, why=fault)
+            self.context.emit(Kill(session, fault))
+            self.context.log("misread", session=session, why=fault)
             return
         if len(self.asking) >= self.open_cap:
-            self.desk.ask(Defer(session, 0))
+            self.context.emit(Defer(session, 0))
             return
         group = self.groups[request.group]
         if not self.module.welcome(now, group, self.loop_lag.standing_delay):
-            self.desk.ask(Defer(session, 0))
+            self.context.emit(Defer(session, 0))
             self.tally(request.group, "turned away", now - since)
             return
         # Guards rule 1 on a loaded machine: bytes are read and answers written as late as timers come.
         due = since + request.patience - self.loop_lag.answer_margin(request.patience)
         if self.end is not None:
             due = min(due, self.end)
-        q = Query(request, session, since, due, self.desk.number())
+        q = Query(request, session, since, due, self.context.next_number())
         self.queries[request.id] = self.asking[session] = q
-        self.desk.at(max(due, since + request.patience - AFTER_ALL), self.overdue, request.id, q.number)
+        self.context.call_at(
+            max(due, since + request.patience - AFTER_ALL), self.overdue, request.id, q.number
+        )
         if self.history and group in self.tokened and request.token is not None:
             q.claim = "asked"
-            self.desk.ask(
+            self.context.emit(
                 Claim(request.id, q.number, *place(request), max(0, due - now), group in self.ordered)
             )
             return
         if self.partners and group in self.mutating:
             q.claim = "asked"
-            self.desk.ask(Claim(request.id, q.number, *place(request), max(0, due - now), False, once=True))
+            self.context.emit(
+                Claim(request.id, q.number, *place(request), max(0, due - now), False, once=True)
+            )
             return
         self.hand_on(q)
 
@@ -194,7 +198,7 @@
         request, group = q.request, self.groups[q.request.group]
         key = request.key if group in self.ordered else None
         about = (request.tables, 0, request.cost, request.memory, key)
-        self.module.take(self.desk.now, request.id, group, q.due, *about)
+        self.module.take(self.context.now, request.id, group, q.due, *about)
 
     def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
         """The answer history's word on a query that waits for it."""
@@ -214,8 +218,8 @@
                 return
             case "PASS":
                 q.claim = "passed on"
-                left = max(0, q.due - self.desk.now)
-                self.desk.ask(PassOn(q.request.id, q.number, why, q.request, left))
+                left = max(0, q.due - self.context.now)
+                self.context.emit(PassOn(q.request.id, q.number, why, q.request, left))
                 return
             case "ANSWER":
                 effect, how = Finish(q.session, rows), "finished"
@@ -264,16 +268,16 @@
                 self.answer(q, Kill(q.session, "no answer in time"), "killed", "passed on: no answer in time")
                 return
             # A process that stood still wakes with this timer and the module's own all due at once.
-            stood = self.desk.now - max(q.due, q.taken + q.request.patience - AFTER_ALL)
+            stood = self.context.now - max(q.due, q.taken + q.request.patience - AFTER_ALL)
             event = "late" if stood > AFTER_ALL else "fault"
-            self.desk.note(event, what="unanswered at its end", query=q.request.id)
-            self.module.left(self.desk.now, q.request.id)
+            self.context.log(event, what="unanswered at its end", query=q.request.id)
+            self.module.left(self.context.now, q.request.id)
             self.answer(q, Kill(q.session, "no answer in time"), "unanswered")
 
     def left(self, session: int) -> None:
         q = self.asking.get(session)
         if q is not None:
-            self.module.left(self.desk.now, q.request.id)
+            self.module.left(self.context.now, q.request.id)
             self.answer(q, None, "left")
 
     def answer(self, q: Query, effect: Effect | None, how: str, why: str = "") -> None:
@@ -284,41 +288,43 @@
         q.answered = True
         self.asking.pop(q.session, None)
         if effect is not None:
-            self.desk.ask(effect)
+            self.context.emit(effect)
         for leg in q.legs:
             if leg.over:
                 continue
             if leg.stream is not None:  # nobody reads on: the run is given up
                 self.leg_over(leg, "overdue", give_up=True)
             elif leg.ran is not None:  # its pages are wanted no more; the run itself is over
-                self.desk.ask(Send(leg.line.number, words.Unwanted(q.request.id)))
+                self.context.emit(Send(leg.line.number, words.Unwanted(q.request.id)))
                 self.leg_over(leg, "finished")
-        now = self.desk.now
+        now = self.context.now
         self.tally(q.request.group, f"{how}: {why}" if why else how, now - q.taken)
         if how not in ("finished", "deferred"):
             tries = [(event_bus.engine_name(leg.engine), (leg.sent - q.taken) / 10) for leg in q.legs]
             after, patience = (now - q.taken) / 10, q.request.patience / 10
             known = {"id": q.request.id, "group": q.request.group, "how": how, "tries": tries}
-            self.desk.note("query", **known, after=after, patience=patience, session=q.session)
+            self.context.log("query", **known, after=after, patience=patience, session=q.session)
         self.forget(q)
 
     def tally(self, group: str, how: str, took: Time) -> None:
         count = self.counts.setdefault((group, how), [0, 0.0])
         count[0] += 1
         count[1] += took / 10
-        if self.desk.now - self.counted_at >= COUNT_EVERY:
+        if self.context.now - self.counted_at >= COUNT_EVERY:
             self.count_up()
 
     def count_up(self) -> None:
         """One line a second for all answers, not one each: the log is read by people."""
         answers = {f"{group} {how}": [n, round(ms / n, 1)] for (group, how), (n, ms) in self.counts.items()}
-        now = self.desk.now
+        now = self.context.now
         late, behind = self.loop_lag.worst / 10, self.loop_lag.standing_delay / 10
-        self.desk.note("answers", count_and_mean_ms=answers, open=len(self.asking), late=late, behind=behind)
+        self.context.log(
+            "answers", count_and_mean_ms=answers, open=len(self.asking), late=late, behind=behind
+        )
         # Hundreds of engines in each line would cost more than queries do: only those that there is news of.
         told = [p for e, p in self.lines.peers.items() if self.lines.news_of(e, now - COUNT_EVERY)]
         pictures = {event_bus.engine_name(p.engine): self.lines.picture(p) for p in told}
-        self.desk.note("engines", listed=len(self.lines.peers), **pictures)
+        self.context.log("engines", listed=len(self.lines.peers), **pictures)
         self.counts.clear()
         self.counted_at = now
 
@@ -333,30 +339,30 @@
         if not q.claim:
             return
         if q.claim == "passed on":
-            self.desk.ask(Recall(q.request.id, q.number))
+            self.context.emit(Recall(q.request.id, q.number))
         q.claim, results = "", {leg.result for leg in q.legs}
         how = "freed" if results <= NEVER_RAN else "finished" if "finished" in results else "killed"
         close = Close(q.request.id, q.number, how, q.rows)
         if results & MAY_STILL_RUN and how == "killed":  # the next of its key must not overtake it
-            self.desk.at(self.desk.now + self.order_pause + 1, self.desk.ask, close)
+            self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, close)
         else:
-            self.desk.ask(close)
+            self.context.emit(close)
 
     def closing(self, end: Time) -> None:
         self.end = end
-        self.module.closing(self.desk.now, end)
+        self.module.closing(self.context.now, end)
         for q in list(self.asking.values()):
             q.due = min(q.due, end)
-            self.desk.at(q.due + 2 * AFTER_ALL, self.overdue, q.request.id, q.number)
-            self.desk.at(q.due, self.stream_over, q.request.id, q.number)
+            self.context.call_at(q.due + 2 * AFTER_ALL, self.overdue, q.request.id, q.number)
+            self.context.call_at(q.due, self.stream_over, q.request.id, q.number)
 
     # ---- submissions ------------------------------------------------------------------------------
 
     def submit(self, q: Query, engine: int, within: Time) -> None:
-        now = self.desk.now
+        now = self.context.now
         leg = Leg(q, len(q.legs), engine, now, now + within)
         q.legs.append(leg)
-        self.desk.at(leg.until, self.time_out, q.request.id, q.number, leg.number)
+        self.context.call_at(leg.until, self.time_out, q.request.id, q.number, leg.number)
         line = self.lines.line_for(self.lines.peers[engine], q)
         if line is None:
             self.leg_over(leg, "superseded")  # never sent: the want of connections is ours
@@ -368,7 +374,7 @@
 
     def send(self, leg: Leg, line: Line) -> None:
         """The bytes go now, so that what may have changed since the decision is looked at again here."""
-        q, now = leg.query, self.desk.now
+        q, now = leg.query, self.context.now
         if q.answered or not self.lines.peers[leg.engine].ready or now >= leg.until:
             self.leg_over(leg, "superseded")  # never sent
             return
@@ -378,7 +384,7 @@
         within = -(-(leg.until - now) // 10)
         token = q.request.token if self.groups[q.request.group] in self.tokened else None
         run = words.Run(q.request.id, q.request.group, within, q.rank, token, q.request.statement)
-        self.desk.ask(Send(line.number, run))
+        self.context.emit(Send(line.number, run))
 
     def not_sent(self, number: int, id: str) -> None:
         """Whoever wrote to the line found that nobody waits any more; no byte of the attempt has left."""
@@ -396,7 +402,7 @@
         q.rank = rank
         for leg in q.legs:
             if leg.written and not leg.over and leg.ran is None:
-                self.desk.ask(Send(leg.line.number, words.Hurry(q.request.id, rank)))
+                self.context.emit(Send(leg.line.number, words.Hurry(q.request.id, rank)))
 
     def time_out(self, id: str, query: int, number: int) -> None:
         q = self.named(id, query)
@@ -420,14 +426,14 @@
             if leg.written:
                 line.legs.pop(q.request.id, None)
                 if give_up:
-                    self.desk.ask(Send(line.number, words.GiveUp(q.request.id)))
+                    self.context.emit(Send(line.number, words.GiveUp(q.request.id)))
             elif leg in line.waiting:
                 line.waiting.remove(leg)
-        self.desk.informed = True
+        self.context.module_notified = True
         cost = report = None
         if end is not None:
             cost, report = round((end.work or 0) * 10) or None, end.report
-        now, begun = self.desk.now, leg.stream is not None
+        now, begun = self.context.now, leg.stream is not None
         self.module.outcome(
             now,
             q.request.id,
@@ -440,7 +446,7 @@
         )
         if result not in ("finished", "overdue"):
             name = event_bus.engine_name(leg.engine)
-            self.desk.note("submission", id=q.request.id, engine=name, result=result)
+            self.context.log("submission", id=q.request.id, engine=name, result=result)
         leg.ran = None
         if begun and result != "finished":
             # What was begun can't be run again: the client may have seen some of it.
@@ -454,7 +460,7 @@
         line = self.lines.lines.get(number)
         if line is None:
             return
-        line.heard = self.desk.now
+        line.heard = self.context.now
         if what is None:
             return
         if isinstance(what, words.Probed):
@@ -469,12 +475,12 @@
             case words.Over(id):
                 leg.ran = what
                 if leg.query.answered:
-                    self.desk.ask(Send(number, words.Unwanted(id)))
+                    self.context.emit(Send(number, words.Unwanted(id)))
                     self.leg_over(leg, "finished")
             case words.Began(_, stream):
                 self.began(leg, stream)
             case words.Noted(id, topic, value):
-                self.module.progress(self.desk.now, id, leg.number, topic, value)
+                self.module.progress(self.context.now, id, leg.number, topic, value)
             case words.Ended(_, result):
                 self.leg_over(leg, result, end=what)
 
@@ -492,9 +498,9 @@
         if q.answered:
             self.leg_over(leg, "overdue", give_up=True)
             return
-        self.module.streaming(self.desk.now, q.request.id)
-        self.desk.at(q.due, self.stream_over, q.request.id, q.number)
-        self.desk.ask(Stream(q.session, stream))
+        self.module.streaming(self.context.now, q.request.id)
+        self.context.call_at(q.due, self.stream_over, q.request.id, q.number)
+        self.context.emit(Stream(q.session, stream))
 
     def passed(self, session: int) -> None:
         """The client has had all of a stream."""
@@ -509,7 +515,7 @@
         for leg in q.legs:
             if leg.stream is not None and not leg.over:
                 self.leg_over(leg, "severed", give_up=True)
-        self.module.left(self.desk.now, q.request.id)
+        self.module.left(self.context.now, q.request.id)
         self.answer(q, Cut(session, f"the result can't be read: {why}"), "cut")
 
     def stream_over(self, id: str, number: int) -> None:
@@ -517,7 +523,7 @@
         q = self.named(id, number)
         if q is None or q.answered or not any(leg.stream is not None for leg in q.legs):
             return
-        self.module.left(self.desk.now, id)
+        self.module.left(self.context.now, id)
         for leg in q.legs:
             if leg.stream is not None:
                 leg.stream.close()
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -121,9 +121,9 @@
     q = rig.reducer.queries[id]
     q.legs = [Leg(q, n, 1, 0, 0, over=True, result=result) for n, result in enumerate(results)]
     q.answered, q.rows = True, [[b"1"]]
-    rig.reducer.desk.begin(20, False)
+    rig.reducer.context.begin_event(20, module_notified=False)
     rig.reducer.forget(q)
-    now = [c.how for c in of(rig.reducer.desk.effects, events.Close)]
+    now = [c.how for c in of(rig.reducer.context.effects, events.Close)]
     later = [c.how for c in of(rig.reducer.reduce(events.Tick(), 10 * SECOND), events.Close)]
     pause = results == ["overdue"]  # the next of its key must not overtake what may still run
     assert (now, later) == (([], [how]) if pause else ([how], []))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -443,9 +443,9 @@
 def test_silent_connection_gets_nothing_new(rig):
     line = rig.sent()
     peer = rig.reducer.lines.peers[rig.reducer.lines.lines[line].engine]
-    rig.reducer.desk.now = rig.reducer.lines.silence + 1
+    rig.reducer.context.now = rig.reducer.lines.silence + 1
     assert rig.reducer.lines.line_for(peer, None).number != line
-    rig.say(line, "EVENT", now=rig.reducer.desk.now, topic=1, value=0.1)
+    rig.say(line, "EVENT", now=rig.reducer.context.now, topic=1, value=0.1)
     assert rig.reducer.lines.line_for(peer, None).number == line
 
 
@@ -478,9 +478,9 @@
 
 def test_priority_changed_on_running_work_goes_to_its_engine(rig):
     line = rig.sent()
-    rig.reducer.desk.effects = []
+    rig.reducer.context.effects = []
     rig.reducer.set_rank(rig.reducer.queries["a" * 16], 3)
-    assert rig.reducer.desk.effects == [events.Send(line, words.Hurry("a" * 16, 3))]
+    assert rig.reducer.context.effects == [events.Send(line, words.Hurry("a" * 16, 3))]
 
 
 @pytest.mark.parametrize(
@@ -510,7 +510,7 @@
 
 def test_pause_of_the_loop_is_taken_off_the_end_whichever_event_comes_first(rig):
     rig.ask(id="b" * 16, session=2, patience=SECOND // 2)
-    first_look = rig.reducer.desk.due[0][0]
+    first_look = rig.reducer.context.timers[0].due
     rig.ask(now=first_look + 6000, patience=5 * SECOND)
     assert rig.reducer.queries["a" * 16].due == first_look + 5 * SECOND - loop_lag.CONNECT_DELAY
 
