--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -31,11 +31,13 @@
 
 
 class Waiting(Protocol):
-    """Where queries wait for their turn: see rounds.py."""
+    """Where queries wait for their turn: see round_schedule.py."""
 
-    heard: Time
+    last_client_activity: Time
 
-    def put(self, session: int, request: statements.Request, since: Time, ready: Time, end: Time) -> None: ...
+    def enqueue(
+        self, session: int, request: statements.Request, received_at: Time, ready_at: Time, answer_by: Time
+    ) -> None: ...
 
 
 class Client:
@@ -140,7 +142,7 @@
                     continue
                 self.pause(fault)
                 return False
-            self.rounds.heard = self.clock()
+            self.rounds.last_client_activity = self.clock()
             self.welcome(sock, self.make_room(giving))
         return False
 
@@ -221,7 +223,7 @@
             self.drop(client)
             return
         now = self.clock()
-        self.rounds.heard = now
+        self.rounds.last_client_activity = now
         if client.session.over:
             return  # read and thrown away, so that what was said last is not
         client.session.feed(data, client.pipe.came(now))
@@ -260,7 +262,7 @@
             return
         since = self.sent(client, query.since)
         end = since + request.patience - self.margin(request.patience)
-        self.rounds.put(client.number, request, since, max(query.since, client.free), end)
+        self.rounds.enqueue(client.number, request, since, max(query.since, client.free), end)
 
     def sent(self, client: Client, came: int) -> int:
         """When a query was sent at the earliest, where its last byte came at a time.
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -2,7 +2,7 @@
 
 Owns the kernel's list of watched sockets and who stands behind each. Must never read or write a socket,
 nor know what it is for. A socket that is ready and was left alone is ready again at the next look, so
-nothing is lost by putting one off; fairness among those put off is the caller's (rounds.py).
+nothing is lost by putting one off; fairness among those put off is the caller's (router/round_schedule.py).
 """
 
 import contextlib
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -35,7 +35,12 @@
 from hillchute.router.event_trace import EventTrace
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
-from hillchute.router.rounds import BACKLOG, ENGINES_TIME, QUERIES_TIME, Rounds
+from hillchute.router.round_schedule import (
+    ENGINE_READ_BUDGET,
+    LISTEN_BACKLOG,
+    QUERY_BUDGET,
+    RoundSchedule,
+)
 from hillchute.router.shutdown import Shutdown, Step
 
 SWEEP = 0.1  # seconds between two looks for sessions too long in one step
@@ -76,7 +81,7 @@
         self.start_times = StartTimes(clock)
         self.kinds = kinds_named(station.catalog)
         self.poller = poller or Poller()
-        self.rounds = Rounds()
+        self.rounds = RoundSchedule()
         self.trace = EventTrace()
         operator = operator or {}
         module = Teamwork(station.seed, station.catalog, clock())
@@ -250,7 +255,7 @@
 
     def gave_up(self, session: int) -> None:
         """A client gave its query up, or is gone; the query may not have been handed on yet."""
-        if not self.rounds.drop(session) and session in self.reducer.asking:
+        if not self.rounds.discard(session) and session in self.reducer.asking:
             self.handle(events.Left(session))
 
     def look(self) -> list[Ready]:
@@ -302,7 +307,7 @@
     # ---- rounds -----------------------------------------------------------------------------------
 
     def round(self) -> None:
-        """One turn through all that is ready, in the order and within the bounds that rounds.py states."""
+        """One turn through all that is ready, in the order and within the bounds of round_schedule.py."""
         rounds = self.rounds
         rounds.begin()
         began = self.clock()
@@ -322,24 +327,24 @@
             self.read_clients(clients)
             clients = []
             if knocks:
-                self.door.accept(rounds.accepts)
+                self.door.accept(rounds.accept_limit)
                 knocks = not self.door.paused
         self.look_at_alarm(began)
         self.hear_engines(links, began)
         self.read_clients(clients)
-        rounds.read_all(began, knocks or self.door.paused)
+        rounds.sockets_read(began, knocks or self.door.paused)
         start = self.clock()
-        for taken, waiting in enumerate(rounds.queries(start)):
+        for taken, query in enumerate(rounds.take_queries(start)):
             now = self.clock()
-            self.reducer.loop_lag.record_query_delay(now, now - waiting.ready)
-            self.handle(events.Asked(waiting.session, waiting.request, waiting.since))
-            if taken and now - start > QUERIES_TIME:
+            self.reducer.loop_lag.record_query_delay(now, now - query.ready_at)
+            self.handle(events.Asked(query.session, query.request, query.received_at))
+            if taken and now - start > QUERY_BUDGET:
                 break
         if knocks:
             before = self.clock()
-            rounds.accepted(before, all=self.door.accept(rounds.accepts))
+            rounds.connections_accepted(before, backlog_empty=self.door.accept(rounds.accept_limit))
         ended = self.clock()
-        if ended - began > ENGINES_TIME + QUERIES_TIME:
+        if ended - began > ENGINE_READ_BUDGET + QUERY_BUDGET:
             self.reducer.loop_lag.record_lag(ended, ended - began)
 
     def departures(self, clients: list[Ready]) -> None:
@@ -358,9 +363,9 @@
 
     def hear_engines(self, links: list[Ready], began: int) -> None:
         by_owner = {ready.owner: ready for ready in links}
-        for n, link in enumerate(self.rounds.in_turn(by_owner)):
-            if n and self.clock() - began > ENGINES_TIME:
-                self.rounds.put_off = True
+        for n, link in enumerate(self.rounds.least_recently_served(by_owner)):
+            if n and self.clock() - began > ENGINE_READ_BUDGET:
+                self.rounds.work_left = True
                 break
             link.served = self.rounds.number
             self.guarded(self.links.ready, link, by_owner[link].readable, by_owner[link].writable)
@@ -408,7 +413,7 @@
                 self.told(news)
             family = socket.AF_INET6 if ":" in self.station.host else socket.AF_INET
             address = (self.station.host, self.station.port)
-            self.door.open(socket.create_server(address, family=family, backlog=BACKLOG))
+            self.door.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
             self.tasks.start_soon(self.watch_signals)
             self.tasks.start_soon(self.ring)
             self.tasks.start_soon(self.sweep)
@@ -450,7 +455,7 @@
         seen = self.seen_of_clients()
         if self.shutdown.hung_up is None and self.shutdown.may_hang_up(*seen):
             # What the kernel holds at this moment is taken in and, if need be, waited for.
-            self.door.accept(BACKLOG)
+            self.door.accept(LISTEN_BACKLOG)
             self.round()
             seen = self.seen_of_clients()
         step = self.shutdown.step(*seen, len(self.door.clients))
@@ -463,13 +468,13 @@
 
     def seen_of_clients(self) -> tuple[int, int, int, int]:
         """The time, when a client was last heard, open queries, sessions that are owed bytes."""
-        open = len(self.reducer.asking) + len(self.rounds.of)
-        return self.clock(), self.rounds.heard, open, self.door.owed()
+        open = len(self.reducer.asking) + len(self.rounds.pending)
+        return self.clock(), self.rounds.last_client_activity, open, self.door.owed()
 
     def refuse_the_rest(self) -> None:
         """Queries that were read and not handed on: a key's order could not be told in time."""
-        for session in list(self.rounds.of):
-            self.rounds.drop(session)
+        for session in list(self.rounds.pending):
+            self.rounds.discard(session)
             self.front(session).defer(session, 0)
 
     async def watch_signals(self) -> None:
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -9,10 +9,10 @@
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
 from hillchute.net.system import SYSTEM
-from hillchute.router import loop_lag, rounds, shutdown
+from hillchute.router import loop_lag, round_schedule, shutdown
 from hillchute.router.event_trace import EventTrace
 from hillchute.router.loop_lag import LoopLag
-from hillchute.router.rounds import Rounds
+from hillchute.router.round_schedule import RoundSchedule
 from hillchute.router.shutdown import Shutdown, Step
 from hillchute.statements.request import Request
 
@@ -76,7 +76,7 @@
 
 
 def test_checker_finds_a_key_out_of_order(monkeypatch, no_hangs):
-    monkeypatch.setattr(rounds, "SPACED", 10**9)
+    monkeypatch.setattr(round_schedule, "ORDER_SPACING", 10**9)
     assert ["after a later one" in fault for fault in stalled_key()] == [True]
 
 
@@ -84,53 +84,54 @@
 
 
 def test_queries_are_taken_in_the_order_in_which_their_bytes_came():
-    line = Rounds()
+    schedule = RoundSchedule()
     for session, since in ((1, 30), (2, 10), (3, 20)):
-        line.put(session, request(), since, since, 99 * SECOND)
-    assert line.drop(3) and not line.drop(3)
-    assert [w.session for w in line.queries(0)] == [2, 1]
-    assert line.idle
+        schedule.enqueue(session, request(), since, since, 99 * SECOND)
+    assert schedule.discard(3) and not schedule.discard(3)
+    assert [w.session for w in schedule.take_queries(0)] == [2, 1]
+    assert schedule.idle
 
 
 def test_query_of_a_key_waits_until_all_that_came_before_is_read():
-    line = Rounds()
+    schedule = RoundSchedule()
     now = 10 * SECOND
-    line.read_all(now, knocks=True)
-    line.put(1, request(key="k"), now, now, 99 * SECOND)
-    line.put(2, request(), now + 1, now + 1, 99 * SECOND)
-    assert [w.session for w in line.queries(0)] == [2]
-    assert line.holding and line.accepts == rounds.BACKLOG and not line.idle
-    line.accepted(now, all=False)
-    line.read_all(now + 10, knocks=True)
-    assert not list(line.queries(0))  # the kernel still holds connections that are older
-    line.accepted(now + 10, all=True)
-    line.read_all(now + 20, knocks=True)
-    assert [w.session for w in line.queries(0)] == [1]
-    assert line.accepts == rounds.ACCEPTS
+    schedule.sockets_read(now, connections_waiting=True)
+    schedule.enqueue(1, request(key="k"), now, now, 99 * SECOND)
+    schedule.enqueue(2, request(), now + 1, now + 1, 99 * SECOND)
+    assert [w.session for w in schedule.take_queries(0)] == [2]
+    assert schedule.waits_for_horizon and not schedule.idle
+    assert schedule.accept_limit == round_schedule.LISTEN_BACKLOG
+    schedule.connections_accepted(now, backlog_empty=False)
+    schedule.sockets_read(now + 10, connections_waiting=True)
+    assert not list(schedule.take_queries(0))  # the kernel still holds connections that are older
+    schedule.connections_accepted(now + 10, backlog_empty=True)
+    schedule.sockets_read(now + 20, connections_waiting=True)
+    assert [w.session for w in schedule.take_queries(0)] == [1]
+    assert schedule.accept_limit == round_schedule.ACCEPT_LIMIT
 
 
 def test_query_of_a_key_does_not_wait_where_nobody_knocks():
-    line = Rounds()
-    line.put(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
-    line.read_all(SECOND, knocks=False)
-    assert [w.session for w in line.queries(0)] == [1]
+    schedule = RoundSchedule()
+    schedule.enqueue(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
+    schedule.sockets_read(SECOND, connections_waiting=False)
+    assert [w.session for w in schedule.take_queries(0)] == [1]
 
 
 def test_query_whose_end_has_come_is_taken_before_older_ones():
-    line = Rounds()
-    line.put(1, request(), 10, 10, 9000)
-    line.put(2, request(), 20, 20, 5000)
-    line.put(3, request(key="k"), 3000, 3000, 5000)
-    assert [w.session for w in line.queries(5000)] == [2, 1]
-    assert [w.session for w in line.queries(5000 + rounds.SETTLED)] == [3]
-    assert line.idle and not list(line.queries(99 * SECOND))
+    schedule = RoundSchedule()
+    schedule.enqueue(1, request(), 10, 10, 9000)
+    schedule.enqueue(2, request(), 20, 20, 5000)
+    schedule.enqueue(3, request(key="k"), 3000, 3000, 5000)
+    assert [w.session for w in schedule.take_queries(5000)] == [2, 1]
+    assert [w.session for w in schedule.take_queries(5000 + round_schedule.ORDERED_TIMEOUT_GRACE)] == [3]
+    assert schedule.idle and not list(schedule.take_queries(99 * SECOND))
 
 
 def test_what_a_round_left_goes_first_in_the_next():
-    line = Rounds()
+    schedule = RoundSchedule()
     links = [Client(n, 100) for n in (1, 2, 3)]
     links[0].served, links[1].served = 7, 6
-    assert line.in_turn(links) == [links[2], links[1], links[0]]
+    assert schedule.least_recently_served(links) == [links[2], links[1], links[0]]
 
 
 # ---- how late ---------------------------------------------------------------------------------------
@@ -241,7 +242,9 @@
 def door(*wires):
     """A door whose places are all taken by sessions in a step that is not complete."""
     poller = SimpleNamespace(system=SYSTEM)
-    made = Door(len(wires), 1000, poller, Rounds(), None, lambda: 0, lambda session: None, None, None, None)
+    made = Door(
+        len(wires), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
+    )
     for number, wire in enumerate(wires):
         client = made.clients[number] = Client(number, 1000)
         client.pipe = wire
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from hillchute.lab import deployment
 from hillchute.router import service, shutdown
 from hillchute.router.lifecycle import Lifecycle, Phase
-from hillchute.router.rounds import ACCEPTS
+from hillchute.router.round_schedule import ACCEPT_LIMIT
 from hillchute.router.shutdown import Step
 
 ANSWERS = {"served", REFUSED[0], FAILED[0]}
@@ -199,7 +199,7 @@
 def test_backlog_longer_than_one_round_takes_is_answered_whole():
     rig = Rig(sockets=512)
     way = terminate(rig)
-    clients = [rig.client(LOGIN + query(n)) for n in range(3 * ACCEPTS)]
+    clients = [rig.client(LOGIN + query(n)) for n in range(3 * ACCEPT_LIMIT)]
     go_to(rig, way.hang_up_by)
     assert step(rig) is Step.HANG_UP
     assert all(len(client.answers()) == 1 for client in clients)
