--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -27,7 +27,7 @@
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
-from hillchute.router.shutdown import Step
+from hillchute.router.shutdown import ShutdownStep
 
 START = 17_000_000_000_000  # tenths of a millisecond on the Unix clock
 CALL, PARSE, EVENT, SEND = 15, 180, 450, 450  # microseconds: a kernel call, a read, an event, a submission
@@ -509,7 +509,7 @@
                     service.leave()
                 if service.shutdown is None:
                     service.round()
-                elif service.step_out() is Step.EXIT:
+                elif service.step_out() is ShutdownStep.EXIT:
                     self.gone = world.us
                 if world.us - sweep >= 100_000:
                     sweep = world.us
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -41,7 +41,7 @@
     QUERY_BUDGET,
     RoundSchedule,
 )
-from hillchute.router.shutdown import Shutdown, Step
+from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
 
 SWEEP = 0.1  # seconds between two looks for sessions too long in one step
 STEP = 0.01  # seconds between two looks at how far the end has come
@@ -127,7 +127,7 @@
         self.alarm: int | None = None
         self.rings: int | None = None  # when ring() wakes by itself
         self.alarm_set = anyio.Event()
-        self.shutdown: Shutdown | None = None
+        self.shutdown: ShutdownSchedule | None = None
         self.dumped = 0  # when the trace was last written with a fault
         self.tasks: anyio.abc.TaskGroup
 
@@ -430,7 +430,7 @@
             self.lifecycle.enter(Phase.SERVING)
             await self.lifecycle.reach(Phase.CLOSING)
             self.leave()
-            while self.step_out() is not Step.EXIT:
+            while self.step_out() is not ShutdownStep.EXIT:
                 await anyio.sleep(STEP)
             if self.flight is not None:
                 await self.flight.close(HANG_UP_TIME)
@@ -442,34 +442,34 @@
     def leave(self) -> None:
         """The router was told to end."""
         signalled = self.arrivals.get(signal.SIGTERM, self.clock())
-        self.shutdown = Shutdown(signalled, self.station.closing, self.reducer.loop_lag.worst)
+        self.shutdown = ShutdownSchedule(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
-        self.handle(events.Closing(self.shutdown.end))
+        self.handle(events.Closing(self.shutdown.answer_by))
         if self.peering is not None:
             self.peering.leave()
 
-    def step_out(self) -> Step:
+    def step_out(self) -> ShutdownStep:
         """How far the end has come, as of a round made now: only that sees what the kernel holds."""
         self.round()
-        seen = self.seen_of_clients()
-        if self.shutdown.hung_up is None and self.shutdown.may_hang_up(*seen):
+        seen = self.client_activity()
+        if self.shutdown.sessions_closed_at is None and self.shutdown.may_close_sessions(seen):
             # What the kernel holds at this moment is taken in and, if need be, waited for.
             self.door.accept(LISTEN_BACKLOG)
             self.round()
-            seen = self.seen_of_clients()
-        step = self.shutdown.step(*seen, len(self.door.clients))
-        if step is not Step.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
+            seen = self.client_activity()
+        step = self.shutdown.next_step(seen, len(self.door.clients))
+        if step is not ShutdownStep.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
             self.refuse_the_rest()
             self.door.close()
-        if step is Step.HANG_UP:
+        if step is ShutdownStep.CLOSE_SESSIONS:
             self.door.hang_up()  # also those whose last bytes have gone out meanwhile
         return step
 
-    def seen_of_clients(self) -> tuple[int, int, int, int]:
-        """The time, when a client was last heard, open queries, sessions that are owed bytes."""
+    def client_activity(self) -> ClientActivity:
+        """What is known of the clients as of the last round."""
         open = len(self.reducer.asking) + len(self.rounds.pending)
-        return self.clock(), self.rounds.last_client_activity, open, self.door.owed()
+        return ClientActivity(self.clock(), self.rounds.last_client_activity, open, self.door.owed())
 
     def refuse_the_rest(self) -> None:
         """Queries that were read and not handed on: a key's order could not be told in time."""
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -104,7 +104,7 @@
         rig.until(lambda: len(client.answers()) == 2)
         assert 0.04 <= time.monotonic() - began < 5
         rig.service.leave()
-        assert 0 < rig.service.shutdown.end - rig.clock() <= rig.station.closing
+        assert 0 < rig.service.shutdown.answer_by - rig.clock() <= rig.station.closing
         client.write(query(3))  # the listener is still open
         rig.until(lambda: len(client.answers()) == 3)
         assert out.answers() == ["served"] and client.answers() == ["served"] * 3
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -13,7 +13,7 @@
 from hillchute.router.event_trace import EventTrace
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.round_schedule import RoundSchedule
-from hillchute.router.shutdown import Shutdown, Step
+from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
 from hillchute.statements.request import Request
 
 
@@ -41,9 +41,11 @@
 
 def test_checker_finds_queries_lost_by_an_end_that_does_not_look(monkeypatch):
     monkeypatch.setattr(
-        Shutdown,
-        "step",
-        lambda self, now, *_: Step.EXIT if now > self.signalled + 100 else Step.HANG_UP,
+        ShutdownSchedule,
+        "next_step",
+        lambda self, seen, open_sessions: (
+            ShutdownStep.EXIT if seen.now > self.signalled_at + 100 else ShutdownStep.CLOSE_SESSIONS
+        ),
     )
     assert any("0 answers" in fault for fault in faults())
 
@@ -180,38 +182,45 @@
 # ---- the end ----------------------------------------------------------------------------------------
 
 
+def step(schedule, *seen, sessions):
+    return schedule.next_step(ClientActivity(*seen), sessions)
+
+
 def test_end_waits_for_quiet_and_for_the_time_in_which_clients_still_come():
-    way = Shutdown(0, 3 * SECOND, 0)
-    assert way.step(shutdown.STILL_COMING - 1, 0, 0, 0, 5) is Step.ACCEPT
-    assert way.step(shutdown.STILL_COMING, shutdown.STILL_COMING - 1, 0, 0, 5) is Step.ACCEPT  # just heard
-    assert way.step(shutdown.STILL_COMING, 0, 1, 0, 5) is Step.ACCEPT  # a query is open
-    assert way.step(shutdown.STILL_COMING, 0, 0, 1, 5) is Step.ACCEPT  # an answer is not out
-    assert way.step(shutdown.STILL_COMING, 0, 0, 0, 5) is Step.HANG_UP
-    assert way.step(shutdown.STILL_COMING + 1, 0, 0, 0, 5) is Step.HANG_UP  # they read
-    assert way.step(shutdown.STILL_COMING + 2, 0, 0, 0, 0) is Step.EXIT
+    schedule, come = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.STILL_COMING
+    accept, close = ShutdownStep.ACCEPT, ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, come - 1, 0, 0, 0, sessions=5) is accept
+    assert step(schedule, come, come - 1, 0, 0, sessions=5) is accept  # just heard
+    assert step(schedule, come, 0, 1, 0, sessions=5) is accept  # a query is open
+    assert step(schedule, come, 0, 0, 1, sessions=5) is accept  # an answer is not out
+    assert step(schedule, come, 0, 0, 0, sessions=5) is close
+    assert step(schedule, come + 1, 0, 0, 0, sessions=5) is close  # they read
+    assert step(schedule, come + 2, 0, 0, 0, sessions=0) is ShutdownStep.EXIT
 
 
 def test_end_comes_in_time_where_clients_go_on_without_end():
-    way = Shutdown(0, 3 * SECOND, SECOND // 10)
-    assert way.end == 3 * SECOND - SECOND // 10
-    now = way.hang_up_by
-    assert now >= way.end + shutdown.LAST_WAIT
-    assert way.step(now - 1, now - 1, 7, 1, 5) is Step.ACCEPT
-    assert way.step(now, now, 7, 1, 5) is Step.HANG_UP
-    assert way.step(way.exit_by - 1, now, 7, 1, 5) is Step.HANG_UP
-    assert way.step(way.exit_by, now, 7, 1, 5) is Step.EXIT
+    schedule = ShutdownSchedule(0, 3 * SECOND, SECOND // 10)
+    assert schedule.answer_by == 3 * SECOND - SECOND // 10
+    now = schedule.close_sessions_by
+    assert now >= schedule.answer_by + shutdown.LAST_WAIT
+    assert step(schedule, now - 1, now - 1, 7, 1, sessions=5) is ShutdownStep.ACCEPT
+    assert step(schedule, now, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, schedule.exit_by - 1, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, schedule.exit_by, now, 7, 1, sessions=5) is ShutdownStep.EXIT
 
 
 @pytest.mark.parametrize("longest", [100, 300, 1_000, 3_000, 10_000, 30_000])  # 10 ms to 3 s, the most of it
 @pytest.mark.parametrize("late", [0, 4_000, 60_000])
 def test_sums_of_the_end_fit_before_sigkill_for_every_deadline(longest, late):
-    way = Shutdown(0, longest, late)
-    assert way.end <= way.hang_up_by - min(shutdown.LAST_WAIT, longest)
-    assert shutdown.CLIENTS_COME <= way.hang_up_by < way.exit_by
-    assert way.exit_by + shutdown.EXIT_TIME <= longest + shutdown.KILL_AFTER
+    schedule = ShutdownSchedule(0, longest, late)
+    assert schedule.answer_by <= schedule.close_sessions_by - min(shutdown.LAST_WAIT, longest)
+    assert shutdown.CLIENTS_COME <= schedule.close_sessions_by < schedule.exit_by
+    assert schedule.exit_by + shutdown.EXIT_TIME <= longest + shutdown.KILL_AFTER
     # Nobody is hung up on while the protocol lets clients come, whatever the deadline.
-    assert not way.may_hang_up(shutdown.CLIENTS_COME - 1, 0, 0, 0)
-    assert way.may_hang_up(way.hang_up_by, way.hang_up_by, 9, 9)
+    assert not schedule.may_close_sessions(ClientActivity(shutdown.CLIENTS_COME - 1, 0, 0, 0))
+    assert schedule.may_close_sessions(
+        ClientActivity(schedule.close_sessions_by, schedule.close_sessions_by, 9, 9)
+    )
 
 
 def test_trace_keeps_the_last_events_with_their_times():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,7 +17,7 @@
 from hillchute.router import service, shutdown
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.round_schedule import ACCEPT_LIMIT
-from hillchute.router.shutdown import Step
+from hillchute.router.shutdown import ShutdownStep
 
 ANSWERS = {"served", REFUSED[0], FAILED[0]}
 ROOT = Path(__file__).parents[1]
@@ -50,20 +50,20 @@
 
 
 def test_query_that_came_with_its_login_to_the_backlog_is_answered_until_the_end(rig):
-    way = terminate(rig)
+    schedule = terminate(rig)
     client = rig.client(LOGIN + query(1, patience=rig.longest))
-    go_to(rig, way.hang_up_by)  # the loop has stood still: the connection was never accepted
-    assert step(rig) is Step.HANG_UP
+    go_to(rig, schedule.close_sessions_by)  # the loop has stood still: the connection was never accepted
+    assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     assert len(client.answers()) == 1 and set(client.answers()) <= ANSWERS and rig.wants == []
 
 
 def test_query_on_an_open_connection_is_answered_in_the_step_that_hangs_up(rig):
     client = rig.client()
     rig.turn(2)
-    way = terminate(rig)
-    go_to(rig, way.hang_up_by)
+    schedule = terminate(rig)
+    go_to(rig, schedule.close_sessions_by)
     client.write(query(1, patience=rig.longest))
-    assert step(rig) is Step.HANG_UP
+    assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     assert len(client.answers()) == 1 and set(client.answers()) <= ANSWERS
     rig.turn(2)
     client.hear()
@@ -72,9 +72,9 @@
 
 def test_connection_and_query_within_the_time_in_which_clients_come_are_served(rig):
     rig.connected()
-    way = terminate(rig)
-    go_to(rig, way.signalled + 3_000)
-    assert step(rig) is Step.ACCEPT
+    schedule = terminate(rig)
+    go_to(rig, schedule.signalled_at + 3_000)
+    assert step(rig) is ShutdownStep.ACCEPT
     client = rig.client(LOGIN + query(1, patience=rig.longest))
     for _ in range(20):
         step(rig)
@@ -86,26 +86,28 @@
     rig.serving = False
     clients = [rig.client(LOGIN + query(n, patience=rig.longest)) for n in range(1, 6)]
     rig.until(lambda: len(rig.wants) + sum(len(c.answers()) for c in clients) == 5)
-    way = terminate(rig)
+    schedule = terminate(rig)
     sent = rig.clock()
-    found = Step.ACCEPT
-    while found is not Step.EXIT and rig.clock() < way.kill:
+    found = ShutdownStep.ACCEPT
+    while found is not ShutdownStep.EXIT and rig.clock() < schedule.kill_at:
         rig.pass_time(0.02)
         found = step(rig)
-        if found is Step.ACCEPT and rig.clock() < way.end - 1_000:
+        if found is ShutdownStep.ACCEPT and rig.clock() < schedule.answer_by - 1_000:
             continue
-    assert found is Step.EXIT and rig.clock() <= way.exit_by + 20 * MILLISECOND + 100 * MILLISECOND
+    assert (
+        found is ShutdownStep.EXIT and rig.clock() <= schedule.exit_by + 20 * MILLISECOND + 100 * MILLISECOND
+    )
     for client in clients:
         answers = client.answers()
         assert len(answers) == 1 and answers[0] in ANSWERS
-    assert way.end <= sent + min(rig.longest, 3_000) * MILLISECOND + shutdown.KILL_AFTER
+    assert schedule.answer_by <= sent + min(rig.longest, 3_000) * MILLISECOND + shutdown.KILL_AFTER
 
 
 def test_query_that_comes_as_sessions_are_ended_is_not_forwarded(rig, monkeypatch):
     """It crosses the end of a connection on which nothing is open: its client sends it again elsewhere."""
     client = rig.connected()
-    way = terminate(rig)
-    go_to(rig, way.hang_up_by)
+    schedule = terminate(rig)
+    go_to(rig, schedule.close_sessions_by)
     hang_up = rig.service.door.hang_up
 
     def cross():
@@ -113,7 +115,7 @@
         hang_up()
 
     monkeypatch.setattr(rig.service.door, "hang_up", cross)
-    assert step(rig) is Step.HANG_UP
+    assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     monkeypatch.undo()
     for _ in range(5):
         step(rig)
@@ -123,9 +125,9 @@
 
 def test_second_signal_changes_nothing_and_a_list_that_comes_in_shutdown_counts(rig, monkeypatch):
     client = rig.connected()
-    way = terminate(rig)
+    schedule = terminate(rig)
     assert not rig.service.lifecycle.enter(Phase.CLOSING)
-    end = way.end
+    end = schedule.answer_by
     moved = []
     monkeypatch.setattr(service.config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
     monkeypatch.setattr(rig.service.follower, "move", lambda bus, tasks: moved.append(bus))
@@ -136,13 +138,13 @@
     monkeypatch.setattr(rig.service, "stamp_arrival", lambda number: None)
     anyio.run(rig.service.watch_signals)
     assert moved == [("127.0.0.1", 9)] and rig.service.lifecycle.phase is Phase.CLOSING
-    assert rig.service.shutdown is way and way.end == end
+    assert rig.service.shutdown is schedule and schedule.answer_by == end
     rig.list(2, state="Terminating")
     client.write(query(1, patience=rig.longest))
     for _ in range(10):
         step(rig)
     assert rig.wants == []  # the drain was heard
-    go_to(rig, way.hang_up_by)
+    go_to(rig, schedule.close_sessions_by)
     step(rig)
     assert len(client.answers()) == 2
 
@@ -198,10 +200,10 @@
 
 def test_backlog_longer_than_one_round_takes_is_answered_whole():
     rig = Rig(sockets=512)
-    way = terminate(rig)
+    schedule = terminate(rig)
     clients = [rig.client(LOGIN + query(n)) for n in range(3 * ACCEPT_LIMIT)]
-    go_to(rig, way.hang_up_by)
-    assert step(rig) is Step.HANG_UP
+    go_to(rig, schedule.close_sessions_by)
+    assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     assert all(len(client.answers()) == 1 for client in clients)
     rig.close()
 
