--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -14,7 +14,7 @@
 from hillchute.catalog import flatten, translate
 from hillchute.errors import BadConfiguration, BusUnreadable
 from hillchute.membership import event_bus
-from hillchute.router.settings import check
+from hillchute.router.settings_validation import validate
 
 SECOND = 10_000  # tenths of a millisecond
 CLOSING = 3 * SECOND  # the protocol: a planned restart leaves the longest deadline, but no more than this
@@ -134,7 +134,7 @@
 def settings(table: Mapping[str, object]) -> dict[str, object]:
     """The settings in our words, once they are checked."""
     nested = get(table, "settings", dict)
-    check(nested)
+    validate(nested)
     return translate(flatten(nested))
 
 
--- a/hillchute/router/shutdown.py
+++ b/hillchute/router/shutdown.py
@@ -48,8 +48,8 @@
     """The times of one shutdown, and how far it has come."""
 
     def __init__(self, signalled_at: Time, longest_timeout: Time, loop_lag: Time) -> None:
-        """`longest_timeout`: of a client, as far as the shutdown waits for it; `loop_lag`: how much later than
-        it came the signal may have been seen, as the process may have stood still."""
+        """`longest_timeout`: of a client, as far as the shutdown waits for it; `loop_lag`: how much later
+        than it came the signal may have been seen, as the process may have stood still."""
         self.signalled_at = signalled_at
         self.kill_at = signalled_at + longest_timeout + KILL_AFTER
         self.exit_by = self.kill_at - EXIT_TIME
