--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -25,6 +25,7 @@
 from hillchute.net.poller import Ready
 from hillchute.net.system import System
 from hillchute.router import config, events
+from hillchute.router.effects import SendCommand
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
 from hillchute.router.shutdown import ShutdownStep
@@ -415,7 +416,7 @@
         def reduce_at_a_price(event, now):
             effects = reduce(event, now)
             world.spend(EVENT if type(event) is not events.Asked else PARSE)
-            world.spend(SEND * sum(isinstance(e, events.Send) for e in effects))
+            world.spend(SEND * sum(isinstance(e, SendCommand) for e in effects))
             return effects
 
         def took_late(now, by):
@@ -499,7 +500,7 @@
         service, world = self.service, self.world
         async with anyio.create_task_group() as service.tasks:
             for news in self.station.known:
-                service.handle(events.Notified(news))
+                service.handle(events.EndpointsChanged(news))
             self.lifecycle.enter(Phase.SERVING)
             sweep = world.us
             while self.gone is None:
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -1,52 +1,54 @@
-"""What can happen to a router, and what it can ask for: the two sides of the reducer.
+"""What can happen to a router, as plain values that name no protocol.
 
-Owns events and effects as plain values. Must never hold a protocol's spelling.
+Events of clients and of connections to engines are defined by the packages that raise them. Times are whole
+tenths of a millisecond.
 """
 
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
-from hillchute.decision.interface import Report, Time
+from hillchute.decision.interface import EngineId, QueryId, Report, Time
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
 from hillchute.membership import event_bus
-from hillchute.statements.request import Request
 
-# ---- events ---------------------------------------------------------------------------------------
 
+class EndpointsChanged(NamedTuple):
+    """The endpoint list, or a change of it, has come."""
 
-class Notified(NamedTuple):
-    news: event_bus.Update
+    update: event_bus.Update
 
 
-class Peered(NamedTuple):
-    """Word from other routers: reports of engines, with their ages; what they lend and who lives."""
+class PeersChanged(NamedTuple):
+    """Other routers passed on load reports, with their ages, or what they lend or who lives has changed."""
 
-    news: list[tuple[int, Report, Time]]
+    reports: list[tuple[EngineId, Report, Time]]
 
 
-class Judged(NamedTuple):
-    """The answer history's word on a query: RUN, ANSWER, DEFER, KILL or PASS, by its name; or how one ended
-    that was passed on, by the first of those but RUN and PASS."""
+class ClaimDecided(NamedTuple):
+    """What the answer history says of a query: RUN, ANSWER, DEFER, KILL or PASS (forward it to `reason`).
 
-    id: str
+    Of a query that was forwarded: how it ended, by ANSWER, DEFER or KILL.
+    """
+
+    query: QueryId
     number: int
     verdict: str
-    why: str
+    reason: str
     rows: words.Rows | None
 
 
-class Tick(NamedTuple):
-    """The time that an Alarm named has come."""
+class AlarmDue(NamedTuple):
+    """The time of the last SetAlarm has come."""
 
 
-class Closing(NamedTuple):
-    """The router ends: by `end` everything must be answered."""
+class ShutdownStarted(NamedTuple):
+    """The router ends: every query must be answered by then."""
 
-    end: Time
+    answer_by: Time
 
 
-Event = (
+Event: TypeAlias = (
     Asked
     | Left
     | Passed
@@ -56,129 +58,26 @@
     | NotSent
     | Said
     | Lost
-    | Notified
-    | Peered
-    | Judged
-    | Tick
-    | Closing
+    | EndpointsChanged
+    | PeersChanged
+    | ClaimDecided
+    | AlarmDue
+    | ShutdownStarted
 )
 
 
-def told_by(event: Event) -> tuple:
-    """An event as the trace keeps it: its name, and what tells whose it is."""
+def describe(event: Event) -> tuple[object, ...]:
+    """An event as the trace keeps it: its name, and what identifies its subject."""
     match event:
         case Asked(session, request, since):
             return "Asked", request.id, session, since
-        case Said(line, what):
-            return "Said", line, type(what).__name__, what and what[0]
-        case Notified(news):
-            return "Notified", news.number
-        case Peered(news):
-            return "Peered", len(news)
-        case Judged(id, number, verdict, why, _):
-            return "Judged", id, number, verdict, why
+        case Said(connection, message):
+            return "Said", connection, type(message).__name__, message and message[0]
+        case EndpointsChanged(update):
+            return "EndpointsChanged", update.number
+        case PeersChanged(reports):
+            return "PeersChanged", len(reports)
+        case ClaimDecided(query, number, verdict, reason, _):
+            return "ClaimDecided", query, number, verdict, reason
         case _:
             return type(event).__name__, *event
-
-
-# ---- effects --------------------------------------------------------------------------------------
-
-
-class Finish(NamedTuple):
-    """The whole result."""
-
-    session: int
-    rows: words.Rows
-
-
-class Stream(NamedTuple):
-    """The result begins; the front passes it on as fast as its client reads, then tells Passed."""
-
-    session: int
-    stream: words.Stream
-
-
-class Cut(NamedTuple):
-    """A stream that was begun ends without its end: the client must be able to tell."""
-
-    session: int
-    why: str
-
-
-class Defer(NamedTuple):
-    session: int
-    after: Time
-
-
-class Kill(NamedTuple):
-    session: int
-    why: str
-
-
-class Send(NamedTuple):
-    line: int
-    command: words.Command
-
-
-class Connect(NamedTuple):
-    line: int
-    host: str
-    port: int
-
-
-class HangUp(NamedTuple):
-    line: int
-
-
-class Claim(NamedTuple):
-    """The answer history is asked whether a keyed or mutating query may run; Judged comes within `left`."""
-
-    id: str
-    number: int
-    customer: str
-    key: str
-    token: str
-    left: Time
-    ordered: bool
-    once: bool = False  # it has no token: it is listed only while it is out
-
-
-class Close(NamedTuple):
-    """A query that was claimed is over: "freed" if nothing of it can have run, "finished", "killed"."""
-
-    id: str
-    number: int
-    how: str
-    rows: words.Rows | None
-
-
-class PassOn(NamedTuple):
-    """A query for another partner's routers; Judged comes within `left`."""
-
-    id: str
-    number: int
-    owner: str
-    request: Request
-    left: Time
-
-
-class Recall(NamedTuple):
-    """Nobody waits any more for a query that was passed on."""
-
-    id: str
-    number: int
-
-
-class Alarm(NamedTuple):
-    at: Time
-
-
-class Note(NamedTuple):
-    event: str
-    fields: dict[str, object]
-
-
-Effect = (
-    Finish | Stream | Cut | Defer | Kill | Send | Connect | HangUp | Claim | Close | PassOn | Recall
-    | Alarm | Note
-)  # fmt: skip
--- a/hillchute/router/lines.py
+++ b/hillchute/router/lines.py
@@ -13,7 +13,7 @@
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.membership import event_bus
-from hillchute.router.events import Connect, HangUp, Send
+from hillchute.router.effects import CloseConnection, OpenConnection, SendCommand
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.statements.request import Request
 
@@ -144,7 +144,7 @@
 
     def cut(self, line: Line, why: str) -> None:
         """Ends a connection of no more use from this side."""
-        self.context.emit(HangUp(line.number))
+        self.context.emit(CloseConnection(line.number))
         self.lost(line.number, why)
 
     def open_line(self, peer: Peer) -> Line | None:
@@ -153,7 +153,7 @@
             return None
         line = Line(self.context.next_number(), peer.engine, used=self.context.now)
         self.lines[line.number] = peer.lines[line.number] = line
-        self.context.emit(Connect(line.number, peer.host, peer.port))
+        self.context.emit(OpenConnection(line.number, peer.host, peer.port))
         self.context.call_at(self.context.now + self.connect_wait, self.connect_over, line.number)
         return line
 
@@ -172,7 +172,7 @@
         now = self.context.now
         line.up, line.heard = True, now
         for tag in line.probes:
-            self.context.emit(Send(line.number, words.Probe(tag)))
+            self.context.emit(SendCommand(line.number, words.Probe(tag)))
         while line.waiting:
             self.send(line.waiting.popleft(), line)
         self.context.call_at(now + self.silence, self.listen, number)
@@ -190,13 +190,13 @@
 
     def drop(self, line: Line) -> None:
         self.forget(line)
-        self.context.emit(HangUp(line.number))
+        self.context.emit(CloseConnection(line.number))
 
     def connect_over(self, number: int) -> None:
         """A connection that has not come up in its time is given up."""
         line = self.lines.get(number)
         if line is not None and not line.up:
-            self.context.emit(HangUp(number))
+            self.context.emit(CloseConnection(number))
             self.not_connected(number, ConnectFault.UNREACHED)
 
     def not_connected(self, number: int, fault: ConnectFault) -> None:
@@ -242,7 +242,7 @@
         line.used = now
         self.context.call_at(now + self.connect_wait, self.probe_over, line, tag)
         if line.up:
-            self.context.emit(Send(line.number, words.Probe(tag)))
+            self.context.emit(SendCommand(line.number, words.Probe(tag)))
 
     def probed(self, line: Line, answer: words.Probed) -> None:
         sent = line.probes.pop(answer.tag, None)
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -14,33 +14,35 @@
 from hillchute.engines import words
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.membership import event_bus
+from hillchute.router.effects import (
+    AbortStream,
+    CancelForward,
+    ClaimQuery,
+    Effect,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    StartStream,
+)
 from hillchute.router.events import (
+    AlarmDue,
     Asked,
-    Claim,
-    Close,
-    Closing,
+    ClaimDecided,
     Connected,
-    Cut,
-    Defer,
-    Effect,
+    EndpointsChanged,
     Event,
-    Finish,
-    Judged,
-    Kill,
     Left,
     Lost,
     NotConnected,
-    Notified,
     NotSent,
     Passed,
-    PassOn,
-    Peered,
-    Recall,
+    PeersChanged,
     Said,
-    Send,
+    ShutdownStarted,
     Spoilt,
-    Stream,
-    Tick,
 )
 from hillchute.router.lines import Leg, Line, Lines, Query
 from hillchute.router.loop_lag import LoopLag
@@ -89,11 +91,11 @@
             Said: self.said,
             NotSent: self.not_sent,
             Lost: self.lines.lost,
-            Notified: self.lines.told,
-            Peered: self.peered,
-            Judged: self.judged,
-            Tick: self.tick_came,
-            Closing: self.closing,
+            EndpointsChanged: self.lines.told,
+            PeersChanged: self.peered,
+            ClaimDecided: self.judged,
+            AlarmDue: self.tick_came,
+            ShutdownStarted: self.closing,
         }
 
     def reduce(self, event: Event, now: Time) -> list[Effect]:
@@ -129,9 +131,9 @@
             case ("terms", id, _, rank):
                 self.set_rank(self.queries[id], rank)
             case ("defer", id, after, why):
-                self.answer(self.queries[id], Defer(self.queries[id].session, after), "deferred", why)
+                self.answer(self.queries[id], RejectQuery(self.queries[id].session, after), "deferred", why)
             case ("kill", id, why):
-                self.answer(self.queries[id], Kill(self.queries[id].session, "killed"), "killed", why)
+                self.answer(self.queries[id], FailQuery(self.queries[id].session, "killed"), "killed", why)
             case ("cancel", id, number):
                 if id in self.queries:
                     self.leg_over(self.queries[id].legs[number], "recalled", give_up=True)
@@ -159,15 +161,15 @@
         now = self.context.now
         fault = self.misfit(session, request)
         if fault:
-            self.context.emit(Kill(session, fault))
+            self.context.emit(FailQuery(session, fault))
             self.context.log("misread", session=session, why=fault)
             return
         if len(self.asking) >= self.open_cap:
-            self.context.emit(Defer(session, 0))
+            self.context.emit(RejectQuery(session, 0))
             return
         group = self.groups[request.group]
         if not self.module.welcome(now, group, self.loop_lag.standing_delay):
-            self.context.emit(Defer(session, 0))
+            self.context.emit(RejectQuery(session, 0))
             self.tally(request.group, "turned away", now - since)
             return
         # Guards rule 1 on a loaded machine: bytes are read and answers written as late as timers come.
@@ -182,13 +184,13 @@
         if self.history and group in self.tokened and request.token is not None:
             q.claim = "asked"
             self.context.emit(
-                Claim(request.id, q.number, *place(request), max(0, due - now), group in self.ordered)
+                ClaimQuery(request.id, q.number, *place(request), max(0, due - now), group in self.ordered)
             )
             return
         if self.partners and group in self.mutating:
             q.claim = "asked"
             self.context.emit(
-                Claim(request.id, q.number, *place(request), max(0, due - now), False, once=True)
+                ClaimQuery(request.id, q.number, *place(request), max(0, due - now), False, once=True)
             )
             return
         self.hand_on(q)
@@ -219,14 +221,14 @@
             case "PASS":
                 q.claim = "passed on"
                 left = max(0, q.due - self.context.now)
-                self.context.emit(PassOn(q.request.id, q.number, why, q.request, left))
+                self.context.emit(ForwardQuery(q.request.id, q.number, why, q.request, left))
                 return
             case "ANSWER":
-                effect, how = Finish(q.session, rows), "finished"
+                effect, how = SendResult(q.session, rows), "finished"
             case "KILL":
-                effect, how = Kill(q.session, why), "killed"
+                effect, how = FailQuery(q.session, why), "killed"
             case _:
-                effect, how = Defer(q.session, 0), "deferred"
+                effect, how = RejectQuery(q.session, 0), "deferred"
         self.answer(q, effect, how, f"history: {why}")
 
     def misfit(self, session: int, request: Request) -> str | None:
@@ -262,17 +264,19 @@
         q = self.named(id, number)
         if q is not None and not q.answered:
             if q.claim == "asked":
-                self.answer(q, Defer(q.session, 0), "deferred", "history: no verdict in time")
+                self.answer(q, RejectQuery(q.session, 0), "deferred", "history: no verdict in time")
                 return
             if q.claim == "passed on":
-                self.answer(q, Kill(q.session, "no answer in time"), "killed", "passed on: no answer in time")
+                self.answer(
+                    q, FailQuery(q.session, "no answer in time"), "killed", "passed on: no answer in time"
+                )
                 return
             # A process that stood still wakes with this timer and the module's own all due at once.
             stood = self.context.now - max(q.due, q.taken + q.request.patience - AFTER_ALL)
             event = "late" if stood > AFTER_ALL else "fault"
             self.context.log(event, what="unanswered at its end", query=q.request.id)
             self.module.left(self.context.now, q.request.id)
-            self.answer(q, Kill(q.session, "no answer in time"), "unanswered")
+            self.answer(q, FailQuery(q.session, "no answer in time"), "unanswered")
 
     def left(self, session: int) -> None:
         q = self.asking.get(session)
@@ -295,7 +299,7 @@
             if leg.stream is not None:  # nobody reads on: the run is given up
                 self.leg_over(leg, "overdue", give_up=True)
             elif leg.ran is not None:  # its pages are wanted no more; the run itself is over
-                self.context.emit(Send(leg.line.number, words.Unwanted(q.request.id)))
+                self.context.emit(SendCommand(leg.line.number, words.Unwanted(q.request.id)))
                 self.leg_over(leg, "finished")
         now = self.context.now
         self.tally(q.request.group, f"{how}: {why}" if why else how, now - q.taken)
@@ -339,10 +343,10 @@
         if not q.claim:
             return
         if q.claim == "passed on":
-            self.context.emit(Recall(q.request.id, q.number))
+            self.context.emit(CancelForward(q.request.id, q.number))
         q.claim, results = "", {leg.result for leg in q.legs}
         how = "freed" if results <= NEVER_RAN else "finished" if "finished" in results else "killed"
-        close = Close(q.request.id, q.number, how, q.rows)
+        close = EndClaim(q.request.id, q.number, how, q.rows)
         if results & MAY_STILL_RUN and how == "killed":  # the next of its key must not overtake it
             self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, close)
         else:
@@ -384,7 +388,7 @@
         within = -(-(leg.until - now) // 10)
         token = q.request.token if self.groups[q.request.group] in self.tokened else None
         run = words.Run(q.request.id, q.request.group, within, q.rank, token, q.request.statement)
-        self.context.emit(Send(line.number, run))
+        self.context.emit(SendCommand(line.number, run))
 
     def not_sent(self, number: int, id: str) -> None:
         """Whoever wrote to the line found that nobody waits any more; no byte of the attempt has left."""
@@ -402,7 +406,7 @@
         q.rank = rank
         for leg in q.legs:
             if leg.written and not leg.over and leg.ran is None:
-                self.context.emit(Send(leg.line.number, words.Hurry(q.request.id, rank)))
+                self.context.emit(SendCommand(leg.line.number, words.Hurry(q.request.id, rank)))
 
     def time_out(self, id: str, query: int, number: int) -> None:
         q = self.named(id, query)
@@ -426,7 +430,7 @@
             if leg.written:
                 line.legs.pop(q.request.id, None)
                 if give_up:
-                    self.context.emit(Send(line.number, words.GiveUp(q.request.id)))
+                    self.context.emit(SendCommand(line.number, words.GiveUp(q.request.id)))
             elif leg in line.waiting:
                 line.waiting.remove(leg)
         self.context.module_notified = True
@@ -451,7 +455,7 @@
         if begun and result != "finished":
             # What was begun can't be run again: the client may have seen some of it.
             leg.stream.close()
-            self.answer(q, Cut(q.session, f"the result broke off: {result}"), "cut")
+            self.answer(q, AbortStream(q.session, f"the result broke off: {result}"), "cut")
         self.forget(q)
 
     # ---- what engines say -------------------------------------------------------------------------
@@ -475,7 +479,7 @@
             case words.Over(id):
                 leg.ran = what
                 if leg.query.answered:
-                    self.context.emit(Send(number, words.Unwanted(id)))
+                    self.context.emit(SendCommand(number, words.Unwanted(id)))
                     self.leg_over(leg, "finished")
             case words.Began(_, stream):
                 self.began(leg, stream)
@@ -489,7 +493,7 @@
         if q.claim:
             q.rows = rows
         self.leg_over(leg, "finished", final=True, end=end)
-        self.answer(q, Finish(q.session, rows), "finished")
+        self.answer(q, SendResult(q.session, rows), "finished")
 
     def began(self, leg: Leg, stream: words.Stream) -> None:
         """The first of a stream has come: from here on there is no further submission."""
@@ -500,7 +504,7 @@
             return
         self.module.streaming(self.context.now, q.request.id)
         self.context.call_at(q.due, self.stream_over, q.request.id, q.number)
-        self.context.emit(Stream(q.session, stream))
+        self.context.emit(StartStream(q.session, stream))
 
     def passed(self, session: int) -> None:
         """The client has had all of a stream."""
@@ -516,7 +520,7 @@
             if leg.stream is not None and not leg.over:
                 self.leg_over(leg, "severed", give_up=True)
         self.module.left(self.context.now, q.request.id)
-        self.answer(q, Cut(session, f"the result can't be read: {why}"), "cut")
+        self.answer(q, AbortStream(session, f"the result can't be read: {why}"), "cut")
 
     def stream_over(self, id: str, number: int) -> None:
         """The end of a query whose client has not read all of its stream."""
@@ -527,7 +531,7 @@
         for leg in q.legs:
             if leg.stream is not None:
                 leg.stream.close()
-        self.answer(q, Cut(q.session, "the time for the result is up"), "cut")
+        self.answer(q, AbortStream(q.session, "the time for the result is up"), "cut")
 
 
 def place(request: Request) -> tuple[str, str, str]:
--- a/hillchute/router/reducer_context.py
+++ b/hillchute/router/reducer_context.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from hillchute.decision.interface import Time
-from hillchute.router.events import Alarm, Effect, Note
+from hillchute.router.effects import Effect, SetAlarm, WriteLog
 
 TRACEBACK_FRAMES = -8  # the innermost ones: those name the fault
 
@@ -56,7 +56,7 @@
 
     def log(self, event: str, **fields: object) -> None:
         """Adds a line of the log to the effects."""
-        self.effects.append(Note(event, fields))
+        self.effects.append(WriteLog(event, fields))
 
     def log_exception(self, source: str) -> None:
         """Logs the exception that is being handled: it ends the call that raised it, not the program, and the
@@ -87,5 +87,5 @@
         if self.timers:
             first = -(-self.timers[0].due // self.alarm_resolution) * self.alarm_resolution
         if first is not None and first != self.alarm:
-            self.effects.append(Alarm(first))
+            self.effects.append(SetAlarm(first))
         self.alarm = first
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -32,6 +32,23 @@
 from hillchute.net.poller import Poller, Ready
 from hillchute.router import config, events
 from hillchute.router.config import SECOND, Station
+from hillchute.router.effects import (
+    AbortStream,
+    CancelForward,
+    ClaimQuery,
+    CloseConnection,
+    Effect,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    OpenConnection,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    SetAlarm,
+    StartStream,
+    WriteLog,
+)
 from hillchute.router.event_trace import EventTrace
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
@@ -180,11 +197,11 @@
 
     def handle_one(self, event: events.Event) -> None:
         now = self.clock()
-        self.trace.record(now, events.told_by(event))
+        self.trace.record(now, events.describe(event))
         sends: dict[int, list[words.Command]] = {}
         for effect in self.reducer.reduce(event, now):
-            if isinstance(effect, events.Send):
-                sends.setdefault(effect.line, []).append(effect.command)
+            if isinstance(effect, SendCommand):
+                sends.setdefault(effect.connection, []).append(effect.command)
             else:
                 self.attempt(self.carry_out, effect)
         for line, commands in sends.items():
@@ -198,40 +215,40 @@
             self.log.write("fault", what=work.__name__, why=repr(fault), trace=traceback.format_exc(limit=-6))
             self.dump(BEFORE_A_FAULT)
 
-    def carry_out(self, effect: events.Effect) -> None:
+    def carry_out(self, effect: Effect) -> None:
         match effect:
-            case events.Finish(session, rows):
+            case SendResult(session, rows):
                 self.front(session).finish(session, rows)
-            case events.Stream(session, stream):
+            case StartStream(session, stream):
                 if session >= FIRST_GUEST:
                     self.peering.partnering.begin(session, stream)
                 elif session < FIRST_CALL:
                     self.tasks.start_soon(self.pass_on, session, stream)
                 else:
                     self.flight.begin(session, stream)
-            case events.Cut(session, why):
+            case AbortStream(session, why):
                 self.front(session).cut(session, why)
-            case events.Defer(session, after):
+            case RejectQuery(session, after):
                 self.front(session).defer(session, after)
-            case events.Kill(session, why):
+            case FailQuery(session, why):
                 self.front(session).kill(session, why)
-            case events.Connect(line, host, port):
+            case OpenConnection(line, host, port):
                 self.links.open(line, host, port, self.tasks)
-            case events.HangUp(line):
+            case CloseConnection(line):
                 self.links.hang_up(line)
-            case events.Claim():
+            case ClaimQuery():
                 self.peering.remembering.claim(*effect)
-            case events.Close():
+            case EndClaim():
                 self.peering.remembering.close(*effect)
-            case events.PassOn():
+            case ForwardQuery():
                 self.peering.partnering.pass_on(*effect)
-            case events.Recall():
+            case CancelForward():
                 self.peering.partnering.recall(*effect)
-            case events.Alarm(at):
+            case SetAlarm(at):
                 self.alarm = at
                 if self.rings is None or at < self.rings:  # a later one is found when it wakes
                     self.alarm_set.set()
-            case events.Note(event, fields):
+            case WriteLog(event, fields):
                 self.log.write(event, **fields)
                 if event == "fault":
                     self.dump(BEFORE_A_FAULT)
@@ -248,10 +265,10 @@
             self.handle(events.Spoilt(session, "a fault of ours"))
 
     def peered(self) -> None:
-        self.handle(events.Peered(self.peering.news()))
+        self.handle(events.PeersChanged(self.peering.news()))
 
     def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
-        self.handle(events.Judged(id, number, verdict, why, rows))
+        self.handle(events.ClaimDecided(id, number, verdict, why, rows))
 
     def gave_up(self, session: int) -> None:
         """A client gave its query up, or is gone; the query may not have been handed on yet."""
@@ -283,7 +300,7 @@
             started = self.start_times.translate(listing.engine, listing.started)
             listing = self.usable(listing._replace(started=started))
             entries.append(entry._replace(listing=listing))
-        self.handle(events.Notified(news._replace(entries=tuple(entries))))
+        self.handle(events.EndpointsChanged(news._replace(entries=tuple(entries))))
 
     def usable(self, listing: Listing) -> Listing:
         """An engine of a kind that the settings do not name is no place for any query."""
@@ -394,7 +411,7 @@
             if now - self.alarm > LAG * SECOND:
                 self.log.write("lag", ms=(now - self.alarm) / 10)
             self.alarm = None
-            self.handle(events.Tick())
+            self.handle(events.AlarmDue())
 
     async def work(self) -> None:
         """Rounds without end. Between two of them signals, timers and the event bus have their turn."""
@@ -445,7 +462,7 @@
         self.shutdown = ShutdownSchedule(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
-        self.handle(events.Closing(self.shutdown.answer_by))
+        self.handle(events.ShutdownStarted(self.shutdown.answer_by))
         if self.peering is not None:
             self.peering.leave()
 
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -244,7 +244,7 @@
         return client
 
     def closing(self, end):
-        self.service.handle(events.Closing(end))
+        self.service.handle(events.ShutdownStarted(end))
 
     def close(self):
         for thing in (*self.clients, *self.talks, self.listener):
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -184,12 +184,12 @@
 def test_engines_in_sight_follow_the_list_that_the_router_is_told():
     entries = [event_bus.Entry(Listing(n, 0, 0, 0, 0, "Ready", 1.0), "10.0.0.1", 1) for n in range(80)]
     reducer = Reducer(Teamwork(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
-    reducer.reduce(events.Notified(event_bus.Update(1, "Complete", tuple(entries))), 0)
+    reducer.reduce(events.EndpointsChanged(event_bus.Update(1, "Complete", tuple(entries))), 0)
     assert reducer.module.near == Sight(7, 200).near(range(80)) != frozenset()
     gone = min(reducer.module.near)
     listing = entries[gone].listing._replace(state="Terminating")
     reducer.reduce(
-        events.Notified(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
+        events.EndpointsChanged(event_bus.Update(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
     )
     assert reducer.module.near == Sight(7, 200).near(n for n in range(80) if n != gone)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,6 +11,7 @@
 from hillchute.lab import many, plays
 from hillchute.lab.many import Many
 from hillchute.router import config, events
+from hillchute.router.effects import OpenConnection
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
 
@@ -197,11 +198,11 @@
     station = config.station(table, {})
     reducer = Reducer(Teamwork(station.seed, station.catalog, 0), station.catalog, station.sockets // 3)
     for news in station.known:
-        reducer.reduce(events.Notified(news), 0)
+        reducer.reduce(events.EndpointsChanged(news), 0)
     assert len(reducer.lines.peers) == 1024
     group = next(iter(reducer.groups))
     request = statement.Request("a" * 16, group, 8 * SECOND, b"SELECT 1 FROM sales_4.t", token="t")
-    assert [e for e in reducer.reduce(events.Asked(1, request, 1), 1) if isinstance(e, events.Connect)]
+    assert [e for e in reducer.reduce(events.Asked(1, request, 1), 1) if isinstance(e, OpenConnection)]
 
 
 def test_dashboard_is_turned_away_for_a_crowd_that_is_believed(probing):
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -28,6 +28,17 @@
 from hillchute.protocol import sql as arrow
 from hillchute.protocol.status import DETAILS, reason
 from hillchute.router import events
+from hillchute.router.effects import (
+    AbortStream,
+    FailQuery,
+    OpenConnection,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    SetAlarm,
+    StartStream,
+    WriteLog,
+)
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statements
 
@@ -173,10 +184,10 @@
         self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
         listing = events.event_bus.Listing(1, 0, 0, 0, 0, "Ready", 1.0)
         entry = events.event_bus.Entry(listing, "127.0.0.1", 1)
-        self.do(events.Notified(events.event_bus.Update(1, "Complete", (entry,))))
+        self.do(events.EndpointsChanged(events.event_bus.Update(1, "Complete", (entry,))))
         asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
-        (connect,) = self.do(events.Asked(1, asked, 0), kind=events.Connect)
-        self.line, self.stream = connect.line, Held()
+        (connect,) = self.do(events.Asked(1, asked, 0), kind=OpenConnection)
+        self.line, self.stream = connect.connection, Held()
         self.do(events.Connected(self.line))
         self.begun = self.do(events.Said(self.line, words.Began("a" * 16, self.stream)), 10)
 
@@ -185,7 +196,7 @@
         return [e for e in effects if kind is None or isinstance(e, kind)]
 
     def finals(self, event, now=20):
-        return self.do(event, now, events.Finish | events.Defer | events.Kill | events.Cut)
+        return self.do(event, now, SendResult | RejectQuery | FailQuery | AbortStream)
 
 
 @pytest.fixture
@@ -194,7 +205,7 @@
 
 
 def test_stream_that_ends_well_is_finished_once_its_client_has_it(streaming):
-    assert events.Stream(1, streaming.stream) in streaming.begun
+    assert StartStream(1, streaming.stream) in streaming.begun
     assert not streaming.finals(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
     assert streaming.reducer.asking
     assert not streaming.finals(events.Passed(1)) and not streaming.reducer.queries
@@ -210,23 +221,23 @@
     ],
 )
 def test_stream_that_breaks_off_has_one_answer_and_no_further_submission(streaming, event):
-    assert [type(e) for e in streaming.finals(event(streaming))] == [events.Cut]
+    assert [type(e) for e in streaming.finals(event(streaming))] == [AbortStream]
     assert streaming.stream.closed and not streaming.reducer.asking
-    later = [streaming.do(events.Tick(), now) for now in (SECOND, 5 * SECOND)]
-    assert not [e for effects in later for e in effects if not isinstance(e, events.Alarm | events.Note)]
+    later = [streaming.do(events.AlarmDue(), now) for now in (SECOND, 5 * SECOND)]
+    assert not [e for effects in later for e in effects if not isinstance(e, SetAlarm | WriteLog)]
 
 
 def test_client_that_leaves_a_stream_ends_its_run(streaming):
     effects = streaming.do(events.Left(1), 20)
-    assert events.Send(streaming.line, words.GiveUp("a" * 16)) in effects and streaming.stream.closed
-    assert not [e for e in effects if isinstance(e, events.Cut | events.Kill | events.Defer)]
+    assert SendCommand(streaming.line, words.GiveUp("a" * 16)) in effects and streaming.stream.closed
+    assert not [e for e in effects if isinstance(e, AbortStream | FailQuery | RejectQuery)]
 
 
 def test_client_that_does_not_read_is_cut_at_its_end(streaming):
     streaming.do(events.Said(streaming.line, words.Ended("a" * 16, "finished")), 20)
     due = streaming.reducer.queries["a" * 16].due
-    assert not streaming.finals(events.Tick(), due - 1)
-    assert [type(e) for e in streaming.finals(events.Tick(), due)] == [events.Cut]
+    assert not streaming.finals(events.AlarmDue(), due - 1)
+    assert [type(e) for e in streaming.finals(events.AlarmDue(), due)] == [AbortStream]
     assert not streaming.finals(events.Passed(1), due + 1)
 
 
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -226,10 +226,10 @@
 def test_trace_keeps_the_last_events_with_their_times():
     trace = EventTrace(capacity=150)
     for n in range(200):
-        trace.record(n, ("Tick", n))
+        trace.record(n, ("AlarmDue", n))
     batches = list(trace.batches())
     assert [len(batch) for batch in batches] == [100, 50]
-    assert batches[-1][-1] == [0.0, "Tick", 199] and batches[0][0] == [-14.9, "Tick", 50]
+    assert batches[-1][-1] == [0.0, "AlarmDue", 199] and batches[0][0] == [-14.9, "AlarmDue", 50]
 
 
 # ---- sessions ---------------------------------------------------------------------------------------
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -17,6 +17,15 @@
 from hillchute.operator.records import BadRecord
 from hillchute.peers.node import Node
 from hillchute.router import events
+from hillchute.router.effects import (
+    CancelForward,
+    ClaimQuery,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    RejectQuery,
+    SendResult,
+)
 from hillchute.router.partnering import Partnering
 from hillchute.router.reducer import Reducer, place
 from hillchute.statements.request import Request
@@ -44,7 +53,7 @@
 
     def judged(self, id, verdict, why="why", rows=None, now=10):
         number = self.reducer.queries[id].number
-        return self.reducer.reduce(events.Judged(id, number, verdict, why, rows), now)
+        return self.reducer.reduce(events.ClaimDecided(id, number, verdict, why, rows), now)
 
 
 def of(effects, *kinds):
@@ -54,31 +63,31 @@
 def test_mutating_query_asks_for_its_table_group_and_a_read_only_one_asks_nobody():
     rig = Rig()
     id, said = rig.ask("write")
-    (claim,) = of(said, events.Claim)
+    (claim,) = of(said, ClaimQuery)
     assert claim.once and not claim.ordered and (claim.customer, claim.token) == ("", id)
     assert claim.key == "\0tables 3" and id not in rig.module.queries
     rig.judged(id, "RUN")
     assert id in rig.module.queries
     id, said = rig.ask("lookup")
-    assert not of(said, events.Claim) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.module.queries
     rig.reducer.partners = False
     id, said = rig.ask("write")
-    assert not of(said, events.Claim) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.module.queries
 
 
 def test_query_of_anothers_slot_is_passed_on_and_its_answer_is_the_answer():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    (passed,) = of(rig.judged(id, "PASS", "b"), events.PassOn)
-    assert (passed.id, passed.owner, passed.request.token) == (id, "b", "ab")
-    assert 0 < passed.left <= 5 * SECOND and id not in rig.module.queries
+    (passed,) = of(rig.judged(id, "PASS", "b"), ForwardQuery)
+    assert (passed.query, passed.owner, passed.request.token) == (id, "b", "ab")
+    assert 0 < passed.time_left <= 5 * SECOND and id not in rig.module.queries
     said = rig.judged(id, "ANSWER", "", [[b"1"], [b"2"], [b"3"]])
-    assert [(e.session, e.rows) for e in of(said, events.Finish)] == [(1, [[b"1"], [b"2"], [b"3"]])]
-    assert not of(said, events.Recall) and id not in rig.reducer.queries
-    assert [(e.id, e.how) for e in of(said, events.Close)] == [(id, "freed")]  # the next of its key may go
+    assert [(e.session, e.rows) for e in of(said, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
+    assert not of(said, CancelForward) and id not in rig.reducer.queries
+    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [(id, "freed")]  # the next of its key may go
 
 
-@pytest.mark.parametrize(("verdict", "effect"), [("DEFER", events.Defer), ("KILL", events.Kill)])
+@pytest.mark.parametrize(("verdict", "effect"), [("DEFER", RejectQuery), ("KILL", FailQuery)])
 def test_query_that_was_passed_on_ends_once_as_it_ended_there(verdict, effect):
     rig = Rig()
     id, _ = rig.ask("write")
@@ -90,16 +99,16 @@
     rig = Rig()
     id, _ = rig.ask("load", "ab", session=FIRST_GUEST + 1)
     said = rig.judged(id, "PASS", "c")
-    assert not of(said, events.PassOn) and len(of(said, events.Defer)) == 1
+    assert not of(said, ForwardQuery) and len(of(said, RejectQuery)) == 1
 
 
 def test_query_that_was_passed_on_has_failed_when_no_answer_comes_in_time():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
     rig.judged(id, "PASS", "b")
-    said = rig.reducer.reduce(events.Tick(), 5 * SECOND)
-    assert len(of(said, events.Kill)) == 1 and not of(said, events.Defer)  # it may have run
-    assert [(e.id, e.number) for e in of(said, events.Recall)] == [(id, 1)] or of(said, events.Recall)
+    said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
+    assert len(of(said, FailQuery)) == 1 and not of(said, RejectQuery)  # it may have run
+    assert [(e.query, e.number) for e in of(said, CancelForward)] == [(id, 1)] or of(said, CancelForward)
 
 
 def test_client_that_leaves_takes_back_what_was_passed_on():
@@ -107,8 +116,8 @@
     id, _ = rig.ask("load", "ab")
     rig.judged(id, "PASS", "b")
     said = rig.reducer.reduce(events.Left(rig.count), 10)
-    assert [e.id for e in of(said, events.Recall)] == [id] == [e.id for e in of(said, events.Close)]
-    assert not of(rig.reducer.reduce(events.Judged(id, 1, "ANSWER", "", []), 20), events.Finish)
+    assert [e.query for e in of(said, CancelForward)] == [id] == [e.query for e in of(said, EndClaim)]
+    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "ANSWER", "", []), 20), SendResult)
 
 
 def test_place_in_the_history_is_the_keys_or_the_table_groups():
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -21,6 +21,7 @@
 from hillchute.operator.records import BadRecord
 from hillchute.peers import parts
 from hillchute.router import events
+from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
 from hillchute.router.reducer import Reducer
 from hillchute.router.remembering import book_of
 from hillchute.statements.request import Request
@@ -56,7 +57,7 @@
 
     def judged(self, id, verdict, rows=None, now=10):
         number = self.reducer.queries[id].number
-        return self.reducer.reduce(events.Judged(id, number, verdict, "why", rows), now)
+        return self.reducer.reduce(events.ClaimDecided(id, number, verdict, "why", rows), now)
 
 
 def of(effects, *kinds):
@@ -66,40 +67,40 @@
 def test_keyed_query_waits_for_the_historys_word_and_then_goes_on():
     rig = Rig()
     id, said = rig.ask()
-    (claim,) = of(said, events.Claim)
-    assert (claim.id, claim.customer, claim.key, claim.token) == (id, "a", "cd", "ab")
-    assert 0 < claim.left <= 5 * SECOND
+    (claim,) = of(said, ClaimQuery)
+    assert (claim.query, claim.customer, claim.key, claim.token) == (id, "a", "cd", "ab")
+    assert 0 < claim.time_left <= 5 * SECOND
     assert id not in rig.module.queries
     rig.judged(id, "RUN")
     assert id in rig.module.queries
 
 
 @pytest.mark.parametrize(
-    ("verdict", "effect"), [("ANSWER", events.Finish), ("DEFER", events.Defer), ("KILL", events.Kill)]
+    ("verdict", "effect"), [("ANSWER", SendResult), ("DEFER", RejectQuery), ("KILL", FailQuery)]
 )
 def test_word_that_is_no_run_is_the_answer(verdict, effect):
     rig = Rig()
     id, _ = rig.ask()
     said = rig.judged(id, verdict, [[b"1"], [b"2"], [b"3"]])
-    assert len(of(said, effect)) == 1 and not of(said, events.Close)
+    assert len(of(said, effect)) == 1 and not of(said, EndClaim)
     assert id not in rig.reducer.queries and id not in rig.module.queries
-    assert rig.reducer.reduce(events.Judged(id, 1, "RUN", "", None), 20) is not None
+    assert rig.reducer.reduce(events.ClaimDecided(id, 1, "RUN", "", None), 20) is not None
     assert id not in rig.module.queries  # a word that comes again, or late, is nobody's
 
 
 def test_query_without_a_word_is_deferred_at_its_end_and_its_claim_is_freed():
     rig = Rig()
     id, _ = rig.ask()
-    said = rig.reducer.reduce(events.Tick(), 5 * SECOND)
-    assert len(of(said, events.Defer)) == 1 and not of(said, events.Kill)
-    assert [(c.id, c.how) for c in of(said, events.Close)] == [(id, "freed")]
+    said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
+    assert len(of(said, RejectQuery)) == 1 and not of(said, FailQuery)
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
 
 
 def test_client_that_leaves_frees_its_claim():
     rig = Rig()
     id, _ = rig.ask()
     said = rig.reducer.reduce(events.Left(rig.count), 10)
-    assert [(c.id, c.how) for c in of(said, events.Close)] == [(id, "freed")]
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
 
 
 @pytest.mark.parametrize(
@@ -123,8 +124,8 @@
     q.answered, q.rows = True, [[b"1"]]
     rig.reducer.context.begin_event(20, module_notified=False)
     rig.reducer.forget(q)
-    now = [c.how for c in of(rig.reducer.context.effects, events.Close)]
-    later = [c.how for c in of(rig.reducer.reduce(events.Tick(), 10 * SECOND), events.Close)]
+    now = [c.outcome for c in of(rig.reducer.context.effects, EndClaim)]
+    later = [c.outcome for c in of(rig.reducer.reduce(events.AlarmDue(), 10 * SECOND), EndClaim)]
     pause = results == ["overdue"]  # the next of its key must not overtake what may still run
     assert (now, later) == (([], [how]) if pause else ([how], []))
 
@@ -133,7 +134,7 @@
     rig = Rig()
     rig.reducer.history = False
     id, said = rig.ask()
-    assert not of(said, events.Claim) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.module.queries
 
 
 # ---- the operator file ----
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -27,6 +27,15 @@
 from hillchute.net.pipe import Pipe
 from hillchute.net.system import SYSTEM
 from hillchute.router import config, events, loop_lag, service
+from hillchute.router.effects import (
+    CloseConnection,
+    FailQuery,
+    OpenConnection,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    WriteLog,
+)
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
@@ -288,13 +297,13 @@
         self.exchanges = {}
         self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
         entries = [event_bus.Entry(Listing(e, 0, 0, 0, 0, "Ready", 1.0), "127.0.0.1", e) for e in range(1, 7)]
-        self.do(events.Notified(event_bus.Update(1, "Complete", tuple(entries))))
+        self.do(events.EndpointsChanged(event_bus.Update(1, "Complete", tuple(entries))))
 
     def do(self, event, now=0, kind=None):
         effects = self.reducer.reduce(event, now)
         for effect in effects:
-            if isinstance(effect, events.Send):
-                self.exchanges.setdefault(effect.line, Exchange()).encode(effect.command)
+            if isinstance(effect, SendCommand):
+                self.exchanges.setdefault(effect.connection, Exchange()).encode(effect.command)
         return [e for e in effects if kind is None or isinstance(e, kind)]
 
     def ask(self, group="lookup", id="a" * 16, session=1, now=0, patience=5 * SECOND, cost=1000, **known):
@@ -303,8 +312,8 @@
 
     def sent(self, now=0, **known):
         """A query whose submission is out; the number of its connection."""
-        (line,) = [e.line for e in self.ask(now=now, **known) if isinstance(e, events.Connect)]
-        assert [type(e.command) for e in self.do(events.Connected(line), now, events.Send)] == [words.Run]
+        (line,) = [e.connection for e in self.ask(now=now, **known) if isinstance(e, OpenConnection)]
+        assert [type(e.command) for e in self.do(events.Connected(line), now, SendCommand)] == [words.Run]
         return line
 
     def say(self, line, word, now=10, id="a" * 16, kind=None, **known):
@@ -324,8 +333,8 @@
     line = rig.sent()
     rig.say(line, "ACK", parts=3, body=b"1\t1\t1\n")
     assert rig.exchanges[line].owed == b"".join(wire.encode(wire.Turn("a" * 16, n)) for n in (1, 2))
-    assert not rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n", kind=events.Finish)
-    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=events.Finish)
+    assert not rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n", kind=SendResult)
+    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
     assert done.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
     assert not rig.reducer.queries and not rig.reducer.asking
 
@@ -334,7 +343,7 @@
     line = rig.sent()
     other = rig.reducer.lines.lines[line]
     effects = rig.say(line, "ACK", body=b"1\t1\n")
-    assert not [e for e in effects if isinstance(e, events.Finish)]
+    assert not [e for e in effects if isinstance(e, SendResult)]
     assert line not in rig.reducer.lines.lines and other.legs == {}
 
 
@@ -346,7 +355,7 @@
     rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n")
     rig.say(line, "BLOCK", part=2, body=b"0\t0\t0\n")
     rig.say(line, "BLOCK", part=9, body=b"0\t0\t0\n")
-    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=events.Finish)
+    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
     assert done.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
 
 
@@ -354,16 +363,17 @@
     line = rig.sent(group="report")
     engine = rig.reducer.lines.lines[line].engine
     for now in range(0, rig.reducer.lines.silence, 1000):
-        assert not rig.do(events.Tick(), now, events.HangUp)
-    effects = [e for now in (4, 5) for e in rig.do(events.Tick(), rig.reducer.lines.silence * now // 4 + 2)]
-    assert events.HangUp(line) in effects
-    assert [e for e in effects if isinstance(e, events.Connect) and e.port != engine]
+        assert not rig.do(events.AlarmDue(), now, CloseConnection)
+    silence = rig.reducer.lines.silence
+    effects = [e for now in (4, 5) for e in rig.do(events.AlarmDue(), silence * now // 4 + 2)]
+    assert CloseConnection(line) in effects
+    assert [e for e in effects if isinstance(e, OpenConnection) and e.port != engine]
 
 
 def test_engine_that_is_gone_is_forgotten_once_nothing_is_out_there(rig):
     def told(number, state):
         entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
-        rig.do(events.Notified(event_bus.Update(number, "Partial", (entry,))), 5)
+        rig.do(events.EndpointsChanged(event_bus.Update(number, "Partial", (entry,))), 5)
 
     line = rig.sent()
     engine = rig.reducer.lines.lines[line].engine
@@ -378,9 +388,9 @@
 
 def test_fault_in_one_event_leaves_the_effects_before_it(rig):
     rig.reducer.module.take = lambda *_: 1 / 0
-    (note,) = [e for e in rig.ask() if isinstance(e, events.Note)]
+    (note,) = [e for e in rig.ask() if isinstance(e, WriteLog)]
     assert note.event == "fault" and "ZeroDivisionError" in note.fields["trace"]
-    assert [type(e) for e in rig.do(events.Tick(), 5 * SECOND, events.Kill)] == [events.Kill]
+    assert [type(e) for e in rig.do(events.AlarmDue(), 5 * SECOND, FailQuery)] == [FailQuery]
 
 
 @pytest.mark.parametrize(
@@ -401,8 +411,8 @@
 
 
 def test_refused_connection_proves_that_nothing_ran_and_another_engine_is_tried(rig):
-    (first,) = [e for e in rig.ask() if isinstance(e, events.Connect)]
-    (second,) = rig.do(events.NotConnected(first.line, ConnectFault.REFUSED), 10, events.Connect)
+    (first,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
+    (second,) = rig.do(events.NotConnected(first.connection, ConnectFault.REFUSED), 10, OpenConnection)
     assert second.port != first.port
 
 
@@ -410,8 +420,8 @@
     line = rig.sent(patience=2 * SECOND)
     rig.say(line, "ACK", parts=1, body=b"1\t1\t1\n")
     rig.ask(now=SECOND, patience=4 * SECOND, session=2)
-    effects = rig.do(events.Tick(), 2 * SECOND + 1)
-    assert not [e for e in effects if isinstance(e, events.Note) and e.event == "fault"]
+    effects = rig.do(events.AlarmDue(), 2 * SECOND + 1)
+    assert not [e for e in effects if isinstance(e, WriteLog) and e.event == "fault"]
     assert 2 in rig.reducer.asking
 
 
@@ -428,7 +438,7 @@
 
 def test_want_of_connections_is_no_verdict_on_the_engine(rig):
     rig.reducer.lines.most = 0
-    assert [type(e) for e in rig.ask() if isinstance(e, events.Defer | events.Connect)] == [events.Defer]
+    assert [type(e) for e in rig.ask() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
     assert not [e for e in rig.reducer.module.engines.values() if e.fails or e.started]
 
 
@@ -452,27 +462,27 @@
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
     line = rig.sent(patience=SECOND)
     effects = rig.do(
-        events.Tick(), SECOND - loop_lag.LoopLag().answer_margin(SECOND) - rig.reducer.module.margin
+        events.AlarmDue(), SECOND - loop_lag.LoopLag().answer_margin(SECOND) - rig.reducer.module.margin
     )
-    assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, events.Send)]
-    assert [type(e) for e in effects if isinstance(e, events.Defer | events.Kill)] == [events.Defer]
-    assert not rig.say(line, "ACK", now=SECOND, kind=events.Finish)
+    assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
+    assert [type(e) for e in effects if isinstance(e, RejectQuery | FailQuery)] == [RejectQuery]
+    assert not rig.say(line, "ACK", now=SECOND, kind=SendResult)
 
 
 def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
-    (wait,) = [e for e in rig.ask() if isinstance(e, events.Connect)]
-    engine = rig.reducer.lines.lines[wait.line].engine
+    (wait,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
+    engine = rig.reducer.lines.lines[wait.connection].engine
     entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, "Terminating", 1.0), "127.0.0.1", engine)
-    rig.do(events.Notified(event_bus.Update(2, "Partial", (entry,))), 5)
-    sends = rig.do(events.Connected(wait.line), 10, events.Send)
+    rig.do(events.EndpointsChanged(event_bus.Update(2, "Partial", (entry,))), 5)
+    sends = rig.do(events.Connected(wait.connection), 10, SendCommand)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
     assert rig.reducer.queries["a" * 16].legs[0].over
 
 
 def test_client_that_leaves_gets_nothing_and_the_answer_is_shut(rig):
     line = rig.sent()
-    assert not rig.do(events.Left(1), 5, events.Kill | events.Defer)
-    assert not rig.say(line, "ACK", kind=events.Finish)
+    assert not rig.do(events.Left(1), 5, FailQuery | RejectQuery)
+    assert not rig.say(line, "ACK", kind=SendResult)
     assert not rig.reducer.queries
 
 
@@ -480,7 +490,7 @@
     line = rig.sent()
     rig.reducer.context.effects = []
     rig.reducer.set_rank(rig.reducer.queries["a" * 16], 3)
-    assert rig.reducer.context.effects == [events.Send(line, words.Hurry("a" * 16, 3))]
+    assert rig.reducer.context.effects == [SendCommand(line, words.Hurry("a" * 16, 3))]
 
 
 @pytest.mark.parametrize(
@@ -496,16 +506,16 @@
 )
 def test_query_that_does_not_fit_is_answered_with_its_field(known, named):
     rig = Rig(groups__2__queue_timeout=9 * SECOND - 1, domain__ram_of_kind_mb=[500, 1000])
-    (answer,) = [e for e in rig.ask(**known) if isinstance(e, events.Kill)]
-    assert named in answer.why
+    (answer,) = [e for e in rig.ask(**known) if isinstance(e, FailQuery)]
+    assert named in answer.reason
     assert not rig.reducer.queries
 
 
 def test_fault_in_the_decisions_leaves_no_query_unanswered(rig):
     rig.reducer.module.decide = lambda now: 1 / 0
-    notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, events.Note)]
+    notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, WriteLog)]
     assert "ZeroDivisionError" in notes[0].fields["trace"]
-    assert [type(e) for e in rig.do(events.Tick(), SECOND, events.Kill)] == [events.Kill]
+    assert [type(e) for e in rig.do(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
 
 
 def test_pause_of_the_loop_is_taken_off_the_end_whichever_event_comes_first(rig):
@@ -517,21 +527,21 @@
 
 def test_closing_answers_everything_by_its_end(rig):
     rig.sent(patience=9 * SECOND)
-    rig.do(events.Closing(2 * SECOND), SECOND)
-    done = rig.do(events.Tick(), 2 * SECOND - rig.reducer.module.margin, events.Defer)
+    rig.do(events.ShutdownStarted(2 * SECOND), SECOND)
+    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.module.margin, RejectQuery)
     assert [e.session for e in done] == [1]
 
 
 def test_connections_to_engines_are_bounded():
     rig = Rig()
     rig.reducer.lines.most = 0
-    assert not [e for e in rig.ask() if isinstance(e, events.Connect)]
+    assert not [e for e in rig.ask() if isinstance(e, OpenConnection)]
 
 
 def test_event_written_twice_brings_no_older_list_back(rig):
     def listed(number, state):
         entry = event_bus.Entry(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
-        rig.do(events.Notified(event_bus.Update(number, "Partial", (entry,))))
+        rig.do(events.EndpointsChanged(event_bus.Update(number, "Partial", (entry,))))
         return rig.reducer.lines.peers[1].ready
 
     assert not listed(3, "Terminating")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,6 +15,7 @@
 from hillchute.lab import deployment
 from hillchute.membership.event_bus import Entry, Update
 from hillchute.router import config, events
+from hillchute.router.effects import OpenConnection, SendCommand
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
 
@@ -82,7 +83,7 @@
     station = config.station(deployment.table(routers=200, sockets=576), {})
     reducer = Reducer(Teamwork(1, station.catalog, 0), station.catalog, station.sockets // 3)
     entries = tuple(Entry(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-    reducer.reduce(events.Notified(Update(1, "Complete", entries)), 1)
+    reducer.reduce(events.EndpointsChanged(Update(1, "Complete", entries)), 1)
     made, waiting = 0, []
     for n in range(300):
         now = 10 + n * 500
@@ -90,13 +91,13 @@
         waiting += reducer.reduce(events.Asked(n + 1, statement.read(text.encode()), now), now)
         while waiting:
             match waiting.pop(0):
-                case events.Connect(line, _, _):
+                case OpenConnection(line, _, _):
                     made += 1
                     waiting += reducer.reduce(events.Connected(line), now)
-                case events.Send(line, words.Probe(tag)):
+                case SendCommand(line, words.Probe(tag)):
                     said = words.Probed(tag, "finished", {"util": 0.3, "inflight": 3.0})
                     waiting += reducer.reduce(events.Said(line, said), now)
-                case events.Send(line, words.Run(id=id)):
+                case SendCommand(line, words.Run(id=id)):
                     waiting += reducer.reduce(events.Said(line, words.Whole(id, [], 20.0)), now)
     assert not reducer.asking
     return made, len(reducer.lines.lines)
