--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -19,17 +19,17 @@
 
 from hillchute.accord import turns
 from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import Teamwork
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.line.links import Link, Links
-from hillchute.errors import BadConfiguration, HillchuteError, UnknownKind
+from hillchute.errors import ConfigurationError, HillchuteError, UnknownEngineKindError
 from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.log import Log
 from hillchute.membership import event_bus
 from hillchute.membership.follower import Follower
-from hillchute.net.clock import Clock, StartTimes
-from hillchute.net.poller import Poller, Ready
+from hillchute.net.clock import Clock, EngineStartTimes
+from hillchute.net.poller import Poller, ReadySocket
 from hillchute.router import config, events
 from hillchute.router.config import SECOND, Station
 from hillchute.router.effects import (
@@ -90,18 +90,18 @@
         read_operator: Callable[[], Mapping[str, object]] | None = None,
     ) -> None:
         """`operator`: what holds of the operator file; nothing of it is on without one. `read_operator` reads
-        it again, and raises BadRecord where it can't be used."""
+        it again, and raises OperatorFileError where it can't be used."""
         self.station = station
         self.log = log
         self.lifecycle = lifecycle
         self.clock = clock = clock or Clock()
-        self.start_times = StartTimes(clock)
+        self.start_times = EngineStartTimes(clock)
         self.kinds = kinds_named(station.catalog)
         self.poller = poller or Poller()
         self.rounds = RoundSchedule()
         self.trace = EventTrace()
         operator = operator or {}
-        module = Teamwork(station.seed, station.catalog, clock())
+        module = QueryScheduler(station.seed, station.catalog, clock())
         self.peering = None
         if operator.get("peers"):
             from hillchute.router.peering import Peering
@@ -275,9 +275,9 @@
         if not self.rounds.discard(session) and session in self.reducer.asking:
             self.handle(events.Left(session))
 
-    def look(self) -> list[Ready]:
+    def look(self) -> list[ReadySocket]:
         self.looked_at = self.clock()
-        return self.poller.look()
+        return self.poller.poll()
 
     def notice_departures(self) -> None:
         """Clients that have closed their connections are let go; all else waits for its turn in the round."""
@@ -297,7 +297,7 @@
         entries = []
         for entry in news.entries:
             listing = entry.listing
-            started = self.start_times.translate(listing.engine, listing.started)
+            started = self.start_times.to_router_clock(listing.engine, listing.started)
             listing = self.usable(listing._replace(started=started))
             entries.append(entry._replace(listing=listing))
         self.handle(events.EndpointsChanged(news._replace(entries=tuple(entries))))
@@ -307,8 +307,8 @@
         if listing.kind < self.kinds:
             return listing
         name = event_bus.engine_name(listing.engine)
-        fault = UnknownKind(f"kind {listing.kind} of {self.kinds}", name)
-        self.log.write("listing", **fault.told)
+        fault = UnknownEngineKindError(f"kind {listing.kind} of {self.kinds}", name)
+        self.log.write("listing", **fault.log_fields)
         state = "Gone" if listing.state == "Gone" else "Terminating"
         return listing._replace(kind=0, state=state)
 
@@ -329,8 +329,8 @@
         rounds.begin()
         began = self.clock()
         stale = began - self.looked_at > STALE
-        links: list[Ready] = []
-        clients: list[Ready] = []
+        links: list[ReadySocket] = []
+        clients: list[ReadySocket] = []
         knocks = False
         for ready in self.look():
             if isinstance(ready.owner, Client):
@@ -364,7 +364,7 @@
         if ended - began > ENGINE_READ_BUDGET + QUERY_BUDGET:
             self.reducer.loop_lag.record_lag(ended, ended - began)
 
-    def departures(self, clients: list[Ready]) -> None:
+    def departures(self, clients: list[ReadySocket]) -> None:
         """All that have left are let go before anything follows from it: the place of one must not go to a
         query of another."""
         ended = [ready.owner for ready in clients if ready.ended]
@@ -378,7 +378,7 @@
         if not outer:
             self.handle_queue()
 
-    def hear_engines(self, links: list[Ready], began: int) -> None:
+    def hear_engines(self, links: list[ReadySocket], began: int) -> None:
         by_owner = {ready.owner: ready for ready in links}
         for n, link in enumerate(self.rounds.least_recently_served(by_owner)):
             if n and self.clock() - began > ENGINE_READ_BUDGET:
@@ -387,7 +387,7 @@
             link.served = self.rounds.number
             self.guarded(self.links.ready, link, by_owner[link].readable, by_owner[link].writable)
 
-    def read_clients(self, clients: list[Ready]) -> None:
+    def read_clients(self, clients: list[ReadySocket]) -> None:
         for n, ready in enumerate(clients):
             if n % CLIENTS == CLIENTS - 1:
                 self.look_at_alarm(self.clock())
@@ -417,7 +417,7 @@
         """Rounds without end. Between two of them signals, timers and the event bus have their turn."""
         while True:
             if self.rounds.idle:
-                await self.poller.wait()
+                await self.poller.wait_until_ready()
             else:
                 await anyio.lowlevel.checkpoint()
             self.round()
@@ -530,15 +530,15 @@
         """A new configuration under load. One that can't be read changes nothing."""
         try:
             station = config.read()
-        except BadConfiguration as fault:
-            self.log.write("reload", kept="the running configuration", why=str(fault), **fault.told)
+        except ConfigurationError as fault:
+            self.log.write("reload", kept="the running configuration", why=str(fault), **fault.log_fields)
             return
         restart = config.needs_restart(self.station, station)
         if self.read_operator is not None:
             try:
                 restart += self.renew(self.read_operator())
             except ValueError as fault:
-                told = fault.told if isinstance(fault, HillchuteError) else {}
+                told = fault.log_fields if isinstance(fault, HillchuteError) else {}
                 self.log.write("reload", kept="the running operator file", why=str(fault), **told)
         self.log.write("reload", bus=list(station.bus), needs_restart=restart)
         self.station = self.station._replace(bus=station.bus)
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -1,7 +1,7 @@
 """The checks on a deployment's settings: which keys must be there, of what kind, within which bounds.
 
-`validate` raises BadConfiguration for the first fault, which names its key by the full path. The module holds
-no value that decides anything about a query, and no name of one deployment.
+`validate` raises ConfigurationError for the first fault, which names its key by the full path. The module
+holds no value that decides anything about a query, and no name of one deployment.
 """
 
 import re
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from hillchute.catalog import plain_text
-from hillchute.errors import BadConfiguration
+from hillchute.errors import ConfigurationError
 
 SEMANTICS = ("repeatable", "by_key", "once")
 SHED_BY = ("all", "zone", "cell")
@@ -71,7 +71,7 @@
 
 
 def validate(settings: Mapping[str, object], path: str = "settings") -> None:
-    """Checks the whole settings; raises BadConfiguration for the first fault."""
+    """Checks the whole settings; raises ConfigurationError for the first fault."""
     for rule in NUMBERS:
         check_number(settings, rule, path)
     classes = check_classes(settings, path)
@@ -91,7 +91,7 @@
     value: object = table
     for part in dotted.split("."):
         if not isinstance(value, Mapping):
-            raise BadConfiguration("not an object", f"{path}.{dotted}".rpartition(".")[0])
+            raise ConfigurationError("not an object", f"{path}.{dotted}".rpartition(".")[0])
         value = value.get(part)
         if value is None:
             return None
@@ -104,34 +104,34 @@
     if value is not None:
         check_value(value, rule, f"{path}.{rule.path}")
     elif rule.required:
-        raise BadConfiguration("missing", f"{path}.{rule.path}")
+        raise ConfigurationError("missing", f"{path}.{rule.path}")
 
 
 def check_value(value: object, rule: NumberRule, path: str) -> None:
     """Checks a number's kind and bounds."""
     if isinstance(value, bool) or not isinstance(value, rule.kind):
         kind = "a whole number" if rule.kind is int else "a number"
-        raise BadConfiguration(f"expected {kind}, got {shown(value)}", path)
+        raise ConfigurationError(f"expected {kind}, got {shown(value)}", path)
     number: Number = value  # type: ignore[assignment]  # rule.kind allows only numbers
     if not rule.least <= number <= rule.most or (rule.above_least and number == rule.least):
         bound = f"above {rule.least}" if rule.above_least else f"at least {rule.least}"
-        raise BadConfiguration(f"expected {bound} and at most {rule.most:g}, got {number}", path)
+        raise ConfigurationError(f"expected {bound} and at most {rule.most:g}, got {number}", path)
 
 
 def check_classes(settings: Mapping[str, object], path: str) -> list[Mapping[str, object]]:
     """Checks the list of classes and gives it."""
     classes = settings.get("classes")
     if not isinstance(classes, list) or not classes:
-        raise BadConfiguration("expected a list of classes, and one at the least", f"{path}.classes")
+        raise ConfigurationError("expected a list of classes, and one at the least", f"{path}.classes")
     known: set[str] = set()
     for index, item in enumerate(classes):
         item_path = f"{path}.classes[{index}]"
         if not isinstance(item, Mapping):
-            raise BadConfiguration("not an object", item_path)
+            raise ConfigurationError("not an object", item_path)
         check_class(item, item_path)
         name = plain_text(item["name"])
         if name in known:
-            raise BadConfiguration(f"{name} names another class already", f"{item_path}.name")
+            raise ConfigurationError(f"{name} names another class already", f"{item_path}.name")
         known.add(name)
     return classes
 
@@ -141,13 +141,13 @@
     name = item.get("name")
     if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
         expected = "expected a name without control characters and ="
-        raise BadConfiguration(f"{expected}, got {shown(name)}", f"{path}.name")
+        raise ConfigurationError(f"{expected}, got {shown(name)}", f"{path}.name")
     for rule in CLASS_NUMBERS:
         check_number(item, rule, path)
     check_choice(item, "semantics", SEMANTICS, path, required=True)
     check_choice(item, "group", SHED_BY, path)
     if not isinstance(item.get("keep_order", False), bool):
-        raise BadConfiguration("expected true or false", f"{path}.keep_order")
+        raise ConfigurationError("expected true or false", f"{path}.keep_order")
 
 
 def check_choice(
@@ -158,14 +158,14 @@
     if value is None and not required:
         return
     if value not in choices:
-        raise BadConfiguration(f"expected one of {', '.join(choices)}, got {shown(value)}", f"{path}.{key}")
+        raise ConfigurationError(f"expected one of {', '.join(choices)}, got {shown(value)}", f"{path}.{key}")
 
 
 def names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
     """A list of names; an empty one where it is absent."""
     found = settings.get(key, [])
     if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
-        raise BadConfiguration("expected a list of names", f"{path}.{key}")
+        raise ConfigurationError("expected a list of names", f"{path}.{key}")
     return found
 
 
@@ -179,7 +179,7 @@
         check_value(value, rule, value_path)
         return
     if len(value) < count:
-        raise BadConfiguration(f"expected a figure for each of {count}, got {len(value)}", value_path)
+        raise ConfigurationError(f"expected a figure for each of {count}, got {len(value)}", value_path)
     for index, number in enumerate(value):
         check_value(number, rule, f"{value_path}[{index}]")
 
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -9,8 +9,9 @@
 import pytest
 from conftest import CATALOG
 
-from hillchute.decision.teamwork import SECOND, Teamwork
-from hillchute.errors import DatagramDropped, DiskNotUsable
+from hillchute.decision.interface import SECOND
+from hillchute.decision.scheduler import QueryScheduler
+from hillchute.errors import HistoryStorageError, InvalidDatagramError
 from hillchute.history.disk import Disk
 from hillchute.history.keeper import Keeper
 from hillchute.history.policy import Book, Forget, Policy
@@ -18,7 +19,7 @@
 from hillchute.lab import processes
 from hillchute.lab.history_net import EPOCH, HistoryNet, founded
 from hillchute.operator import reading
-from hillchute.operator.records import BadRecord
+from hillchute.operator.records import OperatorFileError
 from hillchute.peers import parts
 from hillchute.router import events
 from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
@@ -43,7 +44,7 @@
     def __init__(self):
         names = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
         names["limits.open_cap"] = 100
-        self.module = Teamwork(7, CATALOG | names, 0)
+        self.module = QueryScheduler(7, CATALOG | names, 0)
         self.reducer = Reducer(self.module, CATALOG | names, 8)
         self.reducer.history = True
         self.group = "load"
@@ -167,7 +168,7 @@
 )
 def test_faulty_history_is_named_by_its_path(text, path):
     peers = '\npeers: {name: "a", listen: "127.0.0.1:1", others: []}' if "expected" not in path else ""
-    with pytest.raises(BadRecord, match=path):
+    with pytest.raises(OperatorFileError, match=path):
         reading.hold(text + peers)
 
 
@@ -192,7 +193,7 @@
     joiner.take(parts.OPEN_FOR + 1, "a", parts.encoder.encode(parts.Piece(999, 0, 2, b"x")))
     assert list(joiner.open["a"]) == [999]
     for bad in (parts.Piece(1, 2, 2, b""), parts.Piece(1, 0, parts.MOST_PIECES + 1, b"")):
-        with pytest.raises(DatagramDropped):
+        with pytest.raises(InvalidDatagramError):
             joiner.take(0, "a", parts.encoder.encode(bad))
 
 
@@ -303,10 +304,10 @@
     path = tmp_path / "h.db"
     Disk(path).close()
     path.write_bytes(b"no database at all" * 500)
-    with pytest.raises(DiskNotUsable) as fault:
+    with pytest.raises(HistoryStorageError) as fault:
         Disk(path)
     assert str(path) in str(fault.value)
-    with pytest.raises(DiskNotUsable):
+    with pytest.raises(HistoryStorageError):
         Disk(tmp_path / "no folder" / "h.db")
     other = tmp_path / "o.db"
     disk = Disk(other)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,20 +12,20 @@
 from rounds_by_hand import Signals
 
 from hillchute.benchlink.codec import Fields
-from hillchute.decision.interface import Listing
-from hillchute.decision.teamwork import SECOND, Teamwork
+from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.engines.line import wire
 from hillchute.engines.line.exchange import Exchange
 from hillchute.engines.line.wire import Answer
-from hillchute.errors import BadConfiguration, BusUnreadable
+from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.fronts import seats
 from hillchute.fronts.mysql import packets as mysql
-from hillchute.log import MOST_ALIKE, Log
+from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.membership import event_bus
-from hillchute.net.pipe import Pipe
-from hillchute.net.system import SYSTEM
+from hillchute.net.buffered_socket import BufferedSocket
+from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events, loop_lag, service
 from hillchute.router.effects import (
     CloseConnection,
@@ -212,7 +212,7 @@
 
 
 def test_unreadable_frame_is_said_to_be():
-    with pytest.raises(BusUnreadable):
+    with pytest.raises(EventBusProtocolError):
         list(event_bus.Decoder().feed(event_bus.FRAME.pack(9 + 5, 1, 2)))
 
 
@@ -274,7 +274,7 @@
     for name in parents:
         place = place[name]
     place[last] = value
-    with pytest.raises(BadConfiguration, match=path.replace(".", r"\.")):
+    with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
         config.station(table, {})
 
 
@@ -295,8 +295,9 @@
     def __init__(self, **changed):
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
         self.exchanges = {}
-        self.reducer = Reducer(Teamwork(7, catalog, 0), catalog, 10)
-        entries = [event_bus.Entry(Listing(e, 0, 0, 0, 0, "Ready", 1.0), "127.0.0.1", e) for e in range(1, 7)]
+        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
+        entries = [event_bus.Entry(listing, "127.0.0.1", listing.engine) for listing in listings]
         self.do(events.EndpointsChanged(event_bus.Update(1, "Complete", tuple(entries))))
 
     def do(self, event, now=0, kind=None):
@@ -364,8 +365,9 @@
     engine = rig.reducer.lines.lines[line].engine
     for now in range(0, rig.reducer.lines.silence, 1000):
         assert not rig.do(events.AlarmDue(), now, CloseConnection)
-    silence = rig.reducer.lines.silence
-    effects = [e for now in (4, 5) for e in rig.do(events.AlarmDue(), silence * now // 4 + 2)]
+    effects = [
+        e for now in (4, 5) for e in rig.do(events.AlarmDue(), rig.reducer.lines.silence * now // 4 + 2)
+    ]
     assert CloseConnection(line) in effects
     assert [e for e in effects if isinstance(e, OpenConnection) and e.port != engine]
 
@@ -387,7 +389,7 @@
 
 
 def test_fault_in_one_event_leaves_the_effects_before_it(rig):
-    rig.reducer.module.take = lambda *_: 1 / 0
+    rig.reducer.module.on_query = lambda *_: 1 / 0
     (note,) = [e for e in rig.ask() if isinstance(e, WriteLog)]
     assert note.event == "fault" and "ZeroDivisionError" in note.fields["trace"]
     assert [type(e) for e in rig.do(events.AlarmDue(), 5 * SECOND, FailQuery)] == [FailQuery]
@@ -405,7 +407,7 @@
 def test_endings_are_told_apart(rig, event, result):
     line = rig.sent()
     told = []
-    rig.reducer.module.outcome = lambda now, id, leg, result, *rest: told.append(result)
+    rig.reducer.module.on_attempt_ended = lambda now, ended: told.append(ended.result)
     rig.do(event(line), 10)
     assert told == [result]
 
@@ -439,7 +441,7 @@
 def test_want_of_connections_is_no_verdict_on_the_engine(rig):
     rig.reducer.lines.most = 0
     assert [type(e) for e in rig.ask() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
-    assert not [e for e in rig.reducer.module.engines.values() if e.fails or e.started]
+    assert not [e for e in rig.reducer.module.engines.values() if e.failures or e.started]
 
 
 def test_second_submission_never_shares_the_connection_of_the_first(rig):
@@ -461,9 +463,8 @@
 
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
     line = rig.sent(patience=SECOND)
-    effects = rig.do(
-        events.AlarmDue(), SECOND - loop_lag.LoopLag().answer_margin(SECOND) - rig.reducer.module.margin
-    )
+    margin = loop_lag.LoopLag().answer_margin(SECOND) + rig.reducer.module.answer_margin
+    effects = rig.do(events.AlarmDue(), SECOND - margin)
     assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
     assert [type(e) for e in effects if isinstance(e, RejectQuery | FailQuery)] == [RejectQuery]
     assert not rig.say(line, "ACK", now=SECOND, kind=SendResult)
@@ -472,7 +473,7 @@
 def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
     (wait,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
     engine = rig.reducer.lines.lines[wait.connection].engine
-    entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, "Terminating", 1.0), "127.0.0.1", engine)
+    entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
     rig.do(events.EndpointsChanged(event_bus.Update(2, "Partial", (entry,))), 5)
     sends = rig.do(events.Connected(wait.connection), 10, SendCommand)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
@@ -512,7 +513,7 @@
 
 
 def test_fault_in_the_decisions_leaves_no_query_unanswered(rig):
-    rig.reducer.module.decide = lambda now: 1 / 0
+    rig.reducer.module.next_decision = lambda now: 1 / 0
     notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, WriteLog)]
     assert "ZeroDivisionError" in notes[0].fields["trace"]
     assert [type(e) for e in rig.do(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
@@ -528,7 +529,7 @@
 def test_closing_answers_everything_by_its_end(rig):
     rig.sent(patience=9 * SECOND)
     rig.do(events.ShutdownStarted(2 * SECOND), SECOND)
-    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.module.margin, RejectQuery)
+    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.module.answer_margin, RejectQuery)
     assert [e.session for e in done] == [1]
 
 
@@ -568,20 +569,20 @@
 
 
 def test_bytes_that_a_full_socket_does_not_take_are_still_owed():
-    pipe = Pipe(Fickle(), Watched(), None, 1024)
-    pipe.put(b"an answer")
-    while pipe.left:
+    pipe = BufferedSocket(Fickle(), Watched(), None, 1024)
+    pipe.write(b"an answer")
+    while pipe.unsent:
         assert pipe.poller.writing
         pipe.flush()
     assert not pipe.poller.writing
-    assert pipe.sock.taken == b"an answer" and not pipe.left
+    assert pipe.sock.taken == b"an answer" and not pipe.unsent
 
 
 class Watched:
     """Stands in for the poller: whether the pipe asks to be told that its socket takes bytes."""
 
     writing = False
-    system = SYSTEM
+    system = SYSTEM_CALLS
 
     def add(self, sock, owner):
         pass
@@ -606,7 +607,9 @@
 def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
     async def run():
         buses = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        read_again = iter([BadConfiguration("missing", "bus"), station._replace(bus=buses[1].getsockname())])
+        read_again = iter(
+            [ConfigurationError("missing", "bus"), station._replace(bus=buses[1].getsockname())]
+        )
 
         def read():
             found = next(read_again)
@@ -781,8 +784,8 @@
     log = Log("n1", -1)
     for _ in range(100):
         log.write("misread", why="x")
-    log.second = 0
+    log.window_start = 0
     log.write("misread", why="x")
     lines = [orjson.loads(line) for line in log.buffer.splitlines()]
-    assert len(lines) == MOST_ALIKE + 2
-    assert lines[-2]["left_out"] == {"misread": 100 - MOST_ALIKE}
+    assert len(lines) == MAX_LINES_PER_EVENT + 2
+    assert lines[-2]["left_out"] == {"misread": 100 - MAX_LINES_PER_EVENT}
