--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -176,7 +176,7 @@
         desk.router.admits(0, REPORT, 0.0)
     assert desk.router.admits(0, LOOKUP, MOST_LATE / 10)
     assert not desk.router.admits(0, LOOKUP, MOST_LATE / 2)
-    assert desk.router.admits(0, REPORT, MOST_LATE - 1) and desk.router.welcome(0, LOAD, MOST_LATE - 1)
+    assert desk.router.admits(0, REPORT, MOST_LATE - 1) and desk.router.admits(0, LOAD, MOST_LATE - 1)
     assert not desk.router.admits(0, REPORT, MOST_LATE)
 
 
