--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -29,7 +29,7 @@
 from hillchute.partners.council import Council
 from hillchute.partners.marks import checker, signer
 from hillchute.partners.passing import Passing
-from hillchute.router.reducer import TABLES
+from hillchute.router.request_rules import TABLE_GROUP_PREFIX
 
 HISTORY, PARTNERS = b"h", b"p"  # before a message's bytes, as the datagrams' kinds tell them apart
 YEAR = 365 * 86_400 * SECOND
@@ -180,7 +180,7 @@
         self.post(name)
 
     def claim(self, name: str, token: str, key: str, patience: Time) -> tuple[str, int, int]:
-        once, now = key.startswith(TABLES), self.clock(name)
+        once, now = key.startswith(TABLE_GROUP_PREFIX), self.clock(name)
         number = self.keepers[name].claim(now, "", key, token, now + patience, not once, once)
         claim = name, self.lives[name], number
         self.open[claim] = token, key, self.now
@@ -188,7 +188,7 @@
 
     def change(self, name: str, tables: int) -> None:
         """A mutating query: no token, nothing that could be answered again."""
-        self.ask(name, f"once{self.numbers}", f"{TABLES}{tables}")
+        self.ask(name, f"once{self.numbers}", f"{TABLE_GROUP_PREFIX}{tables}")
 
     def answered(self, ask: int, how: str) -> None:
         """One of a client's queries has its final answer."""
@@ -224,7 +224,7 @@
             to = passing.choose(self.partners.get(why, ()), "", key)
             if to is not None:
                 left = max(0, asked + PATIENCE - self.now)
-                once = key.startswith(TABLES)
+                once = key.startswith(TABLE_GROUP_PREFIX)
                 message = codec.Pass(
                     0, 0, 0, token, "g", key.encode(), None if once else token, None, 0.0, None, "", left
                 )
@@ -258,14 +258,15 @@
 
     def run(self, claim: tuple[str, int, int], token: str, key: str) -> None:
         before = len(self.runs[token])
-        super().run(claim, token, token if key.startswith(TABLES) else key)  # mutating ones have no order
+        # Non-idempotent ones have no order.
+        super().run(claim, token, token if key.startswith(TABLE_GROUP_PREFIX) else key)
         if len(self.runs[token]) == before:
             return
         ask = self.ask_for(claim)
         if ask is not None:
             self.ran_for.add(ask)
             self.rule["deferred and ran"] += ask in self.turned_away
-            if ask in self.asks and not key.startswith(TABLES):
+            if ask in self.asks and not key.startswith(TABLE_GROUP_PREFIX):
                 line = (*self.asks[ask][:2], key)
                 self.rule["overtaken"] += ask < self.ran_last.get(line, 0)
                 self.ran_last[line] = max(ask, self.ran_last.get(line, 0))
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -11,7 +11,7 @@
 
 from hillchute.lab.partners_net import private, public
 from hillchute.lab.world import Ran, World
-from hillchute.router.reducer import TABLES
+from hillchute.router.request_rules import TABLE_GROUP_PREFIX
 
 PARTNERS = "abc"
 TOLERANCE = 0.05  # seconds, as of all limits
@@ -74,7 +74,9 @@
 
 def unit(ran: Ran, key: str | None, statement: str) -> str:
     """What one owner leads at a time: a key, or a table group."""
-    return (key or ran.token) if ran.token is not None else f"{TABLES}{TABLE.search(statement)[1]}"
+    if ran.token is not None:
+        return key or ran.token
+    return f"{TABLE_GROUP_PREFIX}{TABLE.search(statement)[1]}"
 
 
 def two_owners(world: World, whose: dict[int, str], about: dict[str, About]) -> list[str]:
--- /dev/null
+++ b/hillchute/router/attempts.py
@@ -0,0 +1,249 @@
+"""Attempts to run queries on engines: each from its submission to its end.
+
+Reports every end to the decision module and gives the results of attempts to their query's owner. Does not
+decide which engine gets an attempt, when, or for how long: that is the decision module's. Times are whole
+tenths of a millisecond.
+"""
+
+from typing import Protocol
+
+from hillchute.decision.interface import AttemptEnded, AttemptResult, EngineId, QueryId, Time
+from hillchute.decision.scheduler import QueryScheduler
+from hillchute.engines import words
+from hillchute.membership import event_bus
+from hillchute.router.connection_pool import ConnectionPool, Endpoint, EngineConnection
+from hillchute.router.effects import AbortStream, Effect, SendCommand, SendResult, StartStream
+from hillchute.router.query_state import Attempt, ClaimState, QueryState
+from hillchute.router.reducer_context import ReducerContext
+from hillchute.router.request_rules import RequestRules
+
+
+class QueryOwner(Protocol):
+    """Whoever holds the queries and gives their answers."""
+
+    def find_query(self, query: QueryId, number: int) -> QueryState | None:
+        """The query with this id and number, if it is not over."""
+
+    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+        """Gives a query its one answer."""
+
+    def forget(self, query: QueryState) -> None:
+        """Drops a query that is answered and whose attempts have all ended."""
+
+
+class Attempts:
+    """The attempts of all queries of a router."""
+
+    def __init__(
+        self, context: ReducerContext, module: QueryScheduler, rules: RequestRules, owner: QueryOwner
+    ) -> None:
+        self.context = context
+        self.module = module
+        self.rules = rules
+        self.owner = owner
+
+    # ---- what the decision module asks for --------------------------------------------------------
+
+    def submit(self, pool: ConnectionPool, query: QueryState, engine: EngineId, time_limit: Time) -> None:
+        """Starts an attempt on an engine: on an open connection, or on one that is being opened."""
+        now = self.context.now
+        attempt = Attempt(query, len(query.attempts), engine, now, now + time_limit)
+        query.attempts.append(attempt)
+        self.context.call_at(
+            attempt.deadline, self.on_timeout, query.request.id, query.number, attempt.number
+        )
+        connection = pool.connection_for(pool.endpoints[engine], query)
+        if connection is None:  # the lack of connections is this router's, not the engine's
+            self.end(attempt, AttemptResult.NOT_SENT)
+        elif connection.is_open:
+            self.send(attempt, connection, pool.endpoints[engine])
+        else:
+            attempt.connection = connection
+            connection.waiting.append(attempt)
+
+    def send(self, attempt: Attempt, connection: EngineConnection, endpoint: Endpoint | None) -> None:
+        """Sends an attempt, unless it has become pointless since it was decided."""
+        query = attempt.query
+        now = self.context.now
+        if query.answered or endpoint is None or not endpoint.ready or now >= attempt.deadline:
+            self.end(attempt, AttemptResult.NOT_SENT)
+            return
+        request = query.request
+        attempt.connection = connection
+        attempt.sent = True
+        connection.attempts[request.id] = attempt
+        connection.last_used_at = now
+        milliseconds = -(-(attempt.deadline - now) // 10)
+        token = request.token if self.rules.group_of(request) in self.rules.idempotent else None
+        run = words.Run(request.id, request.group, milliseconds, query.priority, token, request.statement)
+        self.context.emit(SendCommand(connection.number, run))
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Gives an attempt up."""
+        self.end(attempt, AttemptResult.CANCELLED, cancel_run=True)
+
+    def set_priority(self, query: QueryState, priority: int) -> None:
+        """Tells the engines on which a query runs or waits its new priority."""
+        query.priority = priority
+        for attempt in query.attempts:
+            if attempt.connection is None or not attempt.sent:
+                continue
+            if not attempt.ended and attempt.run_over is None:
+                hurry = words.Hurry(query.request.id, priority)
+                self.context.emit(SendCommand(attempt.connection.number, hurry))
+
+    # ---- the ends of attempts ---------------------------------------------------------------------
+
+    def on_timeout(self, query_id: QueryId, query_number: int, number: int) -> None:
+        """The time limit of an attempt has passed."""
+        query = self.owner.find_query(query_id, query_number)
+        if query is None or query.attempts[number].ended:
+            return
+        attempt = query.attempts[number]
+        if attempt.sent:
+            self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
+        else:
+            self.end(attempt, AttemptResult.NOT_SENT)
+
+    def on_not_sent(self, connection: EngineConnection, query: QueryId) -> None:
+        """A command was not written, since nobody waits any more: no byte of the attempt has left."""
+        attempt = connection.attempts.get(query)
+        if attempt is not None:
+            self.end(attempt, AttemptResult.NOT_SENT)
+
+    def end_open(self, query: QueryState) -> None:
+        """Ends what nobody reads once the query is answered; other attempts may run to their end."""
+        for attempt in query.attempts:
+            if attempt.ended:
+                continue
+            if attempt.stream is not None:
+                self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
+            elif attempt.run_over is not None and attempt.connection is not None:
+                unwanted = words.Unwanted(query.request.id)
+                self.context.emit(SendCommand(attempt.connection.number, unwanted))
+                self.end(attempt, AttemptResult.SERVED)
+
+    def end_streams(self, query: QueryState) -> None:
+        """Ends the attempts whose stream can't be read."""
+        for attempt in query.attempts:
+            if attempt.stream is not None and not attempt.ended:
+                self.end(attempt, AttemptResult.CONNECTION_LOST, cancel_run=True)
+
+    def end(
+        self,
+        attempt: Attempt,
+        result: AttemptResult,
+        *,
+        cancel_run: bool = False,
+        final: bool = False,
+        message: words.Over | words.Whole | words.Ended | None = None,
+    ) -> None:
+        """An attempt has ended; the decision module is told, once.
+
+        `cancel_run`: the engine is told to give the run up; `final`: the client has its answer with this;
+        `message`: what the engine said with the end.
+        """
+        if attempt.ended:
+            return
+        attempt.ended = True
+        attempt.result = result
+        query = attempt.query
+        self._leave_connection(attempt, cancel_run)
+        self.context.module_notified = True
+        streaming = attempt.stream is not None
+        self._report(attempt, result, final or streaming or query.answered, message or attempt.run_over)
+        if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
+            name = event_bus.engine_name(attempt.engine)
+            self.context.log("submission", id=query.request.id, engine=name, result=result)
+        attempt.run_over = None
+        if attempt.stream is not None and result != AttemptResult.SERVED:
+            # No retry: the client may have seen some of the result.
+            attempt.stream.close()
+            abort = AbortStream(query.session, f"the result broke off: {result}")
+            self.owner.answer(query, abort, "cut")
+        self.owner.forget(query)
+
+    def _leave_connection(self, attempt: Attempt, cancel_run: bool) -> None:
+        connection = attempt.connection
+        if connection is None:
+            return
+        query = attempt.query.request.id
+        if attempt.sent:
+            connection.attempts.pop(query, None)
+            if cancel_run:
+                self.context.emit(SendCommand(connection.number, words.GiveUp(query)))
+        elif attempt in connection.waiting:
+            connection.waiting.remove(attempt)
+
+    def _report(
+        self,
+        attempt: Attempt,
+        result: AttemptResult,
+        final: bool,
+        message: words.Over | words.Whole | words.Ended | None,
+    ) -> None:
+        cost = None
+        report = None
+        if message is not None:
+            cost = round((message.work or 0) * 10) or None
+            report = message.report
+        now = self.context.now
+        elapsed = now - attempt.started_at
+        query = attempt.query.request.id
+        ended = AttemptEnded(query, attempt.number, result, final, elapsed, cost, report)
+        self.module.on_attempt_ended(now, ended)
+
+    # ---- what engines send ------------------------------------------------------------------------
+
+    def on_message(self, connection: EngineConnection, message: words.Said) -> None:
+        """An engine says something of an attempt; of one that was given up it is ignored."""
+        if message is None or isinstance(message, words.Probed):
+            return
+        attempt = connection.attempts.get(message.id)
+        if attempt is None:
+            return
+        match message:
+            case words.Whole():
+                self._on_result(attempt, message)
+            case words.Over(query):
+                attempt.run_over = message
+                if attempt.query.answered:
+                    self.context.emit(SendCommand(connection.number, words.Unwanted(query)))
+                    self.end(attempt, AttemptResult.SERVED)
+            case words.Began(_, stream):
+                self._on_stream_started(attempt, stream)
+            case words.Noted(query, topic, value):
+                self.module.on_progress(self.context.now, query, attempt.number, topic, value)
+            case words.Ended(_, result):
+                self.end(attempt, AttemptResult(result), message=message)
+
+    def _on_result(self, attempt: Attempt, message: words.Whole) -> None:
+        query = attempt.query
+        if query.claim is not ClaimState.NONE:
+            query.rows = message.rows
+        self.end(attempt, AttemptResult.SERVED, final=True, message=message)
+        self.owner.answer(query, SendResult(query.session, message.rows), "finished")
+
+    def _on_stream_started(self, attempt: Attempt, stream: words.Stream) -> None:
+        """The first of a stream has come: from here on there is no retry."""
+        query = attempt.query
+        attempt.stream = stream
+        if query.answered:
+            self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
+            return
+        self.module.on_stream_started(self.context.now, query.request.id)
+        self.context.call_at(query.deadline, self.on_stream_timeout, query.request.id, query.number)
+        self.context.emit(StartStream(query.session, stream))
+
+    def on_stream_timeout(self, query_id: QueryId, query_number: int) -> None:
+        """The deadline of a query whose client has not read all of its stream."""
+        query = self.owner.find_query(query_id, query_number)
+        if query is None or query.answered:
+            return
+        streams = [attempt.stream for attempt in query.attempts if attempt.stream is not None]
+        if not streams:
+            return
+        self.module.on_client_left(self.context.now, query_id)
+        for stream in streams:
+            stream.close()
+        self.owner.answer(query, AbortStream(query.session, "the time for the result is up"), "cut")
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -27,7 +27,7 @@
 from hillchute.partners.pool import floor, homes
 from hillchute.peers.node import PARTNERS, Node
 from hillchute.peers.roster import DEAD
-from hillchute.router.reducer import place
+from hillchute.router.request_rules import history_key
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
 
@@ -103,7 +103,7 @@
     # ---- the reducer's queries ----------------------------------------------------------------------
 
     def pass_on(self, id: str, number: int, owner: str, request: Request, left: Time) -> None:
-        customer, key, _ = place(request)
+        customer, key, _ = history_key(request)
         to = self.passing.choose(self.council.routers.get(owner, ()), customer, key)
         if to is None:
             self.judged(id, number, "DEFER", "no router of its slot's owner is known to live", None)
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -1,35 +1,40 @@
-"""All state of queries and submissions of one router, and the only place that changes it: reduce(event, now)
-gives the effects it asks for.
+"""The state of one router's queries, and the only place that changes it: (event, now) -> effects.
 
-Owns the open queries and their submissions; drives the decision module; lines.py holds the connections. Must
-never read or write, look at a clock, know a protocol, or decide what the module decides: what runs where and
-when, what is deferred or killed, how long a submission may take. Times are whole tenths of a millisecond.
+Pure: reads no clock, does no I/O, knows no protocol. Owns the open queries and gives each its one answer;
+attempts.py holds their attempts, connection_pool.py the connections to engines, and the decision module
+decides what runs where and when, what is rejected or failed, and how long an attempt may take. Times are
+whole tenths of a millisecond.
 """
 
-import sys
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
+from typing import Any
 
-from hillchute.decision import interface
 from hillchute.decision.interface import (
-    AttemptEnded,
+    MAY_STILL_RUN,
+    NEVER_RAN,
     AttemptResult,
     Cancel,
     Decision,
+    EngineId,
     Fail,
     HealthCheck,
     NewQuery,
+    QueryId,
     Reject,
     Report,
-    Scheduler,
     SetTerms,
     Submit,
     Time,
     Wake,
     WatchEndpoints,
 )
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
-from hillchute.fronts.events import FIRST_GUEST
-from hillchute.membership import event_bus
+from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
+from hillchute.fronts.events import FIRST_GUEST, Asked, Left, Passed, Spoilt
+from hillchute.router.answer_log import AnswerLog
+from hillchute.router.attempts import Attempts
+from hillchute.router.connection_pool import ConnectionPool, EngineConnection
 from hillchute.router.effects import (
     AbortStream,
     CancelForward,
@@ -39,533 +44,386 @@
     FailQuery,
     ForwardQuery,
     RejectQuery,
-    SendCommand,
     SendResult,
-    StartStream,
 )
 from hillchute.router.events import (
     AlarmDue,
-    Asked,
     ClaimDecided,
-    Connected,
     EndpointsChanged,
     Event,
-    Left,
-    Lost,
-    NotConnected,
-    NotSent,
-    Passed,
     PeersChanged,
-    Said,
     ShutdownStarted,
-    Spoilt,
 )
-from hillchute.router.lines import Leg, Line, Lines, Query
 from hillchute.router.loop_lag import LoopLag
+from hillchute.router.query_state import Attempt, ClaimState, QueryState
 from hillchute.router.reducer_context import ReducerContext
+from hillchute.router.request_rules import SHOWN, RequestRules, history_key
 from hillchute.statements.request import Request
 
-COUNT_EVERY = 10_000  # tenths of a millisecond between two lines of the log that count the answers
-NEVER_RAN, MAY_STILL_RUN = frozenset(interface.NEVER_RAN), frozenset(interface.MAY_STILL_RUN)
-TABLES = "\0tables "  # before a table group, where a key would stand: no key of a client begins so
-AFTER_ALL: Time = 500  # 50 ms before a client's time is up a query gets an answer, whatever happens
+LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout a query is answered, whatever happens
 
 
 class Reducer:
-    def __init__(self, module: Scheduler, catalog: Mapping[str, object], most_lines: int) -> None:
+    """The queries of a router.
+
+    `claims_idempotent`: queries with an idempotency key wait for the answer history; `claims_non_idempotent`:
+    so do the others that change data, since only the owner of their slot may run them (partners).
+    """
+
+    def __init__(self, module: QueryScheduler, catalog: Mapping[str, Any], max_connections: int) -> None:
         self.module = module
         self.context = ReducerContext(max(1, catalog.get("tick", 1)))
-        self.lines = Lines(self.context, module, catalog, most_lines, self.send, self.leg_over)
-        self.loop_lag = LoopLag()
-        self.groups = {str(catalog.get(f"groups.{n}.name")): n for n in range(catalog.get("groups.count", 0))}
-        self.open_cap = catalog.get("limits.open_cap") or sys.maxsize  # none is stated, none holds
-        self.tokened = {n for n in self.groups.values() if catalog.get(f"groups.{n}.effect") == "tokened"}
-        effects = {n: catalog.get(f"groups.{n}.effect", "mutating") for n in self.groups.values()}
-        self.mutating = {n for n, effect in effects.items() if effect == "mutating"}
-        self.ordered = {n for n in self.groups.values() if catalog.get(f"groups.{n}.keep_order")}
-        times = [catalog.get(f"groups.{n}.queue_timeout", 0) for n in self.groups.values()]
-        self.longest: Time = max(times, default=0) or 10**9
-        self.cores, self.ram = (
-            max(value) if isinstance(value, list) else value
-            for value in (catalog.get("domain.kind_cores", 1), catalog.get("domain.ram_of_kind_mb") or 10**9)
+        self.rules = RequestRules(catalog)
+        self.attempts = Attempts(self.context, module, self.rules, self)
+        self.pool = ConnectionPool(
+            self.context, module, catalog, max_connections, self.on_connection_open, self.attempts.end
         )
-        self.history = False  # whether keyed queries wait for the answer history's word
-        self.partners = False  # whether mutating ones do, too: only a slot's owner leads them
+        self.loop_lag = LoopLag()
+        self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
+        self.claims_idempotent = False
+        self.claims_non_idempotent = False
         self.order_pause: Time = catalog.get("guarantees.order_pause", 0)
-        self.end: Time | None = None
-        self.queries: dict[str, Query] = {}
-        self.asking: dict[int, Query] = {}  # by session, while unanswered
-        self.counts: dict[tuple[str, str], list[float]] = {}  # answers since the last line in the log
-        self.counted_at: Time = 0
-        self.takes: dict[type, Callable[..., None]] = {
-            Asked: self.take,
-            Left: self.left,
-            Passed: self.passed,
-            Spoilt: self.spoilt,
-            Connected: self.lines.connected,
-            NotConnected: self.lines.not_connected,
-            Said: self.said,
-            NotSent: self.not_sent,
-            Lost: self.lines.lost,
-            EndpointsChanged: self.lines.told,
-            PeersChanged: self.peered,
-            ClaimDecided: self.judged,
-            AlarmDue: self.tick_came,
-            ShutdownStarted: self.closing,
-        }
+        self.shutdown_deadline: Time | None = None
+        self.queries: dict[QueryId, QueryState] = {}
+        self.unanswered: dict[int, QueryState] = {}  # by session
 
     def reduce(self, event: Event, now: Time) -> list[Effect]:
-        """Takes one event in; the effects that follow from it, in order."""
+        """Takes in one event; gives the effects that follow from it, in order."""
         context = self.context
-        # What engines say part by part tells the module nothing that it decides by, unless a part says so.
+        # A message of an engine tells the module nothing that it decides by, unless an attempt ends with it.
         context.begin_event(now, module_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
-            # Whatever event comes first after a pause finds the timers late, not only the one that rings.
+            # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
-            self.takes[type(event)](*event)
-        except Exception:
+            self.handle(event)
+        except Exception:  # a fault in one event must not end the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
         if context.module_notified:
-            self.pull()
+            self.take_decisions()
         context.update_alarm()
         return context.effects
 
-    def pull(self) -> None:
-        """Takes decisions until there is none."""
+    def handle(self, event: Event) -> None:
+        """Gives an event to the part that it concerns."""
+        match event:
+            case Asked(session, request, received_at):
+                self.on_query(session, request, received_at)
+            case Left(session):
+                self.on_client_left(session)
+            case Passed(session):
+                self.on_stream_delivered(session)
+            case Spoilt(session, reason):
+                self.on_stream_unreadable(session, reason)
+            case ClaimDecided():
+                self.on_claim_decided(event)
+            case PeersChanged(reports):
+                self.on_peers_changed(reports)
+            case ShutdownStarted(answer_by):
+                self.on_shutdown(answer_by)
+            case AlarmDue():
+                pass  # timers that are due run with every event
+            case _:
+                self.handle_engine_event(event)
+
+    def handle_engine_event(
+        self, event: Connected | NotConnected | NotSent | Said | Lost | EndpointsChanged
+    ) -> None:
+        """Gives an event of the endpoint list or an engine's connection to the part that it concerns."""
+        match event:
+            case Said(number, message):
+                self.on_engine_message(number, message)
+            case Connected(number):
+                self.pool.on_connected(number)
+            case NotConnected(number, fault):
+                self.pool.on_not_connected(number, fault)
+            case NotSent(number, query):
+                connection = self.pool.connections.get(number)
+                if connection is not None:
+                    self.attempts.on_not_sent(connection, query)
+            case Lost(number, reason, never_sent):
+                self.pool.on_lost(number, reason, never_sent)
+            case EndpointsChanged(update):
+                self.pool.on_endpoints_changed(update)
+
+    # ---- decisions --------------------------------------------------------------------------------
+
+    def take_decisions(self) -> None:
+        """Carries out the decision module's decisions until there is none."""
         try:
             while (decision := self.module.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:
+        except Exception:  # a fault of the module must not end the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
+        """Carries out one decision."""
         match decision:
-            case Submit(id, engine, within):
-                self.submit(self.queries[id], engine, within)
-            case SetTerms(id, _, rank):
-                self.set_rank(self.queries[id], rank)
-            case Reject(id, after, why):
-                self.answer(self.queries[id], RejectQuery(self.queries[id].session, after), "deferred", why)
-            case Fail(id, why):
-                self.answer(self.queries[id], FailQuery(self.queries[id].session, "killed"), "killed", why)
-            case Cancel(id, number):
-                if id in self.queries:
-                    self.leg_over(self.queries[id].legs[number], AttemptResult.CANCELLED, give_up=True)
+            case Submit(query_id, engine, time_limit):
+                self.attempts.submit(self.pool, self.queries[query_id], engine, time_limit)
+            case SetTerms(query_id, _, priority):
+                self.attempts.set_priority(self.queries[query_id], priority)
+            case Reject(query_id, retry_after, reason):
+                query = self.queries[query_id]
+                self.answer(query, RejectQuery(query.session, retry_after), "deferred", reason)
+            case Fail(query_id, reason):
+                query = self.queries[query_id]
+                self.answer(query, FailQuery(query.session, "killed"), "killed", reason)
+            case Cancel(query_id, number):
+                if query_id in self.queries:
+                    self.attempts.cancel(self.queries[query_id].attempts[number])
             case HealthCheck(engine):
-                self.lines.probe(engine)
-            case Wake(at, name):
-                self.context.call_at(at, self.woken, name)
+                self.pool.start_health_check(engine)
+            case Wake(time, name):
+                self.context.call_at(time, self.on_module_timer, name)
             case WatchEndpoints():
                 pass  # the event bus is always followed
 
-    def woken(self, name: str) -> None:
+    def on_module_timer(self, name: str) -> None:
+        """A time that the decision module named has come."""
         self.module.on_timer(self.context.now, name)
 
-    def peered(self, news: list[tuple[int, Report, Time]]) -> None:
-        for engine, report, age in news:
+    def on_peers_changed(self, reports: list[tuple[EngineId, Report, Time]]) -> None:
+        """Load reports of other routers, or a change among them, go to the decision module."""
+        for engine, report, age in reports:
             self.module.on_load_report(self.context.now, engine, report, age)
-        self.module.stand(self.context.now)
+        self.module.stand(self.context.now)  # type: ignore[attr-defined]  # a router with peers has it
 
-    # ---- queries ----------------------------------------------------------------------------------
+    # ---- engines ----------------------------------------------------------------------------------
 
-    def tick_came(self) -> None:
-        """The timers that are due are looked at with every event."""
+    def on_engine_message(self, number: int, message: words.Said) -> None:
+        """Something has come from an engine; None says only that the connection is alive."""
+        connection = self.pool.connections.get(number)
+        if connection is None:
+            return
+        connection.last_received_at = self.context.now
+        if isinstance(message, words.Probed):
+            self.pool.on_health_check_answer(connection, message)
+        else:
+            self.attempts.on_message(connection, message)
 
-    def take(self, session: int, request: Request, since: Time) -> None:
-        now = self.context.now
-        fault = self.misfit(session, request)
-        if fault:
+    def on_connection_open(self, attempt: Attempt, connection: EngineConnection) -> None:
+        """The connection that an attempt waited for is open."""
+        self.attempts.send(attempt, connection, self.pool.endpoints.get(attempt.engine))
+
+    # ---- queries ----------------------------------------------------------------------------------
+
+    def on_query(self, session: int, request: Request, received_at: Time) -> None:
+        """A query has come whole: it is failed where it can't be a query, rejected, or taken."""
+        fault = self.find_fault(session, request)
+        if fault is not None:
             self.context.emit(FailQuery(session, fault))
             self.context.log("misread", session=session, why=fault)
             return
-        if len(self.asking) >= self.open_cap:
+        if len(self.unanswered) >= self.rules.max_open:
             self.context.emit(RejectQuery(session, 0))
             return
-        group = self.groups[request.group]
+        now = self.context.now
+        group = self.rules.group_of(request)
         if not self.module.admits(now, group, self.loop_lag.standing_delay):
             self.context.emit(RejectQuery(session, 0))
-            self.tally(request.group, "turned away", now - since)
-            return
-        # Guards rule 1 on a loaded machine: bytes are read and answers written as late as timers come.
-        due = since + request.patience - self.loop_lag.answer_margin(request.patience)
-        if self.end is not None:
-            due = min(due, self.end)
-        q = Query(request, session, since, due, self.context.next_number())
-        self.queries[request.id] = self.asking[session] = q
-        self.context.call_at(
-            max(due, since + request.patience - AFTER_ALL), self.overdue, request.id, q.number
-        )
-        if self.history and group in self.tokened and request.token is not None:
-            q.claim = "asked"
-            self.context.emit(
-                ClaimQuery(request.id, q.number, *place(request), max(0, due - now), group in self.ordered)
-            )
-            return
-        if self.partners and group in self.mutating:
-            q.claim = "asked"
-            self.context.emit(
-                ClaimQuery(request.id, q.number, *place(request), max(0, due - now), False, once=True)
-            )
+            self.answer_log.count(request.group, "turned away", now - received_at, len(self.unanswered))
             return
-        self.hand_on(q)
+        query = self.add_query(session, request, received_at)
+        if self.claims_idempotent and group in self.rules.idempotent and request.token is not None:
+            self.claim(query, ordered=group in self.rules.ordered)
+        elif self.claims_non_idempotent and group in self.rules.non_idempotent:
+            self.claim(query, once=True)
+        else:
+            self.schedule(query)
 
-    def hand_on(self, q: Query) -> None:
-        """The module has it from now on."""
-        request, group = q.request, self.groups[q.request.group]
-        key = request.key if group in self.ordered else None
-        arrival = NewQuery(
+    def find_fault(self, session: int, request: Request) -> str | None:
+        """Why this request can't be a query here; None if it can."""
+        if request.group not in self.rules.groups:
+            return f"field route names no resource group: {request.group[:SHOWN]}"
+        if request.id in self.queries:
+            return "field trace has been used before"
+        if session in self.unanswered:
+            return "a query is open on this session"
+        return self.rules.fault(request)
+
+    def add_query(self, session: int, request: Request, received_at: Time) -> QueryState:
+        """Takes a query. Its deadline leaves time for the answer to get out, as late as the loop has been."""
+        client_timeout = request.patience
+        deadline = received_at + client_timeout - self.loop_lag.answer_margin(client_timeout)
+        if self.shutdown_deadline is not None:
+            deadline = min(deadline, self.shutdown_deadline)
+        query = QueryState(request, session, received_at, deadline, self.context.next_number())
+        self.queries[request.id] = query
+        self.unanswered[session] = query
+        last_moment = max(deadline, received_at + client_timeout - LAST_ANSWER_MARGIN)
+        self.context.call_at(last_moment, self.on_timeout, request.id, query.number)
+        return query
+
+    def schedule(self, query: QueryState) -> None:
+        """Hands a query to the decision module."""
+        request = query.request
+        group = self.rules.group_of(request)
+        new_query = NewQuery(
             request.id,
             group,
-            q.due,
+            query.deadline,
             table_group=request.tables,
             cost=request.cost,
             memory_mb=request.memory,
-            ordering_key=key,
+            ordering_key=request.key if group in self.rules.ordered else None,
+        )
+        self.module.on_query(self.context.now, new_query)
+
+    def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
+        """The query that a timer or claim was for; None if it is over, also where its id is in use again."""
+        query = self.queries.get(query_id)
+        return query if query is not None and query.number == number else None
+
+    def waiting_session(self, query_id: QueryId) -> int | None:
+        """The session that waits for the answer to a query; None where none does."""
+        query = self.queries.get(query_id)
+        return None if query is None or query.answered else query.session
+
+    def on_client_left(self, session: int) -> None:
+        """A client gave its query up, or is gone."""
+        query = self.unanswered.get(session)
+        if query is not None:
+            self.module.on_client_left(self.context.now, query.request.id)
+            self.answer(query, None, "left")
+
+    def on_stream_delivered(self, session: int) -> None:
+        """A client has had all of a stream."""
+        query = self.unanswered.get(session)
+        if query is not None:
+            self.answer(query, None, "finished")
+
+    def on_stream_unreadable(self, session: int, reason: str) -> None:
+        """A stream that is passed on to a client can't be read."""
+        query = self.unanswered.get(session)
+        if query is None:
+            return
+        self.attempts.end_streams(query)
+        self.module.on_client_left(self.context.now, query.request.id)
+        self.answer(query, AbortStream(session, f"the result can't be read: {reason}"), "cut")
+
+    def on_shutdown(self, answer_by: Time) -> None:
+        """The router ends: all queries, also those that still come, are answered by then."""
+        self.shutdown_deadline = answer_by
+        self.module.on_shutdown(self.context.now, answer_by)
+        for query in list(self.unanswered.values()):
+            query.deadline = min(query.deadline, answer_by)
+            names = (query.request.id, query.number)
+            self.context.call_at(query.deadline + 2 * LAST_ANSWER_MARGIN, self.on_timeout, *names)
+            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, *names)
+
+    # ---- claims -----------------------------------------------------------------------------------
+
+    def claim(self, query: QueryState, *, ordered: bool = False, once: bool = False) -> None:
+        """Asks the answer history whether a query may run."""
+        query.claim = ClaimState.ASKED
+        time_left = max(0, query.deadline - self.context.now)
+        customer, key, token = history_key(query.request)
+        self.context.emit(
+            ClaimQuery(query.request.id, query.number, customer, key, token, time_left, ordered, once)
         )
-        self.module.on_query(self.context.now, arrival)
 
-    def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
-        """The answer history's word on a query that waits for it."""
-        q = self.named(id, number)
-        if q is None or q.answered or q.claim not in ("asked", "passed on"):
+    def on_claim_decided(self, decided: ClaimDecided) -> None:
+        """The answer history, or the router that a query was forwarded to, has decided on it."""
+        query = self.find_query(decided.query, decided.number)
+        if query is None or query.answered:
             return
-        if q.claim == "passed on" or verdict == "PASS":
-            q.claim = "passed back"  # it is over there, and the history hears that it is here
+        if query.claim not in (ClaimState.ASKED, ClaimState.FORWARDED):
+            return
+        verdict, reason = decided.verdict, decided.reason
+        if query.claim is ClaimState.FORWARDED or verdict == "PASS":
+            query.claim = ClaimState.RETURNED
         else:
-            q.claim = ""
-        if verdict == "PASS" and q.session >= FIRST_GUEST:
-            verdict, why = "DEFER", "its slot has another owner meanwhile"  # there is no second hop
+            query.claim = ClaimState.NONE
+        if verdict == "PASS" and query.session >= FIRST_GUEST:  # a query is forwarded only once
+            verdict, reason = "DEFER", "its slot has another owner meanwhile"
+        outcome = f"history: {reason}"
         match verdict:
             case "RUN":
-                q.claim = "granted"
-                self.hand_on(q)
-                return
+                query.claim = ClaimState.GRANTED
+                self.schedule(query)
             case "PASS":
-                q.claim = "passed on"
-                left = max(0, q.due - self.context.now)
-                self.context.emit(ForwardQuery(q.request.id, q.number, why, q.request, left))
-                return
+                self.forward(query, reason)
             case "ANSWER":
-                effect, how = SendResult(q.session, rows), "finished"
+                result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # it has rows
+                self.answer(query, result, "finished", outcome)
             case "KILL":
-                effect, how = FailQuery(q.session, why), "killed"
+                self.answer(query, FailQuery(query.session, reason), "killed", outcome)
             case _:
-                effect, how = RejectQuery(q.session, 0), "deferred"
-        self.answer(q, effect, how, f"history: {why}")
-
-    def misfit(self, session: int, request: Request) -> str | None:
-        """Why this request can't be a query here."""
-        if request.group not in self.groups:
-            return f"field route names no resource group: {request.group[:40]}"
-        group = self.groups[request.group]
-        if request.id in self.queries:
-            return "field trace has been used before"
-        if session in self.asking:
-            return "a query is open on this session"
-        if group in self.tokened and request.token is None:
-            return "field nonce is absent"
-        if group in self.ordered and request.key is None:
-            return "field entity is absent"
-        # More than any engine could do in the longest time: no estimate, and the averages must not hear it.
-        if request.patience > self.longest:
-            return "field patience is out of range"
-        if (request.cost or 0) > self.longest * self.cores:
-            return "field weight is out of range"
-        if request.memory > self.ram:
-            return "field mb is out of range"
-        return None
-
-    def named(self, id: str, number: int) -> Query | None:
-        """The query that a timer was set for. Guards against a client that names its next query like its
-        last: the timers of the one that is over must not answer the other."""
-        q = self.queries.get(id)
-        return q if q is not None and q.number == number else None
-
-    def overdue(self, id: str, number: int) -> None:
-        """Guards rule 1 against a fault in the decisions: the client gets an answer whatever happens."""
-        q = self.named(id, number)
-        if q is not None and not q.answered:
-            if q.claim == "asked":
-                self.answer(q, RejectQuery(q.session, 0), "deferred", "history: no verdict in time")
-                return
-            if q.claim == "passed on":
-                self.answer(
-                    q, FailQuery(q.session, "no answer in time"), "killed", "passed on: no answer in time"
-                )
-                return
-            # A process that stood still wakes with this timer and the module's own all due at once.
-            stood = self.context.now - max(q.due, q.taken + q.request.patience - AFTER_ALL)
-            event = "late" if stood > AFTER_ALL else "fault"
-            self.context.log(event, what="unanswered at its end", query=q.request.id)
-            self.module.on_client_left(self.context.now, q.request.id)
-            self.answer(q, FailQuery(q.session, "no answer in time"), "unanswered")
-
-    def left(self, session: int) -> None:
-        q = self.asking.get(session)
-        if q is not None:
-            self.module.on_client_left(self.context.now, q.request.id)
-            self.answer(q, None, "left")
-
-    def answer(self, q: Query, effect: Effect | None, how: str, why: str = "") -> None:
-        """The one final answer of a query; None where nobody waits for it any more, or has had it all. `why`:
-        which check of the module turned it away."""
-        if q.answered:
-            return
-        q.answered = True
-        self.asking.pop(q.session, None)
-        if effect is not None:
-            self.context.emit(effect)
-        for leg in q.legs:
-            if leg.over:
-                continue
-            if leg.stream is not None:  # nobody reads on: the run is given up
-                self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
-            elif leg.ran is not None:  # its pages are wanted no more; the run itself is over
-                self.context.emit(SendCommand(leg.line.number, words.Unwanted(q.request.id)))
-                self.leg_over(leg, AttemptResult.SERVED)
-        now = self.context.now
-        self.tally(q.request.group, f"{how}: {why}" if why else how, now - q.taken)
-        if how not in ("finished", "deferred"):
-            tries = [(event_bus.engine_name(leg.engine), (leg.sent - q.taken) / 10) for leg in q.legs]
-            after, patience = (now - q.taken) / 10, q.request.patience / 10
-            known = {"id": q.request.id, "group": q.request.group, "how": how, "tries": tries}
-            self.context.log("query", **known, after=after, patience=patience, session=q.session)
-        self.forget(q)
-
-    def tally(self, group: str, how: str, took: Time) -> None:
-        count = self.counts.setdefault((group, how), [0, 0.0])
-        count[0] += 1
-        count[1] += took / 10
-        if self.context.now - self.counted_at >= COUNT_EVERY:
-            self.count_up()
-
-    def count_up(self) -> None:
-        """One line a second for all answers, not one each: the log is read by people."""
-        answers = {f"{group} {how}": [n, round(ms / n, 1)] for (group, how), (n, ms) in self.counts.items()}
-        now = self.context.now
-        late, behind = self.loop_lag.worst / 10, self.loop_lag.standing_delay / 10
-        self.context.log(
-            "answers", count_and_mean_ms=answers, open=len(self.asking), late=late, behind=behind
-        )
-        # Hundreds of engines in each line would cost more than queries do: only those that there is news of.
-        told = [p for e, p in self.lines.peers.items() if self.lines.news_of(e, now - COUNT_EVERY)]
-        pictures = {event_bus.engine_name(p.engine): self.lines.picture(p) for p in told}
-        self.context.log("engines", listed=len(self.lines.peers), **pictures)
-        self.counts.clear()
-        self.counted_at = now
-
-    def forget(self, q: Query) -> None:
-        if q.answered and all(leg.over for leg in q.legs):
-            self.queries.pop(q.request.id, None)
-            self.close(q)
-            q.legs.clear()  # a ring of references would wait for the collector, results and all
-
-    def close(self, q: Query) -> None:
-        """The answer history hears how a query that it was asked for ended."""
-        if not q.claim:
-            return
-        if q.claim == "passed on":
-            self.context.emit(CancelForward(q.request.id, q.number))
-        q.claim, results = "", {leg.result for leg in q.legs}
-        how = "freed" if results <= NEVER_RAN else "finished" if AttemptResult.SERVED in results else "killed"
-        close = EndClaim(q.request.id, q.number, how, q.rows)
-        if results & MAY_STILL_RUN and how == "killed":  # the next of its key must not overtake it
-            self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, close)
-        else:
-            self.context.emit(close)
-
-    def closing(self, end: Time) -> None:
-        self.end = end
-        self.module.on_shutdown(self.context.now, end)
-        for q in list(self.asking.values()):
-            q.due = min(q.due, end)
-            self.context.call_at(q.due + 2 * AFTER_ALL, self.overdue, q.request.id, q.number)
-            self.context.call_at(q.due, self.stream_over, q.request.id, q.number)
+                self.answer(query, RejectQuery(query.session, 0), "deferred", outcome)
 
-    # ---- submissions ------------------------------------------------------------------------------
+    def forward(self, query: QueryState, owner: str) -> None:
+        """Sends a query to a router of the partner that owns its slot."""
+        query.claim = ClaimState.FORWARDED
+        time_left = max(0, query.deadline - self.context.now)
+        self.context.emit(ForwardQuery(query.request.id, query.number, owner, query.request, time_left))
 
-    def submit(self, q: Query, engine: int, within: Time) -> None:
-        now = self.context.now
-        leg = Leg(q, len(q.legs), engine, now, now + within)
-        q.legs.append(leg)
-        self.context.call_at(leg.until, self.time_out, q.request.id, q.number, leg.number)
-        line = self.lines.line_for(self.lines.peers[engine], q)
-        if line is None:
-            self.leg_over(leg, AttemptResult.NOT_SENT)  # never sent: the want of connections is ours
-        elif line.up:
-            self.send(leg, line)
-        else:
-            leg.line = line
-            line.waiting.append(leg)
-
-    def send(self, leg: Leg, line: Line) -> None:
-        """The bytes go now, so that what may have changed since the decision is looked at again here."""
-        q, now = leg.query, self.context.now
-        if q.answered or not self.lines.peers[leg.engine].ready or now >= leg.until:
-            self.leg_over(leg, AttemptResult.NOT_SENT)  # never sent
-            return
-        leg.line, leg.written = line, True
-        line.legs[q.request.id] = leg
-        line.used = now
-        within = -(-(leg.until - now) // 10)
-        token = q.request.token if self.groups[q.request.group] in self.tokened else None
-        run = words.Run(q.request.id, q.request.group, within, q.rank, token, q.request.statement)
-        self.context.emit(SendCommand(line.number, run))
-
-    def not_sent(self, number: int, id: str) -> None:
-        """Whoever wrote to the line found that nobody waits any more; no byte of the attempt has left."""
-        line = self.lines.lines.get(number)
-        leg = line.legs.get(id) if line is not None else None
-        if leg is not None:
-            self.leg_over(leg, AttemptResult.NOT_SENT)
-
-    def wants(self, id: str) -> int | None:
-        """The session that waits for the answer to a query; None where none does."""
-        q = self.queries.get(id)
-        return None if q is None or q.answered else q.session
-
-    def set_rank(self, q: Query, rank: int) -> None:
-        q.rank = rank
-        for leg in q.legs:
-            if leg.written and not leg.over and leg.ran is None:
-                self.context.emit(SendCommand(leg.line.number, words.Hurry(q.request.id, rank)))
-
-    def time_out(self, id: str, query: int, number: int) -> None:
-        q = self.named(id, query)
-        if q is None or q.legs[number].over:
+    def end_claim(self, query: QueryState) -> None:
+        """Tells the answer history how a query that it was asked for ended."""
+        if query.claim is ClaimState.NONE:
             return
-        leg = q.legs[number]
-        if not leg.written:
-            self.leg_over(leg, AttemptResult.NOT_SENT)
+        if query.claim is ClaimState.FORWARDED:
+            self.context.emit(CancelForward(query.request.id, query.number))
+        query.claim = ClaimState.NONE
+        results = {attempt.result for attempt in query.attempts}
+        if results <= set(NEVER_RAN):
+            outcome = "freed"
+        elif AttemptResult.SERVED in results:
+            outcome = "finished"
         else:
-            self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
-
-    def leg_over(
-        self,
-        leg: Leg,
-        result: AttemptResult,
-        give_up: bool = False,
-        final: bool = False,
-        end: words.Said = None,
-    ) -> None:
-        """A submission has its ending; the module is told. `end`: what the engine said with it."""
-        if leg.over:
-            return
-        leg.over, leg.result = True, result
-        q, line, end = leg.query, leg.line, end or leg.ran
-        if line is not None:
-            if leg.written:
-                line.legs.pop(q.request.id, None)
-                if give_up:
-                    self.context.emit(SendCommand(line.number, words.GiveUp(q.request.id)))
-            elif leg in line.waiting:
-                line.waiting.remove(leg)
-        self.context.module_notified = True
-        cost = report = None
-        if end is not None:
-            cost, report = round((end.work or 0) * 10) or None, end.report
-        now, begun = self.context.now, leg.stream is not None
-        ended = AttemptEnded(
-            q.request.id,
-            leg.number,
-            result,
-            final or begun or q.answered,
-            now - leg.sent,
-            cost,
-            report,
-        )
-        self.module.on_attempt_ended(now, ended)
-        if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
-            name = event_bus.engine_name(leg.engine)
-            self.context.log("submission", id=q.request.id, engine=name, result=result)
-        leg.ran = None
-        if begun and result != AttemptResult.SERVED:
-            # What was begun can't be run again: the client may have seen some of it.
-            leg.stream.close()
-            self.answer(q, AbortStream(q.session, f"the result broke off: {result}"), "cut")
-        self.forget(q)
-
-    # ---- what engines say -------------------------------------------------------------------------
-
-    def said(self, number: int, what: words.Said) -> None:
-        line = self.lines.lines.get(number)
-        if line is None:
-            return
-        line.heard = self.context.now
-        if what is None:
-            return
-        if isinstance(what, words.Probed):
-            self.lines.probed(line, what)
+            outcome = "killed"
+        end = EndClaim(query.request.id, query.number, outcome, query.rows)
+        if outcome == "killed" and results & set(MAY_STILL_RUN):  # the next of its key must not overtake it
+            self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
+        else:
+            self.context.emit(end)
+
+    # ---- answers ----------------------------------------------------------------------------------
+
+    def on_timeout(self, query_id: QueryId, number: int) -> None:
+        """The last moment for an answer: the client gets one also where a decision has failed to come."""
+        query = self.find_query(query_id, number)
+        if query is None or query.answered:
             return
-        leg = line.legs.get(what.id)
-        if leg is None:
-            return  # of a submission that was given up: its answer crossed with that
-        match what:
-            case words.Whole(_, rows):
-                self.whole(leg, rows, what)
-            case words.Over(id):
-                leg.ran = what
-                if leg.query.answered:
-                    self.context.emit(SendCommand(number, words.Unwanted(id)))
-                    self.leg_over(leg, AttemptResult.SERVED)
-            case words.Began(_, stream):
-                self.began(leg, stream)
-            case words.Noted(id, topic, value):
-                self.module.on_progress(self.context.now, id, leg.number, topic, value)
-            case words.Ended(_, result):
-                self.leg_over(leg, AttemptResult(result), end=what)
-
-    def whole(self, leg: Leg, rows: words.Rows, end: words.Whole) -> None:
-        q = leg.query
-        if q.claim:
-            q.rows = rows
-        self.leg_over(leg, AttemptResult.SERVED, final=True, end=end)
-        self.answer(q, SendResult(q.session, rows), "finished")
-
-    def began(self, leg: Leg, stream: words.Stream) -> None:
-        """The first of a stream has come: from here on there is no further submission."""
-        q = leg.query
-        leg.stream = stream
-        if q.answered:
-            self.leg_over(leg, AttemptResult.TIMED_OUT, give_up=True)
+        if query.claim is ClaimState.ASKED:
+            self.answer(query, RejectQuery(query.session, 0), "deferred", "history: no verdict in time")
             return
-        self.module.on_stream_started(self.context.now, q.request.id)
-        self.context.call_at(q.due, self.stream_over, q.request.id, q.number)
-        self.context.emit(StartStream(q.session, stream))
-
-    def passed(self, session: int) -> None:
-        """The client has had all of a stream."""
-        q = self.asking.get(session)
-        if q is not None:
-            self.answer(q, None, "finished")
-
-    def spoilt(self, session: int, why: str) -> None:
-        q = self.asking.get(session)
-        if q is None:
+        failure = FailQuery(query.session, "no answer in time")
+        if query.claim is ClaimState.FORWARDED:
+            self.answer(query, failure, "killed", "passed on: no answer in time")
             return
-        for leg in q.legs:
-            if leg.stream is not None and not leg.over:
-                self.leg_over(leg, AttemptResult.CONNECTION_LOST, give_up=True)
-        self.module.on_client_left(self.context.now, q.request.id)
-        self.answer(q, AbortStream(session, f"the result can't be read: {why}"), "cut")
-
-    def stream_over(self, id: str, number: int) -> None:
-        """The end of a query whose client has not read all of its stream."""
-        q = self.named(id, number)
-        if q is None or q.answered or not any(leg.stream is not None for leg in q.legs):
+        # A process that stood still wakes with this timer and the module's own all due at once.
+        last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
+        late = self.context.now - max(query.deadline, last_moment)
+        event = "late" if late > LAST_ANSWER_MARGIN else "fault"
+        self.context.log(event, what="unanswered at its end", query=query.request.id)
+        self.module.on_client_left(self.context.now, query.request.id)
+        self.answer(query, failure, "unanswered")
+
+    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+        """Gives a query its one answer.
+
+        `effect` is None where nobody waits for it any more, or the client has had it all; `outcome` and
+        `reason` (which check rejected or failed it) are for the log.
+        """
+        if query.answered:
             return
-        self.module.on_client_left(self.context.now, id)
-        for leg in q.legs:
-            if leg.stream is not None:
-                leg.stream.close()
-        self.answer(q, AbortStream(q.session, "the time for the result is up"), "cut")
-
-
-def place(request: Request) -> tuple[str, str, str]:
-    """Customer, key and token as the history has them. A keyed query without a key has no order: it is a key
-    of its own. A mutating one is listed by its table group, whoever sent it, and its id tells it apart."""
-    if request.token is None:
-        return "", f"{TABLES}{request.tables}", request.id
-    return request.customer, request.key or request.token, request.token
+        query.answered = True
+        self.unanswered.pop(query.session, None)
+        if effect is not None:
+            self.context.emit(effect)
+        self.attempts.end_open(query)
+        counted_as = f"{outcome}: {reason}" if reason else outcome
+        elapsed = self.context.now - query.received_at
+        self.answer_log.count(query.request.group, counted_as, elapsed, len(self.unanswered))
+        if outcome not in ("finished", "deferred"):
+            self.answer_log.log_query(query, outcome)
+        self.forget(query)
+
+    def forget(self, query: QueryState) -> None:
+        """Drops a query that is answered and whose attempts have all ended."""
+        if query.answered and all(attempt.ended for attempt in query.attempts):
+            self.queries.pop(query.request.id, None)
+            self.end_claim(query)
+            query.attempts.clear()  # a cycle of references would keep results until the next collection
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -111,9 +111,9 @@
             module = self.peering.telling
         self.reducer = Reducer(module, station.catalog, station.sockets // 3)
         if self.peering is not None:
-            self.peering.telling.reached = lambda: self.reducer.lines.told_to
-            self.reducer.history = self.peering.remembering is not None
-            self.reducer.partners = self.peering.partnering is not None
+            self.peering.telling.reached = lambda: self.reducer.pool.list_number
+            self.reducer.claims_idempotent = self.peering.remembering is not None
+            self.reducer.claims_non_idempotent = self.peering.partnering is not None
         self.door = Door(
             station.sockets // 2,
             station.packet,
@@ -132,7 +132,7 @@
         self.follower = Follower(
             log,
             news=self.told,
-            last=lambda: max(self.reducer.lines.told_to, self.station.offset),
+            last=lambda: max(self.reducer.pool.list_number, self.station.offset),
             wait=self.wait,
         )
         self.waits = 0
@@ -155,17 +155,17 @@
         return jitter.randomized(int(seconds * SECOND), chance) / SECOND
 
     def engine_links(self, settings: Mapping[str, object]) -> Links:
-        lines = self.reducer.lines
+        pool = self.reducer.pool
         if settings.get("protocol") != "flight":
             return Links(self.poller, self.log, self.handle, self.clock, self.wanted)
         from hillchute.engines.flight.links import Links as FlightLinks
 
-        return FlightLinks(settings, self.log, self.handle, lines.connect_wait, lines.silence)
+        return FlightLinks(settings, self.log, self.handle, pool.connect_timeout, pool.silence_limit)
 
     def flight_front(self, settings: Mapping[str, object]):
         from hillchute.fronts.flight.server import Server
 
-        return Server(settings, self.reducer.groups, self.log, self.clock, self.handle)
+        return Server(settings, self.reducer.rules.groups, self.log, self.clock, self.handle)
 
     def front(self, session: int):
         """Who has the client of a session: calls of the Flight front have their numbers above those of MySQL,
@@ -272,7 +272,7 @@
 
     def gave_up(self, session: int) -> None:
         """A client gave its query up, or is gone; the query may not have been handed on yet."""
-        if not self.rounds.discard(session) and session in self.reducer.asking:
+        if not self.rounds.discard(session) and session in self.reducer.unanswered:
             self.handle(events.Left(session))
 
     def look(self) -> list[ReadySocket]:
@@ -287,7 +287,7 @@
         """Whether the client of a query still waits, as of a look at its connection made just now."""
         if self.clock() - self.looked_at > FRESH:
             self.notice_departures()
-        session = self.reducer.wants(id)
+        session = self.reducer.waiting_session(id)
         if session is None:
             return False
         return session >= FIRST_CALL or session in self.door.clients
@@ -485,7 +485,7 @@
 
     def client_activity(self) -> ClientActivity:
         """What is known of the clients as of the last round."""
-        open = len(self.reducer.asking) + len(self.rounds.pending)
+        open = len(self.reducer.unanswered) + len(self.rounds.pending)
         return ClientActivity(self.clock(), self.rounds.last_client_activity, open, self.door.owed())
 
     def refuse_the_rest(self) -> None:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -104,7 +104,7 @@
         rig.until(lambda: len(rig.wants) == 1)
         wall["step"] = seconds * 10**9
         rig.turn(5)
-        assert len(rig.service.reducer.asking) == 1  # neither late nor early
+        assert len(rig.service.reducer.unanswered) == 1  # neither late nor early
         assert out.answers() == []
         rig.talks[0].serve(rig.wants[0])
         rig.until(lambda: out.answers())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -55,10 +55,10 @@
     rig.serving = False
     client.write(query(1, patience=patience))
     rig.service.round()
-    asked = list(rig.service.reducer.asking.values())
+    asked = list(rig.service.reducer.unanswered.values())
     for q in asked:
-        assert q.due <= q.taken + patience * MILLISECOND
-        go_past(rig, q.due)
+        assert q.deadline <= q.received_at + patience * MILLISECOND
+        go_past(rig, q.deadline)
     rig.turn(2)
     assert len(client.answers()) == 2 and client.answers()[1] in ANSWERS
     for fields in rig.fields.values():
@@ -70,7 +70,7 @@
 def test_engine_is_given_no_more_than_what_the_client_has_left_after_a_wait_for_its_turn(rig):
     first = out(rig, 1, nonce="01", **KEYED)
     second = rig.client(LOGIN + query(2, nonce="02", **KEYED))
-    rig.until(lambda: len(rig.service.reducer.asking) == 2)
+    rig.until(lambda: len(rig.service.reducer.unanswered) == 2)
     rig.pass_time(0.6)  # behind the first of its key
     rig.talks[0].serve(ids(1)[0])
     rig.until(lambda: len(rig.wants) == 2)
@@ -82,18 +82,18 @@
 
 def test_answer_that_comes_in_the_look_after_its_deadline_is_no_second_answer(rig):
     client = out(rig)
-    (q,) = rig.service.reducer.asking.values()
+    (q,) = rig.service.reducer.unanswered.values()
     rig.talks[0].serve(ids(1)[0])
-    go_past(rig, q.due)
+    go_past(rig, q.deadline)
     rig.turn(5)
     assert len(client.answers()) == 2  # that of connected() and one more
 
 
 def test_unsafe_attempt_whose_time_is_up_as_its_connection_breaks_is_answered_failed_once(rig):
     client = out(rig, 1, route="change", patience=6_000)
-    (q,) = rig.service.reducer.asking.values()
+    (q,) = rig.service.reducer.unanswered.values()
     rig.talks[0].close()
-    go_past(rig, q.due)
+    go_past(rig, q.deadline)
     rig.turn(5)
     assert client.answers()[1:] == [FAILED[0]] and rig.wants == ids(1)
 
@@ -124,7 +124,7 @@
     other.write(packet(0, b"\x03KILL QUERY %d" % number))
     rig.talks[0].serve(ids(1)[0])
     rig.turn(5)
-    assert len(client.answers()) <= 2 and not rig.service.reducer.asking
+    assert len(client.answers()) <= 2 and not rig.service.reducer.unanswered
     client.write(query(2))  # the session goes on where the cancel came after the answer
     rig.turn(3)
     assert not rig.log.faults()
@@ -187,8 +187,8 @@
         rig.service.round()
     rig.turn(3)
     assert other.answers() == [FAILED[0]] and len(client.answers()) == 1
-    (q,) = rig.service.reducer.asking.values()
-    go_past(rig, q.due)
+    (q,) = rig.service.reducer.unanswered.values()
+    go_past(rig, q.deadline)
     rig.turn(3)
     assert len(client.answers()) == 2
 
@@ -202,9 +202,9 @@
         rig.service.round()
     rig.list(2, state="Terminating")
     rig.turn(5)
-    assert rig.wants == [] and len(rig.service.reducer.asking) == 1
-    (q,) = rig.service.reducer.asking.values()
-    go_past(rig, q.due)
+    assert rig.wants == [] and len(rig.service.reducer.unanswered) == 1
+    (q,) = rig.service.reducer.unanswered.values()
+    go_past(rig, q.deadline)
     rig.turn(2)
     assert client.answers() == [REFUSED[0]]
 
@@ -223,13 +223,13 @@
     late = link.sock
     rig.service.round()
     assert late.fileno() >= 0 and link.pipe is None  # under way
-    rig.pass_time(rig.service.reducer.lines.connect_wait / 10_000 + 0.01)
+    rig.pass_time(rig.service.reducer.pool.connect_timeout / 10_000 + 0.01)
     rig.service.round()
     assert late.fileno() < 0  # closed before it could come up
     for filler in fillers:
         filler.close()
-    (q,) = rig.service.reducer.asking.values()
-    go_past(rig, q.due)
+    (q,) = rig.service.reducer.unanswered.values()
+    go_past(rig, q.deadline)
     rig.until(lambda: client.answers())
     assert rig.wants in (ids(1), []) and client.answers()[0] in ANSWERS
     rig.close()
@@ -237,7 +237,7 @@
 
 def test_engine_closes_an_idle_connection_as_the_router_closes_it_too(rig):
     client = rig.connected()
-    rig.pass_time(rig.service.reducer.lines.keepalive / 10_000)
+    rig.pass_time(rig.service.reducer.pool.keepalive / 10_000)
     rig.talks[0].close()
     rig.turn(3)
     assert not rig.service.links.links and not rig.log.faults()
@@ -249,7 +249,7 @@
 def test_next_query_of_a_key_waits_out_the_attempt_whose_connection_broke(rig):
     first = out(rig, 1, nonce="01", **KEYED)
     second = rig.client(LOGIN + query(2, nonce="02", **KEYED))
-    rig.until(lambda: len(rig.service.reducer.asking) == 2)
+    rig.until(lambda: len(rig.service.reducer.unanswered) == 2)
     first.close()  # nobody waits for the first any more, but it may be running
     rig.talks[0].close()
     rig.serving = True
@@ -305,7 +305,7 @@
     rig.system.send = full
     rig.talks[0].serve(ids(1)[0])
     rig.turn(3)
-    assert session.pipe.unsent and not rig.service.reducer.asking
+    assert session.pipe.unsent and not rig.service.reducer.unanswered
     rig.serving = True
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: other.answers())
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -31,7 +31,7 @@
     first.write(query(1, nonce="01", **KEYED))
     rig.until(lambda: rig.wants == ids(1))
     second = rig.client(LOGIN + query(2, nonce="02", **KEYED))
-    rig.until(lambda: len(rig.service.reducer.asking) == 2)
+    rig.until(lambda: len(rig.service.reducer.unanswered) == 2)
     return second
 
 
@@ -55,10 +55,10 @@
 def test_query_without_an_engine_is_dropped_with_its_client_though_bytes_stand_unread(rig, ahead):
     rig.list(2, state=EndpointState.DRAINING)
     client = rig.client(LOGIN + query(1) + ahead)
-    rig.until(lambda: rig.service.reducer.asking)
+    rig.until(lambda: rig.service.reducer.unanswered)
     client.close()
     rig.turn()
-    assert not rig.service.reducer.asking and not rig.service.door.clients
+    assert not rig.service.reducer.unanswered and not rig.service.door.clients
     rig.list(3)
     rig.turn(5)
     assert rig.wants == []
@@ -73,7 +73,7 @@
     assert link.pipe is None  # the connect is under way
     client.close()
     rig.turn(5)  # the connection comes up and the client is found gone, in one look
-    assert rig.wants == [] and not rig.service.reducer.asking
+    assert rig.wants == [] and not rig.service.reducer.unanswered
 
 
 def test_all_that_leave_in_one_look_are_let_go_before_a_place_is_given_on(rig):
@@ -85,13 +85,13 @@
     waiting = []
     for number in range(2, 6):
         waiting.append(rig.client(LOGIN + query(number, nonce=f"0{number}", **KEYED)))
-        rig.until(lambda number=number: len(rig.service.reducer.asking) == number)
+        rig.until(lambda number=number: len(rig.service.reducer.unanswered) == number)
     for client in (first, *waiting):
         client.close()
     rig.pass_time(0.2)
     answer_first(rig)
     rig.turn(5)
-    assert rig.wants == ids(1) and not rig.service.reducer.asking
+    assert rig.wants == ids(1) and not rig.service.reducer.unanswered
 
 
 def kill(client):
@@ -117,20 +117,20 @@
     engine = rig.service.reducer.module.engines[1]
     engine.ejected_until = rig.clock() + 2_000
     client.write(query(1))
-    rig.until(lambda: rig.service.reducer.asking)
+    rig.until(lambda: rig.service.reducer.unanswered)
     assert rig.wants == []
     client.close()
     rig.pass_time(0.5)
     assert rig.service.alarm < rig.clock()
     rig.turn(5)
-    assert rig.wants == [] and not rig.service.reducer.asking
+    assert rig.wants == [] and not rig.service.reducer.unanswered
 
 
 def test_client_that_stays_is_served_after_the_same_pause(rig):
     client = rig.connected()
     rig.service.reducer.module.engines[1].ejected_until = rig.clock() + 2_000
     client.write(query(1))
-    rig.until(lambda: rig.service.reducer.asking)
+    rig.until(lambda: rig.service.reducer.unanswered)
     rig.pass_time(0.3)
     rig.until(lambda: len(client.answers()) == 2)
     assert client.answers()[1] == "served"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -196,7 +196,7 @@
         rig.list(number, state=EndpointState.READY)
     assert not rig.service.reducer.module.engines[1].ready
     rig.list(40, state=EndpointState.READY)
-    assert rig.service.reducer.module.engines[1].ready and rig.service.reducer.lines.told_to == 40
+    assert rig.service.reducer.module.engines[1].ready and rig.service.reducer.pool.list_number == 40
 
 
 def test_engine_that_drains_vanishes_and_returns_in_one_frame_is_a_new_process(rig):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -215,8 +215,8 @@
     reducer = Reducer(QueryScheduler(station.seed, station.catalog, 0), station.catalog, station.sockets // 3)
     for news in station.known:
         reducer.reduce(events.EndpointsChanged(news), 0)
-    assert len(reducer.lines.peers) == 1024
-    group = next(iter(reducer.groups))
+    assert len(reducer.pool.endpoints) == 1024
+    group = next(iter(reducer.rules.groups))
     request = statement.Request("a" * 16, group, 8 * SECOND, b"SELECT 1 FROM sales_4.t", token="t")
     assert [e for e in reducer.reduce(events.Asked(1, request, 1), 1) if isinstance(e, OpenConnection)]
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -208,9 +208,9 @@
 def test_stream_that_ends_well_is_finished_once_its_client_has_it(streaming):
     assert StartStream(1, streaming.stream) in streaming.begun
     assert not streaming.finals(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
-    assert streaming.reducer.asking
+    assert streaming.reducer.unanswered
     assert not streaming.finals(events.Passed(1)) and not streaming.reducer.queries
-    assert streaming.reducer.counts[("lookup", "finished")][0] == 1
+    assert streaming.reducer.answer_log.counts[("lookup", "finished")][0] == 1
 
 
 @pytest.mark.parametrize(
@@ -223,7 +223,7 @@
 )
 def test_stream_that_breaks_off_has_one_answer_and_no_further_submission(streaming, event):
     assert [type(e) for e in streaming.finals(event(streaming))] == [AbortStream]
-    assert streaming.stream.closed and not streaming.reducer.asking
+    assert streaming.stream.closed and not streaming.reducer.unanswered
     later = [streaming.do(events.AlarmDue(), now) for now in (SECOND, 5 * SECOND)]
     assert not [e for effects in later for e in effects if not isinstance(e, SetAlarm | WriteLog)]
 
@@ -236,7 +236,7 @@
 
 def test_client_that_does_not_read_is_cut_at_its_end(streaming):
     streaming.do(events.Said(streaming.line, words.Ended("a" * 16, "finished")), 20)
-    due = streaming.reducer.queries["a" * 16].due
+    due = streaming.reducer.queries["a" * 16].deadline
     assert not streaming.finals(events.AlarmDue(), due - 1)
     assert [type(e) for e in streaming.finals(events.AlarmDue(), due)] == [AbortStream]
     assert not streaming.finals(events.Passed(1), due + 1)
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -40,7 +40,7 @@
         catalog = CATALOG | NAMES | {"limits.open_cap": 100}
         self.module = QueryScheduler(7, catalog, 0)
         self.reducer = Reducer(self.module, catalog, 8)
-        self.reducer.history = self.reducer.partners = True
+        self.reducer.claims_idempotent = self.reducer.claims_non_idempotent = True
         self.count = 0
 
     def ask(self, group, token=None, session=None, now=0):
@@ -70,7 +70,7 @@
     assert id in rig.module.queries
     id, said = rig.ask("lookup")
     assert not of(said, ClaimQuery) and id in rig.module.queries
-    rig.reducer.partners = False
+    rig.reducer.claims_non_idempotent = False
     id, said = rig.ask("write")
     assert not of(said, ClaimQuery) and id in rig.module.queries
 
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -46,7 +46,7 @@
         names["limits.open_cap"] = 100
         self.module = QueryScheduler(7, CATALOG | names, 0)
         self.reducer = Reducer(self.module, CATALOG | names, 8)
-        self.reducer.history = True
+        self.reducer.claims_idempotent = True
         self.group = "load"
         self.count = 0
 
@@ -115,13 +115,13 @@
     ],
 )
 def test_history_hears_what_may_have_run(results, how):
-    from hillchute.router.lines import Leg
+    from hillchute.router.query_state import Attempt
 
     rig = Rig()
     id, _ = rig.ask()
     rig.judged(id, "RUN")
     q = rig.reducer.queries[id]
-    q.legs = [Leg(q, n, 1, 0, 0, over=True, result=result) for n, result in enumerate(results)]
+    q.attempts = [Attempt(q, n, 1, 0, 0, ended=True, result=result) for n, result in enumerate(results)]
     q.answered, q.rows = True, [[b"1"]]
     rig.reducer.context.begin_event(20, module_notified=False)
     rig.reducer.forget(q)
@@ -133,7 +133,7 @@
 
 def test_without_a_history_nothing_is_asked():
     rig = Rig()
-    rig.reducer.history = False
+    rig.reducer.claims_idempotent = False
     id, said = rig.ask()
     assert not of(said, ClaimQuery) and id in rig.module.queries
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -337,15 +337,15 @@
     assert not rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n", kind=SendResult)
     (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
     assert done.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
-    assert not rig.reducer.queries and not rig.reducer.asking
+    assert not rig.reducer.queries and not rig.reducer.unanswered
 
 
 def test_spoilt_page_ends_its_connection_and_is_not_passed_on(rig):
     line = rig.sent()
-    other = rig.reducer.lines.lines[line]
+    other = rig.reducer.pool.connections[line]
     effects = rig.say(line, "ACK", body=b"1\t1\n")
     assert not [e for e in effects if isinstance(e, SendResult)]
-    assert line not in rig.reducer.lines.lines and other.legs == {}
+    assert line not in rig.reducer.pool.connections and other.attempts == {}
 
 
 def test_page_that_comes_twice_or_was_not_asked_for_changes_nothing(rig):
@@ -362,11 +362,11 @@
 
 def test_connection_on_which_nothing_is_heard_is_cut_and_its_queries_go_elsewhere(rig):
     line = rig.sent(group="report")
-    engine = rig.reducer.lines.lines[line].engine
-    for now in range(0, rig.reducer.lines.silence, 1000):
+    engine = rig.reducer.pool.connections[line].engine
+    for now in range(0, rig.reducer.pool.silence_limit, 1000):
         assert not rig.do(events.AlarmDue(), now, CloseConnection)
     effects = [
-        e for now in (4, 5) for e in rig.do(events.AlarmDue(), rig.reducer.lines.silence * now // 4 + 2)
+        e for now in (4, 5) for e in rig.do(events.AlarmDue(), rig.reducer.pool.silence_limit * now // 4 + 2)
     ]
     assert CloseConnection(line) in effects
     assert [e for e in effects if isinstance(e, OpenConnection) and e.port != engine]
@@ -378,14 +378,14 @@
         rig.do(events.EndpointsChanged(event_bus.Update(number, "Partial", (entry,))), 5)
 
     line = rig.sent()
-    engine = rig.reducer.lines.lines[line].engine
+    engine = rig.reducer.pool.connections[line].engine
     told(2, "Gone")
-    assert engine in rig.reducer.lines.peers
+    assert engine in rig.reducer.pool.endpoints
     rig.do(events.Lost(line, "reset"), 10)
     told(3, "Gone")
-    assert engine not in rig.reducer.lines.peers and engine not in rig.reducer.module.engines
+    assert engine not in rig.reducer.pool.endpoints and engine not in rig.reducer.module.engines
     told(4, "Ready")
-    assert rig.reducer.lines.peers[engine].ready
+    assert rig.reducer.pool.endpoints[engine].ready
 
 
 def test_fault_in_one_event_leaves_the_effects_before_it(rig):
@@ -424,22 +424,22 @@
     rig.ask(now=SECOND, patience=4 * SECOND, session=2)
     effects = rig.do(events.AlarmDue(), 2 * SECOND + 1)
     assert not [e for e in effects if isinstance(e, WriteLog) and e.event == "fault"]
-    assert 2 in rig.reducer.asking
+    assert 2 in rig.reducer.unanswered
 
 
 def test_longest_idle_connection_gives_way_where_there_are_no_more(rig):
-    lines, peers = rig.reducer.lines, rig.reducer.lines.peers
-    lines.most = 3
-    opened = [lines.line_for(peers[n], None) for n in (1, 2, 3)]
-    for used, line in zip((5, 3, 4), opened, strict=True):
-        rig.do(events.Connected(line.number))
-        line.used = used
-    assert lines.line_for(peers[4], None) is not None
-    assert {line.engine for line in lines.lines.values()} == {1, 3, 4}
+    pool = rig.reducer.pool
+    pool.max_connections = 3
+    opened = [pool.connection_for(pool.endpoints[n], None) for n in (1, 2, 3)]
+    for used, connection in zip((5, 3, 4), opened, strict=True):
+        rig.do(events.Connected(connection.number))
+        connection.last_used_at = used
+    assert pool.connection_for(pool.endpoints[4], None) is not None
+    assert {connection.engine for connection in pool.connections.values()} == {1, 3, 4}
 
 
 def test_want_of_connections_is_no_verdict_on_the_engine(rig):
-    rig.reducer.lines.most = 0
+    rig.reducer.pool.max_connections = 0
     assert [type(e) for e in rig.ask() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
     assert not [e for e in rig.reducer.module.engines.values() if e.failures or e.started]
 
@@ -447,18 +447,18 @@
 def test_second_submission_never_shares_the_connection_of_the_first(rig):
     line = rig.sent()
     q = rig.reducer.queries["a" * 16]
-    peer = rig.reducer.lines.peers[q.legs[0].engine]
-    assert rig.reducer.lines.line_for(peer, None).number == line
-    assert rig.reducer.lines.line_for(peer, q).number != line
+    peer = rig.reducer.pool.endpoints[q.attempts[0].engine]
+    assert rig.reducer.pool.connection_for(peer, None).number == line
+    assert rig.reducer.pool.connection_for(peer, q).number != line
 
 
 def test_silent_connection_gets_nothing_new(rig):
     line = rig.sent()
-    peer = rig.reducer.lines.peers[rig.reducer.lines.lines[line].engine]
-    rig.reducer.context.now = rig.reducer.lines.silence + 1
-    assert rig.reducer.lines.line_for(peer, None).number != line
+    peer = rig.reducer.pool.endpoints[rig.reducer.pool.connections[line].engine]
+    rig.reducer.context.now = rig.reducer.pool.silence_limit + 1
+    assert rig.reducer.pool.connection_for(peer, None).number != line
     rig.say(line, "EVENT", now=rig.reducer.context.now, topic=1, value=0.1)
-    assert rig.reducer.lines.line_for(peer, None).number == line
+    assert rig.reducer.pool.connection_for(peer, None).number == line
 
 
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
@@ -472,12 +472,12 @@
 
 def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
     (wait,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
-    engine = rig.reducer.lines.lines[wait.connection].engine
+    engine = rig.reducer.pool.connections[wait.connection].engine
     entry = event_bus.Entry(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
     rig.do(events.EndpointsChanged(event_bus.Update(2, "Partial", (entry,))), 5)
     sends = rig.do(events.Connected(wait.connection), 10, SendCommand)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
-    assert rig.reducer.queries["a" * 16].legs[0].over
+    assert rig.reducer.queries["a" * 16].attempts[0].ended
 
 
 def test_client_that_leaves_gets_nothing_and_the_answer_is_shut(rig):
@@ -490,7 +490,7 @@
 def test_priority_changed_on_running_work_goes_to_its_engine(rig):
     line = rig.sent()
     rig.reducer.context.effects = []
-    rig.reducer.set_rank(rig.reducer.queries["a" * 16], 3)
+    rig.reducer.attempts.set_priority(rig.reducer.queries["a" * 16], 3)
     assert rig.reducer.context.effects == [SendCommand(line, words.Hurry("a" * 16, 3))]
 
 
@@ -523,7 +523,7 @@
     rig.ask(id="b" * 16, session=2, patience=SECOND // 2)
     first_look = rig.reducer.context.timers[0].due
     rig.ask(now=first_look + 6000, patience=5 * SECOND)
-    assert rig.reducer.queries["a" * 16].due == first_look + 5 * SECOND - loop_lag.CONNECT_DELAY
+    assert rig.reducer.queries["a" * 16].deadline == first_look + 5 * SECOND - loop_lag.CONNECT_DELAY
 
 
 def test_closing_answers_everything_by_its_end(rig):
@@ -535,7 +535,7 @@
 
 def test_connections_to_engines_are_bounded():
     rig = Rig()
-    rig.reducer.lines.most = 0
+    rig.reducer.pool.max_connections = 0
     assert not [e for e in rig.ask() if isinstance(e, OpenConnection)]
 
 
@@ -543,7 +543,7 @@
     def listed(number, state):
         entry = event_bus.Entry(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
         rig.do(events.EndpointsChanged(event_bus.Update(number, "Partial", (entry,))))
-        return rig.reducer.lines.peers[1].ready
+        return rig.reducer.pool.endpoints[1].ready
 
     assert not listed(3, "Terminating")
     assert not listed(2, "Ready") and not listed(3, "Ready")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -110,8 +110,8 @@
                     waiting += reducer.reduce(events.Said(line, said), now)
                 case SendCommand(line, words.Run(id=id)):
                     waiting += reducer.reduce(events.Said(line, words.Whole(id, [], 20.0)), now)
-    assert not reducer.asking
-    return made, len(reducer.lines.lines)
+    assert not reducer.unanswered
+    return made, len(reducer.pool.connections)
 
 
 @pytest.mark.parametrize("engines", [70, 200])
