--- /dev/null
+++ b/hillchute/router/claims.py
@@ -0,0 +1,115 @@
+"""Queries that need the answer history's word before they run, from the question to its end.
+
+The history (or, where it names another partner as the owner of the query's slot, the router that the query is
+forwarded to) decides; this module carries that out and tells the history how the query ended.
+"""
+
+from typing import Protocol
+
+from hillchute.decision.interface import MAY_STILL_RUN, NEVER_RAN, AttemptResult, QueryId, Time
+from hillchute.fronts.events import FIRST_GUEST
+from hillchute.router.effects import (
+    CancelForward,
+    ClaimQuery,
+    Effect,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    RejectQuery,
+    SendResult,
+)
+from hillchute.router.events import ClaimDecided
+from hillchute.router.query_state import ClaimState, QueryState
+from hillchute.router.reducer_context import ReducerContext
+from hillchute.router.request_rules import history_key
+
+
+class QueryOwner(Protocol):
+    """Whoever holds the queries and gives their answers."""
+
+    def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
+        """The query with this id and number, if it is not over."""
+
+    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+        """Gives a query its one answer."""
+
+    def schedule(self, query: QueryState) -> None:
+        """Hands a query to the decision module."""
+
+
+class Claims:
+    """The claims of all queries of a router.
+
+    `order_pause`: the next query of a key waits so long after one that may still run.
+    """
+
+    def __init__(self, context: ReducerContext, owner: QueryOwner, order_pause: Time) -> None:
+        self.context = context
+        self.owner = owner
+        self.order_pause = order_pause
+
+    def claim(self, query: QueryState, *, ordered: bool = False, once: bool = False) -> None:
+        """Asks the answer history whether a query may run."""
+        query.claim = ClaimState.ASKED
+        time_left = max(0, query.deadline - self.context.now)
+        customer, key, token = history_key(query.request)
+        self.context.emit(
+            ClaimQuery(query.request.id, query.number, customer, key, token, time_left, ordered, once)
+        )
+
+    def on_decided(self, decided: ClaimDecided) -> None:
+        """The answer history, or the router that a query was forwarded to, has decided on it."""
+        query = self.owner.find_query(decided.query, decided.number)
+        if query is None or query.answered:
+            return
+        if query.claim not in (ClaimState.ASKED, ClaimState.FORWARDED):
+            return
+        if query.claim is ClaimState.FORWARDED or decided.verdict == "PASS":
+            query.claim = ClaimState.RETURNED
+        else:
+            query.claim = ClaimState.NONE
+        if decided.verdict == "PASS" and query.session >= FIRST_GUEST:  # a query is forwarded only once
+            decided = decided._replace(verdict="DEFER", reason="its slot has another owner meanwhile")
+        self._carry_out(query, decided)
+
+    def _carry_out(self, query: QueryState, decided: ClaimDecided) -> None:
+        outcome = f"history: {decided.reason}"
+        match decided.verdict:
+            case "RUN":
+                query.claim = ClaimState.GRANTED
+                self.owner.schedule(query)
+            case "PASS":
+                self._forward(query, decided.reason)
+            case "ANSWER":
+                result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # it has rows
+                self.owner.answer(query, result, "finished", outcome)
+            case "KILL":
+                self.owner.answer(query, FailQuery(query.session, decided.reason), "killed", outcome)
+            case _:
+                self.owner.answer(query, RejectQuery(query.session, 0), "deferred", outcome)
+
+    def _forward(self, query: QueryState, owner: str) -> None:
+        """Sends a query to a router of the partner that owns its slot."""
+        query.claim = ClaimState.FORWARDED
+        time_left = max(0, query.deadline - self.context.now)
+        self.context.emit(ForwardQuery(query.request.id, query.number, owner, query.request, time_left))
+
+    def end(self, query: QueryState) -> None:
+        """Tells the answer history how a query that it was asked for ended."""
+        if query.claim is ClaimState.NONE:
+            return
+        if query.claim is ClaimState.FORWARDED:
+            self.context.emit(CancelForward(query.request.id, query.number))
+        query.claim = ClaimState.NONE
+        results = {attempt.result for attempt in query.attempts}
+        if results <= set(NEVER_RAN):
+            outcome = "freed"
+        elif AttemptResult.SERVED in results:
+            outcome = "finished"
+        else:
+            outcome = "killed"
+        end = EndClaim(query.request.id, query.number, outcome, query.rows)
+        if outcome == "killed" and results & set(MAY_STILL_RUN):  # the next of its key must not overtake it
+            self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
+        else:
+            self.context.emit(end)
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -10,9 +10,6 @@
 from typing import Any
 
 from hillchute.decision.interface import (
-    MAY_STILL_RUN,
-    NEVER_RAN,
-    AttemptResult,
     Cancel,
     Decision,
     EngineId,
@@ -31,21 +28,12 @@
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
-from hillchute.fronts.events import FIRST_GUEST, Asked, Left, Passed, Spoilt
+from hillchute.fronts.events import Asked, Left, Passed, Spoilt
 from hillchute.router.answer_log import AnswerLog
 from hillchute.router.attempts import Attempts
+from hillchute.router.claims import Claims
 from hillchute.router.connection_pool import ConnectionPool, EngineConnection
-from hillchute.router.effects import (
-    AbortStream,
-    CancelForward,
-    ClaimQuery,
-    Effect,
-    EndClaim,
-    FailQuery,
-    ForwardQuery,
-    RejectQuery,
-    SendResult,
-)
+from hillchute.router.effects import AbortStream, Effect, FailQuery, RejectQuery
 from hillchute.router.events import (
     AlarmDue,
     ClaimDecided,
@@ -57,7 +45,7 @@
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.query_state import Attempt, ClaimState, QueryState
 from hillchute.router.reducer_context import ReducerContext
-from hillchute.router.request_rules import SHOWN, RequestRules, history_key
+from hillchute.router.request_rules import SHOWN, RequestRules
 from hillchute.statements.request import Request
 
 LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout a query is answered, whatever happens
@@ -80,9 +68,10 @@
         )
         self.loop_lag = LoopLag()
         self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
+        order_pause = catalog.get("guarantees.order_pause", 0)
+        self.claims = Claims(self.context, self, order_pause)
         self.claims_idempotent = False
         self.claims_non_idempotent = False
-        self.order_pause: Time = catalog.get("guarantees.order_pause", 0)
         self.shutdown_deadline: Time | None = None
         self.queries: dict[QueryId, QueryState] = {}
         self.unanswered: dict[int, QueryState] = {}  # by session
@@ -117,7 +106,7 @@
             case Spoilt(session, reason):
                 self.on_stream_unreadable(session, reason)
             case ClaimDecided():
-                self.on_claim_decided(event)
+                self.claims.on_decided(event)
             case PeersChanged(reports):
                 self.on_peers_changed(reports)
             case ShutdownStarted(answer_by):
@@ -227,9 +216,9 @@
             return
         query = self.add_query(session, request, received_at)
         if self.claims_idempotent and group in self.rules.idempotent and request.token is not None:
-            self.claim(query, ordered=group in self.rules.ordered)
+            self.claims.claim(query, ordered=group in self.rules.ordered)
         elif self.claims_non_idempotent and group in self.rules.non_idempotent:
-            self.claim(query, once=True)
+            self.claims.claim(query, once=True)
         else:
             self.schedule(query)
 
@@ -313,72 +302,6 @@
             self.context.call_at(query.deadline + 2 * LAST_ANSWER_MARGIN, self.on_timeout, *names)
             self.context.call_at(query.deadline, self.attempts.on_stream_timeout, *names)
 
-    # ---- claims -----------------------------------------------------------------------------------
-
-    def claim(self, query: QueryState, *, ordered: bool = False, once: bool = False) -> None:
-        """Asks the answer history whether a query may run."""
-        query.claim = ClaimState.ASKED
-        time_left = max(0, query.deadline - self.context.now)
-        customer, key, token = history_key(query.request)
-        self.context.emit(
-            ClaimQuery(query.request.id, query.number, customer, key, token, time_left, ordered, once)
-        )
-
-    def on_claim_decided(self, decided: ClaimDecided) -> None:
-        """The answer history, or the router that a query was forwarded to, has decided on it."""
-        query = self.find_query(decided.query, decided.number)
-        if query is None or query.answered:
-            return
-        if query.claim not in (ClaimState.ASKED, ClaimState.FORWARDED):
-            return
-        verdict, reason = decided.verdict, decided.reason
-        if query.claim is ClaimState.FORWARDED or verdict == "PASS":
-            query.claim = ClaimState.RETURNED
-        else:
-            query.claim = ClaimState.NONE
-        if verdict == "PASS" and query.session >= FIRST_GUEST:  # a query is forwarded only once
-            verdict, reason = "DEFER", "its slot has another owner meanwhile"
-        outcome = f"history: {reason}"
-        match verdict:
-            case "RUN":
-                query.claim = ClaimState.GRANTED
-                self.schedule(query)
-            case "PASS":
-                self.forward(query, reason)
-            case "ANSWER":
-                result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # it has rows
-                self.answer(query, result, "finished", outcome)
-            case "KILL":
-                self.answer(query, FailQuery(query.session, reason), "killed", outcome)
-            case _:
-                self.answer(query, RejectQuery(query.session, 0), "deferred", outcome)
-
-    def forward(self, query: QueryState, owner: str) -> None:
-        """Sends a query to a router of the partner that owns its slot."""
-        query.claim = ClaimState.FORWARDED
-        time_left = max(0, query.deadline - self.context.now)
-        self.context.emit(ForwardQuery(query.request.id, query.number, owner, query.request, time_left))
-
-    def end_claim(self, query: QueryState) -> None:
-        """Tells the answer history how a query that it was asked for ended."""
-        if query.claim is ClaimState.NONE:
-            return
-        if query.claim is ClaimState.FORWARDED:
-            self.context.emit(CancelForward(query.request.id, query.number))
-        query.claim = ClaimState.NONE
-        results = {attempt.result for attempt in query.attempts}
-        if results <= set(NEVER_RAN):
-            outcome = "freed"
-        elif AttemptResult.SERVED in results:
-            outcome = "finished"
-        else:
-            outcome = "killed"
-        end = EndClaim(query.request.id, query.number, outcome, query.rows)
-        if outcome == "killed" and results & set(MAY_STILL_RUN):  # the next of its key must not overtake it
-            self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
-        else:
-            self.context.emit(end)
-
     # ---- answers ----------------------------------------------------------------------------------
 
     def on_timeout(self, query_id: QueryId, number: int) -> None:
@@ -425,5 +348,5 @@
         """Drops a query that is answered and whose attempts have all ended."""
         if query.answered and all(attempt.ended for attempt in query.attempts):
             self.queries.pop(query.request.id, None)
-            self.end_claim(query)
+            self.claims.end(query)
             query.attempts.clear()  # a cycle of references would keep results until the next collection
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -129,7 +129,7 @@
         if not isinstance(item, Mapping):
             raise ConfigurationError("not an object", item_path)
         check_class(item, item_path)
-        name = plain_text(item["name"])
+        name = str(plain_text(item["name"]))
         if name in known:
             raise ConfigurationError(f"{name} names another class already", f"{item_path}.name")
         known.add(name)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -255,7 +255,7 @@
     rig.serving = True
     rig.turn(3)
     assert rig.wants == ids(1)  # the key rests
-    rig.pass_time(rig.service.reducer.order_pause / 10_000 + 0.01)
+    rig.pass_time(rig.service.reducer.claims.order_pause / 10_000 + 0.01)
     rig.until(lambda: second.answers())
     assert rig.wants == ids(1, 2) and second.answers() == ["served"]
 
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -27,7 +27,8 @@
     SendResult,
 )
 from hillchute.router.partnering import Partnering
-from hillchute.router.reducer import Reducer, place
+from hillchute.router.reducer import Reducer
+from hillchute.router.request_rules import history_key
 from hillchute.statements.request import Request
 
 NAMES = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
@@ -122,9 +123,9 @@
 
 def test_place_in_the_history_is_the_keys_or_the_table_groups():
     about = "id", "g", 1, b"UPDATE x_7.t SET a = 1"
-    assert place(Request(*about, token="ab", key="cd", customer="a")) == ("a", "cd", "ab")
-    assert place(Request(*about, token="ab", customer="a")) == ("a", "ab", "ab")
-    assert place(Request(*about, customer="a")) == ("", "\0tables 7", "id")
+    assert history_key(Request(*about, token="ab", key="cd", customer="a")) == ("a", "cd", "ab")
+    assert history_key(Request(*about, token="ab", customer="a")) == ("a", "ab", "ab")
+    assert history_key(Request(*about, customer="a")) == ("", "\0tables 7", "id")
 
 
 # ---- the operator file ----
