--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -11,8 +11,8 @@
 from hillchute.decision.draws import fraction_of
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.health_checks import HealthChecks
-from hillchute.decision.interface import Time
-from hillchute.decision.load_estimation import CROWDED_FACTOR, THREADS_PER_CORE, LoadEstimator
+from hillchute.decision.interface import Reason, Time
+from hillchute.decision.load_estimation import OVERLOAD_FACTOR, THREADS_PER_CORE, LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
 from hillchute.decision.query_state import QueryState
@@ -39,7 +39,7 @@
         self.queues = queues
         self.dispatcher = dispatcher
 
-    def send_next(self, now: Time, mean_weight: float) -> None:
+    def send_next(self, now: Time) -> None:
         """Sends the next team, if its leader has an engine."""
         if not self._move_blocked_loads(now):
             return
@@ -47,12 +47,11 @@
         if not queue or self.health_checks.waits_for_answer(now, queue[0]):
             return
         leader = queue[0]
-        bound_factor = CROWDED_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
+        bound_factor = OVERLOAD_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
         engine = self.health_checks.choose(
             now,
             leader,
             lambda engine: self.room(now, engine, leader, bound_factor) > 0,
-            mean_weight,
             self.placement.affine_engine(leader),
         )
         if engine is None:
@@ -90,7 +89,7 @@
             line = queues.behind_loads[load.table_group]
             wait = self._total_runtime(now, line) / len(engines)
             if now + wait > self.load.latest_start(now, load):
-                self.dispatcher.give_up(load, "line of loads")
+                self.dispatcher.give_up(load, Reason.LOADS_AHEAD)
                 return False
             queues.wait_behind_loads(load)
         return True
@@ -105,7 +104,7 @@
         of this router is there. `bound_factor`: times the thread bound."""
         threads = query.threads
         bound = bound_factor * THREADS_PER_CORE * engine.usable_cores(now)
-        free = bound - self.load.crowd(now, engine)
+        free = bound - self.load.total_threads(now, engine)
         least = 1
         if now < engine.under_pressure_until:
             share = bound / self.pool.shares.get(
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -2,7 +2,7 @@
 back, each field bounded.
 
 Owns the messages, their layout and bounds. Must never do I/O, look at a clock, or believe anything: the mark
-that says which router spoke is the peers' own (peers/codec.py), the marks of partners are in the messages.
+that says which router spoke is the peers' own (datagrams.py), the marks of partners are in the messages.
 
 Ages and ends are durations, as of when the message was made: no clock is compared with another's.
 """
@@ -12,9 +12,9 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.history.policy import TEXT
+from hillchute.history.retention import MAX_TEXT
 from hillchute.partners.agreement import NAME, PARTNERS, TEXTS, Mark, Notice, Offer, Text, unfit, unfit_offer
-from hillchute.peers.messages import Codec
+from hillchute.peers.messages import MessageCodec
 
 WHOLE = 1 << 62
 DAY: Time = 864_000_000
@@ -104,16 +104,16 @@
         case Know():
             return unfit_know(message)
         case Pass():
-            if not (0 < len(message.id) <= TEXT and 0 < len(message.group) <= TEXT):
+            if not (0 < len(message.id) <= MAX_TEXT and 0 < len(message.group) <= MAX_TEXT):
                 return "id"
-            if max(len(message.token or ""), len(message.key or ""), len(message.customer)) > TEXT:
+            if max(len(message.token or ""), len(message.key or ""), len(message.customer)) > MAX_TEXT:
                 return "token"
             if not 0 <= (message.cost or 0) <= WHOLE or not 0 <= message.memory <= WHOLE:
                 return "cost"
             if not 0 <= message.left <= DAY:
                 return "left"
         case Answer():
-            if message.how not in HOW or len(message.why) > 4 * TEXT:
+            if message.how not in HOW or len(message.why) > 4 * MAX_TEXT:
                 return "how"
     return "" if 0 <= message.number < WHOLE and 0 <= message.life < WHOLE else "number"
 
@@ -146,5 +146,5 @@
     return not (sizes and 0 < len(mark.partner) <= NAME and 0 <= mark.number < 1 << 53)
 
 
-codec = Codec("partners", Message, unfit_message)
+codec = MessageCodec("partners", Message, unfit_message)
 encode, decode, encoder = codec.encode, codec.decode, codec.encoder
--- /dev/null
+++ b/hillchute/peers/datagrams.py
@@ -0,0 +1,230 @@
+"""Codec of the datagrams between two routers: typed values to authenticated bytes and back.
+
+Pure: it owns the layout, its bounds, the authentication tag and the replay window. It does no I/O, reads no
+clock and does not know what a payload is for.
+
+    version:1  tag:16  body       the body is MessagePack; the tag is keyed BLAKE2b over version and body
+
+Each pair of routers shares a key of its own, so no third can speak as either to the other. Sender and
+receiver stand in the body, under the tag: a datagram can be neither reflected nor forwarded as new.
+"""
+
+import hashlib
+import hmac
+from collections.abc import Mapping
+from enum import IntEnum, StrEnum
+
+import msgspec
+
+from hillchute.errors import InvalidDatagramError
+
+VERSION = 1
+TAG_BYTES = 16
+HEADER_BYTES = 1 + TAG_BYTES  # version and tag
+BLAKE2B_MAX_KEY_BYTES = 64
+MAX_DATAGRAM_BYTES = 1200  # passes every path whole; one in IP fragments is lost with any fragment
+MAX_FRAME_BYTES = 65_535  # of a datagram on a stream, behind a length of two bytes
+MAX_RUMOURS = 24  # in a datagram
+MAX_NAME_CHARACTERS = 64
+COUNTER_LIMIT = 1 << 63  # every number in a datagram is below it
+
+
+class PeerState(IntEnum):
+    """What a router believes of a peer; the values are the wire's."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
+
+
+class DatagramKind(IntEnum):
+    """What a datagram is for; the values are the wire's."""
+
+    PING = 0
+    PING_ACK = 1
+    INDIRECT_PING = 2  # asks the receiver to ping `subject`
+    INDIRECT_PING_ACK = 3  # `subject` has answered the ping that was asked for
+    PAYLOAD = 4
+    STATE_REQUEST = 5  # asks for everything that the receiver can tell
+    HISTORY_FRAGMENT = 6
+    PARTNERS_FRAGMENT = 7
+
+
+KINDS_WITH_SUBJECT = frozenset({DatagramKind.INDIRECT_PING, DatagramKind.INDIRECT_PING_ACK})
+
+
+class DropReason(StrEnum):
+    """Why a datagram is dropped; the values are counted in the log under these names."""
+
+    TOO_LONG = "too long"
+    TOO_SHORT = "too short"
+    UNKNOWN_VERSION = "version"
+    UNREADABLE = "unreadable"
+    UNKNOWN_PEER = "unknown peer"
+    WRONG_TAG = "mark"
+    OTHER_RECEIVER = "another's"
+    TO_EARLIER_GENERATION = "to an earlier life"
+    # The wall clock was set back before this start: the others know a generation above this one.
+    TO_LATER_GENERATION = "to a later life of this router"
+    FROM_EARLIER_GENERATION = "of an earlier life"
+    REPLAYED = "repeat"
+
+
+class Rumour(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """What a witness believes of a router, passed on by gossip; on the wire an array in this order."""
+
+    name: str
+    state: int  # a PeerState; bounded by invalid_field() once the tag is verified
+    incarnation: int
+    witness: str  # who saw it: the router itself, where it says that it lives or leaves
+
+
+class Datagram(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """One datagram; on the wire an array of these fields in this order.
+
+    A router's generation is the time of its start in Unix milliseconds: it tells a restarted router from the
+    process before.
+    """
+
+    sender: str
+    receiver: str
+    generation: int  # of the sender
+    receiver_generation: int  # the latest that the sender has heard from; 0 if none
+    sequence: int  # rises with each datagram of one generation to one receiver
+    kind: int  # a DatagramKind; bounded by invalid_field() once the tag is verified
+    ping_number: int  # of the ping that this belongs to
+    subject: str = ""  # whom the requested ping goes to, or who answered it
+    rumours: tuple[Rumour, ...] = ()
+    payload: bytes = b""  # other subsystems' bytes
+
+
+encoder = msgspec.msgpack.Encoder()
+decoder = msgspec.msgpack.Decoder(Datagram)
+
+
+def authentication_tag(key: bytes, body: bytes) -> bytes:
+    """The tag that only holders of `key` can make for this body."""
+    version = bytes([VERSION])
+    return hashlib.blake2b(version + body, digest_size=TAG_BYTES, key=key[:BLAKE2B_MAX_KEY_BYTES]).digest()
+
+
+def encode(datagram: Datagram, key: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+    """The bytes; raises ValueError for what no receiver would accept."""
+    body = encoder.encode(datagram)
+    if field := invalid_field(datagram):
+        raise ValueError(field)
+    if HEADER_BYTES + len(body) > max_bytes:
+        raise ValueError(f"{HEADER_BYTES + len(body)} bytes, {max_bytes} at most")
+    return bytes([VERSION]) + authentication_tag(key, body) + body
+
+
+def decode(
+    data: bytes, receiver: str, keys: Mapping[str, bytes], max_bytes: int = MAX_DATAGRAM_BYTES
+) -> Datagram:
+    """The datagram, once its tag is verified with the key of its sender; raises InvalidDatagramError."""
+    datagram = _decode_verified(data, keys, max_bytes)
+    if datagram.receiver != receiver:
+        raise InvalidDatagramError(DropReason.OTHER_RECEIVER, datagram.sender)
+    if field := invalid_field(datagram):
+        raise InvalidDatagramError(f"field {field}", datagram.sender)
+    return datagram
+
+
+def _decode_verified(data: bytes, keys: Mapping[str, bytes], max_bytes: int) -> Datagram:
+    if len(data) > max_bytes:
+        raise InvalidDatagramError(DropReason.TOO_LONG)
+    if len(data) <= HEADER_BYTES:
+        raise InvalidDatagramError(DropReason.TOO_SHORT)
+    if data[0] != VERSION:
+        raise InvalidDatagramError(DropReason.UNKNOWN_VERSION)
+    tag = data[1:HEADER_BYTES]
+    body = data[HEADER_BYTES:]
+    try:
+        datagram = decoder.decode(body)
+    except msgspec.DecodeError as error:
+        raise InvalidDatagramError(DropReason.UNREADABLE) from error
+    key = keys.get(datagram.sender)
+    if key is None:
+        raise InvalidDatagramError(DropReason.UNKNOWN_PEER)
+    if not hmac.compare_digest(tag, authentication_tag(key, body)):
+        raise InvalidDatagramError(DropReason.WRONG_TAG, datagram.sender)
+    return datagram
+
+
+def invalid_field(datagram: Datagram) -> str:
+    """The name of the first field out of its bounds, or "": a peer with a key may still send anything."""
+    for name in ("generation", "receiver_generation", "sequence", "ping_number"):
+        if not 0 <= getattr(datagram, name) < COUNTER_LIMIT:
+            return name
+    if not DatagramKind.PING <= datagram.kind <= DatagramKind.PARTNERS_FRAGMENT:
+        return "kind"
+    if datagram.kind in KINDS_WITH_SUBJECT and not datagram.subject:
+        return "subject"
+    if len(datagram.rumours) > MAX_RUMOURS or not all(map(rumour_in_bounds, datagram.rumours)):
+        return "rumours"
+    if max(len(datagram.sender), len(datagram.subject)) > MAX_NAME_CHARACTERS:
+        return "sender"
+    return ""
+
+
+def rumour_in_bounds(rumour: Rumour) -> bool:
+    """Whether each field of a rumour has a value that an honest router could send."""
+    return (
+        PeerState.ALIVE <= rumour.state <= PeerState.LEFT
+        and 0 <= rumour.incarnation < COUNTER_LIMIT
+        and 0 < len(rumour.name) <= MAX_NAME_CHARACTERS
+        and len(rumour.witness) <= MAX_NAME_CHARACTERS
+    )
+
+
+class ReplayWindow:
+    """Which datagrams of one peer have been accepted: each counts once, in any order.
+
+    Guards against datagrams that the network, or somebody on it, sends again, also to a router that has
+    restarted since and does not remember them: only what was sent to this generation of the receiver counts.
+    """
+
+    SPAN = 64  # sequence numbers below the highest that may still arrive
+
+    def __init__(self) -> None:
+        self.generation = 0  # of the peer, the latest accepted
+        self.highest_sequence = -1
+        self.accepted_bits = 0  # bit n: highest_sequence - n was accepted
+        self.latest_unaccepted_generation = 0
+
+    @property
+    def known_generation(self) -> int:
+        """What we send as `receiver_generation`: the peer then knows ours, and its next datagram counts."""
+        return max(self.generation, self.latest_unaccepted_generation)
+
+    def accept(self, datagram: Datagram, own_generation: int) -> bool:
+        """Whether the datagram counts. False: its sender has not heard of our generation yet, and must be
+        answered first. Raises InvalidDatagramError for what an earlier generation sent or got, and repeats.
+        """
+        if datagram.receiver_generation != own_generation:
+            self.latest_unaccepted_generation = max(self.latest_unaccepted_generation, datagram.generation)
+            if datagram.receiver_generation > own_generation:
+                raise InvalidDatagramError(DropReason.TO_LATER_GENERATION, datagram.sender)
+            if datagram.receiver_generation:
+                raise InvalidDatagramError(DropReason.TO_EARLIER_GENERATION, datagram.sender)
+            return False
+        if datagram.generation < self.generation:
+            raise InvalidDatagramError(DropReason.FROM_EARLIER_GENERATION, datagram.sender)
+        if datagram.generation > self.generation:
+            self.generation = datagram.generation
+            self.highest_sequence = -1
+            self.accepted_bits = 0
+        self._accept_sequence(datagram)
+        return True
+
+    def _accept_sequence(self, datagram: Datagram) -> None:
+        behind = self.highest_sequence - datagram.sequence
+        if behind >= self.SPAN or (behind >= 0 and self.accepted_bits >> behind & 1):
+            raise InvalidDatagramError(DropReason.REPLAYED, datagram.sender)
+        if behind >= 0:
+            self.accepted_bits |= 1 << behind
+            return
+        shifted = self.accepted_bits << min(-behind, self.SPAN)
+        self.accepted_bits = (shifted | 1) & ((1 << self.SPAN) - 1)
+        self.highest_sequence = datagram.sequence
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -1,7 +1,7 @@
 """The log's lines on answers: one a second that counts them all, and one for each that is worth a look."""
 
 from hillchute.decision.interface import Time
-from hillchute.membership import event_bus
+from hillchute.discovery import event_bus
 from hillchute.router.connection_pool import ConnectionPool
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.query_state import QueryState
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -9,8 +9,8 @@
 
 from hillchute.decision.interface import AttemptEnded, AttemptResult, EngineId, QueryId, Time
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.discovery import event_bus
 from hillchute.engines import words
-from hillchute.membership import event_bus
 from hillchute.router.connection_pool import ConnectionPool, Endpoint, EngineConnection
 from hillchute.router.effects import AbortStream, Effect, SendCommand, SendResult, StartStream
 from hillchute.router.query_state import Attempt, ClaimState, QueryState
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -13,9 +13,9 @@
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Time
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
-from hillchute.membership import event_bus
 from hillchute.router.effects import CloseConnection, OpenConnection, SendCommand
 from hillchute.router.query_state import Attempt, QueryState
 from hillchute.router.reducer_context import ReducerContext
@@ -80,7 +80,7 @@
         # Engines report progress as often as the settings say; the rest is the round trip.
         self.silence_limit: Time = self.progress_interval + 2 * self.connect_timeout
         self.subset = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
-        self.list_number = 0  # number of the last endpoint list that was taken in
+        self.list_offset = 0  # offset of the last watch event that was taken in
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: dict[int, EngineConnection] = {}
 
@@ -261,29 +261,29 @@
 
     # ---- the endpoint list ------------------------------------------------------------------------
 
-    def on_endpoints_changed(self, update: event_bus.Update) -> None:
+    def on_endpoints_changed(self, update: event_bus.WatchEvent) -> None:
         """Takes in the endpoint list, or a change of it.
 
         An event bus may write an event again: one that is not newer than the last is ignored.
         """
-        if update.mode == "Nothing" or update.number <= self.list_number:
+        if update.kind == event_bus.WatchEventKind.KEEPALIVE or update.offset <= self.list_offset:
             return
-        self.list_number = update.number
-        listed = {entry.listing.engine: entry for entry in update.entries}
+        self.list_offset = update.offset
+        listed = {entry.listing.engine: entry for entry in update.endpoints}
         for entry in listed.values():
             self._update_endpoint(entry)
-        if update.mode == ListMode.COMPLETE:
+        if update.kind == event_bus.WatchEventKind.SNAPSHOT:
             for engine, endpoint in self.endpoints.items():
                 endpoint.ready = endpoint.ready and engine in listed
-        listings = [entry.listing for entry in update.entries]
-        self.module.on_endpoint_list(self.context.now, ListMode(update.mode), listings)
+        listings = [entry.listing for entry in update.endpoints]
+        self.module.on_endpoint_list(self.context.now, ListMode(update.kind), listings)
         ready = [engine for engine, state in self.module.engines.items() if state.ready]
         self.module.on_subset(self.context.now, self.subset.select(ready))
         self._forget_endpoints()
         states = {event_bus.engine_name(engine): entry.listing.state for engine, entry in listed.items()}
-        self.context.log("roster", number=update.number, mode=update.mode, engines=states)
+        self.context.log("roster", number=update.offset, mode=update.kind, engines=states)
 
-    def _update_endpoint(self, entry: event_bus.Entry) -> None:
+    def _update_endpoint(self, entry: event_bus.Endpoint) -> None:
         listing = entry.listing
         ready = listing.state == EndpointState.READY
         endpoint = self.endpoints.get(listing.engine)
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -7,16 +7,16 @@
 from typing import NamedTuple, TypeAlias
 
 from hillchute.decision.interface import EngineId, QueryId, Report, Time
+from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
-from hillchute.membership import event_bus
 
 
 class EndpointsChanged(NamedTuple):
     """The endpoint list, or a change of it, has come."""
 
-    update: event_bus.Update
+    update: event_bus.WatchEvent
 
 
 class PeersChanged(NamedTuple):
@@ -74,7 +74,7 @@
         case Said(connection, message):
             return "Said", connection, type(message).__name__, message and message[0]
         case EndpointsChanged(update):
-            return "EndpointsChanged", update.number
+            return "EndpointsChanged", update.offset
         case PeersChanged(reports):
             return "PeersChanged", len(reports)
         case ClaimDecided(query, number, verdict, reason, _):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,7 +8,7 @@
 from rounds_by_hand import LOGIN, Rig, query
 
 from hillchute.net.clock import Clock, EngineStartTimes, round_up_to_time_units
-from hillchute.peers.link import Steady
+from hillchute.peers.transport import SteadyUnixClock
 
 HOUR = 3_600 * 10**9
 STEPS = [-3_600, -5, 5, 3_600]
@@ -18,7 +18,7 @@
 WALL_CLOCK = {
     "hillchute/log.py": "stamps of the log's lines",
     "hillchute/net/clock.py": "the Unix time from which the router's clock starts, and stated ages",
-    "hillchute/peers/link.py": "the Unix time from which the clock of leases starts, for incarnations",
+    "hillchute/peers/transport.py": "the Unix time from which the clock of leases starts, for incarnations",
 }
 READING = re.compile(
     r"\btime\.time\(|\btime\.time_ns\b|\btime\.time\b(?!_)|CLOCK_REALTIME|datetime\.(now|utcnow|today)|"
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("seconds", STEPS)
 def test_clock_of_leases_goes_on_evenly_over_a_step(seconds: int, monkeypatch: pytest.MonkeyPatch) -> None:
     now = time.time_ns
-    clock = Steady()
+    clock = SteadyUnixClock()
     before = clock()
     monkeypatch.setattr(time, "time_ns", lambda: now() + seconds * 10**9)
     assert 0 <= clock() - before < 10_000
