--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -15,7 +15,8 @@
 from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.router import config
 from hillchute.router.lifecycle import Lifecycle
-from hillchute.router.service import SIGNALS, Service
+from hillchute.router.service import Service
+from hillchute.router.signal_handling import SIGNALS
 
 
 async def serve(
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -59,6 +59,7 @@
     RoundSchedule,
 )
 from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
+from hillchute.router.signal_handling import SignalReceiver
 
 SWEEP = 0.1  # seconds between two looks for sessions too long in one step
 STEP = 0.01  # seconds between two looks at how far the end has come
@@ -69,7 +70,6 @@
 LAG = 0.05  # seconds that a timer may come late before it is logged
 BEFORE_A_FAULT = 200  # events of the trace that are written with a fault
 HANG_UP_TIME = 0.3  # seconds that calls of the Flight front have when the router hangs up
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 def kinds_named(catalog: Mapping[str, object]) -> int:
@@ -138,9 +138,8 @@
         self.waits = 0
         self.queue: deque[events.Event] = deque()  # those that came of carrying out an earlier one
         self.handling = False
-        self.started = clock()
+        self.signals = SignalReceiver(clock)
         self.looked_at = clock()  # when the poller was last asked
-        self.arrivals: dict[int, int] = {}  # signals, and when they came
         self.alarm: int | None = None
         self.rings: int | None = None  # when ring() wakes by itself
         self.alarm_set = anyio.Event()
@@ -431,7 +430,7 @@
             family = socket.AF_INET6 if ":" in self.station.host else socket.AF_INET
             address = (self.station.host, self.station.port)
             self.door.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
-            self.tasks.start_soon(self.watch_signals)
+            self.tasks.start_soon(self.signals.listen, self.on_signal)
             self.tasks.start_soon(self.ring)
             self.tasks.start_soon(self.sweep)
             self.endpoint_watcher.watch(self.station.bus, self.tasks)
@@ -458,7 +457,7 @@
 
     def leave(self) -> None:
         """The router was told to end."""
-        signalled = self.arrivals.get(signal.SIGTERM, self.clock())
+        signalled = self.signals.arrivals.get(signal.SIGTERM, self.clock())
         self.shutdown = ShutdownSchedule(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
@@ -494,37 +493,19 @@
             self.rounds.discard(session)
             self.front(session).defer(session, 0)
 
-    async def watch_signals(self) -> None:
-        with anyio.open_signal_receiver(*SIGNALS) as signals:
-            self.stamp_arrival(signal.SIGTERM)
-            self.stamp_arrival(signal.SIGINT)
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-            async for number in signals:
-                self.log.write("signal", number=int(number))
-                if number == signal.SIGUSR1:
-                    for part in self.trace.batches():
-                        self.log.write("trace", events=part)
-                elif number != signal.SIGHUP:
-                    self.lifecycle.enter(Phase.CLOSING)
-                elif self.lifecycle.phase in (Phase.CLOSING, Phase.FLUSHING):
-                    self.reload()  # the list of engines matters until the last answer
-                elif self.lifecycle.enter(Phase.RELOADING):
-                    self.reload()
-                    self.lifecycle.enter(Phase.SERVING)
-
-    def stamp_arrival(self, number: int) -> None:
-        """Notes when a signal comes, between two steps of the interpreter; the loop hears of it a round
-        later. One that came during the start counts from the start."""
-        if number in signal.sigpending():
-            self.arrivals[number] = self.started
-        receive = signal.getsignal(number)
-
-        def stamp(number: int, frame: object) -> None:
-            self.arrivals.setdefault(number, self.clock())
-            if callable(receive):
-                receive(number, frame)
-
-        signal.signal(number, stamp)
+    def on_signal(self, number: int) -> None:
+        """Does what a signal asks for; a second SIGTERM changes nothing."""
+        self.log.write("signal", number=int(number))
+        if number == signal.SIGUSR1:
+            for part in self.trace.batches():
+                self.log.write("trace", events=part)
+        elif number != signal.SIGHUP:
+            self.lifecycle.enter(Phase.CLOSING)
+        elif self.lifecycle.phase in (Phase.CLOSING, Phase.FLUSHING):
+            self.reload()  # the endpoint list matters until the last answer
+        elif self.lifecycle.enter(Phase.RELOADING):
+            self.reload()
+            self.lifecycle.enter(Phase.SERVING)
 
     def reload(self) -> None:
         """A new configuration under load. One that can't be read changes nothing."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -618,14 +618,14 @@
             return found
 
         monkeypatch.setattr(service.config, "read", read)
-        monkeypatch.setattr(router, "stamp_arrival", lambda number: None)  # this is not the main thread
+        monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
         monkeypatch.setattr(service.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2))
         router.station = station._replace(bus=buses[0].getsockname(), offset=7)
         async with anyio.create_task_group() as router.tasks:
             router.endpoint_watcher.watch(router.station.bus, router.tasks)
             first = (await anyio.to_thread.run_sync(buses[0].accept))[0]
             assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.encode_subscription(7)
-            await router.watch_signals()
+            await router.signals.listen(router.on_signal)
             second = (await anyio.to_thread.run_sync(buses[1].accept))[0]
             assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.encode_subscription(7)
             assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # left
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -135,8 +135,8 @@
     monkeypatch.setattr(
         service.anyio, "open_signal_receiver", lambda *_: Signals(signal.SIGHUP, signal.SIGTERM)
     )
-    monkeypatch.setattr(rig.service, "stamp_arrival", lambda number: None)
-    anyio.run(rig.service.watch_signals)
+    monkeypatch.setattr(rig.service.signals, "record_arrival", lambda number: None)
+    anyio.run(rig.service.signals.listen, rig.service.on_signal)
     assert moved == [("127.0.0.1", 9)] and rig.service.lifecycle.phase is Phase.CLOSING
     assert rig.service.shutdown is schedule and schedule.answer_by == end
     rig.list(2, state="Terminating")
