--- a/hillchute/router/lifecycle.py
+++ b/hillchute/router/lifecycle.py
@@ -1,7 +1,6 @@
-"""The program's phases from start to exit, as named states of one object.
+"""The phases of the router's process from start to exit: a state machine with one transition table.
 
-Owns which phase comes after which and what each accepts. Must never do the work of a phase: that is the
-service's.
+Knows which phase may follow which; the work of a phase is the service's.
 """
 
 from enum import Enum
@@ -12,15 +11,17 @@
 
 
 class Phase(Enum):
-    STARTING = "starting"  # reads its configuration; no client is heard
-    SERVING = "serving"  # takes sessions and queries
+    """A phase; the values are the log's words."""
+
+    STARTING = "starting"  # reads its configuration; accepts no client
+    SERVING = "serving"  # accepts sessions and queries
     RELOADING = "reloading"  # reads its configuration again; all else goes on as it was
-    CLOSING = "closing"  # asked to end: still takes what comes, all is answered by a stated time
-    FLUSHING = "flushing"  # takes nothing new; the last answers are written
+    CLOSING = "closing"  # shuts down: still accepts what comes, and answers all of it by a stated time
+    FLUSHING = "flushing"  # accepts nothing new; the last answers are written
     STOPPED = "stopped"
 
 
-FOLLOWS = {
+TRANSITIONS = {
     Phase.STARTING: (Phase.SERVING, Phase.CLOSING, Phase.STOPPED),
     Phase.SERVING: (Phase.RELOADING, Phase.CLOSING),
     Phase.RELOADING: (Phase.SERVING,),
@@ -31,21 +32,24 @@
 
 
 class Lifecycle:
+    """The present phase, its log lines, and waits for a later one."""
+
     def __init__(self, log: Log) -> None:
         self.phase = Phase.STARTING
         self.log = log
-        self.changed = anyio.Event()
+        self.phase_changed = anyio.Event()
 
     def enter(self, phase: Phase) -> bool:
-        """Goes on to a phase; False where that does not follow the present one (a second signal, say)."""
-        if phase not in FOLLOWS[self.phase]:
+        """Enters a phase; False where it can't follow the present one (at a second signal, for example)."""
+        if phase not in TRANSITIONS[self.phase]:
             return False
         self.log.write("phase", phase=phase.value, after=self.phase.value)
         self.phase = phase
-        self.changed.set()
-        self.changed = anyio.Event()
+        self.phase_changed.set()
+        self.phase_changed = anyio.Event()
         return True
 
-    async def reach(self, phase: Phase) -> None:
+    async def wait_for(self, phase: Phase) -> None:
+        """Waits until a phase is entered."""
         while self.phase is not phase:
-            await self.changed.wait()
+            await self.phase_changed.wait()
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -444,7 +444,7 @@
             gc.freeze()  # what the start has made lives to the end: no later collection need look at it
             gc.set_threshold(*COLLECT)
             self.lifecycle.enter(Phase.SERVING)
-            await self.lifecycle.reach(Phase.CLOSING)
+            await self.lifecycle.wait_for(Phase.CLOSING)
             self.leave()
             while self.step_out() is not ShutdownStep.EXIT:
                 await anyio.sleep(STEP)
