--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -146,7 +146,7 @@
 
     remedy = (
         "see that `partners.marks_file` names a file in a folder that the router may write to, with room, and"
-        " that no line of it was changed; until then this partner marks no text, and the last one holds"
+        " that no line of it was changed; until then this partner signs no agreement, and the last one holds"
     )
 
 
