--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -32,11 +32,34 @@
 from hillchute.net.poller import Poller, ReadySocket
 from hillchute.router import config, events
 from hillchute.router.config import SECOND, Station
+from hillchute.router.effects import (
+    AbortStream,
+    CancelForward,
+    ClaimQuery,
+    CloseConnection,
+    Effect,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    OpenConnection,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    SetAlarm,
+    StartStream,
+    WriteLog,
+)
+from hillchute.router.event_trace import EventTrace
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
-from hillchute.router.rounds import BACKLOG, ENGINES_TIME, QUERIES_TIME, Rounds
-from hillchute.router.shutdown import Shutdown, Step
-from hillchute.router.trace import Trace
+from hillchute.router.round_schedule import (
+    ENGINE_READ_BUDGET,
+    LISTEN_BACKLOG,
+    QUERY_BUDGET,
+    RoundSchedule,
+)
+from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
+from hillchute.router.signal_handling import SignalReceiver
 
 SWEEP = 0.1  # seconds between two looks for sessions too long in one step
 STEP = 0.01  # seconds between two looks at how far the end has come
@@ -47,7 +70,6 @@
 LAG = 0.05  # seconds that a timer may come late before it is logged
 BEFORE_A_FAULT = 200  # events of the trace that are written with a fault
 HANG_UP_TIME = 0.3  # seconds that calls of the Flight front have when the router hangs up
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 def kinds_named(catalog: Mapping[str, object]) -> int:
@@ -76,8 +98,8 @@
         self.start_times = EngineStartTimes(clock)
         self.kinds = kinds_named(station.catalog)
         self.poller = poller or Poller()
-        self.rounds = Rounds()
-        self.trace = Trace()
+        self.rounds = RoundSchedule()
+        self.trace = EventTrace()
         operator = operator or {}
         module = QueryScheduler(station.seed, station.catalog, clock())
         self.peering = None
@@ -89,9 +111,9 @@
             module = self.peering.telling
         self.reducer = Reducer(module, station.catalog, station.sockets // 3)
         if self.peering is not None:
-            self.peering.telling.reached = lambda: self.reducer.lines.told_to
-            self.reducer.history = self.peering.remembering is not None
-            self.reducer.partners = self.peering.partnering is not None
+            self.peering.telling.reached = lambda: self.reducer.pool.list_offset
+            self.reducer.claims_idempotent = self.peering.remembering is not None
+            self.reducer.claims_non_idempotent = self.peering.partnering is not None
         self.door = Door(
             station.sockets // 2,
             station.packet,
@@ -100,7 +122,7 @@
             log,
             clock,
             left=self.gave_up,
-            margin=self.reducer.lateness.margin,
+            margin=self.reducer.loop_lag.answer_margin,
             passed=lambda session: self.handle(events.Passed(session)),
             unreadable=lambda session, why: self.handle(events.Spoilt(session, why)),
         )
@@ -110,19 +132,18 @@
         self.endpoint_watcher = EndpointWatcher(
             log,
             on_event=self.told,
-            last_offset=lambda: max(self.reducer.lines.told_to, self.station.offset),
+            last_offset=lambda: max(self.reducer.pool.list_offset, self.station.offset),
             jittered=self.wait,
         )
         self.waits = 0
         self.queue: deque[events.Event] = deque()  # those that came of carrying out an earlier one
         self.handling = False
-        self.started = clock()
+        self.signals = SignalReceiver(clock)
         self.looked_at = clock()  # when the poller was last asked
-        self.arrivals: dict[int, int] = {}  # signals, and when they came
         self.alarm: int | None = None
         self.rings: int | None = None  # when ring() wakes by itself
         self.alarm_set = anyio.Event()
-        self.shutdown: Shutdown | None = None
+        self.shutdown: ShutdownSchedule | None = None
         self.dumped = 0  # when the trace was last written with a fault
         self.tasks: anyio.abc.TaskGroup
 
@@ -133,17 +154,17 @@
         return jitter.randomized(int(seconds * SECOND), chance) / SECOND
 
     def engine_links(self, settings: Mapping[str, object]) -> Links:
-        lines = self.reducer.lines
+        pool = self.reducer.pool
         if settings.get("protocol") != "flight":
             return Links(self.poller, self.log, self.handle, self.clock, self.wanted)
         from hillchute.engines.flight.links import Links as FlightLinks
 
-        return FlightLinks(settings, self.log, self.handle, lines.connect_wait, lines.silence)
+        return FlightLinks(settings, self.log, self.handle, pool.connect_timeout, pool.silence_limit)
 
     def flight_front(self, settings: Mapping[str, object]):
         from hillchute.fronts.flight.server import Server
 
-        return Server(settings, self.reducer.groups, self.log, self.clock, self.handle)
+        return Server(settings, self.reducer.rules.groups, self.log, self.clock, self.handle)
 
     def front(self, session: int):
         """Who has the client of a session: calls of the Flight front have their numbers above those of MySQL,
@@ -175,11 +196,11 @@
 
     def handle_one(self, event: events.Event) -> None:
         now = self.clock()
-        self.trace.add((now, *events.told_by(event)))
+        self.trace.record(now, events.describe(event))
         sends: dict[int, list[words.Command]] = {}
         for effect in self.reducer.reduce(event, now):
-            if isinstance(effect, events.Send):
-                sends.setdefault(effect.line, []).append(effect.command)
+            if isinstance(effect, SendCommand):
+                sends.setdefault(effect.connection, []).append(effect.command)
             else:
                 self.attempt(self.carry_out, effect)
         for line, commands in sends.items():
@@ -193,40 +214,40 @@
             self.log.write("fault", what=work.__name__, why=repr(fault), trace=traceback.format_exc(limit=-6))
             self.dump(BEFORE_A_FAULT)
 
-    def carry_out(self, effect: events.Effect) -> None:
+    def carry_out(self, effect: Effect) -> None:
         match effect:
-            case events.Finish(session, rows):
+            case SendResult(session, rows):
                 self.front(session).finish(session, rows)
-            case events.Stream(session, stream):
+            case StartStream(session, stream):
                 if session >= FIRST_GUEST:
                     self.peering.partnering.begin(session, stream)
                 elif session < FIRST_CALL:
                     self.tasks.start_soon(self.pass_on, session, stream)
                 else:
                     self.flight.begin(session, stream)
-            case events.Cut(session, why):
+            case AbortStream(session, why):
                 self.front(session).cut(session, why)
-            case events.Defer(session, after):
+            case RejectQuery(session, after):
                 self.front(session).defer(session, after)
-            case events.Kill(session, why):
+            case FailQuery(session, why):
                 self.front(session).kill(session, why)
-            case events.Connect(line, host, port):
+            case OpenConnection(line, host, port):
                 self.links.open(line, host, port, self.tasks)
-            case events.HangUp(line):
+            case CloseConnection(line):
                 self.links.hang_up(line)
-            case events.Claim():
+            case ClaimQuery():
                 self.peering.remembering.claim(*effect)
-            case events.Close():
+            case EndClaim():
                 self.peering.remembering.close(*effect)
-            case events.PassOn():
+            case ForwardQuery():
                 self.peering.partnering.pass_on(*effect)
-            case events.Recall():
+            case CancelForward():
                 self.peering.partnering.recall(*effect)
-            case events.Alarm(at):
+            case SetAlarm(at):
                 self.alarm = at
                 if self.rings is None or at < self.rings:  # a later one is found when it wakes
                     self.alarm_set.set()
-            case events.Note(event, fields):
+            case WriteLog(event, fields):
                 self.log.write(event, **fields)
                 if event == "fault":
                     self.dump(BEFORE_A_FAULT)
@@ -243,14 +264,14 @@
             self.handle(events.Spoilt(session, "a fault of ours"))
 
     def peered(self) -> None:
-        self.handle(events.Peered(self.peering.news()))
+        self.handle(events.PeersChanged(self.peering.news()))
 
     def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
-        self.handle(events.Judged(id, number, verdict, why, rows))
+        self.handle(events.ClaimDecided(id, number, verdict, why, rows))
 
     def gave_up(self, session: int) -> None:
         """A client gave its query up, or is gone; the query may not have been handed on yet."""
-        if not self.rounds.drop(session) and session in self.reducer.asking:
+        if not self.rounds.discard(session) and session in self.reducer.unanswered:
             self.handle(events.Left(session))
 
     def look(self) -> list[ReadySocket]:
@@ -265,7 +286,7 @@
         """Whether the client of a query still waits, as of a look at its connection made just now."""
         if self.clock() - self.looked_at > FRESH:
             self.notice_departures()
-        session = self.reducer.wants(id)
+        session = self.reducer.waiting_session(id)
         if session is None:
             return False
         return session >= FIRST_CALL or session in self.door.clients
@@ -278,7 +299,7 @@
             started = self.start_times.to_router_clock(listing.engine, listing.started)
             listing = self.usable(listing._replace(started=started))
             entries.append(entry._replace(listing=listing))
-        self.handle(events.Notified(news._replace(endpoints=tuple(entries))))
+        self.handle(events.EndpointsChanged(news._replace(endpoints=tuple(entries))))
 
     def usable(self, listing: Listing) -> Listing:
         """An engine of a kind that the settings do not name is no place for any query."""
@@ -296,13 +317,13 @@
         if now - self.dumped < SECOND:
             return
         self.dumped = now
-        for part in self.trace.lines(last):
+        for part in self.trace.batches(last):
             self.log.write("trace", events=part)
 
     # ---- rounds -----------------------------------------------------------------------------------
 
     def round(self) -> None:
-        """One turn through all that is ready, in the order and within the bounds that rounds.py states."""
+        """One turn through all that is ready, in the order and within the bounds of round_schedule.py."""
         rounds = self.rounds
         rounds.begin()
         began = self.clock()
@@ -322,25 +343,25 @@
             self.read_clients(clients)
             clients = []
             if knocks:
-                self.door.accept(rounds.accepts)
+                self.door.accept(rounds.accept_limit)
                 knocks = not self.door.paused
         self.look_at_alarm(began)
         self.hear_engines(links, began)
         self.read_clients(clients)
-        rounds.read_all(began, knocks or self.door.paused)
+        rounds.sockets_read(began, knocks or self.door.paused)
         start = self.clock()
-        for taken, waiting in enumerate(rounds.queries(start)):
+        for taken, query in enumerate(rounds.take_queries(start)):
             now = self.clock()
-            self.reducer.lateness.took(now, now - waiting.ready)
-            self.handle(events.Asked(waiting.session, waiting.request, waiting.since))
-            if taken and now - start > QUERIES_TIME:
+            self.reducer.loop_lag.record_query_delay(now, now - query.ready_at)
+            self.handle(events.Asked(query.session, query.request, query.received_at))
+            if taken and now - start > QUERY_BUDGET:
                 break
         if knocks:
             before = self.clock()
-            rounds.accepted(before, all=self.door.accept(rounds.accepts))
+            rounds.connections_accepted(before, backlog_empty=self.door.accept(rounds.accept_limit))
         ended = self.clock()
-        if ended - began > ENGINES_TIME + QUERIES_TIME:
-            self.reducer.lateness.seen(ended, ended - began)
+        if ended - began > ENGINE_READ_BUDGET + QUERY_BUDGET:
+            self.reducer.loop_lag.record_lag(ended, ended - began)
 
     def departures(self, clients: list[ReadySocket]) -> None:
         """All that have left are let go before anything follows from it: the place of one must not go to a
@@ -358,9 +379,9 @@
 
     def hear_engines(self, links: list[ReadySocket], began: int) -> None:
         by_owner = {ready.owner: ready for ready in links}
-        for n, link in enumerate(self.rounds.in_turn(by_owner)):
-            if n and self.clock() - began > ENGINES_TIME:
-                self.rounds.put_off = True
+        for n, link in enumerate(self.rounds.least_recently_served(by_owner)):
+            if n and self.clock() - began > ENGINE_READ_BUDGET:
+                self.rounds.work_left = True
                 break
             link.served = self.rounds.number
             self.guarded(self.links.ready, link, by_owner[link].readable, by_owner[link].writable)
@@ -389,7 +410,7 @@
             if now - self.alarm > LAG * SECOND:
                 self.log.write("lag", ms=(now - self.alarm) / 10)
             self.alarm = None
-            self.handle(events.Tick())
+            self.handle(events.AlarmDue())
 
     async def work(self) -> None:
         """Rounds without end. Between two of them signals, timers and the event bus have their turn."""
@@ -408,8 +429,8 @@
                 self.told(news)
             family = socket.AF_INET6 if ":" in self.station.host else socket.AF_INET
             address = (self.station.host, self.station.port)
-            self.door.open(socket.create_server(address, family=family, backlog=BACKLOG))
-            self.tasks.start_soon(self.watch_signals)
+            self.door.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
+            self.tasks.start_soon(self.signals.listen, self.on_signal)
             self.tasks.start_soon(self.ring)
             self.tasks.start_soon(self.sweep)
             self.endpoint_watcher.watch(self.station.bus, self.tasks)
@@ -423,9 +444,9 @@
             gc.freeze()  # what the start has made lives to the end: no later collection need look at it
             gc.set_threshold(*COLLECT)
             self.lifecycle.enter(Phase.SERVING)
-            await self.lifecycle.reach(Phase.CLOSING)
+            await self.lifecycle.wait_for(Phase.CLOSING)
             self.leave()
-            while self.step_out() is not Step.EXIT:
+            while self.step_out() is not ShutdownStep.EXIT:
                 await anyio.sleep(STEP)
             if self.flight is not None:
                 await self.flight.close(HANG_UP_TIME)
@@ -436,73 +457,55 @@
 
     def leave(self) -> None:
         """The router was told to end."""
-        signalled = self.arrivals.get(signal.SIGTERM, self.clock())
-        self.shutdown = Shutdown(signalled, self.station.closing, self.reducer.lateness.worst)
+        signalled = self.signals.arrivals.get(signal.SIGTERM, self.clock())
+        self.shutdown = ShutdownSchedule(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
-        self.handle(events.Closing(self.shutdown.end))
+        self.handle(events.ShutdownStarted(self.shutdown.answer_by))
         if self.peering is not None:
             self.peering.leave()
 
-    def step_out(self) -> Step:
+    def step_out(self) -> ShutdownStep:
         """How far the end has come, as of a round made now: only that sees what the kernel holds."""
         self.round()
-        seen = self.seen_of_clients()
-        if self.shutdown.hung_up is None and self.shutdown.may_hang_up(*seen):
+        seen = self.client_activity()
+        if self.shutdown.sessions_closed_at is None and self.shutdown.may_close_sessions(seen):
             # What the kernel holds at this moment is taken in and, if need be, waited for.
-            self.door.accept(BACKLOG)
+            self.door.accept(LISTEN_BACKLOG)
             self.round()
-            seen = self.seen_of_clients()
-        step = self.shutdown.step(*seen, len(self.door.clients))
-        if step is not Step.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
+            seen = self.client_activity()
+        step = self.shutdown.next_step(seen, len(self.door.clients))
+        if step is not ShutdownStep.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
             self.refuse_the_rest()
             self.door.close()
-        if step is Step.HANG_UP:
+        if step is ShutdownStep.CLOSE_SESSIONS:
             self.door.hang_up()  # also those whose last bytes have gone out meanwhile
         return step
 
-    def seen_of_clients(self) -> tuple[int, int, int, int]:
-        """The time, when a client was last heard, open queries, sessions that are owed bytes."""
-        open = len(self.reducer.asking) + len(self.rounds.of)
-        return self.clock(), self.rounds.heard, open, self.door.owed()
+    def client_activity(self) -> ClientActivity:
+        """What is known of the clients as of the last round."""
+        open = len(self.reducer.unanswered) + len(self.rounds.pending)
+        return ClientActivity(self.clock(), self.rounds.last_client_activity, open, self.door.owed())
 
     def refuse_the_rest(self) -> None:
         """Queries that were read and not handed on: a key's order could not be told in time."""
-        for session in list(self.rounds.of):
-            self.rounds.drop(session)
+        for session in list(self.rounds.pending):
+            self.rounds.discard(session)
             self.front(session).defer(session, 0)
 
-    async def watch_signals(self) -> None:
-        with anyio.open_signal_receiver(*SIGNALS) as signals:
-            self.stamp_arrival(signal.SIGTERM)
-            self.stamp_arrival(signal.SIGINT)
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-            async for number in signals:
-                self.log.write("signal", number=int(number))
-                if number == signal.SIGUSR1:
-                    for part in self.trace.lines():
-                        self.log.write("trace", events=part)
-                elif number != signal.SIGHUP:
-                    self.lifecycle.enter(Phase.CLOSING)
-                elif self.lifecycle.phase in (Phase.CLOSING, Phase.FLUSHING):
-                    self.reload()  # the list of engines matters until the last answer
-                elif self.lifecycle.enter(Phase.RELOADING):
-                    self.reload()
-                    self.lifecycle.enter(Phase.SERVING)
-
-    def stamp_arrival(self, number: int) -> None:
-        """Notes when a signal comes, between two steps of the interpreter; the loop hears of it a round
-        later. One that came during the start counts from the start."""
-        if number in signal.sigpending():
-            self.arrivals[number] = self.started
-        receive = signal.getsignal(number)
-
-        def stamp(number: int, frame: object) -> None:
-            self.arrivals.setdefault(number, self.clock())
-            if callable(receive):
-                receive(number, frame)
-
-        signal.signal(number, stamp)
+    def on_signal(self, number: int) -> None:
+        """Does what a signal asks for; a second SIGTERM changes nothing."""
+        self.log.write("signal", number=int(number))
+        if number == signal.SIGUSR1:
+            for part in self.trace.batches():
+                self.log.write("trace", events=part)
+        elif number != signal.SIGHUP:
+            self.lifecycle.enter(Phase.CLOSING)
+        elif self.lifecycle.phase in (Phase.CLOSING, Phase.FLUSHING):
+            self.reload()  # the endpoint list matters until the last answer
+        elif self.lifecycle.enter(Phase.RELOADING):
+            self.reload()
+            self.lifecycle.enter(Phase.SERVING)
 
     def reload(self) -> None:
         """A new configuration under load. One that can't be read changes nothing."""
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -194,13 +194,12 @@
         event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
     ]
     reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
-    reducer.reduce(events.Notified(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
+    reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
     assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.pool.subset)
     listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
-    reducer.reduce(
-        events.Notified(event_bus.WatchEvent(2, "Partial", (entries[gone]._replace(listing=listing),))), 0
-    )
+    change = event_bus.WatchEvent(2, "Partial", (entries[gone]._replace(listing=listing),))
+    reducer.reduce(events.EndpointsChanged(change), 0)
     assert reducer.module.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
 
 
