--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -25,9 +25,10 @@
 from hillchute.net.poller import ReadySocket
 from hillchute.net.system_calls import SystemCalls
 from hillchute.router import config, events
+from hillchute.router.effects import SendCommand
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.service import Service
-from hillchute.router.shutdown import Step
+from hillchute.router.shutdown import ShutdownStep
 
 START = 17_000_000_000_000  # tenths of a millisecond on the Unix clock
 CALL, PARSE, EVENT, SEND = 15, 180, 450, 450  # microseconds: a kernel call, a read, an event, a submission
@@ -411,12 +412,13 @@
 
     def charge(self) -> None:
         """Lets events and reads cost their time, where the real ones do."""
-        world, reduce, took = self.world, self.service.reducer.reduce, self.service.reducer.lateness.took
+        world, reduce = self.world, self.service.reducer.reduce
+        took = self.service.reducer.loop_lag.record_query_delay
 
         def reduce_at_a_price(event, now):
             effects = reduce(event, now)
             world.spend(EVENT if type(event) is not events.Asked else PARSE)
-            world.spend(SEND * sum(isinstance(e, events.Send) for e in effects))
+            world.spend(SEND * sum(isinstance(e, SendCommand) for e in effects))
             return effects
 
         def took_late(now, by):
@@ -424,7 +426,7 @@
             took(now, by)
 
         self.service.reducer.reduce = reduce_at_a_price
-        self.service.reducer.lateness.took = took_late
+        self.service.reducer.loop_lag.record_query_delay = took_late
 
     # ---- the script -------------------------------------------------------------------------------
 
@@ -500,7 +502,7 @@
         service, world = self.service, self.world
         async with anyio.create_task_group() as service.tasks:
             for news in self.station.known:
-                service.handle(events.Notified(news))
+                service.handle(events.EndpointsChanged(news))
             self.lifecycle.enter(Phase.SERVING)
             sweep = world.us
             while self.gone is None:
@@ -510,7 +512,7 @@
                     service.leave()
                 if service.shutdown is None:
                     service.round()
-                elif service.step_out() is Step.EXIT:
+                elif service.step_out() is ShutdownStep.EXIT:
                     self.gone = world.us
                 if world.us - sweep >= 100_000:
                     sweep = world.us
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -29,7 +29,7 @@
 from hillchute.partners.signatures import Equivocation, ed25519_signer, ed25519_verifier
 from hillchute.peers.datagrams import DatagramKind, PeerState
 from hillchute.peers.node import Node
-from hillchute.router.reducer import place
+from hillchute.router.request_rules import history_key
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
 
@@ -106,7 +106,7 @@
     # ---- the reducer's queries ----------------------------------------------------------------------
 
     def pass_on(self, id: str, number: int, owner: str, request: Request, left: Time) -> None:
-        customer, key, _ = place(request)
+        customer, key, _ = history_key(request)
         to = self.passing.choose_target(self.council.routers.get(owner, ()), customer, key)
         if to is None:
             self.judged(id, number, "DEFER", "no router of its slot's owner is known to live", None)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -104,7 +104,7 @@
         rig.until(lambda: len(rig.wants) == 1)
         wall["step"] = seconds * 10**9
         rig.turn(5)
-        assert len(rig.service.reducer.asking) == 1  # neither late nor early
+        assert len(rig.service.reducer.unanswered) == 1  # neither late nor early
         assert out.answers() == []
         rig.talks[0].serve(rig.wants[0])
         rig.until(lambda: out.answers())
@@ -115,7 +115,7 @@
         rig.until(lambda: len(client.answers()) == 2)
         assert 0.04 <= time.monotonic() - began < 5
         rig.service.leave()
-        assert 0 < rig.service.shutdown.end - rig.clock() <= rig.station.closing
+        assert 0 < rig.service.shutdown.answer_by - rig.clock() <= rig.station.closing
         client.write(query(3))  # the listener is still open
         rig.until(lambda: len(client.answers()) == 3)
         assert out.answers() == ["served"]
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -10,11 +10,11 @@
 from hillchute.fronts.mysql.door import Client, Door
 from hillchute.lab import slowloop
 from hillchute.net.system_calls import SYSTEM_CALLS
-from hillchute.router import lateness, rounds, shutdown
-from hillchute.router.lateness import Lateness
-from hillchute.router.rounds import Rounds
-from hillchute.router.shutdown import Shutdown, Step
-from hillchute.router.trace import Trace
+from hillchute.router import loop_lag, round_schedule, shutdown
+from hillchute.router.event_trace import EventTrace
+from hillchute.router.loop_lag import LoopLag
+from hillchute.router.round_schedule import RoundSchedule
+from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
 from hillchute.statements.request import Request
 
 
@@ -36,15 +36,17 @@
 
 
 def test_checker_finds_answers_that_leave_no_time_for_a_pause(monkeypatch):
-    monkeypatch.setattr(Lateness, "margin", lambda self, patience: 0)
+    monkeypatch.setattr(LoopLag, "answer_margin", lambda self, client_timeout: 0)
     assert any("too late" in fault for fault in faults())
 
 
 def test_checker_finds_queries_lost_by_an_end_that_does_not_look(monkeypatch):
     monkeypatch.setattr(
-        Shutdown,
-        "step",
-        lambda self, now, *_: Step.EXIT if now > self.signalled + 100 else Step.HANG_UP,
+        ShutdownSchedule,
+        "next_step",
+        lambda self, seen, open_sessions: (
+            ShutdownStep.EXIT if seen.now > self.signalled_at + 100 else ShutdownStep.CLOSE_SESSIONS
+        ),
     )
     assert any("0 answers" in fault for fault in faults())
 
@@ -77,7 +79,7 @@
 
 
 def test_checker_finds_a_key_out_of_order(monkeypatch, no_hangs):
-    monkeypatch.setattr(rounds, "SPACED", 10**9)
+    monkeypatch.setattr(round_schedule, "ORDER_SPACING", 10**9)
     assert ["after a later one" in fault for fault in stalled_key()] == [True]
 
 
@@ -85,86 +87,87 @@
 
 
 def test_queries_are_taken_in_the_order_in_which_their_bytes_came():
-    line = Rounds()
+    schedule = RoundSchedule()
     for session, since in ((1, 30), (2, 10), (3, 20)):
-        line.put(session, request(), since, since, 99 * SECOND)
-    assert line.drop(3) and not line.drop(3)
-    assert [w.session for w in line.queries(0)] == [2, 1]
-    assert line.idle
+        schedule.enqueue(session, request(), since, since, 99 * SECOND)
+    assert schedule.discard(3) and not schedule.discard(3)
+    assert [w.session for w in schedule.take_queries(0)] == [2, 1]
+    assert schedule.idle
 
 
 def test_query_of_a_key_waits_until_all_that_came_before_is_read():
-    line = Rounds()
+    schedule = RoundSchedule()
     now = 10 * SECOND
-    line.read_all(now, knocks=True)
-    line.put(1, request(key="k"), now, now, 99 * SECOND)
-    line.put(2, request(), now + 1, now + 1, 99 * SECOND)
-    assert [w.session for w in line.queries(0)] == [2]
-    assert line.holding and line.accepts == rounds.BACKLOG and not line.idle
-    line.accepted(now, all=False)
-    line.read_all(now + 10, knocks=True)
-    assert not list(line.queries(0))  # the kernel still holds connections that are older
-    line.accepted(now + 10, all=True)
-    line.read_all(now + 20, knocks=True)
-    assert [w.session for w in line.queries(0)] == [1]
-    assert line.accepts == rounds.ACCEPTS
+    schedule.sockets_read(now, connections_waiting=True)
+    schedule.enqueue(1, request(key="k"), now, now, 99 * SECOND)
+    schedule.enqueue(2, request(), now + 1, now + 1, 99 * SECOND)
+    assert [w.session for w in schedule.take_queries(0)] == [2]
+    assert schedule.waits_for_horizon and not schedule.idle
+    assert schedule.accept_limit == round_schedule.LISTEN_BACKLOG
+    schedule.connections_accepted(now, backlog_empty=False)
+    schedule.sockets_read(now + 10, connections_waiting=True)
+    assert not list(schedule.take_queries(0))  # the kernel still holds connections that are older
+    schedule.connections_accepted(now + 10, backlog_empty=True)
+    schedule.sockets_read(now + 20, connections_waiting=True)
+    assert [w.session for w in schedule.take_queries(0)] == [1]
+    assert schedule.accept_limit == round_schedule.ACCEPT_LIMIT
 
 
 def test_query_of_a_key_does_not_wait_where_nobody_knocks():
-    line = Rounds()
-    line.put(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
-    line.read_all(SECOND, knocks=False)
-    assert [w.session for w in line.queries(0)] == [1]
+    schedule = RoundSchedule()
+    schedule.enqueue(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
+    schedule.sockets_read(SECOND, connections_waiting=False)
+    assert [w.session for w in schedule.take_queries(0)] == [1]
 
 
 def test_query_whose_end_has_come_is_taken_before_older_ones():
-    line = Rounds()
-    line.put(1, request(), 10, 10, 9000)
-    line.put(2, request(), 20, 20, 5000)
-    line.put(3, request(key="k"), 3000, 3000, 5000)
-    assert [w.session for w in line.queries(5000)] == [2, 1]
-    assert [w.session for w in line.queries(5000 + rounds.SETTLED)] == [3]
-    assert line.idle and not list(line.queries(99 * SECOND))
+    schedule = RoundSchedule()
+    schedule.enqueue(1, request(), 10, 10, 9000)
+    schedule.enqueue(2, request(), 20, 20, 5000)
+    schedule.enqueue(3, request(key="k"), 3000, 3000, 5000)
+    assert [w.session for w in schedule.take_queries(5000)] == [2, 1]
+    assert [w.session for w in schedule.take_queries(5000 + round_schedule.ORDERED_TIMEOUT_GRACE)] == [3]
+    assert schedule.idle and not list(schedule.take_queries(99 * SECOND))
 
 
 def test_what_a_round_left_goes_first_in_the_next():
-    line = Rounds()
+    schedule = RoundSchedule()
     links = [Client(n, 100) for n in (1, 2, 3)]
     links[0].served, links[1].served = 7, 6
-    assert line.in_turn(links) == [links[2], links[1], links[0]]
+    assert schedule.least_recently_served(links) == [links[2], links[1], links[0]]
 
 
 # ---- how late ---------------------------------------------------------------------------------------
 
 
 def test_pause_is_forgotten_slowly_however_often_it_is_asked():
-    late = Lateness()
-    late.seen(SECOND, lateness.LEAST + 1000)
+    late = LoopLag()
+    late.record_lag(SECOND, loop_lag.MINIMUM_LAG + 1000)
     for now in range(SECOND, 3 * SECOND, 7):
-        late.seen(now, 0)
-    assert lateness.LEAST + 790 <= late.worst <= lateness.LEAST + 810
+        late.record_lag(now, 0)
+    assert loop_lag.MINIMUM_LAG + 790 <= late.worst <= loop_lag.MINIMUM_LAG + 810
 
 
 def test_margin_leaves_half_of_a_short_patience():
-    late = Lateness()
-    assert late.margin(1000) == 500
-    assert late.margin(9 * SECOND) == lateness.LEAST + lateness.OUTSIDE
-    late.took(0, SECOND)
-    assert late.margin(9 * SECOND) == SECOND + lateness.OUTSIDE
+    late = LoopLag()
+    assert late.answer_margin(1000) == 500
+    assert late.answer_margin(9 * SECOND) == loop_lag.MINIMUM_LAG + loop_lag.CONNECT_DELAY
+    late.record_query_delay(0, SECOND)
+    assert late.answer_margin(9 * SECOND) == SECOND + loop_lag.CONNECT_DELAY
 
 
-def test_pause_that_is_over_is_no_standing_lateness():
-    late = Lateness()
+def test_pause_that_is_over_is_no_standing_delay():
+    late = LoopLag()
     for now in range(0, 3000, 50):  # a pause of 0.2 s, then what came meanwhile, ever less late
-        late.took(now, max(0, 2000 - now))
-    assert late.standing == 0
+        late.record_query_delay(now, max(0, 2000 - now))
+    assert late.standing_delay == 0
     for now in range(3000, 6000, 50):
-        late.took(now, 700 + now % 300)
-    assert late.standing >= 700
-    late.took(6001, 3)
-    assert late.standing == 3
-    late.took(10 * SECOND, 900)
-    assert late.standing == 0  # nothing was asked for a while
+        late.record_query_delay(now, 700 + now % 300)
+    assert late.standing_delay >= 700
+    late.record_query_delay(6001, 3)
+    assert late.standing_delay == 3
+    late.record_query_delay(10 * SECOND, 900)
+    assert late.standing_delay == 0  # nothing was asked for a while
 
 
 def test_late_loop_turns_away_what_is_of_least_value_first(harness):
@@ -180,47 +183,54 @@
 # ---- the end ----------------------------------------------------------------------------------------
 
 
+def step(schedule, *seen, sessions):
+    return schedule.next_step(ClientActivity(*seen), sessions)
+
+
 def test_end_waits_for_quiet_and_for_the_time_in_which_clients_still_come():
-    way = Shutdown(0, 3 * SECOND, 0)
-    assert way.step(shutdown.STILL_COMING - 1, 0, 0, 0, 5) is Step.ACCEPT
-    assert way.step(shutdown.STILL_COMING, shutdown.STILL_COMING - 1, 0, 0, 5) is Step.ACCEPT  # just heard
-    assert way.step(shutdown.STILL_COMING, 0, 1, 0, 5) is Step.ACCEPT  # a query is open
-    assert way.step(shutdown.STILL_COMING, 0, 0, 1, 5) is Step.ACCEPT  # an answer is not out
-    assert way.step(shutdown.STILL_COMING, 0, 0, 0, 5) is Step.HANG_UP
-    assert way.step(shutdown.STILL_COMING + 1, 0, 0, 0, 5) is Step.HANG_UP  # they read
-    assert way.step(shutdown.STILL_COMING + 2, 0, 0, 0, 0) is Step.EXIT
+    schedule, come = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.STILL_COMING
+    accept, close = ShutdownStep.ACCEPT, ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, come - 1, 0, 0, 0, sessions=5) is accept
+    assert step(schedule, come, come - 1, 0, 0, sessions=5) is accept  # just heard
+    assert step(schedule, come, 0, 1, 0, sessions=5) is accept  # a query is open
+    assert step(schedule, come, 0, 0, 1, sessions=5) is accept  # an answer is not out
+    assert step(schedule, come, 0, 0, 0, sessions=5) is close
+    assert step(schedule, come + 1, 0, 0, 0, sessions=5) is close  # they read
+    assert step(schedule, come + 2, 0, 0, 0, sessions=0) is ShutdownStep.EXIT
 
 
 def test_end_comes_in_time_where_clients_go_on_without_end():
-    way = Shutdown(0, 3 * SECOND, SECOND // 10)
-    assert way.end == 3 * SECOND - SECOND // 10
-    now = way.hang_up_by
-    assert now >= way.end + shutdown.LAST_WAIT
-    assert way.step(now - 1, now - 1, 7, 1, 5) is Step.ACCEPT
-    assert way.step(now, now, 7, 1, 5) is Step.HANG_UP
-    assert way.step(way.exit_by - 1, now, 7, 1, 5) is Step.HANG_UP
-    assert way.step(way.exit_by, now, 7, 1, 5) is Step.EXIT
+    schedule = ShutdownSchedule(0, 3 * SECOND, SECOND // 10)
+    assert schedule.answer_by == 3 * SECOND - SECOND // 10
+    now = schedule.close_sessions_by
+    assert now >= schedule.answer_by + shutdown.LAST_WAIT
+    assert step(schedule, now - 1, now - 1, 7, 1, sessions=5) is ShutdownStep.ACCEPT
+    assert step(schedule, now, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, schedule.exit_by - 1, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
+    assert step(schedule, schedule.exit_by, now, 7, 1, sessions=5) is ShutdownStep.EXIT
 
 
 @pytest.mark.parametrize("longest", [100, 300, 1_000, 3_000, 10_000, 30_000])  # 10 ms to 3 s, the most of it
 @pytest.mark.parametrize("late", [0, 4_000, 60_000])
 def test_sums_of_the_end_fit_before_sigkill_for_every_deadline(longest, late):
-    way = Shutdown(0, longest, late)
-    assert way.end <= way.hang_up_by - min(shutdown.LAST_WAIT, longest)
-    assert shutdown.CLIENTS_COME <= way.hang_up_by < way.exit_by
-    assert way.exit_by + shutdown.EXIT_TIME <= longest + shutdown.KILL_AFTER
+    schedule = ShutdownSchedule(0, longest, late)
+    assert schedule.answer_by <= schedule.close_sessions_by - min(shutdown.LAST_WAIT, longest)
+    assert shutdown.CLIENTS_COME <= schedule.close_sessions_by < schedule.exit_by
+    assert schedule.exit_by + shutdown.EXIT_TIME <= longest + shutdown.KILL_AFTER
     # Nobody is hung up on while the protocol lets clients come, whatever the deadline.
-    assert not way.may_hang_up(shutdown.CLIENTS_COME - 1, 0, 0, 0)
-    assert way.may_hang_up(way.hang_up_by, way.hang_up_by, 9, 9)
+    assert not schedule.may_close_sessions(ClientActivity(shutdown.CLIENTS_COME - 1, 0, 0, 0))
+    assert schedule.may_close_sessions(
+        ClientActivity(schedule.close_sessions_by, schedule.close_sessions_by, 9, 9)
+    )
 
 
 def test_trace_keeps_the_last_events_with_their_times():
-    trace = Trace(kept=150)
+    trace = EventTrace(capacity=150)
     for n in range(200):
-        trace.add((n, "Tick", n))
-    lines = list(trace.lines())
-    assert [len(line) for line in lines] == [100, 50]
-    assert lines[-1][-1] == [0.0, "Tick", 199] and lines[0][0] == [-14.9, "Tick", 50]
+        trace.record(n, ("AlarmDue", n))
+    batches = list(trace.batches())
+    assert [len(batch) for batch in batches] == [100, 50]
+    assert batches[-1][-1] == [0.0, "AlarmDue", 199] and batches[0][0] == [-14.9, "AlarmDue", 50]
 
 
 # ---- sessions ---------------------------------------------------------------------------------------
@@ -242,7 +252,9 @@
 def door(*wires):
     """A door whose places are all taken by sessions in a step that is not complete."""
     poller = SimpleNamespace(system=SYSTEM_CALLS)
-    made = Door(len(wires), 1000, poller, Rounds(), None, lambda: 0, lambda session: None, None, None, None)
+    made = Door(
+        len(wires), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
+    )
     for number, wire in enumerate(wires):
         client = made.clients[number] = Client(number, 1000)
         client.pipe = wire
