--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -69,7 +69,18 @@
     """Runs all tests but the given ones, on as many workers as there are cores; gives pytest's exit code."""
     search_path = [str(Path(__file__).parent), *filter(None, [os.environ.get("PYTHONPATH")])]
     environment = os.environ | {EXCLUDED_TESTS: json.dumps(tests), "PYTHONPATH": os.pathsep.join(search_path)}
-    command = [sys.executable, "-m", "pytest", "-q", "-n", "auto", "-p", Path(__file__).stem]
+    command = [
+        sys.executable,
+        "-m",
+        "pytest",
+        "-q",
+        "-n",
+        "auto",
+        "--dist",
+        "loadgroup",
+        "-p",
+        Path(__file__).stem,
+    ]
     return subprocess.run(command, cwd=root, env=environment, check=False).returncode
 
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -43,6 +43,9 @@
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statements
 
+# The two deployments of this module learn from each query: their tests run in one worker, in their order.
+pytestmark = pytest.mark.xdist_group("flight_deployments")
+
 # ---- tickets and users ----------------------------------------------------------------------------
 
 
