--- a/hillchute/partners/messages.py
+++ b/hillchute/partners/messages.py
@@ -29,13 +29,13 @@
     """Any of the messages."""
 
 
-class KnowledgeDigest(PartnerMessage, tag=1):
+class KnowledgeDigest(PartnerMessage, frozen=True, tag=1):
     """The digest of all that the sender knows; a receiver with another digest answers with Knowledge."""
 
     digest: bytes
 
 
-class Knowledge(PartnerMessage, tag=2):
+class Knowledge(PartnerMessage, frozen=True, tag=2):
     """All that the sender knows of agreements. `reply_wanted`: it asks for what it lacks."""
 
     offers: tuple[SignedOffer, ...]
@@ -46,7 +46,7 @@
     reply_wanted: bool
 
 
-class ForwardQuery(PartnerMessage, tag=3):
+class ForwardQuery(PartnerMessage, frozen=True, tag=3):
     """A query for a router of its slot's owner.
 
     `number` and `incarnation` are the sender's; `target_incarnation` is the receiver's, which alone takes it.
@@ -66,14 +66,14 @@
     time_left: Time  # until the client must have its answer
 
 
-class ForwardAccepted(PartnerMessage, tag=4):
+class ForwardAccepted(PartnerMessage, frozen=True, tag=4):
     """The query arrived, and runs if it may."""
 
     number: int
     incarnation: int
 
 
-class ForwardResult(PartnerMessage, tag=5):
+class ForwardResult(PartnerMessage, frozen=True, tag=5):
     """How the query ended; sent again until ForwardResultAck comes."""
 
     number: int
@@ -83,14 +83,14 @@
     rows: bytes | None
 
 
-class ForwardResultAck(PartnerMessage, tag=6):
+class ForwardResultAck(PartnerMessage, frozen=True, tag=6):
     """The result arrived."""
 
     number: int
     incarnation: int
 
 
-class ForwardCancel(PartnerMessage, tag=7):
+class ForwardCancel(PartnerMessage, frozen=True, tag=7):
     """Nobody waits for the result any more."""
 
     number: int
