--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -216,7 +216,8 @@
 
     def ready(self, link: Link, readable: bool, writable: bool) -> None:
         if link.pipe is None:
-            self.came_up(link)
+            if link.sock is not None:  # else it was hung up earlier in this round, after the poll
+                self.came_up(link)
             return
         if writable and not link.pipe.closed:
             link.pipe.flush()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,17 +1,19 @@
 """Every system call on a socket fails with each documented errno, at every call of a scripted run."""
 
+import socket
 import time
 from collections.abc import Iterator
 
 import pytest
 from rounds_by_hand import LOGIN, PING, QUIT, SELECT, Rig, query
 
-from hillchute.engines import words
-from hillchute.engines.line.links import Link
+from hillchute.engines import events, words
+from hillchute.engines.line.links import Link, Links
 from hillchute.fronts.mysql.packets import FAILED, MOST_WAITING, OK
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import DOCUMENTED_ERRNOS, Fault, FaultySystemCalls
-from hillchute.net.poller import ReadySocket
+from hillchute.log import Log
+from hillchute.net.poller import Poller, ReadySocket
 
 LOCAL_ERRNO_NAMES = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"}
 
@@ -229,3 +231,17 @@
     assert not rig.service.door.paused
     assert client.answers() == ["served"]
     rig.close()
+
+
+def test_connection_hung_up_between_the_poll_and_its_turn_is_left_alone() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as engine:
+        poller = Poller()
+        handled: list[events.Event] = []
+        links = Links(poller, Log("n", -1), handled.append, lambda: 0, lambda _: True)
+        links.open(1, *engine.getsockname(), tasks=None)
+        link = links.links[1]
+        assert link.pipe is None
+        links.hang_up(1)
+        links.ready(link, readable=False, writable=True)
+        assert not handled
+        poller.epoll.close()
