--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -13,7 +13,7 @@
 from hillchute.engines import words
 from hillchute.router.connection_pool import ConnectionPool, Endpoint, EngineConnection
 from hillchute.router.effects import AbortStream, Effect, SendCommand, SendResult, StartStream
-from hillchute.router.query_state import Attempt, ClaimState, QueryState
+from hillchute.router.query_state import Attempt, ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.router.request_rules import RequestRules
 
@@ -24,7 +24,9 @@
     def find_query(self, query: QueryId, number: int) -> QueryState | None:
         """The query with this id and number, if it is not over."""
 
-    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+    def answer(
+        self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
+    ) -> None:
         """Gives a query its one answer."""
 
     def forget(self, query: QueryState) -> None:
@@ -160,7 +162,7 @@
             # No retry: the client may have seen some of the result.
             attempt.stream.close()
             abort = AbortStream(query.session, f"the result broke off: {result}")
-            self.owner.answer(query, abort, "cut")
+            self.owner.answer(query, abort, QueryOutcome.ABORTED)
         self.owner.forget(query)
 
     def _leave_connection(self, attempt: Attempt, cancel_run: bool) -> None:
@@ -222,7 +224,7 @@
         if query.claim is not ClaimState.NONE:
             query.rows = message.rows
         self.end(attempt, AttemptResult.SERVED, final=True, message=message)
-        self.owner.answer(query, SendResult(query.session, message.rows), "finished")
+        self.owner.answer(query, SendResult(query.session, message.rows), QueryOutcome.SERVED)
 
     def _on_stream_started(self, attempt: Attempt, stream: words.Stream) -> None:
         """The first of a stream has come: from here on there is no retry."""
@@ -246,4 +248,6 @@
         self.module.on_client_left(self.context.now, query_id)
         for stream in streams:
             stream.close()
-        self.owner.answer(query, AbortStream(query.session, "the time for the result is up"), "cut")
+        self.owner.answer(
+            query, AbortStream(query.session, "the time for the result is up"), QueryOutcome.ABORTED
+        )
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -10,6 +10,7 @@
 from hillchute.fronts.events import FIRST_GUEST
 from hillchute.router.effects import (
     CancelForward,
+    ClaimOutcome,
     ClaimQuery,
     Effect,
     EndClaim,
@@ -18,8 +19,8 @@
     RejectQuery,
     SendResult,
 )
-from hillchute.router.events import ClaimDecided
-from hillchute.router.query_state import ClaimState, QueryState
+from hillchute.router.events import ClaimDecided, ClaimVerdict
+from hillchute.router.query_state import ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.router.request_rules import history_key
 
@@ -30,7 +31,9 @@
     def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
         """The query with this id and number, if it is not over."""
 
-    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+    def answer(
+        self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
+    ) -> None:
         """Gives a query its one answer."""
 
     def schedule(self, query: QueryState) -> None:
@@ -64,29 +67,32 @@
             return
         if query.claim not in (ClaimState.ASKED, ClaimState.FORWARDED):
             return
-        if query.claim is ClaimState.FORWARDED or decided.verdict == "PASS":
+        if query.claim is ClaimState.FORWARDED or decided.verdict == ClaimVerdict.FORWARD:
             query.claim = ClaimState.RETURNED
         else:
             query.claim = ClaimState.NONE
-        if decided.verdict == "PASS" and query.session >= FIRST_GUEST:  # a query is forwarded only once
-            decided = decided._replace(verdict="DEFER", reason="its slot has another owner meanwhile")
+        if decided.verdict == ClaimVerdict.FORWARD and query.session >= FIRST_GUEST:
+            # A query is forwarded only once.
+            reason = "its slot has another owner meanwhile"
+            decided = decided._replace(verdict=ClaimVerdict.REJECT, reason=reason)
         self._carry_out(query, decided)
 
     def _carry_out(self, query: QueryState, decided: ClaimDecided) -> None:
-        outcome = f"history: {decided.reason}"
+        reason = f"history: {decided.reason}"
         match decided.verdict:
-            case "RUN":
+            case ClaimVerdict.RUN:
                 query.claim = ClaimState.GRANTED
                 self.owner.schedule(query)
-            case "PASS":
+            case ClaimVerdict.FORWARD:
                 self._forward(query, decided.reason)
-            case "ANSWER":
+            case ClaimVerdict.REPLAY:
                 result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # it has rows
-                self.owner.answer(query, result, "finished", outcome)
-            case "KILL":
-                self.owner.answer(query, FailQuery(query.session, decided.reason), "killed", outcome)
-            case _:
-                self.owner.answer(query, RejectQuery(query.session, 0), "deferred", outcome)
+                self.owner.answer(query, result, QueryOutcome.SERVED, reason)
+            case ClaimVerdict.FAIL:
+                failure = FailQuery(query.session, decided.reason)
+                self.owner.answer(query, failure, QueryOutcome.FAILED, reason)
+            case ClaimVerdict.REJECT:
+                self.owner.answer(query, RejectQuery(query.session, 0), QueryOutcome.REJECTED, reason)
 
     def _forward(self, query: QueryState, owner: str) -> None:
         """Sends a query to a router of the partner that owns its slot."""
@@ -102,14 +108,15 @@
             self.context.emit(CancelForward(query.request.id, query.number))
         query.claim = ClaimState.NONE
         results = {attempt.result for attempt in query.attempts}
-        if results <= set(NEVER_RAN):
-            outcome = "freed"
+        if results.issubset(NEVER_RAN):
+            outcome = ClaimOutcome.NOT_RUN
         elif AttemptResult.SERVED in results:
-            outcome = "finished"
+            outcome = ClaimOutcome.SERVED
         else:
-            outcome = "killed"
+            outcome = ClaimOutcome.FAILED
         end = EndClaim(query.request.id, query.number, outcome, query.rows)
-        if outcome == "killed" and results & set(MAY_STILL_RUN):  # the next of its key must not overtake it
+        if outcome is ClaimOutcome.FAILED and not results.isdisjoint(MAY_STILL_RUN):
+            # The next of its key must not overtake what may still run.
             self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
         else:
             self.context.emit(end)
--- a/hillchute/router/effects.py
+++ b/hillchute/router/effects.py
@@ -4,6 +4,7 @@
 it, since a client may use the id of a query that is over for its next one.
 """
 
+from enum import StrEnum
 from typing import NamedTuple, TypeAlias
 
 from hillchute.decision.interface import QueryId, Time
@@ -88,12 +89,20 @@
     once: bool = False  # it has no idempotency key: it is listed only while it runs
 
 
+class ClaimOutcome(StrEnum):
+    """How a query ended for the answer history; the values are the log's words."""
+
+    NOT_RUN = "freed"  # nothing of it can have run
+    SERVED = "finished"
+    FAILED = "killed"  # it may have run
+
+
 class EndClaim(NamedTuple):
-    """A claimed query is over: "freed" if nothing of it can have run, else "finished" or "killed"."""
+    """A claimed query is over."""
 
     query: QueryId
     number: int
-    outcome: str
+    outcome: ClaimOutcome
     rows: words.Rows | None
 
 
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -4,6 +4,7 @@
 tenths of a millisecond.
 """
 
+from enum import StrEnum
 from typing import NamedTuple, TypeAlias
 
 from hillchute.decision.interface import EngineId, QueryId, Report, Time
@@ -25,15 +26,25 @@
     reports: list[tuple[EngineId, Report, Time]]
 
 
+class ClaimVerdict(StrEnum):
+    """What becomes of a query that the answer history was asked about; the values are the trace's words."""
+
+    RUN = "RUN"
+    REPLAY = "ANSWER"  # it has run: its client gets the rows
+    REJECT = "DEFER"
+    FAIL = "KILL"
+    FORWARD = "PASS"  # its slot has another owner
+
+
 class ClaimDecided(NamedTuple):
-    """What the answer history says of a query: RUN, ANSWER, DEFER, KILL or PASS (forward it to `reason`).
+    """The answer history's verdict on a query; `reason` names the owner where it is to be forwarded.
 
-    Of a query that was forwarded: how it ended, by ANSWER, DEFER or KILL.
+    Of a query that was forwarded: how it ended, as REPLAY, REJECT or FAIL.
     """
 
     query: QueryId
     number: int
-    verdict: str
+    verdict: ClaimVerdict
     reason: str
     rows: words.Rows | None
 
@@ -78,6 +89,6 @@
         case PeersChanged(reports):
             return "PeersChanged", len(reports)
         case ClaimDecided(query, number, verdict, reason, _):
-            return "ClaimDecided", query, number, verdict, reason
+            return "ClaimDecided", query, number, str(verdict), reason
         case _:
             return type(event).__name__, *event
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/partnering.py
@@ -29,6 +29,7 @@
 from hillchute.partners.signatures import Equivocation, ed25519_signer, ed25519_verifier
 from hillchute.peers.datagrams import DatagramKind, PeerState
 from hillchute.peers.node import Node
+from hillchute.router.events import ClaimVerdict
 from hillchute.router.request_rules import history_key
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
@@ -36,9 +37,9 @@
 # By then all that have less by a new agreement use less.
 GROWS_AFTER: Time = int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
 VERDICTS = {
-    ForwardOutcome.SERVED: "ANSWER",
-    ForwardOutcome.REJECTED: "DEFER",
-    ForwardOutcome.FAILED: "KILL",
+    ForwardOutcome.SERVED: ClaimVerdict.REPLAY,
+    ForwardOutcome.REJECTED: ClaimVerdict.REJECT,
+    ForwardOutcome.FAILED: ClaimVerdict.FAIL,
 }
 
 
@@ -51,7 +52,7 @@
         seed: int,
         clock: Callable[[], Time],
         log: Log,
-        judged: Callable[[str, int, str, str, Rows | None], None],
+        judged: Callable[[str, int, ClaimVerdict, str, Rows | None], None],
         handle: Callable[[object], None],
         soon: Callable[[], None],
         unix: Callable[[], Time],
@@ -109,7 +110,9 @@
         customer, key, _ = history_key(request)
         to = self.passing.choose_target(self.council.routers.get(owner, ()), customer, key)
         if to is None:
-            self.judged(id, number, "DEFER", "no router of its slot's owner is known to live", None)
+            self.judged(
+                id, number, ClaimVerdict.REJECT, "no router of its slot's owner is known to live", None
+            )
             return
         about = (request.id, request.group, request.statement, request.token, request.cost, request.memory)
         message = ForwardQuery(0, 0, 0, *about, request.key, request.customer, left)
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import TYPE_CHECKING
 
 from hillchute.decision.interface import AttemptResult, EngineId, Time
@@ -27,6 +27,17 @@
     RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be told
 
 
+class QueryOutcome(StrEnum):
+    """How a query ended for its client; the values are the log's words."""
+
+    SERVED = "finished"
+    REJECTED = "deferred"
+    FAILED = "killed"
+    CLIENT_LEFT = "left"
+    ABORTED = "cut"  # within a stream that had begun
+    UNANSWERED = "unanswered"  # no decision came in time, and it was failed
+
+
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt to run a query on an engine."""
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -43,7 +43,7 @@
     ShutdownStarted,
 )
 from hillchute.router.loop_lag import LoopLag
-from hillchute.router.query_state import Attempt, ClaimState, QueryState
+from hillchute.router.query_state import Attempt, ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.router.request_rules import SHOWN, RequestRules
 from hillchute.statements.request import Request
@@ -97,6 +97,8 @@
     def handle(self, event: Event) -> None:
         """Gives an event to the part that it concerns."""
         match event:
+            case Said(number, message):  # by far the most frequent
+                self.on_engine_message(number, message)
             case Asked(session, request, received_at):
                 self.on_query(session, request, received_at)
             case Left(session):
@@ -117,12 +119,10 @@
                 self.handle_engine_event(event)
 
     def handle_engine_event(
-        self, event: Connected | NotConnected | NotSent | Said | Lost | EndpointsChanged
+        self, event: Connected | NotConnected | NotSent | Lost | EndpointsChanged
     ) -> None:
         """Gives an event of the endpoint list or an engine's connection to the part that it concerns."""
         match event:
-            case Said(number, message):
-                self.on_engine_message(number, message)
             case Connected(number):
                 self.pool.on_connected(number)
             case NotConnected(number, fault):
@@ -155,10 +155,10 @@
                 self.attempts.set_priority(self.queries[query_id], priority)
             case Reject(query_id, retry_after, reason):
                 query = self.queries[query_id]
-                self.answer(query, RejectQuery(query.session, retry_after), "deferred", reason)
+                self.answer(query, RejectQuery(query.session, retry_after), QueryOutcome.REJECTED, reason)
             case Fail(query_id, reason):
                 query = self.queries[query_id]
-                self.answer(query, FailQuery(query.session, "killed"), "killed", reason)
+                self.answer(query, FailQuery(query.session, "killed"), QueryOutcome.FAILED, reason)
             case Cancel(query_id, number):
                 if query_id in self.queries:
                     self.attempts.cancel(self.queries[query_id].attempts[number])
@@ -275,13 +275,13 @@
         query = self.unanswered.get(session)
         if query is not None:
             self.module.on_client_left(self.context.now, query.request.id)
-            self.answer(query, None, "left")
+            self.answer(query, None, QueryOutcome.CLIENT_LEFT)
 
     def on_stream_delivered(self, session: int) -> None:
         """A client has had all of a stream."""
         query = self.unanswered.get(session)
         if query is not None:
-            self.answer(query, None, "finished")
+            self.answer(query, None, QueryOutcome.SERVED)
 
     def on_stream_unreadable(self, session: int, reason: str) -> None:
         """A stream that is passed on to a client can't be read."""
@@ -290,7 +290,7 @@
             return
         self.attempts.end_streams(query)
         self.module.on_client_left(self.context.now, query.request.id)
-        self.answer(query, AbortStream(session, f"the result can't be read: {reason}"), "cut")
+        self.answer(query, AbortStream(session, f"the result can't be read: {reason}"), QueryOutcome.ABORTED)
 
     def on_shutdown(self, answer_by: Time) -> None:
         """The router ends: all queries, also those that still come, are answered by then."""
@@ -310,11 +310,12 @@
         if query is None or query.answered:
             return
         if query.claim is ClaimState.ASKED:
-            self.answer(query, RejectQuery(query.session, 0), "deferred", "history: no verdict in time")
+            rejection = RejectQuery(query.session, 0)
+            self.answer(query, rejection, QueryOutcome.REJECTED, "history: no verdict in time")
             return
         failure = FailQuery(query.session, "no answer in time")
         if query.claim is ClaimState.FORWARDED:
-            self.answer(query, failure, "killed", "passed on: no answer in time")
+            self.answer(query, failure, QueryOutcome.FAILED, "passed on: no answer in time")
             return
         # A process that stood still wakes with this timer and the module's own all due at once.
         last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
@@ -322,9 +323,11 @@
         event = "late" if late > LAST_ANSWER_MARGIN else "fault"
         self.context.log(event, what="unanswered at its end", query=query.request.id)
         self.module.on_client_left(self.context.now, query.request.id)
-        self.answer(query, failure, "unanswered")
+        self.answer(query, failure, QueryOutcome.UNANSWERED)
 
-    def answer(self, query: QueryState, effect: Effect | None, outcome: str, reason: str = "") -> None:
+    def answer(
+        self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
+    ) -> None:
         """Gives a query its one answer.
 
         `effect` is None where nobody waits for it any more, or the client has had it all; `outcome` and
@@ -340,7 +343,7 @@
         counted_as = f"{outcome}: {reason}" if reason else outcome
         elapsed = self.context.now - query.received_at
         self.answer_log.count(query.request.group, counted_as, elapsed, len(self.unanswered))
-        if outcome not in ("finished", "deferred"):
+        if outcome not in (QueryOutcome.SERVED, QueryOutcome.REJECTED):
             self.answer_log.log_query(query, outcome)
         self.forget(query)
 
--- a/hillchute/router/remembering.py
+++ b/hillchute/router/remembering.py
@@ -31,16 +31,22 @@
 from hillchute.log import Log
 from hillchute.peers.datagrams import DatagramKind
 from hillchute.peers.node import Node
+from hillchute.router.effects import ClaimOutcome
+from hillchute.router.events import ClaimVerdict
 from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 
-DECISIONS = {
-    ClaimDecision.RUN: "RUN",
-    ClaimDecision.REPLAY: "ANSWER",
-    ClaimDecision.REJECT: "DEFER",
-    ClaimDecision.FAIL: "KILL",
-    ClaimDecision.FORWARD: "PASS",
-}  # in the reducer's words
-STATES = {"freed": RecordState.NOT_RUN, "finished": RecordState.SERVED, "killed": RecordState.FAILED}
+VERDICTS = {
+    ClaimDecision.RUN: ClaimVerdict.RUN,
+    ClaimDecision.REPLAY: ClaimVerdict.REPLAY,
+    ClaimDecision.REJECT: ClaimVerdict.REJECT,
+    ClaimDecision.FAIL: ClaimVerdict.FAIL,
+    ClaimDecision.FORWARD: ClaimVerdict.FORWARD,
+}
+STATES = {
+    ClaimOutcome.NOT_RUN: RecordState.NOT_RUN,
+    ClaimOutcome.SERVED: RecordState.SERVED,
+    ClaimOutcome.FAILED: RecordState.FAILED,
+}
 
 
 class Remembering(Riding):
@@ -50,7 +56,7 @@
         node: Node,
         clock: Callable[[], Time],
         log: Log,
-        judged: Callable[[str, int, str, str, Rows | None], None],
+        judged: Callable[[str, int, ClaimVerdict, str, Rows | None], None],
         soon: Callable[[], None],
         deeds: PartnerAgreement | None = None,
     ) -> None:
@@ -120,9 +126,9 @@
             if verdict not in (ClaimDecision.RUN, ClaimDecision.FORWARD):
                 del self.queries[mine], self.numbers[query]
             try:
-                self.judged(*query, DECISIONS[verdict], why, None if rows is None else rows_out.decode(rows))
+                self.judged(*query, VERDICTS[verdict], why, None if rows is None else rows_out.decode(rows))
             except msgspec.DecodeError:
-                self.judged(*query, "KILL", "its rows can't be read", None)
+                self.judged(*query, ClaimVerdict.FAIL, "its rows can't be read", None)
         if self.replica.has_messages:
             self.soon()
 
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -266,7 +266,9 @@
     def peered(self) -> None:
         self.handle(events.PeersChanged(self.peering.news()))
 
-    def judged(self, id: str, number: int, verdict: str, why: str, rows: words.Rows | None) -> None:
+    def judged(
+        self, id: str, number: int, verdict: events.ClaimVerdict, why: str, rows: words.Rows | None
+    ) -> None:
         self.handle(events.ClaimDecided(id, number, verdict, why, rows))
 
     def gave_up(self, session: int) -> None:
