--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -281,12 +281,18 @@
                 # Keys of partners are asked for at routers of all of them.
                 where = self.chance.randrange(4) if self.partners else self.members.index(member)
                 q.key = f"{where:04x}{key % 3:04x}"
-            q.router = member.name
-            self.queries.append(q)
-            tasks.start_soon(self.one, member, q)
+            self.start_query(member, q, tasks)
             if self.history and q.token and self.chance.random() < AGAIN:
                 tasks.start_soon(self.resend, q, until)
 
+    def start_query(self, member: Member, q: Query, tasks: anyio.abc.TaskGroup) -> None:
+        """Sends a query in a task of its own. It is open from now on: a fault may strike its router before
+        the task has run, and then it is excused."""
+        q.router = member.name
+        self.queries.append(q)
+        self.open[member.name].add(q.id)
+        tasks.start_soon(self.one, member, q)
+
     async def resend(self, first: Query, until: float) -> None:
         """A client that did not hear its answer, or did not keep it, asks again, wherever it gets to."""
         await anyio.sleep(self.chance.uniform(*AGAIN_AFTER))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -6,6 +6,7 @@
 import sys
 from dataclasses import replace
 from functools import partial
+from types import SimpleNamespace
 
 import anyio
 import pytest
@@ -27,6 +28,7 @@
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.errors import HillchuteError
 from hillchute.lab import processes
+from hillchute.lab.clients import Query
 from hillchute.lab.partnership import over_quota, two_owners
 from hillchute.lab.world import Ran, World
 from hillchute.operator import reading
@@ -41,6 +43,22 @@
 NOW = 17_000_000_000_000
 
 
+def test_query_whose_router_is_killed_before_its_task_has_run_is_excused():
+    rig, query = processes.Together(1), Query("lookup", "SELECT 1")
+    rig.open["r0"] = set()
+
+    async def chosen_as_a_fault_strikes():
+        async with anyio.create_task_group() as tasks:
+            nobody_listens = SimpleNamespace(name="r0", port=1)
+            rig.start_query(nobody_listens, query, tasks)
+            rig.excuse(nobody_listens)
+
+    anyio.run(chosen_as_a_fault_strikes)
+    assert rig.excused == {query.id}
+    assert not query.answered
+    assert not rig.open["r0"]
+
+
 @pytest.mark.real_time
 def test_fleet_of_processes_keeps_the_rules_while_faults_strike_between_them():
     found = anyio.run(processes.run, 5, 14.0)
