--- a/hillchute/router/peering.py
+++ b/hillchute/router/peering.py
@@ -7,16 +7,21 @@
 from collections.abc import Callable, Mapping
 
 import anyio
+import anyio.abc
 
 from hillchute.coordination.fleet_view import FleetSettings, FleetView
-from hillchute.decision.interface import Report
+from hillchute.decision.interface import Time
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.engines.words import Rows
 from hillchute.errors import ClockBehindError, PeerListMismatchError
 from hillchute.log import Log
 from hillchute.peers.datagrams import DropReason
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, SteadyUnixClock, TransportCallbacks
 from hillchute.router.config import Station, address
+from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
+from hillchute.router.events import ClaimDecided, ClaimVerdict, Event, PeersChanged
+from hillchute.router.integrations.interface import ExtensionEffect
 from hillchute.router.telling import Telling
 
 HAND_OVER = 80_000  # a router that ends waits so long for others to fetch what it has: two views' time
@@ -31,16 +36,13 @@
         station: Station,
         module: QueryScheduler,
         log: Log,
-        moved: Callable[[], None],
-        judged: Callable[..., None] = lambda *about: None,
-        handle: Callable[[object], None] = lambda event: None,
-        unix: Callable[[], int] = lambda: 0,
+        handle: Callable[[Event], None],
+        unix: Callable[[], Time] = lambda: 0,
     ) -> None:
-        """`moved` is told when there is news for the module; it takes them by `news` and `telling.stand`.
-        `judged` is told the answer history's verdicts, if the operator file has one; `handle` is given
-        queries that other partners' routers passed on, with the time by `unix`."""
+        """`handle` is given the events that come of it: load reports of other routers, the answer history's
+        verdicts, and queries that other partners' routers passed on, with the time by `unix`."""
         settings = operator["peers"]
-        self.log, self.moved, self.clock = log, moved, SteadyUnixClock()
+        self.log, self.handle, self.clock = log, handle, SteadyUnixClock()
         now, me = self.clock(), settings["name"]
         keys, self.addresses = named(settings)
         catalog = station.catalog
@@ -69,21 +71,25 @@
         self.telling = Telling(
             module, self.company, catalog, self.clock, self.node.live_peers, self.transport.schedule_payloads
         )
+        self.scheduler = self.telling
         self.remembering = self.partnering = None
         if operator.get("partners"):
             from hillchute.router.partnering import Partnering
 
             about = (operator["partners"], self.node, catalog, station.seed, self.clock, log)
-            self.partnering = Partnering(*about, judged, handle, self.ride, unix)
+            self.partnering = Partnering(*about, self.judged, handle, self.ride, unix)
             self.telling.partnering = self.partnering
         if operator.get("history"):
             from hillchute.router.remembering import Remembering
 
             deeds = self.partnering and self.partnering.council.ownership
-            about = (operator["history"], self.node, self.clock, log, judged, self.ride, deeds)
+            about = (operator["history"], self.node, self.clock, log, self.judged, self.ride, deeds)
             self.remembering = Remembering(*about)
             if self.partnering is not None:
                 self.partnering.views = self.remembering.replica
+        self.claims_idempotent = self.remembering is not None
+        self.claims_non_idempotent = self.partnering is not None
+        self.forwarded_queries = self.partnering
         self.settings = settings
         self.logged = now
         self.known: list[str] = []
@@ -93,7 +99,28 @@
         if self.transport.tasks is not None:
             self.transport.send_messages()
 
-    def leave(self) -> None:
+    def judged(self, id: str, number: int, verdict: ClaimVerdict, why: str, rows: Rows | None) -> None:
+        self.handle(ClaimDecided(id, number, verdict, why, rows))
+
+    def connect_endpoint_list(self, offset: Callable[[], int]) -> None:
+        self.telling.reached = offset
+
+    def carry_out(self, effect: ExtensionEffect) -> None:
+        match effect:
+            case ClaimQuery():
+                self.remembering.claim(*effect)
+            case EndClaim():
+                self.remembering.close(*effect)
+            case ForwardQuery():
+                self.partnering.pass_on(*effect)
+            case CancelForward():
+                self.partnering.recall(*effect)
+
+    def open(self, tasks: anyio.abc.TaskGroup) -> None:
+        self.transport.open()
+        tasks.start_soon(self.transport.run)
+
+    def begin_shutdown(self) -> None:
         """This router ends: it says farewell, and calls no more views."""
         self.transport.leave()
         if self.remembering is not None:
@@ -123,7 +150,7 @@
             self.logged = now
             self.tell_counts(now)
         if self.company.relayed_reports or now >= self.telling.until:
-            self.moved()
+            self.handle(PeersChanged(self.company.take_relayed_reports()))
 
     def tell_counts(self, now: int) -> None:
         quotas = self.company.quotas
@@ -146,10 +173,7 @@
             fault = ClockBehindError(f"{behind} datagrams to a later start of this router", self.node.name)
             self.log.write("peers_clock", **fault.log_fields)
 
-    def news(self) -> list[tuple[int, Report, int]]:
-        return self.company.take_relayed_reports()
-
-    def renew(self, operator: Mapping[str, object]) -> list[str]:
+    def reload(self, operator: Mapping[str, object]) -> list[str]:
         """The operator file's peers and history read again; the paths of what needs a restart."""
         settings, history = operator["peers"], operator.get("history")
         keys, addresses = named(settings)
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -50,6 +50,7 @@
     WriteLog,
 )
 from hillchute.router.event_trace import EventTrace
+from hillchute.router.integrations.interface import RouterExtension
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
 from hillchute.router.round_schedule import (
@@ -102,18 +103,14 @@
         self.trace = EventTrace()
         operator = operator or {}
         module = QueryScheduler(station.seed, station.catalog, clock())
-        self.peering = None
-        if operator.get("peers"):
-            from hillchute.router.peering import Peering
-
-            about = (operator, station, module, log, self.peered, self.judged, self.handle, clock)
-            self.peering = Peering(*about)
-            module = self.peering.telling
+        self.extension = self.router_extension(operator, module) if operator.get("peers") else None
+        if self.extension is not None:
+            module = self.extension.scheduler
         self.reducer = Reducer(module, station.catalog, station.sockets // 3)
-        if self.peering is not None:
-            self.peering.telling.reached = lambda: self.reducer.pool.list_offset
-            self.reducer.claims_idempotent = self.peering.remembering is not None
-            self.reducer.claims_non_idempotent = self.peering.partnering is not None
+        if self.extension is not None:
+            self.extension.connect_endpoint_list(lambda: self.reducer.pool.list_offset)
+            self.reducer.claims_idempotent = self.extension.claims_idempotent
+            self.reducer.claims_non_idempotent = self.extension.claims_non_idempotent
         self.door = Door(
             station.sockets // 2,
             station.packet,
@@ -166,11 +163,16 @@
 
         return Server(settings, self.reducer.rules.groups, self.log, self.clock, self.handle)
 
+    def router_extension(self, operator: Mapping[str, object], module: QueryScheduler) -> RouterExtension:
+        from hillchute.router.peering import Peering
+
+        return Peering(operator, self.station, module, self.log, self.handle, self.clock)
+
     def front(self, session: int):
         """Who has the client of a session: calls of the Flight front have their numbers above those of MySQL,
         and queries that other routers passed on above both."""
         if session >= FIRST_GUEST:
-            return self.peering.partnering
+            return self.extension.forwarded_queries
         return self.door if self.flight is None or session < FIRST_CALL else self.flight
 
     # ---- events in, effects out -------------------------------------------------------------------
@@ -220,7 +222,7 @@
                 self.front(session).finish(session, rows)
             case StartStream(session, stream):
                 if session >= FIRST_GUEST:
-                    self.peering.partnering.begin(session, stream)
+                    self.extension.forwarded_queries.begin(session, stream)
                 elif session < FIRST_CALL:
                     self.tasks.start_soon(self.pass_on, session, stream)
                 else:
@@ -235,14 +237,8 @@
                 self.links.open(line, host, port, self.tasks)
             case CloseConnection(line):
                 self.links.hang_up(line)
-            case ClaimQuery():
-                self.peering.remembering.claim(*effect)
-            case EndClaim():
-                self.peering.remembering.close(*effect)
-            case ForwardQuery():
-                self.peering.partnering.pass_on(*effect)
-            case CancelForward():
-                self.peering.partnering.recall(*effect)
+            case ClaimQuery() | EndClaim() | ForwardQuery() | CancelForward():
+                self.extension.carry_out(effect)
             case SetAlarm(at):
                 self.alarm = at
                 if self.rings is None or at < self.rings:  # a later one is found when it wakes
@@ -263,14 +259,6 @@
             stream.close()
             self.handle(events.Spoilt(session, "a fault of ours"))
 
-    def peered(self) -> None:
-        self.handle(events.PeersChanged(self.peering.news()))
-
-    def judged(
-        self, id: str, number: int, verdict: events.ClaimVerdict, why: str, rows: words.Rows | None
-    ) -> None:
-        self.handle(events.ClaimDecided(id, number, verdict, why, rows))
-
     def gave_up(self, session: int) -> None:
         """A client gave its query up, or is gone; the query may not have been handed on yet."""
         if not self.rounds.discard(session) and session in self.reducer.unanswered:
@@ -439,9 +427,8 @@
             self.tasks.start_soon(self.work)
             if self.flight is not None:
                 await self.flight.open()
-            if self.peering is not None:
-                self.peering.transport.open()
-                self.tasks.start_soon(self.peering.transport.run)
+            if self.extension is not None:
+                self.extension.open(self.tasks)
             gc.collect()
             gc.freeze()  # what the start has made lives to the end: no later collection need look at it
             gc.set_threshold(*COLLECT)
@@ -452,8 +439,8 @@
                 await anyio.sleep(STEP)
             if self.flight is not None:
                 await self.flight.close(HANG_UP_TIME)
-            if self.peering is not None:
-                await self.peering.hand_over()
+            if self.extension is not None:
+                await self.extension.hand_over()
             self.tasks.cancel_scope.cancel()
         self.lifecycle.enter(Phase.STOPPED)
 
@@ -464,8 +451,8 @@
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
         self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
         self.handle(events.ShutdownStarted(self.shutdown.answer_by))
-        if self.peering is not None:
-            self.peering.leave()
+        if self.extension is not None:
+            self.extension.begin_shutdown()
 
     def step_out(self) -> ShutdownStep:
         """How far the end has come, as of a round made now: only that sees what the kernel holds."""
@@ -538,8 +525,8 @@
         elif before != after:
             restart.append("flight")
         before, after = self.operator.get("peers"), operator.get("peers")
-        if self.peering is not None and after is not None:
-            restart += self.peering.renew(operator)
+        if self.extension is not None and after is not None:
+            restart += self.extension.reload(operator)
         elif before != after:
             restart.append("peers")
         self.operator = operator
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -122,7 +122,7 @@
 def lists_differ(log: RecordingLog, tmp_path: Path) -> None:
     station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
-    peering = Peering({"peers": peers}, station, None, log, lambda: None)
+    peering = Peering({"peers": peers}, station, None, log, lambda event: None)
     peering.company.differing_routers = {"b"}
     peering.tell_counts(0)
 
@@ -131,7 +131,7 @@
     """The router was up at a later time by its clock, which was then set back; another still knows that."""
     station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
-    peering = Peering({"peers": peers}, station, None, log, lambda: None)
+    peering = Peering({"peers": peers}, station, None, log, lambda event: None)
     node = peering.node
     node.set_keys({"b": KEY}, EPOCH)
     other = Node(RouterIdentity("b", node.generation), {"a": KEY}, 1, EPOCH, None)
