--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -23,6 +23,7 @@
 MILLISECOND = 10  # tenths of a millisecond
 PATIENCE = 3_000
 WAIT = 10.0  # seconds until a test that waits for something gives up
+TURN_TIME = 500_000  # nanoseconds of a turn, where the router's time goes on by turns alone
 SELECT = "SELECT 1 FROM sales_17.orders"
 
 
@@ -171,7 +172,11 @@
 class Rig:
     """One router and one engine. `self.wants` are the attempts that have come to the engine, in order."""
 
-    def __init__(self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None):
+    def __init__(
+        self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None, time_by_turns=False
+    ):
+        """`time_by_turns`: the router's time goes on by TURN_TIME with each turn and by pass_time, never by
+        itself, so that a pause of the machine changes nothing."""
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -181,7 +186,8 @@
         self.station = config.station(table, {})
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
-        self.clock = clock or Clock(lambda: time.monotonic_ns() + self.ahead)
+        self.turn_time, start = (TURN_TIME if time_by_turns else 0), time.monotonic_ns()
+        self.clock = clock or Clock(lambda: (start if time_by_turns else time.monotonic_ns()) + self.ahead)
         lifecycle = Lifecycle(self.log)
         self.service = Service(self.station, self.log, lifecycle, Poller(system), self.clock)
         self.service.tasks = None
@@ -224,6 +230,7 @@
 
     def turn(self, rounds=1):
         for _ in range(rounds):
+            self.ahead += self.turn_time
             self.service.round()
             self.engine()
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,16 +13,30 @@
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import DOCUMENTED_ERRNOS, Fault, FaultySystemCalls
 from hillchute.log import Log
+from hillchute.net.buffered_socket import TCP_INFO
 from hillchute.net.poller import Poller, ReadySocket
+from hillchute.net.system_calls import TCP_INFO_SIZE
 
 LOCAL_ERRNO_NAMES = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"}
 
 
+class ScriptedSystemCalls(FaultySystemCalls):
+    """The kernel's idle times are the script's, since the router's time goes on by turns."""
+
+    received_ms_ago = 0  # when the last bytes came on every connection
+
+    def tcp_info(self, sock: socket.socket) -> bytes:
+        """Fail where that is chosen, and else return the script's time."""
+        super().tcp_info(sock)
+        return TCP_INFO.pack(0, self.received_ms_ago).ljust(TCP_INFO_SIZE, b"\0")
+
+
 def scripted(fault: Fault) -> tuple[FaultySystemCalls, bool, list[str | int], list[int]]:
     """A query and one that is unsafe to repeat, a client that leaves, one that writes much ahead, one that
-    says good-bye; then a client that must be served as before."""
-    system = FaultySystemCalls(fault)
-    rig = Rig(system, table=deployment.table(sockets=128, mutating=True))
+    says good-bye; then a client that must be served as before. Time goes on by turns: where a busy machine
+    makes the reading of two queries take over 100 ms each, the second may rightly be rejected."""
+    system = ScriptedSystemCalls(fault)
+    rig = Rig(system, table=deployment.table(sockets=128, mutating=True), time_by_turns=True)
     try:
         first = rig.client(LOGIN + query(1))
         rig.until(lambda: first.answers() or first.ended)
@@ -77,6 +91,26 @@
         assert answers == ["served", "served"]
 
 
+def test_queries_that_are_all_read_late_are_rejected_and_never_sent() -> None:
+    system = ScriptedSystemCalls()
+    rig = Rig(system, table=deployment.table(sockets=128, mutating=True), time_by_turns=True)
+    client = rig.connected()
+    for late_ms, route, answer in (
+        (90, "lookup", "served"),
+        (150, "lookup", "served"),
+        (150, "change", 1040),
+    ):
+        rig.wants.clear()
+        rig.pass_time(0.15)  # each in a window of its own: one late query may be a pause that is over
+        system.received_ms_ago = late_ms
+        before = len(client.answers())
+        client.write(query(2 + before, route))
+        rig.until(lambda before=before: len(client.answers()) > before)
+        assert client.answers()[before:] == [answer]
+        assert len(rig.wants) == (answer == "served")
+    rig.close()
+
+
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOMEM"])
 def test_want_of_descriptors_neither_spins_nor_ends_the_router_and_ends_with_the_want(error: str) -> None:
     system = FaultySystemCalls(Fault("accept", error, count=10**6))
