--- a/hillchute/history/lease_transfer.py
+++ b/hillchute/history/lease_transfer.py
@@ -79,7 +79,7 @@
         def is_earlier_running() -> bool:
             return lease is not None and self.is_earlier_running(customer, ordering_key, lease)
 
-        found = self._agreement.leads(self._context.now, sender, lease, is_earlier_running)
+        found = self._agreement.grant_refusal(self._context.now, sender, lease, is_earlier_running)
         return ReasonedDecision(*found) if found is not None else None
 
     def is_earlier_running(self, customer: str, ordering_key: str, lease: OwnershipLease) -> bool:
@@ -111,7 +111,7 @@
             self._unchecked.append(number)
             return
         slot = self._slots.current(number)
-        lease = self._agreement.follows(context.now, number, slot.lease)
+        lease = self._agreement.next_lease(context.now, number, slot.lease)
         if lease is not None and lease != slot.lease:
             others = self._authority.other_holders_of(number)
             sent_at = context.now - RETRY_INTERVAL
--- a/hillchute/history/ownership_leases.py
+++ b/hillchute/history/ownership_leases.py
@@ -26,24 +26,26 @@
 
     revision: int  # changes whenever slots may be due to others
 
-    def named(self, now: Time) -> int:
+    def number_to_announce(self, now: Time) -> int:
         """The number of the agreement that holds, as this router announces it if it coordinates."""
 
-    def held(self) -> int:
+    def followed_number(self) -> int:
         """The number of the agreement that this router follows."""
 
-    def told(self, now: Time, number: int) -> None:
+    def on_announcement(self, now: Time, number: int) -> None:
         """The coordinator announces which agreement holds."""
 
-    def follows(self, now: Time, slot: int, title: OwnershipLease | None) -> OwnershipLease | None:
+    def next_lease(self, now: Time, slot: int, lease: OwnershipLease | None) -> OwnershipLease | None:
         """The lease that is to stand; the same one where nothing is to move."""
 
-    def leads(
+    def grant_refusal(
         self,
         now: Time,
         router: str,
-        title: OwnershipLease | None,
-        others_out: Callable[[], bool],
+        lease: OwnershipLease | None,
+        is_earlier_running: Callable[[], bool],
     ) -> tuple[ClaimDecision, str] | None:
-        """Why a router's query of the slot can't be granted; None if it can. `others_out`: whether a run of
-        its key that was granted under an earlier lease may not be over."""
+        """Why a router's query of the slot can't be granted; None if it can.
+
+        `is_earlier_running`: whether a run of its key, granted under an earlier lease, may not be over.
+        """
--- a/hillchute/history/view_change.py
+++ b/hillchute/history/view_change.py
@@ -94,13 +94,13 @@
         context = self._context
         agreement = self._agreement
         if self._policies.note_heartbeat(heartbeat) and agreement is not None:
-            agreement.told(context.now, heartbeat.agreement_number)
+            agreement.on_announcement(context.now, heartbeat.agreement_number)
         grant = context.views.answer_heartbeat(
             context.now,
             heartbeat.view,
             heartbeat.sent_at,
             context.policies.number,
-            agreement.held() if agreement is not None else 0,
+            agreement.followed_number() if agreement is not None else 0,
         )
         if grant.given and heartbeat.echo:
             remaining = heartbeat.lease_remaining
@@ -146,8 +146,8 @@
         context = self._context
         agreement_number = 0
         if self._agreement is not None:
-            agreement_number = self._agreement.named(context.now)
-            self._agreement.told(context.now, agreement_number)
+            agreement_number = self._agreement.number_to_announce(context.now)
+            self._agreement.on_announcement(context.now, agreement_number)
         policies_number = context.policies.number
         remaining = context.views.lease_remaining(context.now)
         for name in context.living():
@@ -170,7 +170,8 @@
             # It counts once what it knows is known here, and so announced to all with the next heartbeat.
             self._policies.request_from(sender)
             grant = msgspec.structs.replace(grant, given=False)
-        if self._agreement is not None and grant.agreement_number > self._agreement.named(context.now):
+        agreement = self._agreement
+        if agreement is not None and grant.agreement_number > agreement.number_to_announce(context.now):
             # The same of the partners' agreement, which they send each other on their own way.
             grant = msgspec.structs.replace(grant, given=False)
         context.views.take_grant(context.now, sender, grant)
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -1,6 +1,6 @@
 """Routers of several partners over one network that loses, delays, repeats and cuts, in simulated time:
-offers and agreements, titles of slots, forwarded queries; on top of the history's net, whose clients, engines
-and faults these are. What breaks a rule is decided by what clients and engines saw.
+offers and agreements, ownership leases of slots, forwarded queries; on top of the history's net, whose
+clients, engines and faults these are. What breaks a rule is decided by what clients and engines saw.
 
 Owns the partners, their signers and journals, and the counts of rules broken by them. Must never know how a
 router decides.
@@ -341,13 +341,13 @@
         )
 
     def owners(self) -> list[str]:
-        """By the titles at the slots' first holders; "" where there is none."""
+        """By the leases at the slots' first holders; "" where there is none."""
         some = next(iter(self.replicas.values())).views.view
         found = []
         for slot in range(SLOTS):
             first = holders(slot, some.members, 1)[0]
-            title = self.replicas[first].slots.slots[slot].lease if first in self.replicas else None
-            found.append(title.owner if title is not None else "")
+            lease = self.replicas[first].slots.slots[slot].lease if first in self.replicas else None
+            found.append(lease.owner if lease is not None else "")
         return found
 
     def agreed(self, most: float = 60) -> bool:
@@ -357,7 +357,7 @@
             self.advance(0.5)
             protocols = [c for n, c in self.protocols.items() if n not in self.stopped]
             numbers = {c.ownership.agreement_number for c in protocols} | {
-                c.ownership.named(self.now) for c in protocols
+                c.ownership.number_to_announce(self.now) for c in protocols
             }
             if len(numbers) == 1 and 0 not in numbers:
                 owners = [owner or "" for owner in protocols[0].ownership.slot_owners]
@@ -383,7 +383,7 @@
 
 def rush(net: PartnersNet, seed: int, swings: int = 6) -> bool:
     """Agreements that move most slots to and fro while a few keys and table groups are asked for all along,
-    and now and then a router dies as it moves a title. Whether it all came to rest."""
+    and now and then a router dies as it moves a lease. Whether it all came to rest."""
     chance, partners = random.Random(seed), list(net.partners)
     for n in range(swings):
         swing(net, partners[n % len(partners)], 8000, 1000)
--- a/hillchute/partners/slot_ownership.py
+++ b/hillchute/partners/slot_ownership.py
@@ -1,6 +1,7 @@
 """Which agreement one router follows, and which partner is to own each slot by it.
 
-Pure. Answers what the history's replica asks before it grants queries and moves titles; it moves none itself.
+Pure. Answers what the history's replica asks before it grants queries and moves ownership leases; it moves
+none itself.
 
 That routers learn of a new agreement at different times is settled by the lease requests of the history's
 views: the router that calls a view announces the agreement that holds by its own clock, and its view comes
@@ -55,16 +56,16 @@
 
     # ---- what the history's replica asks -----------------------------------------------------------
 
-    def named(self, now: Time) -> int:
+    def number_to_announce(self, now: Time) -> int:
         """The number of the agreement that this router would announce."""
         started = [number for number, agreement in self.ledger.accepted.items() if agreement.starts_at <= now]
         return max([self.agreement_number, *started])
 
-    def held(self) -> int:
+    def followed_number(self) -> int:
         """The number of the agreement that this router follows."""
         return self.agreement_number
 
-    def told(self, now: Time, number: int) -> None:
+    def on_announcement(self, now: Time, number: int) -> None:
         """A view's call announces an agreement.
 
         One that nobody has leaves this router without any to follow, until the next valid announcement.
@@ -76,17 +77,17 @@
             self.counts["agreements_followed"] += 1
         self.update_owners(now)
 
-    def follows(self, now: Time, slot: int, title: OwnershipLease | None) -> OwnershipLease | None:
-        """The title that is to stand for a slot; the given one where nothing is to change."""
+    def next_lease(self, now: Time, slot: int, lease: OwnershipLease | None) -> OwnershipLease | None:
+        """The lease that is to stand for a slot; the given one where nothing is to change."""
         owner = self.slot_owners[slot] if self.up_to_date() and self.is_in_force(now) else None
-        return handover.next_title(title, owner or "", now)
+        return handover.next_lease(lease, owner or "", now)
 
-    def leads(
-        self, now: Time, router: str, title: OwnershipLease | None, others_out: Callable[[], bool]
+    def grant_refusal(
+        self, now: Time, router: str, lease: OwnershipLease | None, is_earlier_running: Callable[[], bool]
     ) -> tuple[ClaimDecision, str] | None:
         """Why a router's query of a slot can't be granted; None where it can."""
         partner = self.partner_of.get(router, "")
-        return handover.lead_refusal(title, partner, self.is_in_force(now), others_out)
+        return handover.grant_refusal(lease, partner, self.is_in_force(now), is_earlier_running)
 
     # ---- the agreement that is followed ------------------------------------------------------------
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -393,11 +393,11 @@
     clean(net)
 
 
-LEADS, END = handover.lead_refusal, QueryForwarder.complete
+LEADS, END = handover.grant_refusal, QueryForwarder.complete
 
 
-def anybody_leads(title, partner, holds, others_out):
-    found = LEADS(title, partner, holds, others_out)
+def anybody_leads(lease, partner, holds, is_earlier_running):
+    found = LEADS(lease, partner, holds, is_earlier_running)
     return None if found and found[0] is ClaimDecision.FORWARD else found
 
 
@@ -414,20 +414,20 @@
 
 PLANTED = {
     "nobody waits for what is out": (LeaseTransfers, "is_earlier_running", lambda self, *about: False),
-    "anybody leads": (handover, "lead_refusal", anybody_leads),
+    "anybody leads": (handover, "grant_refusal", anybody_leads),
     "what may have run is deferred": (QueryForwarder, "complete", has_not_run),
     "what has no answer ends without one": (QueryForwarder, "complete", is_no_answer),
-    "titles are never moved": (
+    "leases are never moved": (
         handover,
-        "next_title",
-        lambda title, wanted, now: title or OwnershipLease(1, wanted),
+        "next_lease",
+        lambda lease, wanted, now: lease or OwnershipLease(1, wanted),
     ),
     "nothing is told on": (
         AgreementProtocol,
         "knowledge",
         lambda self, reply_wanted: Knowledge((), (), (), (), (), reply_wanted),
     ),
-    "a call is not heeded": (SlotOwnership, "told", lambda self, now, number: None),
+    "a call is not heeded": (SlotOwnership, "on_announcement", lambda self, now, number: None),
     "a signature is for what it was not": (
         AgreementSigner,
         "sign_agreement",
@@ -454,6 +454,6 @@
     key = key_of(net, "b")
     net.ask("n1", "t0", key)
     net.play(0.3)
-    titles = {k.slots.slots[slot_of("", key)].lease for k in net.replicas.values()} - {None}
+    leases = {k.slots.slots[slot_of("", key)].lease for k in net.replicas.values()} - {None}
     led = {kept.record.lease_number for k in net.replicas.values() for kept in k.records.all_records()}
-    assert led == {title.number for title in titles} and len(led) == 1
+    assert led == {lease.number for lease in leases} and len(led) == 1
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -17,7 +17,7 @@
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.agreements import Agreement, derive_agreement
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
-from hillchute.partners.handover import lead_refusal, next_title
+from hillchute.partners.handover import grant_refusal, next_lease
 from hillchute.partners.messages import ForwardQuery, ForwardResult, Knowledge, KnowledgeDigest
 from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol, PartnerMembership
 from hillchute.partners.offers import SHARE_TOTAL, Offer
@@ -101,10 +101,12 @@
     def tell(self, number=None):
         """As the calls of a view do it: the highest that has begun at one of them."""
         number = (
-            max(c.ownership.named(self.now) for c in self.protocols.values()) if number is None else number
+            max(c.ownership.number_to_announce(self.now) for c in self.protocols.values())
+            if number is None
+            else number
         )
         for protocol in self.protocols.values():
-            protocol.ownership.told(self.now, number)
+            protocol.ownership.on_announcement(self.now, number)
 
     def agreed(self, **wants):
         for partner in self.routers:
@@ -132,21 +134,21 @@
     fleet.play()
     protocol = fleet.protocols["b1"]
     assert (
-        protocol.ownership.named(fleet.now) == 1
-        and protocol.ownership.held() == 0
+        protocol.ownership.number_to_announce(fleet.now) == 1
+        and protocol.ownership.followed_number() == 0
         and not protocol.ownership.is_in_force(fleet.now)
     )
-    assert protocol.ownership.follows(fleet.now, 0, None) is None
-    protocol.ownership.told(fleet.now, 7)  # named by a caller that has what this one has not
-    assert protocol.ownership.held() == 0 and not protocol.ownership.up_to_date()
-    protocol.ownership.told(fleet.now, 1)
+    assert protocol.ownership.next_lease(fleet.now, 0, None) is None
+    protocol.ownership.on_announcement(fleet.now, 7)  # named by a caller that has what this one has not
+    assert protocol.ownership.followed_number() == 0 and not protocol.ownership.up_to_date()
+    protocol.ownership.on_announcement(fleet.now, 1)
     assert (
-        protocol.ownership.held() == 1
+        protocol.ownership.followed_number() == 1
         and protocol.ownership.up_to_date()
         and protocol.ownership.is_in_force(fleet.now)
     )
-    protocol.ownership.told(fleet.now, 0)  # it never goes back
-    assert protocol.ownership.held() == 1
+    protocol.ownership.on_announcement(fleet.now, 0)  # it never goes back
+    assert protocol.ownership.followed_number() == 1
 
 
 def test_new_offer_makes_a_new_agreement_that_goes_on_from_the_last_with_few_moves():
@@ -185,14 +187,14 @@
     fleet.play()
     fleet.tell()
     protocol = fleet.protocols["a0"]
-    title = protocol.ownership.follows(fleet.now, 3, None)
-    assert protocol.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False) is None
+    lease = protocol.ownership.next_lease(fleet.now, 3, None)
+    assert protocol.ownership.grant_refusal(fleet.now, f"{lease.owner}0", lease, lambda: False) is None
     fleet.play(60)
     assert (
         not protocol.ownership.is_in_force(fleet.now)
-        and protocol.ownership.follows(fleet.now, 3, None) is None
+        and protocol.ownership.next_lease(fleet.now, 3, None) is None
     )
-    verdict, _ = protocol.ownership.leads(fleet.now, f"{title.owner}0", title, lambda: False)
+    verdict, _ = protocol.ownership.grant_refusal(fleet.now, f"{lease.owner}0", lease, lambda: False)
     assert verdict is ClaimDecision.REJECT
     fleet.offer("a", turn=2, ends=LATER)
     fleet.offer("b", turn=2, ends=LATER)
@@ -253,7 +255,9 @@
     fleet.loss = 0.0
     fleet.play(20)
     fleet.tell()
-    assert len({(c.ownership.held(), c.ownership.slot_owners) for c in fleet.protocols.values()}) == 1
+    assert (
+        len({(c.ownership.followed_number(), c.ownership.slot_owners) for c in fleet.protocols.values()}) == 1
+    )
     offers = [o for o, _ in fleet.protocols["a0"].ledger.offers.values()]
     agreement = fleet.protocols["a0"].ownership.agreement()
     assert agreement.shares == derive_agreement(offers, 1).shares
@@ -462,19 +466,19 @@
         codec.encode(bad)
 
 
-# ---- titles ----
+# ---- ownership leases ----
 
 
 def test_title_follows_who_is_due_and_its_number_only_rises():
-    first = next_title(None, "a", 70)
-    assert first == OwnershipLease(7, "a") and next_title(first, "a", 10**9) is first
-    assert next_title(first, "b", 0) == OwnershipLease(8, "b")
-    assert next_title(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
-    assert next_title(first, "", 0) is first and next_title(None, "", 0) is None
+    first = next_lease(None, "a", 70)
+    assert first == OwnershipLease(7, "a") and next_lease(first, "a", 10**9) is first
+    assert next_lease(first, "b", 0) == OwnershipLease(8, "b")
+    assert next_lease(None, "a", EPOCH).number > 10**12  # after a loss: higher than any before
+    assert next_lease(first, "", 0) is first and next_lease(None, "", 0) is None
 
 
 @pytest.mark.parametrize(
-    ("title", "partner", "holds", "out", "verdict"),
+    ("lease", "partner", "holds", "out", "verdict"),
     [
         (OwnershipLease(1, "a"), "a", True, False, None),
         (OwnershipLease(1, "a"), "a", False, False, ClaimDecision.REJECT),
@@ -485,9 +489,9 @@
     ],
 )
 def test_only_the_owner_leads_and_only_once_nothing_of_the_one_before_is_out(
-    title, partner, holds, out, verdict
+    lease, partner, holds, out, verdict
 ):
-    found = lead_refusal(title, partner, holds, lambda: out)
+    found = grant_refusal(lease, partner, holds, lambda: out)
     assert (found and found[0]) == verdict
     if verdict is ClaimDecision.FORWARD:
         assert found[1] == "a"
