--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -140,7 +140,7 @@
         self.warming_up: dict[EngineId, EngineState] = {}  # those that may be
         self.leaving: dict[EngineId, EngineState] = {}  # gone with attempts open
         self.subset: frozenset[EngineId] = frozenset()  # to be preferred
-        self.routers = settings.routers
+        self.routers = max(1, settings.routers)
         self.shares: Mapping[str | EngineId, float] = {}  # of limits, by name or recovering engine
 
     def update(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> list[EngineId]:
--- a/tests/test_settings_value.py
+++ b/tests/test_settings_value.py
@@ -1,9 +1,13 @@
 """The settings as one typed value: what the catalog's plain map becomes."""
 
+import sys
+
 import pytest
 
+from hillchute.decision.engine_state import EnginePool
 from hillchute.settings import (
     UNLIMITED,
+    ConnectionSettings,
     DeduplicationScope,
     Effect,
     EngineKind,
@@ -21,6 +25,86 @@
     assert not (settings.health_checks or settings.priorities or settings.cancels or settings.retry_after)
 
 
+def test_empty_catalog_gives_the_defaults_of_the_router():
+    settings = Settings.from_catalog({})
+    assert settings.connections == ConnectionSettings(
+        max_streams=1, connect_timeout=0, keepalive=0, progress_interval=0
+    )
+    assert (settings.max_open_queries, settings.longest_queue_timeout) == (sys.maxsize, 0)
+    assert (settings.largest_engine_cores, settings.largest_engine_memory_mb) == (1.0, float(UNLIMITED))
+    assert (
+        settings.zone_names == settings.kind_names == settings.cores_by_kind == settings.report_columns == ()
+    )
+    assert (settings.named_engine_kinds, settings.tenant_count, settings.tenants_with_quota) == (1, 0, ())
+
+
+def test_connections_are_read_from_limits_and_from_how_often_engines_report():
+    settings = Settings.from_catalog(
+        {
+            "limits.streams_per_conn": 8,
+            "limits.connect_timeout": 500,
+            "limits.keepalive": 60_000,
+            "domain.tells_every": 20_000,
+        }
+    )
+    assert settings.connections == ConnectionSettings(
+        max_streams=8, connect_timeout=500, keepalive=60_000, progress_interval=20_000
+    )
+
+
+def test_limit_on_open_queries_holds_where_it_is_stated():
+    assert Settings.from_catalog({"limits.open_cap": 100}).max_open_queries == 100
+    assert Settings.from_catalog({"limits.open_cap": 0}).max_open_queries == sys.maxsize
+
+
+def test_groups_have_names_and_the_longest_queue_timeout_is_found():
+    settings = Settings.from_catalog(
+        {
+            "groups.count": 3,
+            "groups.0.name": "lookup",
+            "groups.0.queue_timeout": 70_000,
+            "groups.1.name": 7,
+            "groups.1.queue_timeout": 80_000,
+        }
+    )
+    assert [group.name for group in settings.groups] == ["lookup", "7", ""]
+    assert [group.queue_timeout for group in settings.groups] == [70_000, 80_000, 0]
+    assert settings.longest_queue_timeout == 80_000
+
+
+def test_a_simulator_may_state_no_router_at_all():
+    assert Settings.from_catalog({"n_instances": 0}).routers == 0
+    assert EnginePool(Settings.from_catalog({"n_instances": 0})).routers == 1
+
+
+@pytest.mark.parametrize(
+    "stated, listed", [(["a", "b"], ("a", "b")), ("a", ("a",)), (("b", "a"), ("b", "a")), ("", ("",))]
+)
+def test_names_and_columns_keep_their_order_and_a_lone_one_is_a_list_of_one(stated, listed):
+    settings = Settings.from_catalog({"dcs": stated, "kinds": stated, "report.columns": stated})
+    assert settings.zone_names == settings.kind_names == settings.report_columns == listed
+    assert settings.named_engine_kinds == len(listed)
+
+
+def test_kinds_that_only_their_cores_tell_apart_are_counted():
+    settings = Settings.from_catalog({"kinds": "std", "domain.kind_cores": [8, 32, 16]})
+    assert (settings.named_engine_kinds, settings.cores_by_kind) == (3, (8, 32, 16))
+
+
+@pytest.mark.parametrize(
+    "cores, memory_mb, largest",
+    [
+        (8, 100.0, (8.0, 100.0)),
+        ([8, 32, 16], [100.0, 50.0], (32.0, 100.0)),  # of a longer list, what no kind of machine has too
+        (8, 0, (8.0, float(UNLIMITED))),
+        (8, [0, 0], (8.0, 0.0)),
+    ],
+)
+def test_largest_figures_of_any_kind(cores, memory_mb, largest):
+    settings = Settings.from_catalog({"domain.kind_cores": cores, "domain.ram_of_kind_mb": memory_mb})
+    assert (settings.largest_engine_cores, settings.largest_engine_memory_mb) == largest
+
+
 def test_group_without_settings_is_taken_as_not_to_be_repeated():
     (group,) = Settings.from_catalog({"groups.count": 1}).groups
     assert (group.effect, group.deduplication) == (Effect.NON_IDEMPOTENT, DeduplicationScope.CELL)
@@ -53,6 +137,12 @@
     assert settings.tenants == {0: TenantSettings(fraction=0.5), 11: TenantSettings(quota_per_s=3)}
 
 
+def test_tenants_with_a_quota_are_among_those_that_are_counted():
+    quotas = {f"parties.{number}.quota_per_s": 3 for number in (3, 1, 5)}
+    settings = Settings.from_catalog({"parties.count": 4, "parties.0.fraction": 0.5} | quotas)
+    assert (settings.tenant_count, settings.tenants_with_quota) == (4, (1, 3))
+
+
 def test_report_columns_are_named_by_what_they_mean():
     settings = Settings.from_catalog(
         {
@@ -62,7 +152,7 @@
         }
     )
     assert (settings.disk_column, settings.memory_column) == ("x0", "x1")
-    assert settings.report_columns == {"inflight"}
+    assert settings.report_columns == ("inflight",)
 
 
 @pytest.mark.parametrize(
