--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -9,6 +9,7 @@
 from hillchute.decision.interface import AttemptEnded, ListMode, NewQuery, Scheduler
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.net.clock import round_up_to_time_units
+from hillchute.settings import Settings
 
 
 class Host:
@@ -79,9 +80,9 @@
         if self.who is None:
             raise fields.fault("no SWITCH_TO before it")
         seed = fields.needed(fields.integer("init_seed"), "init_seed")
-        catalog = fields.catalog()
-        self.routers[self.who] = QueryScheduler(seed, catalog, self.now)
-        self.sights[self.who] = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
+        settings = Settings.from_catalog(fields.catalog())
+        self.routers[self.who] = QueryScheduler(seed, settings, self.now)
+        self.sights[self.who] = Subset(settings.router, settings.routers)
 
     def on_exit(self, fields: Fields) -> None:
         self.routers.pop(self.who, None)
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -41,7 +41,7 @@
 from hillchute.decision.slow_start import SlowStart
 from hillchute.decision.statistics import TRAFFIC_SPAN, TrafficWindow
 from hillchute.decision.teams import Teams
-from hillchute.settings import Catalog, Settings
+from hillchute.settings import Settings
 
 SWEEP_EVERY: Time = 25 * MILLISECOND  # waiting work is looked at this often; far under any latency objective
 TIMER_NAME = "look"
@@ -50,9 +50,9 @@
 class QueryScheduler:
     """The decision module of one router; implements `interface.Scheduler`."""
 
-    def __init__(self, seed: int, catalog: Catalog, now: Time) -> None:
+    def __init__(self, seed: int, settings: Settings, now: Time) -> None:
         """`seed`: of all draws by chance, another for each router."""
-        self.settings = settings = Settings.from_catalog(catalog)
+        self.settings = settings
         self.now = now  # of the last call
         self.wake_at: Time | None = None
         self.watch_wanted = settings.watches_on_request
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -12,7 +12,7 @@
 import random
 from collections import Counter, deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from functools import lru_cache
 from heapq import heappop, heappush
 from itertools import count
@@ -39,6 +39,7 @@
 from hillchute.decision.slow_start import WARM_UP_BUDGET_SHARE
 from hillchute.peers.datagrams import PeerState
 from hillchute.peers.node import Node, RouterIdentity
+from hillchute.settings import Settings
 
 STEP: Time = 250  # 25 ms between two looks at everything
 REPORT_AGE: Time = 3_000  # a report tells what was 0.3 s ago
@@ -82,6 +83,7 @@
     "guarantees.fall": 15_000,
     "tick": 50,
 }
+SETTINGS = Settings.from_catalog(CATALOG)
 
 
 @dataclass(slots=True, eq=False)
@@ -128,8 +130,8 @@
     def able(self, now: Time) -> float:
         if not self.started:
             return CORES
-        warmth = min(1.0, (now - self.started) / CATALOG["guarantees.cold"])
-        least = CATALOG["guarantees.cold_from"]
+        warmth = min(1.0, (now - self.started) / SETTINGS.warm_up.duration)
+        least = SETTINGS.warm_up.initial_share
         return CORES * (least + (1 - least) * warmth)
 
     def step(self, now: Time) -> list[Run]:
@@ -152,14 +154,14 @@
 
     def within(self, now: Time) -> float:
         """Work that came within the last span that counts for tipping it over."""
-        return sum(work for at, work in self.sent if at > now - CATALOG["guarantees.fall"])
+        return sum(work for at, work in self.sent if at > now - SETTINGS.warm_up.budget_window)
 
     def most_of_what_tips(self) -> float:
         """The largest part of what tips it that came within one span, for what it could do as that began."""
-        span, tips = CATALOG["guarantees.fall"], CATALOG["guarantees.tip_multiple"]
+        span, tips = SETTINGS.warm_up.budget_window, SETTINGS.warm_up.budget_multiple
         most = within = first = 0
         for at, work in self.sent:
-            if at > self.started + CATALOG["guarantees.cold"]:
+            if at > self.started + SETTINGS.warm_up.duration:
                 break  # it is warm
             within += work
             while self.sent[first][0] <= at - span:
@@ -185,9 +187,12 @@
     ) -> None:
         self.chance, self.asking, self.now = random.Random(seed), random.Random(f"{seed} asks"), 0
         self.low, self.slow, self.seed = low, slow, seed
-        self.catalog = CATALOG | {"n_instances": routers} | changed
-        for n in (LOOKUP, REPORT):
-            self.catalog[f"groups.{n}.target_runtime"] = int(CATALOG[f"groups.{n}.target_runtime"] * slow)
+        settings = Settings.from_catalog(CATALOG | {"n_instances": routers} | changed)
+        groups = tuple(
+            replace(group, target_runtime=int(usual.target_runtime * slow))
+            for group, usual in zip(settings.groups, SETTINGS.groups, strict=True)
+        )
+        self.settings = replace(settings, groups=groups)
         self.engines = {n: Engine(n) for n in range(engines)}
         self.asked_s = load * engines * CORES / A_QUERY / slow
         self.weights = [self.asking.lognormvariate(0, 0.8) for _ in range(routers)]
@@ -273,8 +278,9 @@
                 self.number += 1
                 group = REPORT if self.asking.random() < SHARE else LOOKUP
                 cost = max(1, int(MEAN[group] * self.slow * self.asking.lognormvariate(-0.4, 0.9)))
-                target, stretch = (self.catalog[f"groups.{group}.target_{x}"] for x in ("runtime", "stretch"))
-                end = self.now + target + int(stretch * cost * self.low / self.width(group))
+                goal = self.settings.groups[group]
+                stretched = int(goal.target_stretch * cost * self.low / self.width(group))
+                end = self.now + goal.target_runtime + stretched
                 tables, work = self.asking.randrange(40), int(cost * self.low)
                 q = Query(f"q{self.number}", router, group, tables, self.now, end, cost, work)
                 self.queries[q.id] = q
@@ -283,7 +289,7 @@
                 yield q
 
     def width(self, group: int) -> int:
-        return CATALOG["domain.width_by_group"][group]
+        return SETTINGS.groups[group].threads
 
     def ended(self, run: Run, engine: Engine) -> None:
         query = run.query
@@ -313,7 +319,7 @@
         return [engine for engine in self.engines.values() if engine.started]
 
     def value(self, counts: Counter, router: int | None = None) -> float:
-        values = [CATALOG[f"groups.{group}.value"] for group in (LOOKUP, REPORT)]
+        values = [SETTINGS.groups[group].weight for group in (LOOKUP, REPORT)]
         return sum(values[g] * n for (r, g), n in counts.items() if router in (None, r))
 
     def worth(self) -> float:
@@ -359,7 +365,7 @@
         self.post: list[tuple[int, str, bytes]] = []  # datagrams on their way: from whom, to whom
         self.bytes = 0
         self.name_all()
-        for n in range(self.catalog["n_instances"]):
+        for n in range(self.settings.routers):
             self.start(n)
         self.acquaint()
 
@@ -378,8 +384,8 @@
 
     def start(self, n: int) -> None:
         """A router's module that knows the list and nothing else."""
-        router = QueryScheduler(self.chance.getrandbits(60), self.catalog | {"me": n}, self.now)
-        sight = Subset(n, self.catalog["n_instances"])
+        router = QueryScheduler(self.chance.getrandbits(60), replace(self.settings, router=n), self.now)
+        sight = Subset(n, self.settings.routers)
         if n == len(self.routers):
             self.routers.append(router)
             self.sights.append(sight)
@@ -402,7 +408,7 @@
         return f"r{n:04d}"
 
     def name_all(self) -> None:
-        self.keys = {self.name(n): KEY for n in range(self.catalog["n_instances"])}
+        self.keys = {self.name(n): KEY for n in range(self.settings.routers)}
 
     def tell(self, n: int) -> None:
         router = self.routers[n]
@@ -419,9 +425,9 @@
     def stands(self, n: int) -> None:
         """What a router's module is told of the others."""
         living = self.nodes[n].live_peers()
-        router, span = self.routers[n], CATALOG["guarantees.fall"]
+        router, span = self.routers[n], SETTINGS.warm_up.budget_window
         warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
-        tips = {e.id: CATALOG["guarantees.tip_multiple"] * span * e.usable_cores(self.now) for e in warming}
+        tips = {e.id: SETTINGS.warm_up.budget_multiple * span * e.usable_cores(self.now) for e in warming}
         standing = self.companies[n].state(EPOCH + self.now, living, tips, span)
         self.near[n] = standing.subset
         self.routers[n].on_subset(self.now, standing.subset, standing.routers, standing.shares)
@@ -473,7 +479,7 @@
 
     def resize(self, routers: int) -> None:
         """Those that start know the new number; the others were told the old one as they started."""
-        self.catalog["n_instances"] = routers
+        self.settings = replace(self.settings, routers=routers)
         super().resize(routers)
         self.name_all()
         for n, (node, company) in enumerate(zip(self.nodes, self.companies)):
@@ -599,7 +605,7 @@
             since = [run.width for run in engine.runs if run.sent > self.now - REPORT_AGE]
             gone = engine.told[0][2] if engine.told else 0
             loads[engine] = gone + sum(since)
-        values = [CATALOG[f"groups.{group}.value"] for group in (LOOKUP, REPORT)]
+        values = [SETTINGS.groups[group].weight for group in (LOOKUP, REPORT)]
         self.line.sort(key=lambda q: q.cost / values[q.group])
         waits = []
         for q in self.line:
@@ -611,13 +617,13 @@
         self.line = waits
 
     def place(self, q: Query, loads: dict[Engine, float]) -> bool:
-        width, span = self.width(q.group), CATALOG["guarantees.fall"]
+        width, span = self.width(q.group), SETTINGS.warm_up.budget_window
         for engine in sorted(loads, key=lambda engine: loads[engine] / engine.able(self.now)):
             able = engine.able(self.now)
             if loads[engine] + width > KNEE * able:
                 return False
-            tips = CATALOG["guarantees.tip_multiple"] * able * span
-            cold = engine.started and self.now < engine.started + CATALOG["guarantees.cold"]
+            tips = SETTINGS.warm_up.budget_multiple * able * span
+            cold = engine.started and self.now < engine.started + SETTINGS.warm_up.duration
             if self.parted(q.router, engine.id) or cold and engine.within(self.now) + q.work > tips / 2:
                 continue
             loads[engine] += width
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -562,7 +562,7 @@
             if what != "start":
                 running.discard(id)
                 if what == "given up":
-                    rests = when + self.station.catalog["guarantees.order_pause"] * 100
+                    rests = when + self.station.settings.retries.order_pause * 100
                 continue
             if when < rests - TOLERANCE * 100:
                 self.faults.append(f"key {key}: {id} began {(rests - when) // 100} before its rest was over")
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -15,6 +15,7 @@
 from hillchute.discovery import event_bus
 from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.router.settings_validation import validate
+from hillchute.settings import Settings
 
 SECOND = 10_000  # tenths of a millisecond
 CLOSING = 3 * SECOND  # the protocol: a planned restart leaves the longest deadline, but no more than this
@@ -38,6 +39,7 @@
     offset: int
     known: tuple[event_bus.WatchEvent, ...]
     catalog: dict[str, object]
+    settings: Settings
     closing: int  # how long after a planned end all must be answered
 
 
@@ -104,7 +106,10 @@
         raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from fault
     offset, known = events(table)
     catalog["sessions"] = sockets // 3  # the protocol: clients hold a third of the descriptors at most
-    longest = max(catalog.get(f"groups.{n}.queue_timeout", 0) for n in range(catalog["groups.count"]))
+    try:
+        typed = Settings.from_catalog(catalog)
+    except (TypeError, ValueError) as fault:
+        raise bad("settings", f"{type(fault).__name__}: {fault}") from fault
     return Station(
         name=environ.get("EDGE_NAME") or get(table, "name", str),
         host=host,
@@ -116,7 +121,8 @@
         offset=offset,
         known=known,
         catalog=catalog,
-        closing=min(longest, CLOSING),
+        settings=typed,
+        closing=min(typed.longest_queue_timeout, CLOSING),
     )
 
 
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -6,9 +6,8 @@
 """
 
 from collections import deque
-from collections.abc import Callable, Container, Mapping
+from collections.abc import Callable, Container
 from dataclasses import dataclass, field
-from typing import Any
 
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Time
@@ -19,6 +18,7 @@
 from hillchute.router.effects import CloseConnection, OpenConnection, SendCommand
 from hillchute.router.query_state import Attempt, QueryState
 from hillchute.router.reducer_context import ReducerContext
+from hillchute.settings import Settings
 
 
 @dataclass(slots=True, eq=False)
@@ -63,7 +63,7 @@
         self,
         context: ReducerContext,
         module: QueryScheduler,
-        catalog: Mapping[str, Any],
+        settings: Settings,
         max_connections: int,
         on_open: Callable[[Attempt, EngineConnection], None],
         on_attempt_ended: Callable[[Attempt, AttemptResult], None],
@@ -73,13 +73,13 @@
         self.max_connections = max_connections
         self.on_open = on_open
         self.on_attempt_ended = on_attempt_ended
-        self.max_streams = catalog.get("limits.streams_per_conn", 1)
-        self.connect_timeout: Time = catalog.get("limits.connect_timeout", 0)
-        self.keepalive: Time = catalog.get("limits.keepalive", 0)
-        self.progress_interval: Time = catalog.get("domain.tells_every", 0)
+        self.max_streams = settings.connections.max_streams
+        self.connect_timeout: Time = settings.connections.connect_timeout
+        self.keepalive: Time = settings.connections.keepalive
+        self.progress_interval: Time = settings.connections.progress_interval
         # Engines report progress as often as the settings say; the rest is the round trip.
         self.silence_limit: Time = self.progress_interval + 2 * self.connect_timeout
-        self.subset = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.subset = Subset(settings.router, settings.routers)
         self.list_offset = 0  # offset of the last watch event that was taken in
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: dict[int, EngineConnection] = {}
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -6,9 +6,6 @@
 whole tenths of a millisecond.
 """
 
-from collections.abc import Mapping
-from typing import Any
-
 from hillchute.decision.interface import (
     Cancel,
     Decision,
@@ -46,6 +43,7 @@
 from hillchute.router.query_state import Attempt, ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.router.request_rules import SHOWN, RequestRules
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout a query is answered, whatever happens
@@ -58,18 +56,17 @@
     so do the others that change data, since only the owner of their slot may run them (partners).
     """
 
-    def __init__(self, module: QueryScheduler, catalog: Mapping[str, Any], max_connections: int) -> None:
+    def __init__(self, module: QueryScheduler, settings: Settings, max_connections: int) -> None:
         self.module = module
-        self.context = ReducerContext(max(1, catalog.get("tick", 1)))
-        self.rules = RequestRules(catalog)
+        self.context = ReducerContext(max(1, settings.tick))
+        self.rules = RequestRules(settings)
         self.attempts = Attempts(self.context, module, self.rules, self)
         self.pool = ConnectionPool(
-            self.context, module, catalog, max_connections, self.on_connection_open, self.attempts.end
+            self.context, module, settings, max_connections, self.on_connection_open, self.attempts.end
         )
         self.loop_lag = LoopLag()
         self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
-        order_pause = catalog.get("guarantees.order_pause", 0)
-        self.claims = Claims(self.context, self, order_pause)
+        self.claims = Claims(self.context, self, settings.retries.order_pause)
         self.claims_idempotent = False
         self.claims_non_idempotent = False
         self.shutdown_deadline: Time | None = None
--- a/hillchute/router/request_rules.py
+++ b/hillchute/router/request_rules.py
@@ -1,13 +1,9 @@
 """What this router knows of its resource groups, and which requests it can take as queries."""
 
-import sys
-from collections.abc import Mapping
-from typing import Any
-
 from hillchute.decision.interface import Time
+from hillchute.settings import UNLIMITED, Effect, Settings
 from hillchute.statements.request import Request
 
-UNLIMITED = 10**9  # where the settings state no limit
 SHOWN = 40  # characters of a wrong value in a message
 
 # Before a table group, where a key would stand: no key of a client begins so.
@@ -21,21 +17,16 @@
     beyond them is no estimate, and must not enter the averages.
     """
 
-    def __init__(self, catalog: Mapping[str, Any]) -> None:
-        self.groups = {
-            str(catalog.get(f"groups.{number}.name")): number
-            for number in range(catalog.get("groups.count", 0))
-        }
-        numbers = self.groups.values()
-        effects = {number: catalog.get(f"groups.{number}.effect", "mutating") for number in numbers}
-        self.idempotent = {number for number, effect in effects.items() if effect == "tokened"}
-        self.non_idempotent = {number for number, effect in effects.items() if effect == "mutating"}
-        self.ordered = {number for number in numbers if catalog.get(f"groups.{number}.keep_order")}
-        timeouts = [catalog.get(f"groups.{number}.queue_timeout", 0) for number in numbers]
-        self.longest_timeout: Time = max(timeouts, default=0) or UNLIMITED
-        self.most_cores: float = largest(catalog.get("domain.kind_cores", 1))
-        self.most_memory_mb: float = largest(catalog.get("domain.ram_of_kind_mb") or UNLIMITED)
-        self.max_open: int = catalog.get("limits.open_cap") or sys.maxsize
+    def __init__(self, settings: Settings) -> None:
+        groups = settings.groups
+        self.groups = {group.name: group.number for group in groups}
+        self.idempotent = {group.number for group in groups if group.effect == Effect.IDEMPOTENT}
+        self.non_idempotent = {group.number for group in groups if group.effect == Effect.NON_IDEMPOTENT}
+        self.ordered = {group.number for group in groups if group.keeps_order}
+        self.longest_timeout: Time = settings.longest_queue_timeout or UNLIMITED
+        self.most_cores = settings.largest_engine_cores
+        self.most_memory_mb = settings.largest_engine_memory_mb
+        self.max_open = settings.max_open_queries
 
     def group_of(self, request: Request) -> int:
         """The number of a request's resource group."""
@@ -57,11 +48,6 @@
         return None
 
 
-def largest(value: Any) -> float:
-    """The largest of a list, or the one value that stands for all."""
-    return float(max(value)) if isinstance(value, list) else float(value)
-
-
 def history_key(request: Request) -> tuple[str, str, str]:
     """Customer, key and idempotency key under which the answer history lists a query.
 
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -101,7 +101,7 @@
         self.rounds = RoundSchedule()
         self.trace = EventTrace()
         operator = operator or {}
-        module = QueryScheduler(station.seed, station.catalog, clock())
+        module = QueryScheduler(station.seed, station.settings, clock())
         self.peering = None
         if operator.get("peers"):
             from hillchute.router.peering import Peering
@@ -109,7 +109,7 @@
             about = (operator, station, module, log, self.peered, self.judged, self.handle, clock)
             self.peering = Peering(*about)
             module = self.peering.telling
-        self.reducer = Reducer(module, station.catalog, station.sockets // 3)
+        self.reducer = Reducer(module, station.settings, station.sockets // 3)
         if self.peering is not None:
             self.peering.telling.reached = lambda: self.reducer.pool.list_offset
             self.reducer.claims_idempotent = self.peering.remembering is not None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,6 +12,7 @@
 )
 from hillchute.decision.query_state import Attempt, QueryPlace
 from hillchute.decision.scheduler import QueryScheduler
+from hillchute.settings import Settings
 
 LOOKUP, REPORT, LOAD, WRITE = range(4)
 
@@ -53,7 +54,7 @@
 
     def __init__(self, **changed):
         catalog = CATALOG | {name.replace("__", "."): value for name, value in changed.items()}
-        self.router = QueryScheduler(7, catalog, 0)
+        self.router = QueryScheduler(7, Settings.from_catalog(catalog), 0)
         self.list_engines(1, 2, 3)
         self.names = (f"q{n}" for n in count())
 
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -237,7 +237,7 @@
 
     def connected(self):
         """A connection to the engine is up, and one client is logged in."""
-        patience = self.station.catalog["groups.0.queue_timeout"] // MILLISECOND
+        patience = self.station.settings.groups[0].queue_timeout // MILLISECOND
         client = self.client(LOGIN + query(0xFFFF, patience=patience))
         self.until(lambda: client.answers() == ["served"])
         self.wants.clear()
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -25,6 +25,7 @@
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
 from hillchute.router.service import Service
+from hillchute.settings import Settings
 
 SIZES = [(1, 1), (3, 8), (7, 3), (60, 20), (200, 80), (50, 300), (230, 1)]
 fleets = st.tuples(st.integers(1, 120), st.sets(st.integers(0, 2**32 - 1), min_size=1, max_size=60))
@@ -193,7 +194,8 @@
     entries = [
         event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
     ]
-    reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
+    settings = Settings.from_catalog({"n_instances": 200, "me": 7})
+    reducer = Reducer(QueryScheduler(1, settings, 0), settings, 100)
     reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
     assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.pool.subset)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -34,8 +34,10 @@
 from hillchute.router.partnering import Partnering
 from hillchute.router.peering import Peering
 from hillchute.router.remembering import Remembering
+from hillchute.settings import Settings
 
 KEY = b"k" * 32
+NO_TENANTS = Settings.from_catalog({"parties.count": 0})
 ROOT = Path(__file__).parents[1]
 
 
@@ -120,7 +122,7 @@
 
 
 def lists_differ(log: RecordingLog, tmp_path: Path) -> None:
-    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
+    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, NO_TENANTS, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     peering = Peering({"peers": peers}, station, None, log, lambda: None)
     peering.company.differing_routers = {"b"}
@@ -129,7 +131,7 @@
 
 def clock_behind(log: RecordingLog, tmp_path: Path) -> None:
     """The router was up at a later time by its clock, which was then set back; another still knows that."""
-    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
+    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, NO_TENANTS, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     peering = Peering({"peers": peers}, station, None, log, lambda: None)
     node = peering.node
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,6 +24,7 @@
 from hillchute.router import config, events
 from hillchute.router.effects import OpenConnection
 from hillchute.router.reducer import Reducer
+from hillchute.settings import Settings
 from hillchute.statements import request as statement
 
 FLEET = CATALOG | many.CATALOG | {"n_instances": 200}
@@ -184,7 +185,7 @@
 @pytest.mark.parametrize("change", [False, True])
 def test_work_for_a_query_grows_no_faster_than_the_engines(group, change):
     def cost(engines):
-        router = QueryScheduler(7, FLEET | {"domain.group_load": [False] * 4}, 0)
+        router = QueryScheduler(7, Settings.from_catalog(FLEET | {"domain.group_load": [False] * 4}), 0)
         listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(engines)]
         router.on_endpoint_list(0, ListMode.COMPLETE, listings)
 
@@ -217,7 +218,9 @@
     settings = TABLE["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
     table = TABLE | {"known": known, "settings": settings}
     station = config.station(table, {})
-    reducer = Reducer(QueryScheduler(station.seed, station.catalog, 0), station.catalog, station.sockets // 3)
+    reducer = Reducer(
+        QueryScheduler(station.seed, station.settings, 0), station.settings, station.sockets // 3
+    )
     for news in station.known:
         reducer.reduce(events.EndpointsChanged(news), 0)
     assert len(reducer.pool.endpoints) == 1024
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -41,6 +41,7 @@
     WriteLog,
 )
 from hillchute.router.reducer import Reducer
+from hillchute.settings import Settings
 from hillchute.statements import request as statements
 
 # The two deployments of this module learn from each query: their tests run in one worker, in their order.
@@ -185,7 +186,8 @@
     def __init__(self):
         catalog = CATALOG | {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load"))}
         catalog |= {"limits.open_cap": 10, "limits.connect_timeout": 500, "limits.streams_per_conn": 8}
-        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        settings = Settings.from_catalog(catalog)
+        self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
         listing = events.event_bus.Listing(1, 0, 0, 0, 0, EndpointState.READY, 1.0)
         entry = events.event_bus.Endpoint(listing, "127.0.0.1", 1)
         self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (entry,))))
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -29,6 +29,7 @@
 from hillchute.router.partnering import Partnering
 from hillchute.router.reducer import Reducer
 from hillchute.router.request_rules import history_key
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 NAMES = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
@@ -38,9 +39,9 @@
     """A reducer among partners."""
 
     def __init__(self):
-        catalog = CATALOG | NAMES | {"limits.open_cap": 100}
-        self.module = QueryScheduler(7, catalog, 0)
-        self.reducer = Reducer(self.module, catalog, 8)
+        settings = Settings.from_catalog(CATALOG | NAMES | {"limits.open_cap": 100})
+        self.module = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.module, settings, 8)
         self.reducer.claims_idempotent = self.reducer.claims_non_idempotent = True
         self.count = 0
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -38,6 +38,7 @@
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import config
 from hillchute.router.telling import Telling
+from hillchute.settings import Settings
 
 KEY = b"k" * 32
 NOW = 17_000_000_000_000
@@ -251,7 +252,7 @@
     company = FleetView(settings, NOW)
     soon = []
     found = Telling(
-        QueryScheduler(1, catalog, 0),
+        QueryScheduler(1, Settings.from_catalog(catalog), 0),
         company,
         catalog,
         lambda: clock[0],
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -26,6 +26,7 @@
 from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
 from hillchute.router.reducer import Reducer
 from hillchute.router.remembering import book_of
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 DISK = RetentionPolicy(rows=True, disk=True, least_ms=20_000, most_ms=60_000)
@@ -45,8 +46,9 @@
     def __init__(self):
         names = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
         names["limits.open_cap"] = 100
-        self.module = QueryScheduler(7, CATALOG | names, 0)
-        self.reducer = Reducer(self.module, CATALOG | names, 8)
+        settings = Settings.from_catalog(CATALOG | names)
+        self.module = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.module, settings, 8)
         self.reducer.claims_idempotent = True
         self.group = "load"
         self.count = 0
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -38,6 +38,7 @@
 )
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.reducer import Reducer
+from hillchute.settings import Settings
 from hillchute.statements import request as statement
 
 COMMENT = b"/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,weight=820.0,mb=96 */ "
@@ -253,6 +254,7 @@
     fields = Fields(f"UP 7 {pairs}", 1)
     fields.integer("init_seed")
     assert config.station(TABLE, {}).catalog == fields.catalog() | {"sessions": 1024 // 3}
+    assert config.station(TABLE, {}).settings == Settings.from_catalog(config.station(TABLE, {}).catalog)
 
 
 @pytest.mark.parametrize(
@@ -295,7 +297,8 @@
     def __init__(self, **changed):
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
         self.exchanges = {}
-        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        settings = Settings.from_catalog(catalog)
+        self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
         listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
         entries = [event_bus.Endpoint(listing, "127.0.0.1", listing.engine) for listing in listings]
         self.do(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,6 +27,7 @@
 from hillchute.router import config, events
 from hillchute.router.effects import OpenConnection, SendCommand
 from hillchute.router.reducer import Reducer
+from hillchute.settings import Settings
 from hillchute.statements import request as statement
 
 MORE_LOOKS = 1.2  # times as many engines looked at for a query, at sixteen times the engines
@@ -38,7 +39,7 @@
 
 
 def among(engines, routers=200, **changed):
-    router = QueryScheduler(1, CATALOG | {"n_instances": routers} | changed, 0)
+    router = QueryScheduler(1, Settings.from_catalog(CATALOG | {"n_instances": routers} | changed), 0)
     router.on_endpoint_list(0, ListMode.COMPLETE, [listing(n) for n in range(engines)])
     router.on_subset(0, Subset(7, routers).select(range(engines)))
     return router
@@ -92,7 +93,7 @@
 def connects(engines):
     """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
     station = config.station(deployment.table(routers=200, sockets=576), {})
-    reducer = Reducer(QueryScheduler(1, station.catalog, 0), station.catalog, station.sockets // 3)
+    reducer = Reducer(QueryScheduler(1, station.settings, 0), station.settings, station.sockets // 3)
     entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
     reducer.reduce(events.EndpointsChanged(WatchEvent(1, "Complete", entries)), 1)
     made, waiting = 0, []
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,6 +24,7 @@
     WARM_UP_BUDGET_SHARE,
     PermitLedger,
 )
+from hillchute.settings import Settings
 
 FALL = CATALOG["guarantees.fall"]
 MULTIPLE = CATALOG["guarantees.tip_multiple"]
@@ -93,7 +94,7 @@
 
     def start(self, number, now):
         catalog = CATALOG | {"n_instances": self.told, "me": number}
-        router = QueryScheduler(self.chance.randrange(2**32), catalog, now)
+        router = QueryScheduler(self.chance.randrange(2**32), Settings.from_catalog(catalog), now)
         listings = [
             Listing(e, 0, 0, 0, self.at, EndpointState.READY, 1.0) for e in range(1, self.engines + 1)
         ]
