--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -399,7 +399,7 @@
         self.faults: list[str] = []
         self.resets = 0
         self.clients: list[Client] = []
-        self.station = config.station(deployment.table(engines=4, sockets=256), {})
+        self.station = config.parse_station(deployment.table(engines=4, sockets=256), {})
         self.lifecycle = Lifecycle(Log("rig", -1))
         self.service = Service(self.station, Log("rig", -1), self.lifecycle, Poller(self), self.world.time())
         self.listener = Listener(self.world)
--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -37,7 +37,7 @@
     operator_file = operator_file or os.environ.get("HILLCHUTE_OPERATOR")
     operator = read_again = None
     try:
-        station = config.read()
+        station = config.read_station()
         if operator_file:
             from hillchute.operator import reading  # the grammar's library is an extra
 
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -1,155 +1,220 @@
-"""The one place where configuration is read, checked and given defaults.
+"""The one place where a router's configuration is read, checked and given defaults.
 
-Owns the environment variables, the file that they name and the checks on both; a fault names its key by
-the full path. Must never hold a value that decides anything about a query: those are the module's, or
-come from the file.
+Owns the environment variables, the JSON file that they name and the checks on both; a fault names its key by
+the full path. Must never hold a value that decides anything about a query: those are the decision module's,
+or come from the file. Durations are whole tenths of a millisecond.
 """
 
 import os
 from collections.abc import Mapping
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
 import orjson
 
 from hillchute.catalog import flatten, translate
+from hillchute.decision.interface import SECOND, Time
 from hillchute.discovery import event_bus
 from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.router.settings_validation import validate
 from hillchute.settings import Settings
 
-SECOND = 10_000  # tenths of a millisecond
-CLOSING = 3 * SECOND  # the protocol: a planned restart leaves the longest deadline, but no more than this
-SOCKETS = 1024  # where the file states no limit: the least that any deployment gives
-MEMORY = 64  # MB, likewise
-MB = 1_048_576
-SHARE = 16  # part of the memory that all sessions' unread input may take together; the program needs a third
-LONGEST_PACKET = 65_536  # bytes of a client's packet: statements of this platform are far shorter
+Value = TypeVar("Value")
+JsonObject = Mapping[str, object]
+
+LONGEST_SHUTDOWN: Time = 3 * SECOND
+"""The platform's protocol: a planned restart leaves queries the longest queue timeout, but no more."""
+
+DEFAULT_SOCKETS = 1024  # where the file states no limit: the least that any deployment gives
+DEFAULT_MEMORY_MB = 64  # likewise
+MIN_SOCKETS = 64
+MIN_MEMORY_MB = 24
+ADMITTED_SESSIONS_DIVISOR = 3  # the protocol: clients hold a third of the descriptors at most
+CONNECTED_SESSIONS_DIVISOR = 2  # sessions that are connected take half of them at most
+
+BYTES_PER_MB = 1_048_576
+UNREAD_INPUT_DIVISOR = 16  # part of the memory for all sessions' unread input; the program needs a third
+MAX_PACKET_BYTES = 65_536  # of a client's packet: statements of this platform are far shorter
+
+SHOWN_CHARACTERS = 40  # of a wrong value in a message
+SHOWN_ADDRESS_CHARACTERS = 60
+PORT_LIMIT = 65_536
 
 
 class Station(NamedTuple):
     """What this router is told at its start."""
 
     name: str
-    host: str
+    host: str  # on which it listens
     port: int
-    seed: int
-    sockets: int
+    seed: int  # of all its draws by chance
+    sockets: int  # descriptors that it may have open
     packet: int  # bytes that one session's unread input may take
-    bus: tuple[str, int]
-    offset: int
-    known: tuple[event_bus.WatchEvent, ...]
-    catalog: dict[str, object]
+    bus: tuple[str, int]  # host and port of the event bus
+    offset: int  # of the last event in `known`
+    known: tuple[event_bus.WatchEvent, ...]  # the endpoint list as the configuration gives it
+    stated_catalog: Mapping[str, object]  # the settings by the keys that operators see, for `needs_restart`
     settings: Settings
-    closing: int  # how long after a planned end all must be answered
-
-
-def bad(path: str, what: str) -> ConfigurationError:
-    return ConfigurationError(what, path)
-
+    closing: Time  # how long after a planned end all queries must be answered
 
-def get(table: Mapping[str, object], path: str, kind: type | tuple[type, ...], default: object = None):
-    """The value at a dotted path, checked for its kind; a default of None makes the key a must."""
-    value: object = table
-    for n, part in enumerate(path.split(".")):
-        if not isinstance(value, Mapping):
-            raise bad(".".join(path.split(".")[:n]), "not an object")
-        value = value.get(part)
-        if value is None:
-            break
-    if value is None:
-        if default is None:
-            raise bad(path, "missing")
-        return default
-    if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        names = kind.__name__ if isinstance(kind, type) else " or ".join(k.__name__ for k in kind)
-        raise bad(path, f"expected {names}, got {str(value)[:40]!r}")
-    return value
+    @property
+    def catalog(self) -> Mapping[str, object]:
+        """The plain catalog, for those integrations that do not take `settings` yet."""
+        return self.stated_catalog
 
 
-def address(text: str, path: str) -> tuple[str, int]:
-    host, sign, port = text.rpartition(":")
-    if not sign or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise bad(path, f"not an address of the form host:port: {text[:60]!r}")
-    return host.strip("[]"), int(port)
-
-
-def read(environ: Mapping[str, str] = os.environ) -> Station:
+def read_station(environ: Mapping[str, str] = os.environ) -> Station:
+    """Reads the file that EDGE_CONFIG names; raises ConfigurationError for the first fault."""
     path = environ.get("EDGE_CONFIG")
     if not path:
-        raise bad("EDGE_CONFIG", "missing: it names the configuration file")
+        raise ConfigurationError("missing: it names the configuration file", "EDGE_CONFIG")
     try:
         with open(path, "rb") as file:
             table = orjson.loads(file.read())
-    except OSError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: {fault.strerror}") from fault
-    except orjson.JSONDecodeError as fault:
-        raise bad("EDGE_CONFIG", f"{path}: not JSON: {fault}") from fault
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}", "EDGE_CONFIG") from error
+    except orjson.JSONDecodeError as error:
+        raise ConfigurationError(f"{path}: not JSON: {error}", "EDGE_CONFIG") from error
     if not isinstance(table, dict):
-        raise bad("EDGE_CONFIG", f"{path}: not a JSON object")
-    return station(table, environ)
+        raise ConfigurationError(f"{path}: not a JSON object", "EDGE_CONFIG")
+    return parse_station(table, environ)
 
 
-def station(table: Mapping[str, object], environ: Mapping[str, str]) -> Station:
+def parse_station(table: JsonObject, environ: Mapping[str, str]) -> Station:
+    """Checks a configuration and gives what it says; raises ConfigurationError for the first fault.
+
+    EDGE_LISTEN and EDGE_NAME in `environ` override the file's `listen` and `name`.
+    """
     listen = environ.get("EDGE_LISTEN")
-    host, port = address(listen, "EDGE_LISTEN") if listen else address(get(table, "listen", str), "listen")
-    sockets = get(table, "limits.sockets", int, SOCKETS)
-    if sockets < 64:
-        raise bad("limits.sockets", f"{sockets} are too few to serve with")
-    memory = get(table, "limits.memory_mb", int, MEMORY)
-    if memory < 24:
-        raise bad("limits.memory_mb", f"{memory} are too few to serve with")
-    catalog = settings(table)
-    seed = get(table, "seed", (str, int))
-    try:
-        seed = int(seed, 16) if isinstance(seed, str) else seed
-    except ValueError as fault:
-        raise bad("seed", f"not a hexadecimal number: {seed[:40]!r}") from fault
-    offset, known = events(table)
-    catalog["sessions"] = sockets // 3  # the protocol: clients hold a third of the descriptors at most
-    try:
-        typed = Settings.from_catalog(catalog)
-    except (TypeError, ValueError) as fault:
-        raise bad("settings", f"{type(fault).__name__}: {fault}") from fault
+    host, port = address(listen, "EDGE_LISTEN") if listen else _required_address(table, "listen")
+    sockets = _optional(table, "limits.sockets", int, DEFAULT_SOCKETS)
+    _check_at_least(MIN_SOCKETS, sockets, "limits.sockets")
+    memory_mb = _optional(table, "limits.memory_mb", int, DEFAULT_MEMORY_MB)
+    _check_at_least(MIN_MEMORY_MB, memory_mb, "limits.memory_mb")
+    catalog = parse_catalog(table) | {"sessions": sockets // ADMITTED_SESSIONS_DIVISOR}
+    seed = _parse_seed(table)
+    offset = _required(table, "known.offset", int)
+    known = _parse_endpoint_list(table)
+    settings = _typed_settings(catalog)
+    unread_input_bytes = memory_mb * BYTES_PER_MB // UNREAD_INPUT_DIVISOR
     return Station(
-        name=environ.get("EDGE_NAME") or get(table, "name", str),
+        name=environ.get("EDGE_NAME") or _required(table, "name", str),
         host=host,
         port=port,
         seed=seed,
         sockets=sockets,
-        packet=min(LONGEST_PACKET, memory * MB // SHARE // (sockets // 2)),
-        bus=address(get(table, "bus", str), "bus"),
+        packet=min(MAX_PACKET_BYTES, unread_input_bytes // (sockets // CONNECTED_SESSIONS_DIVISOR)),
+        bus=_required_address(table, "bus"),
         offset=offset,
         known=known,
-        catalog=catalog,
-        settings=typed,
-        closing=min(typed.longest_queue_timeout, CLOSING),
+        stated_catalog=catalog,
+        settings=settings,
+        closing=min(settings.longest_queue_timeout, LONGEST_SHUTDOWN),
     )
 
 
+def parse_catalog(table: JsonObject) -> dict[str, object]:
+    """The plain catalog of a configuration's `settings`; raises ConfigurationError for the first fault."""
+    settings = _required(table, "settings", dict)
+    validate(settings)
+    return translate(flatten(settings))
+
+
 def needs_restart(running: Station, read_again: Station) -> list[str]:
-    """What a configuration read again changes beside the event bus; that can't be moved under load."""
-    keys = [
-        key
-        for key in ("name", "host", "port", "seed", "sockets")
-        if getattr(running, key) != getattr(read_again, key)
-    ]
-    names = {*running.catalog, *read_again.catalog}
-    return keys + sorted(key for key in names if running.catalog.get(key) != read_again.catalog.get(key))
-
-
-def settings(table: Mapping[str, object]) -> dict[str, object]:
-    """The settings in our words, once they are checked."""
-    nested = get(table, "settings", dict)
-    validate(nested)
-    return translate(flatten(nested))
-
-
-def events(table: Mapping[str, object]) -> tuple[int, tuple[event_bus.WatchEvent, ...]]:
-    offset = get(table, "known.offset", int)
-    get(table, "known.batch", list)
-    zones = get(table, "settings.dcs", list, [])
-    kinds = get(table, "settings.kinds", list, [])
+    """The keys of what has changed beside the event bus and the endpoint list, as operators know them.
+
+    A running router takes on nothing of these.
+    """
+    fields = ("name", "host", "port", "seed", "sockets")
+    changed = [field for field in fields if getattr(running, field) != getattr(read_again, field)]
+    before, after = running.stated_catalog, read_again.stated_catalog
+    return changed + sorted(key for key in {*before, *after} if before.get(key) != after.get(key))
+
+
+def address(text: str, path: str) -> tuple[str, int]:
+    """Host and port of an address; ConfigurationError, which names the key at `path`, if it is none."""
+    host, sign, port = text.rpartition(":")
+    if not sign or not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
+        shown = repr(text[:SHOWN_ADDRESS_CHARACTERS])
+        raise ConfigurationError(f"not an address of the form host:port: {shown}", path)
+    return host.strip("[]"), int(port)
+
+
+def _typed_settings(catalog: Mapping[str, object]) -> Settings:
     try:
-        return offset, tuple(event_bus.initial_watch_events(table["known"], zones, kinds))
-    except (EventBusProtocolError, KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise bad("known.batch", f"{type(fault).__name__}: {fault}") from fault
+        return Settings.from_catalog(catalog)
+    except (TypeError, ValueError) as error:  # of a shape that `validate` says nothing of
+        raise ConfigurationError(f"{type(error).__name__}: {error}", "settings") from error
+
+
+def _parse_seed(table: JsonObject) -> int:
+    """The seed, a number or a text of hexadecimal digits."""
+    value = _find(table, "seed")
+    if isinstance(value, int) and not isinstance(value, bool):
+        return value
+    if value is not None and not isinstance(value, str):
+        raise _wrong_type("str or int", value, "seed")
+    text = _required(table, "seed", str)
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        shown = repr(text[:SHOWN_CHARACTERS])
+        raise ConfigurationError(f"not a hexadecimal number: {shown}", "seed") from error
+
+
+def _parse_endpoint_list(table: JsonObject) -> tuple[event_bus.WatchEvent, ...]:
+    """The events of the endpoint list that the configuration gives."""
+    _required(table, "known.batch", list)
+    zones = _optional(table, "settings.dcs", list, [])
+    kinds = _optional(table, "settings.kinds", list, [])
+    known = _required(table, "known", dict)
+    try:
+        return tuple(event_bus.initial_watch_events(known, zones, kinds))
+    except (EventBusProtocolError, KeyError, TypeError, ValueError, AttributeError) as error:
+        raise ConfigurationError(f"{type(error).__name__}: {error}", "known.batch") from error
+
+
+def _required_address(table: JsonObject, path: str) -> tuple[str, int]:
+    return address(_required(table, path, str), path)
+
+
+def _check_at_least(least: int, value: int, path: str) -> None:
+    if value < least:
+        raise ConfigurationError(f"{value} are too few to serve with", path)
+
+
+def _required(table: JsonObject, path: str, expected: type[Value]) -> Value:
+    """The value at a dotted path; ConfigurationError if it is absent or of another type."""
+    value = _find(table, path)
+    if value is None:
+        raise ConfigurationError("missing", path)
+    return _checked(value, path, expected)
+
+
+def _optional(table: JsonObject, path: str, expected: type[Value], default: Value) -> Value:
+    """The value at a dotted path, or the default; ConfigurationError if it is of another type."""
+    value = _find(table, path)
+    return default if value is None else _checked(value, path, expected)
+
+
+def _checked(value: object, path: str, expected: type[Value]) -> Value:
+    """The value, if it is of the type; a truth value is no number."""
+    if not isinstance(value, expected) or (isinstance(value, bool) and expected is not bool):
+        raise _wrong_type(expected.__name__, value, path)
+    return value
+
+
+def _wrong_type(expected: str, value: object, path: str) -> ConfigurationError:
+    return ConfigurationError(f"expected {expected}, got {str(value)[:SHOWN_CHARACTERS]!r}", path)
+
+
+def _find(table: JsonObject, path: str) -> object:
+    """The value at a dotted path; None where it or anything on the way is absent."""
+    value: object = table
+    parts = path.split(".")
+    for depth, part in enumerate(parts):
+        if not isinstance(value, Mapping):
+            raise ConfigurationError("not an object", ".".join(parts[:depth]))
+        value = value.get(part)
+        if value is None:
+            return None
+    return value
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -18,7 +18,7 @@
 import anyio.lowlevel
 
 from hillchute.coordination import jitter
-from hillchute.decision.interface import Listing
+from hillchute.decision.interface import SECOND, Listing
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.discovery.watcher import EndpointWatcher
@@ -31,7 +31,7 @@
 from hillchute.net.clock import Clock, EngineStartTimes
 from hillchute.net.poller import Poller, ReadySocket
 from hillchute.router import config, events
-from hillchute.router.config import SECOND, Station
+from hillchute.router.config import Station
 from hillchute.router.effects import (
     AbortStream,
     CancelForward,
@@ -512,7 +512,7 @@
     def reload(self) -> None:
         """A new configuration under load. One that can't be read changes nothing."""
         try:
-            station = config.read()
+            station = config.read_station()
         except ConfigurationError as fault:
             self.log.write("reload", kept="the running configuration", why=str(fault), **fault.log_fields)
             return
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -178,7 +178,7 @@
         self.address = self.door.getsockname()
         table = table or deployment.table(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
-        self.station = config.station(table, {})
+        self.station = config.parse_station(table, {})
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
         self.clock = clock or Clock(lambda: time.monotonic_ns() + self.ahead)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -336,7 +336,7 @@
 
 def test_reload_under_an_open_query_changes_nothing_for_it(rig, monkeypatch):
     client = out(rig)
-    monkeypatch.setattr(service.config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
+    monkeypatch.setattr(service.config, "read_station", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
     monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda *about: None)
     rig.talks[0].serve(ids(1)[0])  # its answer is on its way as the signal comes
     rig.service.reload()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -61,7 +61,7 @@
     path.write_text("{}")
     os.environ["EDGE_CONFIG"] = str(path)
     try:
-        config.read()
+        config.read_station()
     finally:
         del os.environ["EDGE_CONFIG"]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -217,7 +217,7 @@
     kind = TABLE["settings"]["classes"][0] | {"goal_time_ns": 10**9, "deadline_ns": 8 * 10**9}
     settings = TABLE["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
     table = TABLE | {"known": known, "settings": settings}
-    station = config.station(table, {})
+    station = config.parse_station(table, {})
     reducer = Reducer(
         QueryScheduler(station.seed, station.settings, 0), station.settings, station.sockets // 3
     )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -244,7 +244,7 @@
 @pytest.fixture
 def told():
     """A telling over a module with engines 1 to 3, its clock, and a company of four routers."""
-    catalog = config.settings(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
+    catalog = config.parse_catalog(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
     clock = [NOW]
     settings = FleetSettings(
         name="r0", router_names=["r0", "r1", "r2", "r3"], columns=["inflight"], limits=["cold"], seed=1
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -110,7 +110,7 @@
 
 @pytest.fixture
 def session():
-    session = mysql.Session(7, config.LONGEST_PACKET)
+    session = mysql.Session(7, config.MAX_PACKET_BYTES)
     session.greeting()
     return session
 
@@ -253,8 +253,9 @@
     pairs += " limits.keepalive_ns=30000000000 parties="
     fields = Fields(f"UP 7 {pairs}", 1)
     fields.integer("init_seed")
-    assert config.station(TABLE, {}).catalog == fields.catalog() | {"sessions": 1024 // 3}
-    assert config.station(TABLE, {}).settings == Settings.from_catalog(config.station(TABLE, {}).catalog)
+    station = config.parse_station(TABLE, {})
+    assert station.stated_catalog == fields.catalog() | {"sessions": 1024 // 3}
+    assert station.settings == Settings.from_catalog(station.stated_catalog)
 
 
 @pytest.mark.parametrize(
@@ -277,7 +278,7 @@
         place = place[name]
     place[last] = value
     with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
-        config.station(table, {})
+        config.parse_station(table, {})
 
 
 # ---- the reducer ----------------------------------------------------------------------------------
@@ -596,7 +597,7 @@
 
 @pytest.fixture
 def station():
-    return config.station(TABLE, {})
+    return config.parse_station(TABLE, {})
 
 
 @pytest.fixture
@@ -620,7 +621,7 @@
                 raise found
             return found
 
-        monkeypatch.setattr(service.config, "read", read)
+        monkeypatch.setattr(service.config, "read_station", read)
         monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
         monkeypatch.setattr(service.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2))
         router.station = station._replace(bus=buses[0].getsockname(), offset=7)
@@ -645,7 +646,43 @@
     table = orjson.loads(orjson.dumps(TABLE))
     table["settings"]["limits"]["keepalive_ns"] = 1_000_000
     table["bus"] = "127.0.0.1:9"
-    assert config.needs_restart(station, config.station(table, {})) == ["limits.keepalive"]
+    assert config.needs_restart(station, config.parse_station(table, {})) == ["limits.keepalive"]
+
+
+def test_fewer_sockets_are_named_with_the_sessions_that_follow_from_them(station):
+    fewer = config.parse_station(TABLE | {"limits": {"sockets": 512}}, {})
+    assert config.needs_restart(station, fewer) == ["sockets", "sessions"]
+
+
+@pytest.mark.parametrize("seed, number", [("ff", 255), (17, 17)])
+def test_seed_is_hexadecimal_text_or_a_number(seed, number):
+    assert config.parse_station(TABLE | {"seed": seed}, {}).seed == number
+
+
+@pytest.mark.parametrize(
+    "path, value, message",
+    [
+        ("seed", True, "seed: expected str or int, got 'True'"),
+        ("seed", "xyz", "seed: not a hexadecimal number: 'xyz'"),
+        ("seed", None, "seed: missing"),
+        ("known", [], "known: not an object"),
+        ("bus", "nowhere", "bus: not an address of the form host:port: 'nowhere'"),
+        ("limits", {"sockets": 63}, "limits.sockets: 63 are too few to serve with"),
+        ("limits", {"memory_mb": 23}, "limits.memory_mb: 23 are too few to serve with"),
+        ("limits", {"sockets": True}, "limits.sockets: expected int, got 'True'"),
+    ],
+)
+def test_fault_of_a_configuration_is_told_in_words(path, value, message):
+    with pytest.raises(ConfigurationError) as error:
+        config.parse_station(TABLE | {path: value}, {})
+    assert str(error.value) == message
+
+
+def test_settings_of_a_shape_that_no_check_knows_are_refused_by_name():
+    domain = SETTINGS["domain"] | {"report_x0": ["a", "b"]}
+    with pytest.raises(ConfigurationError) as error:
+        config.parse_station(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
+    assert error.value.location == "settings"
 
 
 # ---- who may stay connected -----------------------------------------------------------------------
