--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -7,7 +7,6 @@
 from enum import StrEnum
 from typing import TypeVar
 
-from hillchute.catalog import translate
 from hillchute.decision.interface import (
     AttemptResult,
     Cancel,
@@ -23,6 +22,7 @@
     WatchEndpoints,
 )
 from hillchute.net.clock import NANOSECONDS_PER_TIME_UNIT, round_up_to_time_units
+from hillchute.settings_translation import translate_settings
 
 Word = TypeVar("Word", bound=StrEnum)
 
@@ -113,7 +113,7 @@
             if not sign:
                 raise self.fault(f"setting without a value: {path[:40]}")
             pairs.append((path, plain(value)))
-        return translate(pairs)
+        return translate_settings(pairs)
 
 
 def plain(value: str) -> object:
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -4,11 +4,10 @@
 from typing import TextIO
 
 from hillchute.benchlink.codec import Fields, Malformed, attempt_result, encode, health_check_result
-from hillchute.catalog import down
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptEnded, ListMode, NewQuery, Scheduler
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.net.clock import round_up_to_time_units
+from hillchute.net.clock import round_down_to_time_units, round_up_to_time_units
 from hillchute.settings import Settings
 
 
@@ -119,7 +118,7 @@
         fields.text("is_write")
         fields.text("repeat")
         group = fields.needed(fields.integer("profile"), "profile")
-        due = down(fields.needed(fields.integer("drop_dead_ns"), "drop_dead_ns"))
+        due = round_down_to_time_units(fields.needed(fields.integer("drop_dead_ns"), "drop_dead_ns"))
         key = fields.text("table")
         tables = fields.integer("table_group")
         cost = round_up_to_time_units(cost) if cost else None
--- a/hillchute/net/clock.py
+++ b/hillchute/net/clock.py
@@ -19,6 +19,11 @@
     return -(-nanoseconds // NANOSECONDS_PER_TIME_UNIT)
 
 
+def round_down_to_time_units(nanoseconds: int) -> int:
+    """Convert nanoseconds to time units, rounded down."""
+    return nanoseconds // NANOSECONDS_PER_TIME_UNIT
+
+
 class Clock:
     """Unix time as it was when the clock was made, continued by the monotonic clock.
 
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -11,12 +11,12 @@
 
 import orjson
 
-from hillchute.catalog import flatten, translate
 from hillchute.decision.interface import SECOND, Time
 from hillchute.discovery import event_bus
 from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.router.settings_validation import validate
 from hillchute.settings import Settings
+from hillchute.settings_translation import flatten_settings, translate_settings
 
 Value = TypeVar("Value")
 JsonObject = Mapping[str, object]
@@ -116,7 +116,7 @@
     """The plain catalog of a configuration's `settings`; raises ConfigurationError for the first fault."""
     settings = _required(table, "settings", dict)
     validate(settings)
-    return translate(flatten(settings))
+    return translate_settings(flatten_settings(settings))
 
 
 def needs_restart(running: Station, read_again: Station) -> list[str]:
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -8,12 +8,12 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from hillchute.catalog import plain_text
 from hillchute.errors import ConfigurationError
+from hillchute.settings_translation import without_separators
 
 SEMANTICS = ("repeatable", "by_key", "once")
 SHED_BY = ("all", "zone", "cell")
-# Blanks and commas become underscores: catalog.plain_text.
+# Blanks and commas become underscores: settings_translation.without_separators.
 CLASS_NAME = re.compile(r"[^\x00-\x1f=]{1,256}")
 LARGEST = 10**18  # nanoseconds, or any other figure: thirty years
 SHOWN = 40  # characters of a wrong value in a message
@@ -75,8 +75,8 @@
     for rule in NUMBERS:
         check_number(settings, rule, path)
     classes = check_classes(settings, path)
-    kinds = names(settings, "kinds", path)
-    zones = names(settings, "dcs", path)
+    kinds = check_names(settings, "kinds", path)
+    zones = check_names(settings, "dcs", path)
     for rule in NUMBERS_BY_KIND:
         check_number_list(settings, rule, path, max(1, len(kinds)))
     for rule in NUMBERS_BY_CLASS:
@@ -129,7 +129,7 @@
         if not isinstance(item, Mapping):
             raise ConfigurationError("not an object", item_path)
         check_class(item, item_path)
-        name = str(plain_text(item["name"]))
+        name = str(without_separators(item["name"]))
         if name in known:
             raise ConfigurationError(f"{name} names another class already", f"{item_path}.name")
         known.add(name)
@@ -161,8 +161,8 @@
         raise ConfigurationError(f"expected one of {', '.join(choices)}, got {shown(value)}", f"{path}.{key}")
 
 
-def names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
-    """A list of names; an empty one where it is absent."""
+def check_names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
+    """Checks a list of names and gives it; an empty one where it is absent."""
     found = settings.get(key, [])
     if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
         raise ConfigurationError("expected a list of names", f"{path}.{key}")
--- a/hillchute/settings.py
+++ b/hillchute/settings.py
@@ -1,7 +1,8 @@
 """The deployment's settings as one typed, frozen value: those that decisions depend on, and the router's own.
 
-Built once by `Settings.from_catalog` from the plain map of dotted names that catalog.py makes. Durations
-are whole tenths of a millisecond. A setting that is absent has the default stated here and nowhere else.
+Built once by `Settings.from_catalog` from the plain map of dotted names that settings_translation.py makes.
+Durations are whole tenths of a millisecond. A setting that is absent has the default stated here and nowhere
+else.
 """
 
 import re
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 import pytest
 from rounds_by_hand import LOGIN, Rig, query
 
-from hillchute.net.clock import Clock, EngineStartTimes, round_up_to_time_units
+from hillchute.net.clock import Clock, EngineStartTimes, round_down_to_time_units, round_up_to_time_units
 from hillchute.peers.transport import SteadyUnixClock
 
 HOUR = 3_600 * 10**9
@@ -46,6 +46,13 @@
         self.offset_ns += int(seconds * 1e9)
 
 
+@pytest.mark.parametrize(
+    ("nanoseconds", "down", "up"), [(0, 0, 0), (1, 0, 1), (100_000, 1, 1), (199_999, 1, 2)]
+)
+def test_nanoseconds_become_time_units(nanoseconds: int, down: int, up: int) -> None:
+    assert (round_down_to_time_units(nanoseconds), round_up_to_time_units(nanoseconds)) == (down, up)
+
+
 @pytest.mark.parametrize("seconds", STEPS)
 def test_clock_goes_on_evenly_over_a_step(seconds: int) -> None:
     wall_clock = SteppingWallClock()
