--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -8,6 +8,7 @@
 from collections import deque
 from collections.abc import Callable, Container
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Time
@@ -52,12 +53,15 @@
     connections: dict[int, EngineConnection] = field(default_factory=dict)
 
 
-class ConnectionPool:
-    """All connections of a router to its engines, at most `max_connections` of them.
+class ConnectionCallbacks(NamedTuple):
+    """What a pool of connections tells of the attempts on them."""
+
+    on_open: Callable[[Attempt, EngineConnection], None]  # the connection is open for the attempt
+    on_attempt_ended: Callable[[Attempt, AttemptResult], None]  # with its connection
 
-    `on_open` is called with an attempt and the connection that is open for it, `on_attempt_ended` with an
-    attempt that ended with its connection, and the result.
-    """
+
+class ConnectionPool:
+    """All connections of a router to its engines, at most `max_connections` of them."""
 
     def __init__(
         self,
@@ -65,14 +69,12 @@
         module: QueryScheduler,
         settings: Settings,
         max_connections: int,
-        on_open: Callable[[Attempt, EngineConnection], None],
-        on_attempt_ended: Callable[[Attempt, AttemptResult], None],
+        callbacks: ConnectionCallbacks,
     ) -> None:
         self.context = context
         self.module = module
         self.max_connections = max_connections
-        self.on_open = on_open
-        self.on_attempt_ended = on_attempt_ended
+        self.on_open, self.on_attempt_ended = callbacks
         self.max_streams = settings.connections.max_streams
         self.connect_timeout: Time = settings.connections.connect_timeout
         self.keepalive: Time = settings.connections.keepalive
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -29,7 +29,7 @@
 from hillchute.router.answer_log import AnswerLog
 from hillchute.router.attempts import Attempts
 from hillchute.router.claims import Claims
-from hillchute.router.connection_pool import ConnectionPool, EngineConnection
+from hillchute.router.connection_pool import ConnectionCallbacks, ConnectionPool, EngineConnection
 from hillchute.router.effects import AbortStream, Effect, FailQuery, RejectQuery
 from hillchute.router.events import (
     AlarmDue,
@@ -61,9 +61,8 @@
         self.context = ReducerContext(max(1, settings.tick))
         self.rules = RequestRules(settings)
         self.attempts = Attempts(self.context, module, self.rules, self)
-        self.pool = ConnectionPool(
-            self.context, module, settings, max_connections, self.on_connection_open, self.attempts.end
-        )
+        callbacks = ConnectionCallbacks(on_open=self.on_connection_open, on_attempt_ended=self.attempts.end)
+        self.pool = ConnectionPool(self.context, module, settings, max_connections, callbacks)
         self.loop_lag = LoopLag()
         self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
         self.claims = Claims(self.context, self, settings.retries.order_pause)
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -11,12 +11,12 @@
 from hillchute.errors import ConfigurationError
 from hillchute.settings_translation import without_separators
 
-SEMANTICS = ("repeatable", "by_key", "once")
-SHED_BY = ("all", "zone", "cell")
+SEMANTICS = ("repeatable", "by_key", "once")  # the platform's words for what a query does to the data
+DEDUPLICATION_SCOPES = ("all", "zone", "cell")  # engines that drop repeats of an idempotency key together
 # Blanks and commas become underscores: settings_translation.without_separators.
 CLASS_NAME = re.compile(r"[^\x00-\x1f=]{1,256}")
-LARGEST = 10**18  # nanoseconds, or any other figure: thirty years
-SHOWN = 40  # characters of a wrong value in a message
+LARGEST_FIGURE = 10**18  # nanoseconds, or any other figure: thirty years
+SHOWN_CHARACTERS = 40  # of a wrong value in a message
 
 Number = int | float
 NUMBER_TYPES = (int, float)
@@ -27,7 +27,7 @@
 
     path: str
     least: Number
-    most: Number = LARGEST
+    most: Number = LARGEST_FIGURE
     required: bool = False  # the router can't do without it
     kind: type | tuple[type, ...] = int
     above_least: bool = False  # `least` itself is not allowed
@@ -86,7 +86,7 @@
         check_indexes(item, f"{path}.classes[{index}]", "runs_in", len(zones))
 
 
-def find(table: Mapping[str, object], dotted: str, path: str) -> object:
+def value_at(table: Mapping[str, object], dotted: str, path: str) -> object:
     """The value at a dotted key below `path`; None where it is absent."""
     value: object = table
     for part in dotted.split("."):
@@ -100,7 +100,7 @@
 
 def check_number(table: Mapping[str, object], rule: NumberRule, path: str) -> None:
     """Checks the number that a rule names, where it is there or required."""
-    value = find(table, rule.path, path)
+    value = value_at(table, rule.path, path)
     if value is not None:
         check_value(value, rule, f"{path}.{rule.path}")
     elif rule.required:
@@ -111,7 +111,7 @@
     """Checks a number's kind and bounds."""
     if isinstance(value, bool) or not isinstance(value, rule.kind):
         kind = "a whole number" if rule.kind is int else "a number"
-        raise ConfigurationError(f"expected {kind}, got {shown(value)}", path)
+        raise ConfigurationError(f"expected {kind}, got {quoted(value)}", path)
     number: Number = value  # type: ignore[assignment]  # rule.kind allows only numbers
     if not rule.least <= number <= rule.most or (rule.above_least and number == rule.least):
         bound = f"above {rule.least}" if rule.above_least else f"at least {rule.least}"
@@ -141,11 +141,11 @@
     name = item.get("name")
     if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
         expected = "expected a name without control characters and ="
-        raise ConfigurationError(f"{expected}, got {shown(name)}", f"{path}.name")
+        raise ConfigurationError(f"{expected}, got {quoted(name)}", f"{path}.name")
     for rule in CLASS_NUMBERS:
         check_number(item, rule, path)
     check_choice(item, "semantics", SEMANTICS, path, required=True)
-    check_choice(item, "group", SHED_BY, path)
+    check_choice(item, "group", DEDUPLICATION_SCOPES, path)
     if not isinstance(item.get("keep_order", False), bool):
         raise ConfigurationError("expected true or false", f"{path}.keep_order")
 
@@ -158,7 +158,9 @@
     if value is None and not required:
         return
     if value not in choices:
-        raise ConfigurationError(f"expected one of {', '.join(choices)}, got {shown(value)}", f"{path}.{key}")
+        raise ConfigurationError(
+            f"expected one of {', '.join(choices)}, got {quoted(value)}", f"{path}.{key}"
+        )
 
 
 def check_names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
@@ -171,7 +173,7 @@
 
 def check_number_list(table: Mapping[str, object], rule: NumberRule, path: str, count: int) -> None:
     """Checks a list of at least `count` numbers, or one number for all."""
-    value = find(table, rule.path, path)
+    value = value_at(table, rule.path, path)
     if value is None:
         return
     value_path = f"{path}.{rule.path}"
@@ -194,6 +196,6 @@
         check_value(index, rule, f"{path}.{key}[{number}]")
 
 
-def shown(value: object) -> str:
+def quoted(value: object) -> str:
     """A wrong value as a message shows it."""
-    return repr(str(value)[:SHOWN])
+    return repr(str(value)[:SHOWN_CHARACTERS])
