--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -183,7 +183,7 @@
         self.address = self.door.getsockname()
         table = table or deployment.table(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
-        self.station = config.station(table, {})
+        self.station = config.parse_station(table, {})
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
         self.turn_time, start = (TURN_TIME if time_by_turns else 0), time.monotonic_ns()
@@ -244,7 +244,7 @@
 
     def connected(self):
         """A connection to the engine is up, and one client is logged in."""
-        patience = self.station.catalog["groups.0.queue_timeout"] // MILLISECOND
+        patience = self.station.settings.groups[0].queue_timeout // MILLISECOND
         client = self.client(LOGIN + query(0xFFFF, patience=patience))
         self.until(lambda: client.answers() == ["served"])
         self.wants.clear()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -38,6 +38,7 @@
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import config
 from hillchute.router.telling import Telling
+from hillchute.settings import Settings
 
 KEY = b"k" * 32
 NOW = 17_000_000_000_000
@@ -243,7 +244,7 @@
 @pytest.fixture
 def told():
     """A telling over a module with engines 1 to 3, its clock, and a company of four routers."""
-    catalog = config.settings(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
+    catalog = config.parse_catalog(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
     clock = [NOW]
     settings = FleetSettings(
         name="r0", router_names=["r0", "r1", "r2", "r3"], columns=["inflight"], limits=["cold"], seed=1
@@ -251,7 +252,7 @@
     company = FleetView(settings, NOW)
     soon = []
     found = Telling(
-        QueryScheduler(1, catalog, 0),
+        QueryScheduler(1, Settings.from_catalog(catalog), 0),
         company,
         catalog,
         lambda: clock[0],
