--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -26,7 +26,7 @@
 from hillchute.net.system_calls import SystemCalls
 from hillchute.router import config, events
 from hillchute.router.effects import SendCommand
-from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.lifecycle import Phase
 from hillchute.router.service import Service
 from hillchute.router.shutdown import ShutdownStep
 
@@ -400,8 +400,8 @@
         self.resets = 0
         self.clients: list[Client] = []
         self.station = config.station(deployment.table(engines=4, sockets=256), {})
-        self.lifecycle = Lifecycle(Log("rig", -1))
-        self.service = Service(self.station, Log("rig", -1), self.lifecycle, Poller(self), self.world.time())
+        clock = self.world.time()
+        self.service = Service(self.station, Log("rig", -1), poller=Poller(self), clock=clock)
         self.listener = Listener(self.world)
         self.service.door.open(self.listener)
         self.told: int | None = None
@@ -500,28 +500,29 @@
 
     async def play(self) -> "Rig":
         service, world = self.service, self.world
-        async with anyio.create_task_group() as service.tasks:
+        async with anyio.create_task_group() as tasks:
+            service.attach_tasks(tasks)
             for news in self.station.known:
                 service.handle(events.EndpointsChanged(news))
-            self.lifecycle.enter(Phase.SERVING)
+            service.lifecycle.enter(Phase.SERVING)
             sweep = world.us
             while self.gone is None:
                 await anyio.lowlevel.checkpoint()
-                if self.told is not None and service.shutdown is None:
-                    self.lifecycle.enter(Phase.CLOSING)
-                    service.leave()
-                if service.shutdown is None:
-                    service.round()
-                elif service.step_out() is ShutdownStep.EXIT:
+                if self.told is not None and service.shutdown.schedule is None:
+                    service.lifecycle.enter(Phase.CLOSING)
+                    service.shutdown.begin()
+                if service.shutdown.schedule is None:
+                    service.event_loop.round()
+                elif service.shutdown.advance() is ShutdownStep.EXIT:
                     self.gone = world.us
                 if world.us - sweep >= 100_000:
                     sweep = world.us
                     service.door.sweep()
                 if service.rounds.idle and not world.ready:
                     self.sleep()
-                if service.shutdown is None and world.us - START * 100 > LENGTH * 100 * 12:
+                if service.shutdown.schedule is None and world.us - START * 100 > LENGTH * 100 * 12:
                     break
-            service.tasks.cancel_scope.cancel()
+            tasks.cancel_scope.cancel()
         self.check()
         return self
 
@@ -531,8 +532,8 @@
         times = [world.us + 10_000]
         if world.coming:
             times.append(world.coming[0][0])
-        if self.service.alarm is not None:
-            times.append(self.service.alarm * 100)
+        if self.service.alarm.due_at is not None:
+            times.append(self.service.alarm.due_at * 100)
         world.us = max(world.us, min(times))
 
     # ---- the check of the rules -------------------------------------------------------------------
--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -6,7 +6,6 @@
 import os
 import signal
 import sys
-from collections.abc import Callable, Mapping
 from functools import partial
 
 import anyio
@@ -14,48 +13,54 @@
 from hillchute.errors import HillchuteError
 from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.router import config
-from hillchute.router.lifecycle import Lifecycle
+from hillchute.router.reload import NO_OPERATOR_FILE, OperatorFile
 from hillchute.router.service import Service
 from hillchute.router.signal_handling import SIGNALS
 
+EXIT_CANNOT_START = 2  # exit status: the configuration, an address or keys can't be used
 
-async def serve(
-    station: config.Station,
-    operator: Mapping[str, object] | None,
-    read_again: Callable[[], Mapping[str, object]] | None,
-) -> None:
-    log_settings = (operator or {}).get("log", {})
+
+async def serve(station: config.Station, operator_file: OperatorFile) -> None:
+    """Runs one router until it is told to end; raises what Service and its run() raise."""
+    log_settings = operator_file.settings.get("log", {})
     log = Log(station.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
-    lifecycle = Lifecycle(log)
-    await Service(station, log, lifecycle, operator=operator, read_operator=read_again).run()
+    await Service(station, log, operator_file=operator_file).run()
     log.flush()
 
 
-def main(operator_file: str | None = None) -> int:
+def read_operator_file(path: str) -> OperatorFile:
+    """Reads the operator file; raises ValueError if it can't be used."""
+    from hillchute.operator import reading  # the grammar's library is an extra
+
+    read = partial(reading.read, path)
+    return OperatorFile(read(), read)
+
+
+def print_error(error: Exception) -> None:
+    """Prints an error, with its remedy if it has one, on standard error."""
+    remedy = f"; {error.remedy}" if isinstance(error, HillchuteError) else ""
+    print(f"hillchute: {error}{remedy}", file=sys.stderr)
+
+
+def main(operator_path: str | None = None) -> int:
+    """Runs the program; returns its exit status. `operator_path` goes before HILLCHUTE_OPERATOR."""
     # A signal that comes during the start waits until there is somebody to heed it.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    operator_file = operator_file or os.environ.get("HILLCHUTE_OPERATOR")
-    operator = read_again = None
+    operator_path = operator_path or os.environ.get("HILLCHUTE_OPERATOR")
     try:
         station = config.read()
-        if operator_file:
-            from hillchute.operator import reading  # the grammar's library is an extra
-
-            read_again = partial(reading.read, operator_file)
-            operator = read_again()
-    except (HillchuteError, ValueError) as fault:
-        remedy = f"; {fault.remedy}" if isinstance(fault, HillchuteError) else ""
-        print(f"hillchute: {fault}{remedy}", file=sys.stderr)
-        return 2
-    refused: list[Exception] = []
+        operator_file = read_operator_file(operator_path) if operator_path else NO_OPERATOR_FILE
+    except (HillchuteError, ValueError) as error:
+        print_error(error)
+        return EXIT_CANNOT_START
+    start_errors: list[Exception] = []
     try:
-        anyio.run(serve, station, operator, read_again, backend_options={"use_uvloop": True})
-    except* (OSError, HillchuteError) as faults:  # an address that is taken, keys that can't be read
-        refused.extend(faults.exceptions)
-    for fault in refused:
-        remedy = f"; {fault.remedy}" if isinstance(fault, HillchuteError) else ""
-        print(f"hillchute: {fault}{remedy}", file=sys.stderr)
-    return 2 if refused else 0
+        anyio.run(serve, station, operator_file, backend_options={"use_uvloop": True})
+    except* (OSError, HillchuteError) as group:  # an address that is taken, keys that can't be read
+        start_errors.extend(group.exceptions)
+    for start_error in start_errors:
+        print_error(start_error)
+    return EXIT_CANNOT_START if start_errors else 0
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/hillchute/router/effect_executor.py
@@ -0,0 +1,200 @@
+"""Events in, effects out: gives events to the reducer one by one and carries out what follows from each.
+
+Decides nothing and keeps no state of queries. Protocols are known by the frontends and engine links alone.
+"""
+
+from collections import deque
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+
+import anyio.abc
+
+from hillchute.engines import words
+from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST, Spoilt
+from hillchute.fronts.mysql.door import Door
+from hillchute.log import Log
+from hillchute.net.clock import Clock
+from hillchute.router.alarm import Alarm
+from hillchute.router.effects import (
+    AbortStream,
+    CancelForward,
+    ClaimQuery,
+    CloseConnection,
+    Effect,
+    EndClaim,
+    FailQuery,
+    ForwardQuery,
+    OpenConnection,
+    RejectQuery,
+    SendCommand,
+    SendResult,
+    SetAlarm,
+    StartStream,
+    WriteLog,
+)
+from hillchute.router.event_trace import EventTrace
+from hillchute.router.events import Event, describe
+from hillchute.router.fault_log import FaultLog
+from hillchute.router.integrations.interface import (
+    ExtensionEffect,
+    ForwardingFrontend,
+    Frontend,
+    RouterExtension,
+)
+from hillchute.router.parts import EngineLinks, FlightFrontend
+from hillchute.router.reducer import Reducer
+
+
+@dataclass(eq=False, kw_only=True)
+class EffectExecutor:
+    """Carries out the effects of the reducer, in order.
+
+    An event that comes while an earlier one is carried out waits until all effects of that one are out. A
+    fault in one effect is logged and keeps none of the others from being carried out.
+    """
+
+    reducer: Reducer
+    door: Door
+    flight: FlightFrontend | None  # None: no client speaks Flight SQL
+    extension: RouterExtension | None  # None: no other router is known
+    links: EngineLinks
+    alarm: Alarm
+    trace: EventTrace
+    faults: FaultLog
+    log: Log
+    clock: Clock
+    tasks: anyio.abc.TaskGroup = field(init=False)
+    """Where streams and connections to engines run; to be set before the first event."""
+    busy: bool = field(init=False, default=False)
+    """Events wait: one is being carried out, or they are held."""
+    queue: deque[Event] = field(init=False, default_factory=deque)
+
+    # ---- events -----------------------------------------------------------------------------------
+
+    def handle(self, event: Event) -> None:
+        """Takes in an event, and carries out what follows unless events wait."""
+        self.queue.append(event)
+        if not self.busy:
+            self._handle_queued()
+
+    @contextmanager
+    def events_held(self) -> Iterator[None]:
+        """Within this context events only queue; they are handled at its end, if none was held before."""
+        was_busy = self.busy
+        self.busy = True
+        try:
+            yield
+        finally:
+            self.busy = was_busy
+        if not was_busy:
+            self._handle_queued()
+
+    def _handle_queued(self) -> None:
+        self.busy = True
+        try:
+            while self.queue:
+                self._handle_one(self.queue.popleft())
+        finally:
+            self.busy = False
+
+    def _handle_one(self, event: Event) -> None:
+        """Reduces one event. Its commands to an engine go out together, after all other effects."""
+        now = self.clock()
+        self.trace.record(now, describe(event))
+        commands: dict[int, list[words.Command]] = {}
+        for effect in self.reducer.reduce(event, now):
+            if isinstance(effect, SendCommand):
+                commands.setdefault(effect.connection, []).append(effect.command)
+                continue
+            try:
+                self.carry_out(effect)
+            except Exception as error:  # noqa: BLE001 - a fault in one effect ends that one alone
+                self.faults.write("carry_out", error)
+        for connection, batch in commands.items():
+            try:
+                self.links.send(connection, batch)
+            except Exception as error:  # noqa: BLE001 - a fault in one effect ends that one alone
+                self.faults.write("send", error)
+
+    # ---- effects ----------------------------------------------------------------------------------
+
+    def carry_out(self, effect: Effect) -> None:
+        """Carries out any effect but SendCommand. Raises whatever fault the part that it is for has."""
+        match effect:
+            case SetAlarm(due_at):  # the frequent ones come first
+                self.alarm.set(due_at)
+            case SendResult(session, rows):
+                self.frontend_of(session).finish(session, rows)
+            case WriteLog(event, fields):
+                self._write_log(event, fields)
+            case OpenConnection(connection, host, port):
+                self.links.open(connection, host, port, self.tasks)
+            case CloseConnection(connection):
+                self.links.hang_up(connection)
+            case StartStream(session, stream):
+                self._start_stream(session, stream)
+            case AbortStream() | RejectQuery() | FailQuery():
+                self._answer_without_result(effect)
+            case ClaimQuery() | EndClaim() | ForwardQuery() | CancelForward():
+                self._carry_out_in_extension(effect)
+
+    def frontend_of(self, session: int) -> Frontend:
+        """Who answers the client of a session.
+
+        MySQL's session numbers are the lowest; above them are calls of the Flight SQL frontend, and highest
+        are queries that other routers forwarded.
+        """
+        if session < FIRST_CALL:
+            return self.door
+        if session >= FIRST_GUEST:
+            return self._forwarding_frontend()
+        return self.door if self.flight is None else self.flight
+
+    def _forwarding_frontend(self) -> ForwardingFrontend:
+        if self.extension is None or self.extension.forwarded_queries is None:
+            raise LookupError("no query is forwarded to this router")
+        return self.extension.forwarded_queries
+
+    def _answer_without_result(self, effect: AbortStream | RejectQuery | FailQuery) -> None:
+        frontend = self.frontend_of(effect.session)
+        match effect:
+            case RejectQuery(session, retry_after):
+                frontend.defer(session, retry_after)
+            case FailQuery(session, reason):
+                frontend.kill(session, reason)
+            case AbortStream(session, reason):
+                frontend.cut(session, reason)
+
+    def _carry_out_in_extension(self, effect: ExtensionEffect) -> None:
+        if self.extension is None:
+            raise LookupError(f"no extension is there for {type(effect).__name__}")
+        self.extension.carry_out(effect)
+
+    def _write_log(self, event: str, fields: dict[str, object]) -> None:
+        self.log.write(event, **fields)
+        if event == "fault":
+            self.faults.write_trace()
+
+    # ---- streams ----------------------------------------------------------------------------------
+
+    def _start_stream(self, session: int, stream: words.Stream) -> None:
+        if session < FIRST_CALL:
+            self.tasks.start_soon(self._deliver_stream, session, stream)
+        elif session >= FIRST_GUEST:
+            self._forwarding_frontend().begin(session, stream)
+        elif self.flight is None:
+            raise LookupError("no client speaks Flight SQL")
+        else:
+            self.flight.begin(session, stream)
+
+    async def _deliver_stream(self, session: int, stream: words.Stream) -> None:
+        """Passes a stream on to a MySQL client. A fault in one stream ends that one alone."""
+        try:
+            await self.door.pass_on(session, stream)
+        except BaseException as error:
+            if not isinstance(error, Exception) and self.tasks.cancel_scope.cancel_called:
+                raise
+            self.log.write("fault", what=f"stream of {session}", why=repr(error))
+            stream.close()
+            self.handle(Spoilt(session, "a fault of ours"))
--- /dev/null
+++ b/hillchute/router/graceful_shutdown.py
@@ -0,0 +1,86 @@
+"""The graceful shutdown: carries out the steps that shutdown.py schedules.
+
+Runs between rounds of the event loop, until all clients have their answers and their connections are closed.
+"""
+
+import signal
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from hillchute.decision.interface import Time
+from hillchute.fronts.mysql.door import Door
+from hillchute.log import Log
+from hillchute.net.clock import Clock
+from hillchute.router.effect_executor import EffectExecutor
+from hillchute.router.event_loop import TICKS_PER_MILLISECOND, EventLoop
+from hillchute.router.events import Event, ShutdownStarted
+from hillchute.router.integrations.interface import RouterExtension
+from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.reducer import Reducer
+from hillchute.router.round_schedule import LISTEN_BACKLOG, RoundSchedule
+from hillchute.router.shutdown import ClientActivity, ShutdownSchedule, ShutdownStep
+from hillchute.router.signal_handling import SignalReceiver
+
+
+@dataclass(eq=False, kw_only=True)
+class GracefulShutdown:
+    """One shutdown: begin(), then advance() again and again until it returns EXIT."""
+
+    longest_timeout: Time  # of a client, as far as the shutdown waits for it
+    event_loop: EventLoop
+    executor: EffectExecutor
+    reducer: Reducer
+    rounds: RoundSchedule
+    door: Door
+    extension: RouterExtension | None
+    signals: SignalReceiver
+    lifecycle: Lifecycle
+    log: Log
+    clock: Clock
+    handle: Callable[[Event], None]  # Service.handle
+    schedule: ShutdownSchedule | None = field(init=False, default=None)  # None: not begun
+
+    def begin(self) -> None:
+        """Sets the schedule, counted from the arrival of SIGTERM, and notifies reducer and other routers."""
+        signalled_at = self.signals.arrivals.get(signal.SIGTERM, self.clock())
+        schedule = ShutdownSchedule(signalled_at, self.longest_timeout, self.reducer.loop_lag.worst)
+        self.schedule = schedule
+        signalled_ms_ago = (self.clock() - signalled_at) / TICKS_PER_MILLISECOND
+        exit_in_ms = (schedule.exit_by - self.clock()) / TICKS_PER_MILLISECOND
+        self.log.write("closing", signalled_ms_ago=signalled_ms_ago, exit_in_ms=exit_in_ms)
+        self.handle(ShutdownStarted(schedule.answer_by))
+        if self.extension is not None:
+            self.extension.begin_shutdown()
+
+    def advance(self) -> ShutdownStep:
+        """Makes a round and takes the step that is due after it. Only a round shows what the kernel holds.
+
+        Raises RuntimeError before begin().
+        """
+        if self.schedule is None:
+            raise RuntimeError("the shutdown has not begun")
+        self.event_loop.round()
+        activity = self._client_activity()
+        if self.schedule.sessions_closed_at is None and self.schedule.may_close_sessions(activity):
+            # What the kernel holds at this moment is taken in and, if need be, waited for.
+            self.door.accept(LISTEN_BACKLOG)
+            self.event_loop.round()
+            activity = self._client_activity()
+        step = self.schedule.next_step(activity, len(self.door.clients))
+        if step is not ShutdownStep.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
+            self._reject_unhandled()
+            self.door.close()
+        if step is ShutdownStep.CLOSE_SESSIONS:
+            self.door.hang_up()  # also those whose last bytes have gone out meanwhile
+        return step
+
+    def _client_activity(self) -> ClientActivity:
+        """What is known of the clients as of the last round."""
+        open_queries = len(self.reducer.unanswered) + len(self.rounds.pending)
+        return ClientActivity(self.clock(), self.rounds.last_client_activity, open_queries, self.door.owed())
+
+    def _reject_unhandled(self) -> None:
+        """Rejects queries that were read and not taken: their order within a key was not known in time."""
+        for session in list(self.rounds.pending):
+            self.rounds.discard(session)
+            self.executor.frontend_of(session).defer(session, 0)
--- a/hillchute/router/integrations/interface.py
+++ b/hillchute/router/integrations/interface.py
@@ -43,10 +43,16 @@
     fault of the network or of a disk; those are logged.
     """
 
-    scheduler: QueryScheduler  # stands in the place of the router's own, which it was given
     claims_idempotent: bool  # queries with an idempotency key ask the answer history before they run
     claims_non_idempotent: bool  # so do queries that are unsafe to repeat
-    forwarded_queries: ForwardingFrontend | None  # None: no query is forwarded
+
+    @property
+    def scheduler(self) -> QueryScheduler:
+        """Stands in the place of the router's own, which the constructor was given."""
+
+    @property
+    def forwarded_queries(self) -> ForwardingFrontend | None:
+        """None: no query is forwarded."""
 
     def connect_endpoint_list(self, offset: Callable[[], int]) -> None:
         """`offset` gives the event that the endpoint list has reached; called before anything else."""
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -86,7 +86,7 @@
             self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
             self.handle(event)
-        except Exception:  # a fault in one event must not end the router
+        except Exception:  # noqa: BLE001 - a fault in one event must not end the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
         if context.module_notified:
@@ -143,7 +143,7 @@
         try:
             while (decision := self.module.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:  # a fault of the module must not end the router
+        except Exception:  # noqa: BLE001 - a fault of the module must not end the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
--- a/hillchute/router/reducer_context.py
+++ b/hillchute/router/reducer_context.py
@@ -74,7 +74,7 @@
             self.module_notified = True
             try:
                 timer.callback(*timer.arguments)
-            except Exception:  # a fault in one timer must not keep the others from their time
+            except Exception:  # noqa: BLE001 - a fault in one timer keeps no other from its time
                 self.log_exception(timer.callback.__name__)
 
     def update_alarm(self) -> None:
--- /dev/null
+++ b/hillchute/router/reload.py
@@ -0,0 +1,92 @@
+"""SIGHUP: the configuration and the operator file read again under load.
+
+What can change under load is changed at once; what needs a restart is named in the log. A file that can't be
+used changes nothing.
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeAlias
+
+import anyio.abc
+
+from hillchute.discovery.watcher import EndpointWatcher
+from hillchute.errors import ConfigurationError, HillchuteError
+from hillchute.log import Log
+from hillchute.router import config
+from hillchute.router.config import Station
+from hillchute.router.endpoint_updates import EndpointUpdates
+from hillchute.router.integrations.interface import RouterExtension
+from hillchute.router.parts import FlightFrontend
+
+OperatorSettings: TypeAlias = Mapping[str, Any]
+"""The operator file's sections as nested maps, checked and with defaults (hillchute/operator/schema.cue)."""
+
+
+class OperatorFile(NamedTuple):
+    """The operator file as it was read, and a way to read it again.
+
+    `read` raises ValueError (hillchute.operator's OperatorFileError) if the file can't be used.
+    """
+
+    settings: OperatorSettings
+    read: Callable[[], OperatorSettings] | None = None  # None: it is read only once
+
+
+NO_OPERATOR_FILE = OperatorFile({})
+"""Nothing beyond the platform's protocol is on."""
+
+
+@dataclass(eq=False, kw_only=True)
+class ConfigurationReloader:
+    """Holds the configuration that is in force, and replaces it."""
+
+    station: Station
+    operator_file: OperatorFile
+    endpoint_updates: EndpointUpdates
+    endpoint_watcher: EndpointWatcher
+    flight: FlightFrontend | None
+    extension: RouterExtension | None
+    log: Log
+
+    def reload(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Reads both files again; the event bus is watched at its new address in `tasks`."""
+        try:
+            station = config.read()
+        except ConfigurationError as error:
+            self.log.write("reload", kept="the running configuration", why=str(error), **error.log_fields)
+            return
+        restart = config.needs_restart(self.station, station) + self._reload_operator_file()
+        self.log.write("reload", bus=list(station.bus), needs_restart=restart)
+        self.station = self.station._replace(bus=station.bus)
+        for update in station.known:
+            self.endpoint_updates.on_watch_event(update)
+        self.endpoint_watcher.watch(self.station.bus, tasks)
+
+    def _reload_operator_file(self) -> list[str]:
+        """Returns the paths of what needs a restart; none if the file can't be used, which is logged."""
+        if self.operator_file.read is None:
+            return []
+        try:
+            return self._apply(self.operator_file.read())
+        except ValueError as error:
+            remedy = error.log_fields if isinstance(error, HillchuteError) else {}
+            self.log.write("reload", kept="the running operator file", why=str(error), **remedy)
+            return []
+
+    def _apply(self, settings: OperatorSettings) -> list[str]:
+        """Changes what can change under load; returns the paths of the rest."""
+        running = self.operator_file.settings
+        restart = [section for section in ("engines", "log") if settings[section] != running[section]]
+        flight = settings.get("flight")
+        if self.flight is not None and flight is not None:
+            restart += [f"flight.{name}" for name in self.flight.renew(flight)]
+        elif running.get("flight") != flight:
+            restart.append("flight")
+        peers = settings.get("peers")
+        if self.extension is not None and peers is not None:
+            restart += self.extension.reload(settings)
+        elif running.get("peers") != peers:
+            restart.append("peers")
+        self.operator_file = self.operator_file._replace(settings=settings)
+        return restart
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -17,7 +17,7 @@
 from hillchute.net.poller import Poller
 from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events
-from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.lifecycle import Phase
 from hillchute.router.service import Service
 
 MILLISECOND = 10  # tenths of a millisecond
@@ -182,11 +182,10 @@
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
         self.clock = clock or Clock(lambda: time.monotonic_ns() + self.ahead)
-        lifecycle = Lifecycle(self.log)
-        self.service = Service(self.station, self.log, lifecycle, Poller(system), self.clock)
-        self.service.tasks = None
+        self.service = Service(self.station, self.log, poller=Poller(system), clock=self.clock)
+        self.service.attach_tasks(None)
         self.service.door.open(self.door)
-        lifecycle.enter(Phase.SERVING)
+        self.service.lifecycle.enter(Phase.SERVING)
         self.talks, self.wants, self.clients = [], [], []
         self.fields = {}  # of each attempt that came to the engine
         self.serving = True
@@ -195,7 +194,9 @@
     def list(self, number, state=EndpointState.READY, started=0, engine=1, port=None):
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
-        self.service.told(WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),)))
+        self.service.endpoint_updates.on_watch_event(
+            WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),))
+        )
 
     def client(self, data=LOGIN):
         client = Client(self)
@@ -224,7 +225,7 @@
 
     def turn(self, rounds=1):
         for _ in range(rounds):
-            self.service.round()
+            self.service.event_loop.round()
             self.engine()
 
     def until(self, done):
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -2,7 +2,6 @@
 
 import random
 from collections import Counter
-from types import SimpleNamespace
 
 import pytest
 from conftest import LOOKUP, REPORT
@@ -24,7 +23,7 @@
 from hillchute.discovery import event_bus
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
-from hillchute.router.service import Service
+from hillchute.router.retry_delays import RetryDelays
 
 SIZES = [(1, 1), (3, 8), (7, 3), (60, 20), (200, 80), (50, 300), (230, 1)]
 fleets = st.tuples(st.integers(1, 120), st.sets(st.integers(0, 2**32 - 1), min_size=1, max_size=60))
@@ -178,9 +177,8 @@
 
 def test_router_of_many_comes_back_to_the_event_bus_at_moments_of_its_own():
     def waits(seed):
-        service = Service.__new__(Service)
-        service.station, service.waits = SimpleNamespace(seed=seed), 0
-        return [service.wait(0.25) for _ in range(4)]
+        delays = RetryDelays(seed)
+        return [delays.next_delay(0.25) for _ in range(4)]
 
     fleet = [waits(seed) for seed in range(200)]
     for one_try in zip(*fleet):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import FaultySystemCalls
-from hillchute.router import service
+from hillchute.router import config
 
 KEYED = {"route": "event-load", "entity": "ab", "patience": 8_000}
 ANSWERS = {"served", REFUSED[0], FAILED[0]}
@@ -54,7 +54,7 @@
     client = rig.connected()
     rig.serving = False
     client.write(query(1, patience=patience))
-    rig.service.round()
+    rig.service.event_loop.round()
     asked = list(rig.service.reducer.unanswered.values())
     for q in asked:
         assert q.deadline <= q.received_at + patience * MILLISECOND
@@ -184,7 +184,7 @@
             break
         if n == 20:
             other.write(query(2, route="nobody"))
-        rig.service.round()
+        rig.service.event_loop.round()
     rig.turn(3)
     assert other.answers() == [FAILED[0]] and len(client.answers()) == 1
     (q,) = rig.service.reducer.unanswered.values()
@@ -199,7 +199,7 @@
 def test_engine_drains_while_a_connect_to_it_is_under_way(rig):
     client = rig.client(LOGIN + query(1))
     while not rig.service.links.links:
-        rig.service.round()
+        rig.service.event_loop.round()
     rig.list(2, state="Terminating")
     rig.turn(5)
     assert rig.wants == [] and len(rig.service.reducer.unanswered) == 1
@@ -218,13 +218,13 @@
         filler.connect_ex(rig.listener.getsockname())
     client = rig.client(LOGIN + query(1))
     while not rig.service.links.links:
-        rig.service.round()
+        rig.service.event_loop.round()
     (link,) = rig.service.links.links.values()
     late = link.sock
-    rig.service.round()
+    rig.service.event_loop.round()
     assert late.fileno() >= 0 and link.pipe is None  # under way
     rig.pass_time(rig.service.reducer.pool.connect_timeout / 10_000 + 0.01)
-    rig.service.round()
+    rig.service.event_loop.round()
     assert late.fileno() < 0  # closed before it could come up
     for filler in fillers:
         filler.close()
@@ -336,10 +336,10 @@
 
 def test_reload_under_an_open_query_changes_nothing_for_it(rig, monkeypatch):
     client = out(rig)
-    monkeypatch.setattr(service.config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
+    monkeypatch.setattr(config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
     monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda *about: None)
     rig.talks[0].serve(ids(1)[0])  # its answer is on its way as the signal comes
-    rig.service.reload()
+    rig.service.reloader.reload(rig.service.tasks)
     rig.turn(2)
     assert client.answers() == ["served", "served"]
 
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -66,9 +66,9 @@
 
 def test_query_on_hold_for_a_connect_is_looked_at_again_before_its_first_byte(rig):
     client = rig.client(LOGIN + query(1))
-    rig.service.round()  # accepted, read, and put in its place
+    rig.service.event_loop.round()  # accepted, read, and put in its place
     while not rig.service.links.links:
-        rig.service.round()
+        rig.service.event_loop.round()
     (link,) = rig.service.links.links.values()
     assert link.pipe is None  # the connect is under way
     client.close()
@@ -121,7 +121,7 @@
     assert rig.wants == []
     client.close()
     rig.pass_time(0.5)
-    assert rig.service.alarm < rig.clock()
+    assert rig.service.alarm.due_at < rig.clock()
     rig.turn(5)
     assert rig.wants == [] and not rig.service.reducer.unanswered
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,6 +10,7 @@
 from hillchute.discovery import event_bus, watcher
 from hillchute.discovery.event_bus import FRAME_HEADER, Endpoint, WatchEvent
 from hillchute.discovery.watcher import EndpointWatcher
+from hillchute.router.retry_delays import RetryDelays
 
 KEEPALIVE = FRAME_HEADER.pack(9, 0, 0)
 FIRST, SECOND, THIRD = (("127.0.0.1", port) for port in (1, 2, 3))
@@ -214,7 +215,7 @@
     (old,) = rig.service.links.links.values()
     started = rig.clock() - 200_000  # long enough ago to be warm
     entries = [entry(rig, "Terminating"), entry(rig, "Gone"), entry(rig, "Ready", started)]
-    rig.service.told(WatchEvent(2, "Partial", tuple(entries)))
+    rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", tuple(entries)))
     assert rig.service.reducer.module.engines[1].ready
     assert old.pipe.closed  # the process that it was open to is gone
     client.write(query(1))
@@ -227,7 +228,9 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),)))
+    rig.service.endpoint_updates.on_watch_event(
+        WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),))
+    )
     other.write(query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2  # the new attempt went to the new process, on a connection of its own
@@ -242,7 +245,9 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2))))
+    rig.service.endpoint_updates.on_watch_event(
+        WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2)))
+    )
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2
@@ -261,7 +266,7 @@
 
 
 def test_engine_of_a_kind_that_the_settings_do_not_name_gets_nothing_and_the_rest_of_the_list_counts(rig):
-    rig.service.told(
+    rig.service.endpoint_updates.on_watch_event(
         WatchEvent(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating")))
     )
     engines = rig.service.reducer.module.engines
@@ -271,15 +276,7 @@
 
 
 def test_routers_that_lose_it_in_one_instant_do_not_come_back_in_one_instant():
-    from types import SimpleNamespace
-
-    from hillchute.router.service import Service
-
-    waits = []
-    for seed in range(200):
-        service = SimpleNamespace(station=SimpleNamespace(seed=seed), waits=0)
-        waits.append(Service.wait(service, watcher.RETRY_DELAY))
-    waits.sort()
+    waits = sorted(RetryDelays(seed).next_delay(watcher.RETRY_DELAY) for seed in range(200))
     tenth = watcher.RETRY_DELAY / 10
     assert max(sum(start <= wait < start + tenth for wait in waits) for start in waits) < 40
     assert waits[0] >= watcher.RETRY_DELAY / 2 and waits[-1] <= watcher.RETRY_DELAY * 1.5
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -177,9 +177,11 @@
 
 def unknown_kind(log: RecordingLog, tmp_path: Path) -> None:
     rig = Rig()
-    rig.service.log = log
+    rig.service.endpoint_updates.log = log
     listing = Listing(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
-    rig.service.told(WatchEvent(2, "Partial", (Endpoint(listing, "127.0.0.1", 1),)))
+    rig.service.endpoint_updates.on_watch_event(
+        WatchEvent(2, "Partial", (Endpoint(listing, "127.0.0.1", 1),))
+    )
     rig.close()
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -26,7 +26,7 @@
 from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.system_calls import SYSTEM_CALLS
-from hillchute.router import config, events, loop_lag, service
+from hillchute.router import config, events, loop_lag, signal_handling
 from hillchute.router.effects import (
     CloseConnection,
     FailQuery,
@@ -36,8 +36,9 @@
     SendResult,
     WriteLog,
 )
-from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.lifecycle import Phase
 from hillchute.router.reducer import Reducer
+from hillchute.router.service import Service
 from hillchute.statements import request as statement
 
 COMMENT = b"/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,weight=820.0,mb=96 */ "
@@ -598,10 +599,9 @@
 
 @pytest.fixture
 def router(station):
-    log = Log("n1", -1)
-    lifecycle = Lifecycle(log)
-    lifecycle.enter(Phase.SERVING)
-    return service.Service(station, log, lifecycle)
+    router = Service(station, Log("n1", -1))
+    router.lifecycle.enter(Phase.SERVING)
+    return router
 
 
 def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
@@ -617,11 +617,14 @@
                 raise found
             return found
 
-        monkeypatch.setattr(service.config, "read", read)
+        monkeypatch.setattr(config, "read", read)
         monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
-        monkeypatch.setattr(service.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2))
+        monkeypatch.setattr(
+            signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2)
+        )
         router.station = station._replace(bus=buses[0].getsockname(), offset=7)
-        async with anyio.create_task_group() as router.tasks:
+        async with anyio.create_task_group() as tasks:
+            router.attach_tasks(tasks)
             router.endpoint_watcher.watch(router.station.bus, router.tasks)
             first = (await anyio.to_thread.run_sync(buses[0].accept))[0]
             assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.encode_subscription(7)
@@ -629,7 +632,7 @@
             second = (await anyio.to_thread.run_sync(buses[1].accept))[0]
             assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.encode_subscription(7)
             assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # left
-            router.tasks.cancel_scope.cancel()
+            tasks.cancel_scope.cancel()
         for sock in (*buses, first, second):
             sock.close()
 
@@ -713,11 +716,12 @@
     """Runs a router's door on a port of its own while `talk` speaks to it in a thread."""
     listener = socket.create_server(("127.0.0.1", 0))
     router.door.open(listener)
-    async with anyio.create_task_group() as router.tasks:
-        router.tasks.start_soon(router.work)
-        router.tasks.start_soon(router.sweep)
+    async with anyio.create_task_group() as tasks:
+        router.attach_tasks(tasks)
+        tasks.start_soon(router.event_loop.run)
+        tasks.start_soon(router.event_loop.run_sweep)
         await anyio.to_thread.run_sync(talk, listener.getsockname())
-        router.tasks.cancel_scope.cancel()
+        tasks.cancel_scope.cancel()
     router.door.close()
 
 
@@ -775,7 +779,7 @@
         if effect == "first one":
             router.handle("second")
 
-    monkeypatch.setattr(router, "carry_out", carry_out)
+    monkeypatch.setattr(router.executor, "carry_out", carry_out)
     router.handle("first")
     assert done == ["first one", "first two", "second one", "second two"]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -125,7 +125,7 @@
         tracemalloc.start()
         rig = Rig(table=deployment.table(routers=200))
         entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-        rig.service.told(WatchEvent(2, "Complete", entries))
+        rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Complete", entries))
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rig.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
-from hillchute.router import service, shutdown
+from hillchute.router import config, shutdown, signal_handling
 from hillchute.router.lifecycle import Lifecycle, Phase
 from hillchute.router.round_schedule import ACCEPT_LIMIT
 from hillchute.router.shutdown import ShutdownStep
@@ -34,8 +34,8 @@
 
 def terminate(rig):
     rig.service.lifecycle.enter(Phase.CLOSING)
-    rig.service.leave()
-    return rig.service.shutdown
+    rig.service.shutdown.begin()
+    return rig.service.shutdown.schedule
 
 
 def go_to(rig, time):
@@ -44,7 +44,7 @@
 
 
 def step(rig):
-    found = rig.service.step_out()
+    found = rig.service.shutdown.advance()
     rig.engine()
     return found
 
@@ -129,16 +129,16 @@
     assert not rig.service.lifecycle.enter(Phase.CLOSING)
     end = schedule.answer_by
     moved = []
-    monkeypatch.setattr(service.config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
+    monkeypatch.setattr(config, "read", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
     monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda bus, tasks: moved.append(bus))
-    monkeypatch.setattr(service.signal, "pthread_sigmask", lambda *_: None)
+    monkeypatch.setattr(signal_handling.signal, "pthread_sigmask", lambda *_: None)
     monkeypatch.setattr(
-        service.anyio, "open_signal_receiver", lambda *_: Signals(signal.SIGHUP, signal.SIGTERM)
+        signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(signal.SIGHUP, signal.SIGTERM)
     )
     monkeypatch.setattr(rig.service.signals, "record_arrival", lambda number: None)
     anyio.run(rig.service.signals.listen, rig.service.on_signal)
     assert moved == [("127.0.0.1", 9)] and rig.service.lifecycle.phase is Phase.CLOSING
-    assert rig.service.shutdown is schedule and schedule.answer_by == end
+    assert rig.service.shutdown.schedule is schedule and schedule.answer_by == end
     rig.list(2, state="Terminating")
     client.write(query(1, patience=rig.longest))
     for _ in range(10):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -137,7 +137,7 @@
 
     monkeypatch.setattr(unsafe.service.poller, "poll", poll_then_close)
     unsafe.first.write(query(5, "change"))
-    unsafe.service.round()
+    unsafe.service.event_loop.round()
     monkeypatch.undo()
     unsafe.until(lambda: len(unsafe.first.answers()) == 2)
     assert unsafe.first.answers()[1] == "served"
@@ -161,7 +161,7 @@
     calls = unsafe.system.calls["send"]
     unsafe.system.fault = Fault("send", max_bytes=1, first=calls + 1)
     unsafe.first.write(query(5, "change"))
-    unsafe.service.round()
+    unsafe.service.event_loop.round()
     unsafe.system.fault = Fault("send", "ECONNRESET", calls + 2)
     unsafe.until(lambda: len(unsafe.first.answers()) == 2)
     assert unsafe.first.answers()[1] == FAILED[0]
@@ -202,7 +202,7 @@
     rig.until(lambda: len(rig.service.door.clients) == 3 and not rig.service.door.seats.steps)
     staying.write(query(6))
     system.fault = Fault("send", max_bytes=9, first=system.calls["send"] + 1, count=1)
-    rig.service.round()
+    rig.service.event_loop.round()
     assert link.pipe.unsent  # the engine took nine bytes of the first
     system.fault = Fault("send", "EAGAIN", first=1, count=10**9)
     leaving.write(query(7))
