--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one router: python -m hillchute.router, told what it needs by EDGE_NAME, EDGE_LISTEN, EDGE_CONFIG.
+"""Starts one router: python -m hillchute.router, configured by EDGE_NAME, EDGE_LISTEN, EDGE_CONFIG.
 
 HILLCHUTE_OPERATOR may name an operator file, without which nothing beyond the platform's protocol is on.
 """
@@ -21,7 +21,7 @@
 
 
 async def serve(station: config.Station, operator_file: OperatorFile) -> None:
-    """Runs one router until it is told to end; raises what Service and its run() raise."""
+    """Runs one router until a signal ends it; raises what Service and its run() raise."""
     log_settings = operator_file.settings.get("log", {})
     log = Log(station.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
     await Service(station, log, operator_file=operator_file).run()
--- a/hillchute/router/alarm.py
+++ b/hillchute/router/alarm.py
@@ -5,9 +5,8 @@
 
 import anyio
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import SECOND, Time
 from hillchute.net.clock import Clock
-from hillchute.router.config import SECOND
 
 WAIT_WITHOUT_ALARM = 3600.0  # seconds; a wait has to end somewhere, and setting the alarm ends it earlier
 
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -1,13 +1,13 @@
 """The log's lines on answers: one a second that counts them all, and one for each that is worth a look."""
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import MILLISECOND, SECOND, Time
 from hillchute.discovery import event_bus
 from hillchute.router.connection_pool import ConnectionPool
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.query_state import QueryState
 from hillchute.router.reducer_context import ReducerContext
 
-LOG_INTERVAL: Time = 10_000  # a second between two lines that count the answers
+LOG_INTERVAL: Time = SECOND  # between two lines that count the answers
 
 
 class AnswerLog:
@@ -24,7 +24,7 @@
         """An answer was given, so long after its query came."""
         count = self.counts.setdefault((group, outcome), [0, 0.0])
         count[0] += 1
-        count[1] += elapsed / 10
+        count[1] += elapsed / MILLISECOND
         if self.context.now - self.logged_at >= LOG_INTERVAL:
             self.log_counts(open_queries)
 
@@ -39,8 +39,8 @@
             "answers",
             count_and_mean_ms=answers,
             open=open_queries,
-            late=self.loop_lag.worst / 10,
-            behind=self.loop_lag.standing_delay / 10,
+            late=self.loop_lag.worst / MILLISECOND,
+            behind=self.loop_lag.standing_delay / MILLISECOND,
         )
         # Hundreds of engines in each line would cost more than queries do: only those that are active.
         endpoints = self.pool.endpoints
@@ -56,7 +56,7 @@
         """Writes a line on one query and its attempts; times in milliseconds since it came."""
         received_at = query.received_at
         tries = [
-            (event_bus.engine_name(attempt.engine), (attempt.started_at - received_at) / 10)
+            (event_bus.engine_name(attempt.engine), (attempt.started_at - received_at) / MILLISECOND)
             for attempt in query.attempts
         ]
         self.context.log(
@@ -65,7 +65,7 @@
             group=query.request.group,
             how=outcome,
             tries=tries,
-            after=(self.context.now - received_at) / 10,
-            patience=query.request.patience / 10,
+            after=(self.context.now - received_at) / MILLISECOND,
+            patience=query.request.patience / MILLISECOND,
             session=query.session,
         )
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -7,7 +7,14 @@
 
 from typing import Protocol
 
-from hillchute.decision.interface import AttemptEnded, AttemptResult, EngineId, QueryId, Time
+from hillchute.decision.interface import (
+    MILLISECOND,
+    AttemptEnded,
+    AttemptResult,
+    EngineId,
+    QueryId,
+    Time,
+)
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
@@ -75,7 +82,7 @@
         attempt.sent = True
         connection.attempts[request.id] = attempt
         connection.last_used_at = now
-        milliseconds = -(-(attempt.deadline - now) // 10)
+        milliseconds = -(-(attempt.deadline - now) // MILLISECOND)
         token = request.token if self.rules.group_of(request) in self.rules.idempotent else None
         run = words.Run(request.id, request.group, milliseconds, query.priority, token, request.statement)
         self.context.emit(SendCommand(connection.number, run))
@@ -140,10 +147,10 @@
         final: bool = False,
         message: words.Over | words.Whole | words.Ended | None = None,
     ) -> None:
-        """An attempt has ended; the decision module is told, once.
+        """An attempt has ended; the decision module is notified, once.
 
-        `cancel_run`: the engine is told to give the run up; `final`: the client has its answer with this;
-        `message`: what the engine said with the end.
+        `cancel_run`: the engine is asked to give the run up; `final`: the client has its answer with this;
+        `message`: what the engine sent with the end.
         """
         if attempt.ended:
             return
@@ -187,7 +194,7 @@
         cost = None
         report = None
         if message is not None:
-            cost = round((message.work or 0) * 10) or None
+            cost = round((message.work or 0) * MILLISECOND) or None
             report = message.report
         now = self.context.now
         elapsed = now - attempt.started_at
@@ -198,7 +205,7 @@
     # ---- what engines send ------------------------------------------------------------------------
 
     def on_message(self, connection: EngineConnection, message: words.Said) -> None:
-        """An engine says something of an attempt; of one that was given up it is ignored."""
+        """A message of an engine on an attempt; on one that was given up it is ignored."""
         if message is None or isinstance(message, words.Probed):
             return
         attempt = connection.attempts.get(message.id)
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -1,7 +1,7 @@
 """Queries that need the answer history's word before they run, from the question to its end.
 
 The history (or, where it names another partner as the owner of the query's slot, the router that the query is
-forwarded to) decides; this module carries that out and tells the history how the query ended.
+forwarded to) decides; this module carries that out and notifies the history how the query ended.
 """
 
 from typing import Protocol
--- a/hillchute/router/effect_executor.py
+++ b/hillchute/router/effect_executor.py
@@ -42,7 +42,7 @@
     Frontend,
     RouterExtension,
 )
-from hillchute.router.parts import EngineLinks, FlightFrontend
+from hillchute.router.interfaces import EngineLinks, FlightFrontend
 from hillchute.router.reducer import Reducer
 
 
--- a/hillchute/router/effects.py
+++ b/hillchute/router/effects.py
@@ -15,7 +15,7 @@
 
 
 class SendResult(NamedTuple):
-    """The whole result goes to the client."""
+    """The complete result goes to the client."""
 
     session: int
     rows: words.Rows
@@ -36,14 +36,14 @@
 
 
 class RejectQuery(NamedTuple):
-    """The client is told that nothing ran and that trying again is harmless."""
+    """The client is notified that nothing ran and that trying again is harmless."""
 
     session: int
     retry_after: Time  # 0: no wait is named
 
 
 class FailQuery(NamedTuple):
-    """The client is told that the query failed; it may have run."""
+    """The client is notified that the query failed; it may have run."""
 
     session: int
     reason: str
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -12,7 +12,7 @@
 import anyio
 import anyio.lowlevel
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import MILLISECOND, Time
 from hillchute.engines.line.links import Link, Links
 from hillchute.fronts.events import Asked
 from hillchute.fronts.mysql.door import Client, Door
@@ -30,7 +30,6 @@
 CLIENTS_PER_ALARM_CHECK = 32  # clients read between two looks at the alarm: about 2 ms
 PAUSE_THRESHOLD: Time = 500  # 50 ms without a poll: clients are then read before the alarm is acted on
 LOGGED_ALARM_LAG: Time = 500  # 50 ms: an alarm that is acted on later than that is logged
-TICKS_PER_MILLISECOND = 10
 
 
 class ReadySockets(NamedTuple):
@@ -197,6 +196,6 @@
             return
         lag = now - due_at
         if lag > LOGGED_ALARM_LAG:
-            self.log.write("lag", ms=lag / TICKS_PER_MILLISECOND)
+            self.log.write("lag", ms=lag / MILLISECOND)
         self.alarm.clear()
         self.handle(AlarmDue())
--- a/hillchute/router/event_trace.py
+++ b/hillchute/router/event_trace.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import MILLISECOND, Time
 
 CAPACITY = 2_000  # events: about a second of a busy router, 300 kB
 EVENTS_PER_BATCH = 100  # in one line of the log, so that the whole trace stays within its lines a second
@@ -41,4 +41,4 @@
         newest = events[-1].time
         for start in range(0, len(events), EVENTS_PER_BATCH):
             batch = events[start : start + EVENTS_PER_BATCH]
-            yield [[(event.time - newest) / 10, *event.details] for event in batch]
+            yield [[(event.time - newest) / MILLISECOND, *event.details] for event in batch]
--- a/hillchute/router/fault_log.py
+++ b/hillchute/router/fault_log.py
@@ -2,10 +2,9 @@
 
 import traceback
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import SECOND, Time
 from hillchute.log import Log
 from hillchute.net.clock import Clock
-from hillchute.router.config import SECOND
 from hillchute.router.event_trace import EventTrace
 
 TRACEBACK_FRAMES = -6  # the innermost ones: those name the fault
--- a/hillchute/router/graceful_shutdown.py
+++ b/hillchute/router/graceful_shutdown.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import MILLISECOND, Time
 from hillchute.fronts.mysql.door import Door
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.router.effect_executor import EffectExecutor
-from hillchute.router.event_loop import TICKS_PER_MILLISECOND, EventLoop
+from hillchute.router.event_loop import EventLoop
 from hillchute.router.events import Event, ShutdownStarted
 from hillchute.router.integrations.interface import RouterExtension
 from hillchute.router.lifecycle import Lifecycle, Phase
@@ -45,8 +45,8 @@
         signalled_at = self.signals.arrivals.get(signal.SIGTERM, self.clock())
         schedule = ShutdownSchedule(signalled_at, self.longest_timeout, self.reducer.loop_lag.worst)
         self.schedule = schedule
-        signalled_ms_ago = (self.clock() - signalled_at) / TICKS_PER_MILLISECOND
-        exit_in_ms = (schedule.exit_by - self.clock()) / TICKS_PER_MILLISECOND
+        signalled_ms_ago = (self.clock() - signalled_at) / MILLISECOND
+        exit_in_ms = (schedule.exit_by - self.clock()) / MILLISECOND
         self.log.write("closing", signalled_ms_ago=signalled_ms_ago, exit_in_ms=exit_in_ms)
         self.handle(ShutdownStarted(schedule.answer_by))
         if self.extension is not None:
--- a/hillchute/router/parts.py
+++ b/hillchute/router/interfaces.py
@@ -1,4 +1,4 @@
-"""What the router asks of the parts that the operator file chooses: engine links and the Flight SQL frontend.
+"""Interfaces of the parts that the operator file chooses: engine links and the Flight SQL frontend.
 
 The router's extension, which it chooses as well, has its interface in integrations/interface.py.
 """
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -24,7 +24,7 @@
     ASKED = "asked"  # it waits for the history's decision
     GRANTED = "granted"  # it may run
     FORWARDED = "forwarded"  # it is at a router of another partner
-    RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be told
+    RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be notified
 
 
 class QueryOutcome(StrEnum):
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -79,7 +79,7 @@
     def reduce(self, event: Event, now: Time) -> list[Effect]:
         """Takes in one event; gives the effects that follow from it, in order."""
         context = self.context
-        # A message of an engine tells the module nothing that it decides by, unless an attempt ends with it.
+        # A message of an engine has nothing for the module to decide by, unless an attempt ends with it.
         context.begin_event(now, module_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
@@ -199,7 +199,7 @@
     # ---- queries ----------------------------------------------------------------------------------
 
     def on_query(self, session: int, request: Request, received_at: Time) -> None:
-        """A query has come whole: it is failed where it can't be a query, rejected, or taken."""
+        """A complete query was received: it is failed where it can't be a query, rejected, or taken."""
         fault = self.find_fault(session, request)
         if fault is not None:
             self.context.emit(FailQuery(session, fault))
@@ -298,9 +298,10 @@
         self.module.on_shutdown(self.context.now, answer_by)
         for query in list(self.unanswered.values()):
             query.deadline = min(query.deadline, answer_by)
-            names = (query.request.id, query.number)
-            self.context.call_at(query.deadline + 2 * LAST_ANSWER_MARGIN, self.on_timeout, *names)
-            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, *names)
+            query_id, number = query.request.id, query.number
+            last_moment = query.deadline + 2 * LAST_ANSWER_MARGIN
+            self.context.call_at(last_moment, self.on_timeout, query_id, number)
+            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, query_id, number)
 
     # ---- answers ----------------------------------------------------------------------------------
 
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -17,7 +17,7 @@
 from hillchute.router.config import Station
 from hillchute.router.endpoint_updates import EndpointUpdates
 from hillchute.router.integrations.interface import RouterExtension
-from hillchute.router.parts import FlightFrontend
+from hillchute.router.interfaces import FlightFrontend
 
 OperatorSettings: TypeAlias = Mapping[str, Any]
 """The operator file's sections as nested maps, checked and with defaults (hillchute/operator/schema.cue)."""
--- a/hillchute/router/retry_delays.py
+++ b/hillchute/router/retry_delays.py
@@ -3,7 +3,7 @@
 from zlib import crc32
 
 from hillchute.coordination import jitter
-from hillchute.router.config import SECOND
+from hillchute.decision.interface import SECOND
 
 
 class RetryDelays:
--- a/hillchute/router/round_schedule.py
+++ b/hillchute/router/round_schedule.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingQuery:
-    """A query that was read whole and is not taken yet."""
+    """A complete query that was read and is not taken yet."""
 
     session: int
     request: Request
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -31,8 +31,8 @@
 from hillchute.router.fault_log import FaultLog
 from hillchute.router.graceful_shutdown import GracefulShutdown
 from hillchute.router.integrations.interface import RouterExtension
+from hillchute.router.interfaces import EngineLinks, FlightFrontend
 from hillchute.router.lifecycle import Lifecycle, Phase
-from hillchute.router.parts import EngineLinks, FlightFrontend
 from hillchute.router.reducer import Reducer
 from hillchute.router.reload import NO_OPERATOR_FILE, ConfigurationReloader, OperatorFile, OperatorSettings
 from hillchute.router.retry_delays import RetryDelays
--- a/hillchute/router/shutdown.py
+++ b/hillchute/router/shutdown.py
@@ -1,7 +1,7 @@
 """The schedule of a graceful shutdown: when the router stops accepting, closes its sessions, and exits.
 
-Pure: the caller says after each whole round of the event loop what it sees, and does what it is told. Times
-are whole tenths of a millisecond, counted from the arrival of SIGTERM:
+Pure: the caller says after each complete round of the event loop what it sees, and takes the step that is
+due. Times are whole tenths of a millisecond, counted from the arrival of SIGTERM:
 
     answer_by          answers are due by then; queries that come later are answered at once
     close_sessions_by  sessions are closed: LAST_WAIT after `answer_by`, and not while clients still come
@@ -41,7 +41,7 @@
     now: Time
     last_activity: Time  # when a byte or a connection last came from a client
     open_queries: int  # without an answer yet
-    unsent_answers: int  # sessions whose last answer the kernel has not taken whole
+    unsent_answers: int  # sessions whose last answer the kernel has not taken completely
 
 
 class ShutdownSchedule:
--- a/hillchute/router/signal_handling.py
+++ b/hillchute/router/signal_handling.py
@@ -14,7 +14,7 @@
 class SignalReceiver:
     """Gives signals to the event loop, and knows when SIGTERM and SIGINT arrived.
 
-    The event loop is told of a signal a round later than it arrives; a shutdown counts from the arrival.
+    The event loop is notified of a signal a round later than it arrives; a shutdown counts from the arrival.
     """
 
     def __init__(self, clock: Clock) -> None:
