--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -75,14 +75,14 @@
     def reduce(self, event: Event, now: Time) -> list[Effect]:
         """Takes in one event; gives the effects that follow from it, in order."""
         context = self.context
-        # A message of an engine tells the module nothing that it decides by, unless an attempt ends with it.
+        # A message of an engine has nothing for the module to decide by, unless an attempt ends with it.
         context.begin_event(now, module_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
             self.handle(event)
-        except Exception:  # a fault in one event must not end the router
+        except Exception:  # noqa: BLE001 - a fault in one event must not end the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
         if context.module_notified:
@@ -139,7 +139,7 @@
         try:
             while (decision := self.module.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:  # a fault of the module must not end the router
+        except Exception:  # noqa: BLE001 - a fault of the module must not end the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
@@ -195,7 +195,7 @@
     # ---- queries ----------------------------------------------------------------------------------
 
     def on_query(self, session: int, request: Request, received_at: Time) -> None:
-        """A query has come whole: it is failed where it can't be a query, rejected, or taken."""
+        """A complete query was received: it is failed where it can't be a query, rejected, or taken."""
         fault = self.find_fault(session, request)
         if fault is not None:
             self.context.emit(FailQuery(session, fault))
@@ -294,9 +294,10 @@
         self.module.on_shutdown(self.context.now, answer_by)
         for query in list(self.unanswered.values()):
             query.deadline = min(query.deadline, answer_by)
-            names = (query.request.id, query.number)
-            self.context.call_at(query.deadline + 2 * LAST_ANSWER_MARGIN, self.on_timeout, *names)
-            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, *names)
+            query_id, number = query.request.id, query.number
+            last_moment = query.deadline + 2 * LAST_ANSWER_MARGIN
+            self.context.call_at(last_moment, self.on_timeout, query_id, number)
+            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, query_id, number)
 
     # ---- answers ----------------------------------------------------------------------------------
 
