--- a/hillchute/router/remembering.py
+++ b/hillchute/router/integrations/history.py
@@ -33,7 +33,7 @@
 from hillchute.peers.node import Node
 from hillchute.router.effects import ClaimOutcome
 from hillchute.router.events import ClaimVerdict
-from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
+from hillchute.router.integrations.fragmented_channel import LOGGED, Riding, rows_in, rows_out
 
 VERDICTS = {
     ClaimDecision.RUN: ClaimVerdict.RUN,
--- a/hillchute/router/partnering.py
+++ b/hillchute/router/integrations/partners.py
@@ -30,8 +30,8 @@
 from hillchute.peers.datagrams import DatagramKind, PeerState
 from hillchute.peers.node import Node
 from hillchute.router.events import ClaimVerdict
+from hillchute.router.integrations.fragmented_channel import LOGGED, Riding, rows_in, rows_out
 from hillchute.router.request_rules import history_key
-from hillchute.router.riding import LOGGED, Riding, rows_in, rows_out
 from hillchute.statements.request import Request
 
 # By then all that have less by a new agreement use less.
--- a/hillchute/router/peering.py
+++ b/hillchute/router/integrations/peers.py
@@ -21,8 +21,8 @@
 from hillchute.router.config import Station, address
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
 from hillchute.router.events import ClaimDecided, ClaimVerdict, Event, PeersChanged
+from hillchute.router.integrations.fleet_scheduler import Telling
 from hillchute.router.integrations.interface import ExtensionEffect
-from hillchute.router.telling import Telling
 
 HAND_OVER = 80_000  # a router that ends waits so long for others to fetch what it has: two views' time
 HAND_OVER_STEP = 0.05  # seconds between two looks at it
@@ -74,13 +74,13 @@
         self.scheduler = self.telling
         self.remembering = self.partnering = None
         if operator.get("partners"):
-            from hillchute.router.partnering import Partnering
+            from hillchute.router.integrations.partners import Partnering
 
             about = (operator["partners"], self.node, catalog, station.seed, self.clock, log)
             self.partnering = Partnering(*about, self.judged, handle, self.ride, unix)
             self.telling.partnering = self.partnering
         if operator.get("history"):
-            from hillchute.router.remembering import Remembering
+            from hillchute.router.integrations.history import Remembering
 
             deeds = self.partnering and self.partnering.council.ownership
             about = (operator["history"], self.node, self.clock, log, self.judged, self.ride, deeds)
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -164,7 +164,7 @@
         return Server(settings, self.reducer.rules.groups, self.log, self.clock, self.handle)
 
     def router_extension(self, operator: Mapping[str, object], module: QueryScheduler) -> RouterExtension:
-        from hillchute.router.peering import Peering
+        from hillchute.router.integrations.peers import Peering
 
         return Peering(operator, self.station, module, self.log, self.handle, self.clock)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -31,9 +31,9 @@
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, TransportCallbacks
 from hillchute.router import config
-from hillchute.router.partnering import Partnering
-from hillchute.router.peering import Peering
-from hillchute.router.remembering import Remembering
+from hillchute.router.integrations.history import Remembering
+from hillchute.router.integrations.partners import Partnering
+from hillchute.router.integrations.peers import Peering
 
 KEY = b"k" * 32
 ROOT = Path(__file__).parents[1]
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -26,7 +26,7 @@
     RejectQuery,
     SendResult,
 )
-from hillchute.router.partnering import Partnering
+from hillchute.router.integrations.partners import Partnering
 from hillchute.router.reducer import Reducer
 from hillchute.router.request_rules import history_key
 from hillchute.statements.request import Request
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -37,7 +37,7 @@
 from hillchute.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import config
-from hillchute.router.telling import Telling
+from hillchute.router.integrations.fleet_scheduler import Telling
 
 KEY = b"k" * 32
 NOW = 17_000_000_000_000
@@ -327,16 +327,18 @@
     program = (
         "import sys, hillchute.router.__main__, hillchute.router.service;"
         "print(*[name for name in sys.modules if name.startswith(('hillchute.peers', 'msgspec', 'sqlite3',"
-        " 'hillchute.history', 'hillchute.partners', 'cryptography', 'hillchute.router.remembering'))"
-        " or name in ('hillchute.coordination.fleet_view', 'hillchute.router.peering',"
-        " 'hillchute.router.telling')])"
+        " 'hillchute.history', 'hillchute.partners', 'cryptography',"
+        " 'hillchute.router.integrations.history'))"
+        " or name in ('hillchute.coordination.fleet_view', 'hillchute.router.integrations.peers',"
+        " 'hillchute.router.integrations.fleet_scheduler')])"
     )
     told = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == ""
     program = (
-        "import sys, hillchute.router.peering; print(*[name for name in sys.modules if name.startswith(("
-        "'hillchute.history', 'sqlite3', 'hillchute.partners', 'hillchute.router.remembering',"
-        "'hillchute.router.partnering', 'cryptography'))])"
+        "import sys, hillchute.router.integrations.peers;"
+        "print(*[name for name in sys.modules if name.startswith(("
+        "'hillchute.history', 'sqlite3', 'hillchute.partners', 'hillchute.router.integrations.history',"
+        "'hillchute.router.integrations.partners', 'cryptography'))])"
     )
     told = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == ""
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -24,8 +24,8 @@
 from hillchute.peers import fragmentation
 from hillchute.router import events
 from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
+from hillchute.router.integrations.history import book_of
 from hillchute.router.reducer import Reducer
-from hillchute.router.remembering import book_of
 from hillchute.statements.request import Request
 
 DISK = RetentionPolicy(rows=True, disk=True, least_ms=20_000, most_ms=60_000)
