--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -224,6 +224,10 @@
     def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
         """Another router passed on a load report, which is so old; an older one than is known is ignored."""
 
+    def on_fleet_changed(self, now: Time) -> None:
+        """What other routers observe, which of them live, or what they lend may have changed. A scheduler
+        that knows of no peers has nothing to read anew."""
+
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
         """An engine reports how far an attempt has come."""
 
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -222,6 +222,10 @@
         if state is not None and report and now - age >= state.reported_at:
             self.load.read_report(now, state, report, age)
 
+    def on_fleet_changed(self, now: Time) -> None:
+        """Ignored: what follows from other routers comes by `on_subset` and `on_load_report`."""
+        self.now = now
+
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
         """Ignored: it concerns one attempt, and the open attempts show an engine's load sooner."""
         del query, attempt, topic, figure
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -25,7 +25,7 @@
 from hillchute.lab.partners_net import PATIENCE, SECOND, PartnersNet, crowd, founded, swing
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.slot_allocation import allocate_slots, allocate_slots_by_load, count_moves
-from hillchute.router.integrations.partners import GROWS_AFTER
+from hillchute.router.integrations.pool_quota import ENTITLEMENT_SETTLING_TIME
 
 WHOLE = 1_000_000
 TICK: Time = 2_000  # of the pool's simulation
@@ -211,7 +211,7 @@
                 units=home,
                 floor=least,
                 group=frozenset(ours),
-                settling_time=GROWS_AFTER,
+                settling_time=ENTITLEMENT_SETTLING_TIME,
                 confined=name in self.confined,
             )
             quotas.set_entitlement(self.now, "pool", entitlement)
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -7,8 +7,7 @@
 
 from typing import Protocol
 
-from hillchute.decision.interface import AttemptEnded, AttemptResult, EngineId, QueryId, Time
-from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.interface import AttemptEnded, AttemptResult, EngineId, QueryId, Scheduler, Time
 from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.router.connection_pool import ConnectionPool, Endpoint, EngineConnection
@@ -37,7 +36,7 @@
     """The attempts of all queries of a router."""
 
     def __init__(
-        self, context: ReducerContext, module: QueryScheduler, rules: RequestRules, owner: QueryOwner
+        self, context: ReducerContext, module: Scheduler, rules: RequestRules, owner: QueryOwner
     ) -> None:
         self.context = context
         self.module = module
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -11,8 +11,7 @@
 from typing import Any
 
 from hillchute.coordination.subsetting import Subset
-from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Time
-from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Scheduler, Time
 from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
@@ -62,7 +61,7 @@
     def __init__(
         self,
         context: ReducerContext,
-        module: QueryScheduler,
+        module: Scheduler,
         catalog: Mapping[str, Any],
         max_connections: int,
         on_open: Callable[[Attempt, EngineConnection], None],
--- a/hillchute/router/integrations/fleet_scheduler.py
+++ b/hillchute/router/integrations/fleet_scheduler.py
@@ -1,13 +1,17 @@
-"""The decision module in company: what it is told and what it decides also goes to the company, and what the
-company makes of other routers' words goes to it.
+"""The scheduler of a router with peers: what it learns goes to the fleet's view, and what follows from other
+routers' observations comes back.
 
-Owns which event of the module is worth telling, and the engines that are closed by others' word. Must never
-decide, hold a tuned value, or touch a socket. Only a router with peers has one.
+Owns which event of the scheduler is an observation for the fleet, and the engines that are closed by others'
+observations. Decides nothing, holds no tuned value, and touches no socket. Times that the router gives are of
+its own clock; the fleet's view has another, which never jumps. Both count tenths of a millisecond.
 """
 
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from typing import Protocol
 
-from hillchute.coordination.fleet_view import LIMIT_UNITS, FleetView
+from hillchute.coordination.fleet_view import LIMIT_UNITS, WARM_UP_LIMIT, FleetView
+from hillchute.coordination.quota_leases import QuotaLeases
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.interface import (
     SECOND,
@@ -30,149 +34,262 @@
 from hillchute.decision.slow_start import WARM_UP_BUDGET_SHARE
 from hillchute.decision.statistics import TRAFFIC_SPAN, WorkWindow
 
+POOL_LIMIT = "pool"  # the limit on what a router uses of partners' engines, as messages and settings name it
 
-class Telling:
-    """Stands where the module stood: what is not told of here passes through."""
+
+class CapacityPool(Protocol):
+    """The engines that partners share, as their agreement divides them."""
+
+    def on_endpoint_list(self, listings: Iterable[Listing]) -> None:
+        """The endpoint list has changed; these are all its entries."""
+
+    def update_entitlement(self, quotas: QuotaLeases) -> None:
+        """Sets this router's entitlement to the pool, as of now."""
+
+
+def _offset_before_any_list() -> int:
+    return 0
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetAccess:
+    """What a scheduler among peers needs of the router's part in the fleet."""
+
+    view: FleetView
+    clock: Callable[[], Time]  # the view's
+    live_peers: Callable[[], list[str]]
+    schedule_digests: Callable[[], None]  # called when there is something to send
+
+
+class FleetScheduler:
+    """A `QueryScheduler` among peers; implements `decision.interface.Scheduler`."""
 
     def __init__(
         self,
-        module: QueryScheduler,
-        company: FleetView,
-        catalog: Mapping[str, object],
-        clock: Callable[[], Time],
-        living: Callable[[], list[str]],
-        soon: Callable[[], None],
+        *,
+        scheduler: QueryScheduler,
+        fleet: FleetAccess,
+        pool: CapacityPool | None = None,
     ) -> None:
-        """`clock` is the company's, which never jumps; times that the module gets are of another. `soon` is
-        told when something waits to be said."""
-        self.module, self.company, self.catalog = module, company, catalog
-        self.clock, self.living, self.soon = clock, living, soon
-        self.multiple, self.span = (catalog.get(f"guarantees.{x}", 0) for x in ("tip_multiple", "fall"))
+        """`pool`: where there are partners."""
+        self.scheduler = scheduler
+        self.fleet = fleet.view
+        self.clock = fleet.clock
+        self.live_peers = fleet.live_peers
+        self.schedule_digests = fleet.schedule_digests
+        self.pool = pool
+        self.list_offset = _offset_before_any_list
         self.listings: dict[EngineId, Listing] = {}
-        self.closed: frozenset[EngineId] = frozenset()
-        self.reached: Callable[[], int] = lambda: 0  # the event that the list has reached
-        self.until: Time = 0
-        self.partnering = None  # where there are partners
-        self.work = WorkWindow(0)  # of late, all of it: what this router wants of the pool
-        self.asking: dict[QueryId, int] = {}  # the resource group of each query that is not answered
+        self.closed: frozenset[EngineId] = frozenset()  # engines that others' observations close
+        self.state_valid_until: Time = 0  # of the fleet view's state, by its clock
+        self.recent_work = WorkWindow(0)  # where there are partners: all that this router wants of the pool
+        self.groups_by_query: dict[QueryId, int] = {}  # the resource group of each query without an answer
 
-    def __getattr__(self, name: str) -> object:
-        return getattr(self.module, name)
+    def connect_endpoint_list(self, offset: Callable[[], int]) -> None:
+        """`offset` gives the event that the endpoint list has reached; until this call it is 0."""
+        self.list_offset = offset
 
-    # ---- from the router to the module, and to the company --------------------------------------------
+    @property
+    def engines(self) -> Mapping[EngineId, EngineState]:
+        """All engines that are known; callers only look at them."""
+        return self.scheduler.engines
+
+    # ---- inputs that the fleet's view learns from -------------------------------------------------------
 
     def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
+        """The endpoint list, or a change of it, has come; `on_subset` follows."""
         listings = list(listings)
-        self.module.on_endpoint_list(now, mode, listings)
+        self.scheduler.on_endpoint_list(now, mode, listings)
         if mode != ListMode.ERROR:
             known = {} if mode == ListMode.COMPLETE else self.listings
             self.listings = known | {entry.engine: entry for entry in listings}
 
-    def on_subset(self, now: Time, engines: frozenset[EngineId]) -> None:
-        """The list has changed: sights and circles follow from the names of the peers, not from settings."""
-        ready = {e for e, entry in self.listings.items() if entry.state == EndpointState.READY}
-        self.company.on_endpoint_list(self.clock(), self.reached(), ready, self.listings.keys() - ready)
-        if self.partnering is not None:
-            self.partnering.listed(self.listings.values())
-        self.stand(now)
+    def on_subset(
+        self,
+        now: Time,
+        engines: frozenset[EngineId],
+        routers: int | None = None,
+        shares: Mapping[str | EngineId, float] | None = None,
+    ) -> None:
+        """The endpoint list has changed. Subset, routers and shares follow from the peers' names instead of
+        from the settings, so the caller's are not used."""
+        del engines, routers, shares
+        ready = {engine for engine, entry in self.listings.items() if entry.state == EndpointState.READY}
+        closed = self.listings.keys() - ready
+        self.fleet.on_endpoint_list(self.clock(), self.list_offset(), ready, closed)
+        if self.pool is not None:
+            self.pool.on_endpoint_list(self.listings.values())
+        self.on_fleet_changed(now)
 
     def on_query(self, now: Time, query: NewQuery) -> None:
-        self.company.count_query(query.group, rejected=False)
-        self.asking[query.id] = query.group
-        self.module.on_query(now, query)
-        if self.partnering is not None and query.id in self.module.queries:
-            self.work.add(now, self.module.queries[query.id].work, TRAFFIC_SPAN)
+        """A query was admitted."""
+        self.fleet.count_query(query.group, rejected=False)
+        self.groups_by_query[query.id] = query.group
+        self.scheduler.on_query(now, query)
+        if self.pool is not None and query.id in self.scheduler.queries:
+            self.recent_work.add(now, self.scheduler.queries[query.id].work, TRAFFIC_SPAN)
 
     def on_client_left(self, now: Time, query: QueryId) -> None:
-        self.asking.pop(query, None)
-        self.module.on_client_left(now, query)
+        """Nobody waits for the query any more."""
+        self.groups_by_query.pop(query, None)
+        self.scheduler.on_client_left(now, query)
 
     def on_attempt_ended(self, now: Time, ended: AttemptEnded) -> None:
-        query = self.module.queries.get(ended.query)
+        """An attempt has ended; one that is not known, or has ended before, changes nothing."""
+        query = self.scheduler.queries.get(ended.query)
         engine = None
         if query is not None and ended.attempt < len(query.attempts):
             engine = query.attempts[ended.attempt].engine
-        self.module.on_attempt_ended(now, ended)
+        self.scheduler.on_attempt_ended(now, ended)
         if ended.final:
-            self.asking.pop(ended.query, None)
+            self.groups_by_query.pop(ended.query, None)
         if engine is not None:
-            self.saw(engine, ended.result, ended.report)
+            self._observe(engine, ended.result, ended.report)
 
     def on_health_check(
         self, now: Time, engine: EngineId, result: AttemptResult, report: Report | None
     ) -> None:
-        self.module.on_health_check(now, engine, result, report)
-        self.saw(engine, result, report)
+        """A health check of this router has ended."""
+        self.scheduler.on_health_check(now, engine, result, report)
+        self._observe(engine, result, report)
 
-    def saw(self, engine: EngineId, result: AttemptResult, report: Report | None) -> None:
-        known, now = self.module.engines.get(engine), self.clock()
+    def _observe(self, engine: EngineId, result: AttemptResult, report: Report | None) -> None:
+        """An engine has answered this router, or has failed to."""
+        state = self.scheduler.engines.get(engine)
+        now = self.clock()
         if report:
-            self.company.on_load_report(now, engine, report)
-            self.soon()
+            self.fleet.on_load_report(now, engine, report)
+            self.schedule_digests()
         elif result == AttemptResult.SERVED:
-            self.company.on_success(now, engine)
-        elif known is not None and known.failures > 1:
-            self.company.on_failure(now, engine)
+            self.fleet.on_success(now, engine)
+        elif state is not None and state.failures > 1:
+            self.fleet.on_failure(now, engine)
+
+    # ---- inputs for the scheduler alone -----------------------------------------------------------------
+
+    def admits(self, now: Time, group: int, lateness: float) -> bool:
+        """Whether a query of this group is admitted while the event loop runs so late."""
+        return self.scheduler.admits(now, group, lateness)
+
+    def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
+        """Another router passed on a load report: it is not passed on once more."""
+        self.scheduler.on_load_report(now, engine, report, age)
 
-    # ---- from the module to the router ----------------------------------------------------------------
+    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
+        """An engine reports how far an attempt has come."""
+        self.scheduler.on_progress(now, query, attempt, topic, figure)
+
+    def on_stream_started(self, now: Time, query: QueryId) -> None:
+        """The first part of a streamed result has come."""
+        self.scheduler.on_stream_started(now, query)
+
+    def on_shutdown(self, now: Time, deadline: Time) -> None:
+        """This router ends: every query is answered by then."""
+        self.scheduler.on_shutdown(now, deadline)
+
+    def on_timer(self, now: Time, name: str) -> None:
+        """The time of a `Wake` has come."""
+        self.scheduler.on_timer(now, name)
+
+    # ---- decisions --------------------------------------------------------------------------------------
 
     def next_decision(self, now: Time) -> Decision | None:
-        # Guards against a process that stood still: what it was lent is looked at before it decides again.
-        if self.clock() >= self.until:
-            self.stand(now)
-        decision = self.module.next_decision(now)
+        """The next decision, or None if there is nothing to do at this time."""
+        # A process that stood still wakes with leases that have expired: they are read anew first.
+        if self.clock() >= self.state_valid_until:
+            self.on_fleet_changed(now)
+        decision = self.scheduler.next_decision(now)
         match decision:
             case Submit(query, engine):
-                self.submitted(now, query, engine)
+                self._count_warm_up_work(now, query, engine)
             case Reject(query) | Fail(query):
-                self.company.count_query(self.asking.pop(query, 0), rejected=True)
+                self.fleet.count_query(self.groups_by_query.pop(query, 0), rejected=True)
         return decision
 
-    def submitted(self, now: Time, query: QueryId, engine: EngineId) -> None:
-        known = self.module.engines[engine]
-        if known.is_warming_up(now):
-            self.company.on_warm_up_work(self.clock(), engine, int(self.module.queries[query].work))
-
-    # ---- from the company to the module -----------------------------------------------------------------
-
-    def stand(self, now: Time) -> None:
-        """The module is told how things stand with the others, as of now."""
-        self.wants(now)
-        tips = {e.id: self.multiple * self.span * e.usable_cores(now) for e in self.warming(now)}
-        standing = self.company.state(self.clock(), self.living(), tips, self.span)
-        self.until = standing.valid_until
-        self.module.on_subset(now, standing.subset, standing.routers, {**standing.shares, **self.pool()})
-        engines, listings = self.module.engines, self.listings
-        shut = [e for e in standing.closed if e in listings and e in engines and engines[e].ready]
-        changed = [listings[e]._replace(state=EndpointState.DRAINING) for e in shut]
-        changed += [listings[e] for e in self.closed - standing.closed if e in listings]
-        self.closed = standing.closed
+    def _count_warm_up_work(self, now: Time, query: QueryId, engine: EngineId) -> None:
+        """An attempt is submitted: other routers learn of it where its engine is warming up."""
+        if self.scheduler.engines[engine].is_warming_up(now):
+            work = int(self.scheduler.queries[query].work)
+            self.fleet.on_warm_up_work(self.clock(), engine, work)
+
+    # ---- from the fleet to the scheduler ----------------------------------------------------------------
+
+    def on_fleet_changed(self, now: Time) -> None:
+        """Other routers' observations, the live routers or the leases may have changed: the scheduler gets
+        the fleet's state as of now."""
+        self._request_quotas(now)
+        warm_up = self.scheduler.settings.warm_up
+        overload_work = {
+            engine.id: warm_up.budget_multiple * warm_up.budget_window * engine.usable_cores(now)
+            for engine in self._warming_engines(now)
+        }
+        state = self.fleet.state(self.clock(), self.live_peers(), overload_work, warm_up.budget_window)
+        self.state_valid_until = state.valid_until
+        shares = dict(state.shares) | self._pool_share()
+        self.scheduler.on_subset(now, state.subset, state.routers, shares)
+        self._close_engines(now, state.closed)
+
+    def _close_engines(self, now: Time, closed: frozenset[EngineId]) -> None:
+        """Engines that are closed by now are draining for the scheduler; others are as they are listed."""
+        engines = self.scheduler.engines
+        newly_closed = [
+            engine
+            for engine in closed
+            if engine in self.listings and engine in engines and engines[engine].ready
+        ]
+        changed = [self.listings[engine]._replace(state=EndpointState.DRAINING) for engine in newly_closed]
+        changed += [self.listings[engine] for engine in self.closed - closed if engine in self.listings]
+        self.closed = closed
         if changed:
-            self.module.on_endpoint_list(now, ListMode.PARTIAL, changed)
+            self.scheduler.on_endpoint_list(now, ListMode.PARTIAL, changed)
 
-    def pool(self) -> dict[str, float]:
-        """With partners: how many routers of this one's size the pool would have, by its part of it."""
-        if self.partnering is None:
+    def _pool_share(self) -> dict[str | EngineId, float]:
+        """Where there are partners: how many routers with this one's share the pool would serve."""
+        if self.pool is None:
             return {}
-        return {"pool": 1 / max(1 / LIMIT_UNITS, self.company.quotas.usable_share("pool", self.clock()))}
-
-    def warming(self, now: Time) -> list[EngineState]:
-        return [e for e in self.module.engines.values() if e.ready and e.is_warming_up(now)]
-
-    def wants(self, now: Time) -> None:
-        """What this router's traffic would use of each shared limit now."""
-        module, quotas = self.module, self.company.quotas
-        if self.partnering is not None:
-            self.partnering.pool(quotas)
-            cores = sum(e.usable_cores(now) for e in module.engines.values() if e.ready)
-            rate = self.work.rate(now, TRAFFIC_SPAN)
-            quotas.set_requested("pool", int(LIMIT_UNITS * min(1.0, rate / cores)) if cores else 0)
-        if "cold" in quotas.limits:
-            able = sum(e.usable_cores(now) for e in self.warming(now))
-            rate = module.light_query_rate(now)
-            quotas.set_requested("cold", int(LIMIT_UNITS * rate / able / WARM_UP_BUDGET_SHARE) if able else 0)
-        for tenant, taken in module.traffic.by_tenant.items():
-            rate = self.catalog.get(f"parties.{tenant}.quota_per_s")
-            if rate and f"parties.{tenant}" in quotas.limits:
-                span = module.traffic.span(now)
-                quotas.set_requested(f"parties.{tenant}", int(LIMIT_UNITS * taken * SECOND / span / rate))
+        share = self.fleet.quotas.usable_share(POOL_LIMIT, self.clock())
+        return {POOL_LIMIT: 1 / max(1 / LIMIT_UNITS, share)}
+
+    def _warming_engines(self, now: Time) -> list[EngineState]:
+        return [
+            engine for engine in self.scheduler.engines.values() if engine.ready and engine.is_warming_up(now)
+        ]
+
+    # ---- quotas -----------------------------------------------------------------------------------------
+
+    def _request_quotas(self, now: Time) -> None:
+        """Says what this router's traffic would use now of each limit that the routers have in common."""
+        if self.pool is not None:
+            self._request_pool(now, self.pool)
+        if WARM_UP_LIMIT in self.fleet.quotas.limits:
+            self._request_warm_up(now)
+        self._request_tenant_quotas(now)
+
+    def _request_pool(self, now: Time, pool: CapacityPool) -> None:
+        quotas = self.fleet.quotas
+        pool.update_entitlement(quotas)
+        cores = sum(engine.usable_cores(now) for engine in self.scheduler.engines.values() if engine.ready)
+        rate = self.recent_work.rate(now, TRAFFIC_SPAN)
+        quotas.set_requested(POOL_LIMIT, int(LIMIT_UNITS * min(1.0, rate / cores)) if cores else 0)
+
+    def _request_warm_up(self, now: Time) -> None:
+        cores = sum(engine.usable_cores(now) for engine in self._warming_engines(now))
+        rate = self.scheduler.light_query_rate(now)
+        units = int(LIMIT_UNITS * rate / cores / WARM_UP_BUDGET_SHARE) if cores else 0
+        self.fleet.quotas.set_requested(WARM_UP_LIMIT, units)
+
+    def _request_tenant_quotas(self, now: Time) -> None:
+        quotas = self.fleet.quotas
+        traffic = self.scheduler.traffic
+        for number, queries in traffic.by_tenant.items():
+            tenant = self.scheduler.settings.tenants.get(number)
+            limit = tenant_limit(number)
+            if tenant is not None and tenant.quota_per_s and limit in quotas.limits:
+                span = traffic.span(now)
+                units = int(LIMIT_UNITS * queries * SECOND / span / tenant.quota_per_s)
+                quotas.set_requested(limit, units)
+
+
+def tenant_limit(number: int) -> str:
+    """The name of the limit on one tenant's queries, as messages and settings have it."""
+    return f"parties.{number}"
--- /dev/null
+++ b/hillchute/router/integrations/forwarded_queries.py
@@ -0,0 +1,184 @@
+"""Queries that are forwarded between partners' routers: between the reducer and `QueryForwarder`.
+
+Owns which query of the reducer stands behind which forwarded one, and answers those that came from other
+routers. What is sent when, and sent again, is partners/forwarding.py's.
+"""
+
+from collections.abc import Callable, Iterable
+from functools import partial
+
+import msgspec
+
+from hillchute.decision.interface import Time
+from hillchute.engines.words import Rows, Stream
+from hillchute.fronts.events import Asked, Left, Spoilt
+from hillchute.partners import messages
+from hillchute.partners.forwarding import Arrival, Completion, QueryForwarder
+from hillchute.partners.messages import ForwardOutcome
+from hillchute.peers.datagrams import PeerState
+from hillchute.peers.node import Node
+from hillchute.router.effects import CancelForward, ForwardQuery
+from hillchute.router.events import ClaimDecided, ClaimVerdict
+from hillchute.router.integrations.fragmented_channel import ExtensionContext, QueryKey
+from hillchute.router.integrations.rows_codec import decode_rows, encode_rows
+from hillchute.router.request_rules import history_key
+from hillchute.statements.request import Request
+
+VERDICTS = {
+    ForwardOutcome.SERVED: ClaimVerdict.REPLAY,
+    ForwardOutcome.REJECTED: ClaimVerdict.REJECT,
+    ForwardOutcome.FAILED: ClaimVerdict.FAIL,
+}
+
+
+class ForwardedQueries:
+    """Both directions at one router; implements `interface.ForwardingFrontend` for those that come in."""
+
+    def __init__(self, *, context: ExtensionContext, router_clock: Callable[[], Time]) -> None:
+        """`router_clock`: the one of the reducer's events, which is not the peers'."""
+        node = context.node
+        self.context = context
+        self.router_clock = router_clock
+        is_over = partial(is_generation_over, node)
+        self.forwarder = QueryForwarder(node.name, node.generation, node.generations, is_over)
+        self.forward_numbers: dict[QueryKey, int] = {}  # the forwarder's, of outgoing queries
+        self.queries: dict[int, QueryKey] = {}  # by the forwarder's number
+
+    # ---- outgoing: the reducer's queries ------------------------------------------------------------------
+
+    def forward(self, effect: ForwardQuery, routers: Iterable[str]) -> None:
+        """Forwards a query to one of its owner's routers; a ClaimDecided follows."""
+        request = effect.request
+        customer, key, _ = history_key(request)
+        target = self.forwarder.choose_target(routers, customer, key)
+        if target is None:
+            reason = "no router of its slot's owner is known to live"
+            self.context.handle(ClaimDecided(effect.query, effect.number, ClaimVerdict.REJECT, reason, None))
+            return
+        now = self.context.clock()
+        message = message_of(request, effect.time_left)
+        number = self.forwarder.forward(now, target, message, now + effect.time_left)
+        query = (effect.query, effect.number)
+        self.forward_numbers[query] = number
+        self.queries[number] = query
+        self.context.schedule_messages()
+
+    def cancel(self, effect: CancelForward) -> None:
+        """Nobody waits any more for a query that was forwarded; one that has ended is not known."""
+        number = self.forward_numbers.pop((effect.query, effect.number), None)
+        if number is not None:
+            self.queries.pop(number, None)
+            self.forwarder.cancel(number)
+            self.context.schedule_messages()
+
+    # ---- from the forwarder to the reducer ----------------------------------------------------------------
+
+    def deliver(self) -> None:
+        """Gives the reducer what has come of messages and of time."""
+        forwarder = self.forwarder
+        completions, forwarder.completions = forwarder.completions, []
+        arrivals, forwarder.arrivals = forwarder.arrivals, []
+        abandoned, forwarder.abandoned = forwarder.abandoned, []
+        for completion in completions:
+            query = self.queries.pop(completion.number, None)
+            if query is not None:
+                del self.forward_numbers[query]
+                self.context.handle(claim_decided(query, completion))
+        for arrival in arrivals:
+            self.context.handle(Asked(arrival.session, request_of(arrival), self.router_clock()))
+        for session in abandoned:
+            self.context.handle(Left(session))
+
+    @property
+    def has_unacknowledged_results(self) -> bool:
+        """Whether a result is on its way that may not have arrived."""
+        return self.forwarder.has_unacknowledged_results
+
+    # ---- the frontend of incoming queries -----------------------------------------------------------------
+
+    def finish(self, session: int, rows: Rows) -> None:
+        """The query was served."""
+        self._answer(session, ForwardOutcome.SERVED, "", encode_rows(rows))
+
+    def defer(self, session: int, after: Time) -> None:
+        """The query was rejected without effect. The router that forwarded it names its own wait."""
+        del after
+        self._answer(session, ForwardOutcome.REJECTED, "its owner's router turned it away")
+
+    def kill(self, session: int, reason: str) -> None:
+        """The query failed; it may have run."""
+        self._answer(session, ForwardOutcome.FAILED, reason)
+
+    def cut(self, session: int, reason: str) -> None:
+        """The result that was begun can't go on."""
+        self._answer(session, ForwardOutcome.FAILED, reason)
+
+    def begin(self, session: int, stream: Stream) -> None:
+        """A result that comes as a stream can't be forwarded; results of forwarded queries are short."""
+        stream.close()
+        self.context.handle(Spoilt(session, "a result that comes as a stream can't be passed on"))
+
+    def _answer(self, session: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None) -> None:
+        self.forwarder.answer(self.context.clock(), session, outcome, reason, rows)
+        self.context.schedule_messages()
+
+
+def is_generation_over(node: Node, router: str, generation: int) -> bool:
+    """Whether a generation of a router is known to be over: the router is dead or unknown, or was heard in a
+    later one (0: no generation is known). One that shuts down still answers."""
+    peer = node.failure_detector.peers.get(router)
+    if peer is None or peer.state == PeerState.DEAD:
+        return True
+    window = node.replay_windows.get(router)
+    return window is not None and generation != 0 and window.generation > generation
+
+
+def claim_decided(query: QueryKey, completion: Completion) -> ClaimDecided:
+    """How a query that was forwarded ended, as the reducer gets it."""
+    outcome = completion.outcome
+    reason = completion.reason
+    try:
+        rows = None if completion.rows is None else decode_rows(completion.rows)
+    except msgspec.DecodeError:
+        rows = None
+        outcome = ForwardOutcome.FAILED
+        reason = "its rows can't be read"
+    if outcome is ForwardOutcome.SERVED and rows is None:
+        outcome = ForwardOutcome.FAILED
+        reason = "it has finished; its rows did not come"
+    query_id, number = query
+    return ClaimDecided(query_id, number, VERDICTS[outcome], f"passed on: {reason}", rows)
+
+
+def message_of(request: Request, time_left: Time) -> messages.ForwardQuery:
+    """A request as it is sent; the forwarder fills in number and incarnations."""
+    return messages.ForwardQuery(
+        number=0,
+        incarnation=0,
+        target_incarnation=0,
+        query_id=request.id,
+        group=request.group,
+        statement=request.statement,
+        idempotency_key=request.token,
+        cost=request.cost,
+        memory=request.memory,
+        ordering_key=request.key,
+        customer=request.customer,
+        time_left=time_left,
+    )
+
+
+def request_of(arrival: Arrival) -> Request:
+    """A forwarded query as a client's request: its timeout is the time that is left."""
+    query = arrival.query
+    return Request(
+        id=query.query_id,
+        group=query.group,
+        patience=query.time_left,
+        statement=query.statement,
+        token=query.idempotency_key,
+        cost=query.cost,
+        memory=query.memory,
+        key=query.ordering_key,
+        customer=query.customer,
+    )
--- a/hillchute/router/integrations/history.py
+++ b/hillchute/router/integrations/history.py
@@ -1,21 +1,21 @@
-"""A router's part in the answer history: puts replica, disk and the peers' node together from the operator
-file's `history`.
+"""The answer history of a router: its replica, its disk and its channel to peers, by the operator file's
+`history`.
 
 Owns that wiring, the way between the reducer's queries and the replica's claims, and what is logged of it.
-Must never decide; imported only where the operator file has `history`.
+Decides nothing; imported only where the operator file has `history`.
 """
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
+from typing import Any
 
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.engines.words import Rows
 from hillchute.errors import HistoryStorageError, PoliciesRejectedError
 from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import codec
 from hillchute.history.messages import Message
-from hillchute.history.own_claims import KeyedQuery
+from hillchute.history.own_claims import Decided, KeyedQuery
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
@@ -30,10 +30,11 @@
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.log import Log
 from hillchute.peers.datagrams import DatagramKind
-from hillchute.peers.node import Node
-from hillchute.router.effects import ClaimOutcome
-from hillchute.router.events import ClaimVerdict
-from hillchute.router.integrations.fragmented_channel import LOGGED, Riding, rows_in, rows_out
+from hillchute.router.effects import ClaimOutcome, ClaimQuery, EndClaim
+from hillchute.router.events import ClaimDecided, ClaimVerdict
+from hillchute.router.integrations.fragmented_channel import ExtensionContext, FragmentedChannel, QueryKey
+from hillchute.router.integrations.interface import STATISTICS_INTERVAL
+from hillchute.router.integrations.rows_codec import decode_rows, encode_rows
 
 VERDICTS = {
     ClaimDecision.RUN: ClaimVerdict.RUN,
@@ -41,118 +42,107 @@
     ClaimDecision.REJECT: ClaimVerdict.REJECT,
     ClaimDecision.FAIL: ClaimVerdict.FAIL,
     ClaimDecision.FORWARD: ClaimVerdict.FORWARD,
-}
-STATES = {
+}  # of decisions that a replica gives away; WAIT stays inside
+RECORD_STATES = {
     ClaimOutcome.NOT_RUN: RecordState.NOT_RUN,
     ClaimOutcome.SERVED: RecordState.SERVED,
     ClaimOutcome.FAILED: RecordState.FAILED,
 }
 
 
-class Remembering(Riding):
+class HistoryExtension(FragmentedChannel[Message]):
+    """One router's part in the answer history."""
+
     def __init__(
         self,
-        settings: Mapping[str, object],
-        node: Node,
-        clock: Callable[[], Time],
-        log: Log,
-        judged: Callable[[str, int, ClaimVerdict, str, Rows | None], None],
-        soon: Callable[[], None],
-        deeds: PartnerAgreement | None = None,
+        *,
+        settings: Mapping[str, Any],
+        context: ExtensionContext,
+        agreement: PartnerAgreement | None = None,
     ) -> None:
-        """`judged` is told each verdict: the query's id and number, and what the verdict says. `soon` is told
-        when there is something to be sent. `deeds`: where there are partners."""
-        self.clock, self.log, self.judged, self.soon = clock, log, judged, soon
-        now = clock()
+        """`settings`: the operator file's `history`. `agreement`: where there are partners. A disk that can't
+        be used is logged, and the history is kept in memory alone."""
+        node = context.node
         super().__init__(node, DatagramKind.HISTORY_FRAGMENT, codec)
-        self.disk = None
-        if settings.get("disk"):
-            try:
-                self.disk = SqliteStore(settings["disk"])
-            except (
-                HistoryStorageError
-            ) as fault:  # the history goes on in memory: no record rests on this disk
-                log.write("history_disk", **fault.log_fields)
+        self.context = context
+        now = context.clock()
+        self.store = open_store(settings, context.log)
         membership = Membership(node.name, node.generation, [node.name, *node.keys], node.generations)
-        self.replica = Replica(membership, book_of(settings), now, self.disk, deeds)
-        if self.disk is not None:
-            self.replica.recall(now, self.disk.read())
-        self.numbers: dict[tuple[str, int], int] = {}  # the replica's, of each of the reducer's
-        self.queries: dict[int, tuple[str, int]] = {}
-        self.logged = now
-
-    # ---- the reducer's queries ----------------------------------------------------------------------
-
-    def claim(
-        self,
-        id: str,
-        number: int,
-        customer: str,
-        key: str,
-        token: str,
-        left: Time,
-        ordered: bool,
-        once: bool = False,
-    ) -> None:
-        now = self.clock()
-        query = KeyedQuery(
-            customer=customer,
-            ordering_key=key,
-            idempotency_key=token,
-            deadline=now + left,
-            ordered=ordered,
-            is_transient=once,
+        self.replica = Replica(membership, retention_policies(settings), now, self.store, agreement)
+        if self.store is not None:
+            self.replica.recall(now, self.store.read())
+        self.claim_numbers: dict[QueryKey, int] = {}  # the replica's, of open claims
+        self.queries: dict[int, QueryKey] = {}  # by the number of their claim, until it is decided or ends
+        self.statistics_logged_at = now
+
+    # ---- the reducer's queries ----------------------------------------------------------------------------
+
+    def claim(self, effect: ClaimQuery) -> None:
+        """Asks for a query; a ClaimDecided follows."""
+        now = self.context.clock()
+        keyed_query = KeyedQuery(
+            customer=effect.customer,
+            ordering_key=effect.key,
+            idempotency_key=effect.token,
+            deadline=now + effect.time_left,
+            ordered=effect.ordered,
+            is_transient=effect.once,
         )
-        mine = self.replica.claim(now, query)
-        self.numbers[id, number], self.queries[mine] = mine, (id, number)
-        self.pass_on()
-
-    def close(self, id: str, number: int, how: str, rows: Rows | None) -> None:
-        """The query is over: freed, finished or killed."""
-        mine = self.numbers.pop((id, number), None)
-        if mine is None:
+        number = self.replica.claim(now, keyed_query)
+        query = (effect.query, effect.number)
+        self.claim_numbers[query] = number
+        self.queries[number] = query
+        self._deliver()
+
+    def end_claim(self, effect: EndClaim) -> None:
+        """A query is over; one whose claim was answered with its outcome is not known any more."""
+        number = self.claim_numbers.pop((effect.query, effect.number), None)
+        if number is None:
             return
-        self.queries.pop(mine, None)
-        self.replica.end_claim(
-            self.clock(), mine, STATES[how], None if rows is None else rows_in.encode(rows)
-        )
-        self.pass_on()
-
-    def pass_on(self) -> None:
-        for mine, verdict, why, rows in self.replica.take_decided():
-            query = self.queries.get(mine)
+        self.queries.pop(number, None)
+        rows = None if effect.rows is None else encode_rows(effect.rows)
+        self.replica.end_claim(self.context.clock(), number, RECORD_STATES[effect.outcome], rows)
+        self._deliver()
+
+    def _deliver(self) -> None:
+        """Gives the reducer what was decided, and has the replica's messages sent."""
+        for decided in self.replica.take_decided():
+            query = self.queries.get(decided.number)
             if query is None:
                 continue
-            if verdict not in (ClaimDecision.RUN, ClaimDecision.FORWARD):
-                del self.queries[mine], self.numbers[query]
-            try:
-                self.judged(*query, VERDICTS[verdict], why, None if rows is None else rows_out.decode(rows))
-            except msgspec.DecodeError:
-                self.judged(*query, ClaimVerdict.FAIL, "its rows can't be read", None)
+            if decided.decision not in (ClaimDecision.RUN, ClaimDecision.FORWARD):
+                del self.queries[decided.number]
+                del self.claim_numbers[query]
+            self.context.handle(claim_decided(query, decided))
         if self.replica.has_messages:
-            self.soon()
+            self.context.schedule_messages()
 
-    # ---- a rider of the node ---------------------------------------------------------------------------
+    # ---- the channel to peers -----------------------------------------------------------------------------
 
-    def take(self, now: Time, sender: str, message: Message) -> None:
+    def receive_message(self, now: Time, sender: str, message: Message) -> None:
+        """A message of another router's replica."""
         self.replica.receive(now, sender, message)
-        self.pass_on()
+        self._deliver()
 
-    def tick(self, now: Time) -> None:
+    def tick(self, now: Time, /) -> None:
+        """Time has passed."""
         self.replica.tick(now)
-        self.pass_on()
-        if now - self.logged >= LOGGED:
-            self.logged = now
-            self.tell(now)
+        self._deliver()
+        if now - self.statistics_logged_at >= STATISTICS_INTERVAL:
+            self.statistics_logged_at = now
+            self.log_statistics(now)
 
-    def said(self) -> list[tuple[str, Message]]:
+    def take_messages(self) -> list[tuple[str, Message]]:
+        """The replica's messages; they wait no more."""
         return self.replica.take_messages()
 
-    # ---- log, reload, end -------------------------------------------------------------------------
+    # ---- log, reload, end ---------------------------------------------------------------------------------
 
-    def tell(self, now: Time) -> None:
+    def log_statistics(self, now: Time) -> None:
+        """Writes the replica's figures, and what went wrong since the last call."""
         replica = self.replica
-        self.log.write(
+        log = self.context.log
+        log.write(
             "history",
             policies=replica.policies.number,
             view=replica.views.view.number,
@@ -164,50 +154,80 @@
             claims=len(replica.own_claims.claims),
             **dict(replica.counters),
         )
-        for fault in replica.outdated_routers():
-            self.log.write("history_policies", **fault.log_fields)
-        if self.disk is not None:
-            for fault in self.disk.faults():
-                self.log.write("history_disk", **fault.log_fields)
-
-    def renew(self, settings: Mapping[str, object]) -> None:
-        """The operator file's history read again: a book with a higher number holds at once, here and soon
-        everywhere; another of the same number is no book."""
-        book = book_of(settings)
-        if book.number == self.replica.policies.number and book == self.replica.policies:
-            return
+        for outdated in replica.outdated_routers():
+            log.write("history_policies", **outdated.log_fields)
+        if self.store is not None:
+            for error in self.store.faults():
+                log.write("history_disk", **error.log_fields)
+
+    def reload(self, settings: Mapping[str, Any]) -> None:
+        """Takes the operator file's `history` read again.
+
+        Policies with a higher number hold at once, here and soon everywhere. Others that differ from the
+        present ones are rejected, and logged.
+        """
+        policies = retention_policies(settings)
         before = self.replica.policies
-        if self.replica.apply_policies(self.clock(), book):
-            changed = sorted(changed_policies(before, book))
-            new = len(set(book.erasure_requests) - set(before.erasure_requests))
-            self.log.write("history_policies", policies=book.number, changed=changed, forgets=new)
+        if policies == before:
+            return
+        log = self.context.log
+        if self.replica.apply_policies(self.context.clock(), policies):
+            changed = sorted(changed_policies(before, policies))
+            new_requests = set(policies.erasure_requests) - set(before.erasure_requests)
+            log.write(
+                "history_policies", policies=policies.number, changed=changed, forgets=len(new_requests)
+            )
         else:
-            what = f"policies {book.number}; {self.replica.policies.number} hold"
-            self.log.write("history_policies", **PoliciesRejectedError(what, "history.number").log_fields)
+            detail = f"policies {policies.number}; {self.replica.policies.number} hold"
+            log.write("history_policies", **PoliciesRejectedError(detail, "history.number").log_fields)
 
-    def named(self) -> None:
-        """The operator names other routers: half of them is another number, so all is asked anew."""
-        self.replica.name_routers([self.node.name, *self.node.keys], self.clock())
+    def on_routers_named(self) -> None:
+        """The operator has named the routers again: a majority is counted among those that the node knows."""
+        self.replica.name_routers([self.node.name, *self.node.keys], self.context.clock())
 
     @property
-    def handed_over(self) -> bool:
-        alone = len(self.node.keys) == 0 or not self.node.live_peers()
-        return alone or self.replica.is_handed_over
-
-
-def book_of(settings: Mapping[str, object]) -> RetentionPolicies:
-    """The operator file's history as a book."""
+    def is_handed_over(self) -> bool:
+        """Whether this router may end: others have its records, or there are none that live."""
+        is_alone = len(self.node.keys) == 0 or not self.node.live_peers()
+        return is_alone or self.replica.is_handed_over
+
+
+def open_store(settings: Mapping[str, Any], log: Log) -> SqliteStore | None:
+    """The store on the disk that the operator file names. None without one, and where it can't be used: that
+    is logged, and no record rests on this disk."""
+    path = settings.get("disk")
+    if not path:
+        return None
+    try:
+        return SqliteStore(path)
+    except HistoryStorageError as error:
+        log.write("history_disk", **error.log_fields)
+        return None
+
+
+def claim_decided(query: QueryKey, decided: Decided) -> ClaimDecided:
+    """A replica's decision as the reducer gets it; a failure where the retained rows can't be read."""
+    query_id, number = query
+    try:
+        rows = None if decided.rows is None else decode_rows(decided.rows)
+    except msgspec.DecodeError:
+        return ClaimDecided(query_id, number, ClaimVerdict.FAIL, "its rows can't be read", None)
+    return ClaimDecided(query_id, number, VERDICTS[decided.decision], decided.reason, rows)
+
+
+def retention_policies(settings: Mapping[str, Any]) -> RetentionPolicies:
+    """The operator file's `history` as policies."""
     customers = {each["name"]: RetentionPolicy(**each["policy"]) for each in settings["customers"]}
-    forgets = tuple(
+    erasure_requests = tuple(
         ErasureRequest(each["before_ms"] * MS, each["customer"], each.get("key"))
         for each in settings["forget"]
     )
     return RetentionPolicies(
-        settings["number"],
-        settings["copies"],
-        settings["erase_ms"],
-        settings["founded_ms"] * MS,
-        RetentionPolicy(**settings["default"]),
-        customers,
-        forgets,
+        number=settings["number"],
+        copies=settings["copies"],
+        erase_ms=settings["erase_ms"],
+        founded=settings["founded_ms"] * MS,
+        default=RetentionPolicy(**settings["default"]),
+        customers=customers,
+        erasure_requests=erasure_requests,
     )
--- a/hillchute/router/integrations/interface.py
+++ b/hillchute/router/integrations/interface.py
@@ -5,34 +5,35 @@
 
 import anyio.abc
 
-from hillchute.decision.interface import Time
-from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.interface import Scheduler, Time
 from hillchute.engines.words import Rows, Stream
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
 
+STATISTICS_INTERVAL: Time = 50_000  # five seconds between two log lines with an extension's figures
+
 ExtensionEffect = ClaimQuery | EndClaim | ForwardQuery | CancelForward
 
 
 class Frontend(Protocol):
     """Answers the clients of sessions; a session gets one answer."""
 
-    def finish(self, session: int, rows: Rows) -> None:
+    def finish(self, session: int, rows: Rows, /) -> None:
         """The query was served; its rows are complete."""
 
-    def defer(self, session: int, after: Time) -> None:
+    def defer(self, session: int, after: Time, /) -> None:
         """The query was rejected without effect; the client may retry after so long (0: not stated)."""
 
-    def kill(self, session: int, why: str) -> None:
+    def kill(self, session: int, reason: str, /) -> None:
         """The query failed; it may have run."""
 
-    def cut(self, session: int, why: str) -> None:
+    def cut(self, session: int, reason: str, /) -> None:
         """The stream that the session is being sent can't go on."""
 
 
 class ForwardingFrontend(Frontend, Protocol):
     """Answers queries that other routers forwarded to this one."""
 
-    def begin(self, session: int, stream: Stream) -> None:
+    def begin(self, session: int, stream: Stream, /) -> None:
         """The result comes as a stream."""
 
 
@@ -43,7 +44,7 @@
     fault of the network or of a disk; those are logged.
     """
 
-    scheduler: QueryScheduler  # stands in the place of the router's own, which it was given
+    scheduler: Scheduler  # stands in the place of the router's own, which it was given
     claims_idempotent: bool  # queries with an idempotency key ask the answer history before they run
     claims_non_idempotent: bool  # so do queries that are unsafe to repeat
     forwarded_queries: ForwardingFrontend | None  # None: no query is forwarded
@@ -55,7 +56,7 @@
         """Carries out one effect of the reducer."""
 
     def open(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Opens the sockets and starts the loop that serves them; OSError if an address is taken."""
+        """Opens the sockets and starts the loop that serves them; PeerListenError if an address is taken."""
 
     def begin_shutdown(self) -> None:
         """The router ends: others are told."""
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -1,18 +1,19 @@
-"""A router's part in the fleet: puts company, node and link together from the operator file's `peers`.
+"""A router's part in the fleet: fleet view, peers' node and transport, and what rests on them.
 
-Owns that wiring, what is logged of it, and what of it moves on a reload. Must never decide; imported only
-where the operator file names peers.
+Its settings are the operator file's `peers`. Owns that wiring, what is logged of it, and what of it changes
+on a reload. Decides nothing; imported only where the operator file names peers.
 """
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 import anyio
 import anyio.abc
 
-from hillchute.coordination.fleet_view import FleetSettings, FleetView
-from hillchute.decision.interface import Time
+from hillchute.coordination.fleet_view import WARM_UP_LIMIT, FleetSettings, FleetView
+from hillchute.decision.interface import Scheduler, Time
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.engines.words import Rows
 from hillchute.errors import ClockBehindError, PeerListMismatchError
 from hillchute.log import Log
 from hillchute.peers.datagrams import DropReason
@@ -20,185 +21,321 @@
 from hillchute.peers.transport import Address, PeerTransport, SteadyUnixClock, TransportCallbacks
 from hillchute.router.config import Station, address
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
-from hillchute.router.events import ClaimDecided, ClaimVerdict, Event, PeersChanged
-from hillchute.router.integrations.fleet_scheduler import Telling
-from hillchute.router.integrations.interface import ExtensionEffect
+from hillchute.router.events import Event, PeersChanged
+from hillchute.router.integrations.fleet_scheduler import (
+    POOL_LIMIT,
+    CapacityPool,
+    FleetAccess,
+    FleetScheduler,
+    tenant_limit,
+)
+from hillchute.router.integrations.interface import (
+    STATISTICS_INTERVAL,
+    ExtensionEffect,
+    ForwardingFrontend,
+)
 
-HAND_OVER = 80_000  # a router that ends waits so long for others to fetch what it has: two views' time
-HAND_OVER_STEP = 0.05  # seconds between two looks at it
-LOGGED = 50_000  # tenths of a millisecond between two lines on the peers
+if TYPE_CHECKING:
+    from hillchute.router.integrations.fragmented_channel import ExtensionContext
+    from hillchute.router.integrations.history import HistoryExtension
+    from hillchute.router.integrations.partners import PartnerExtension
 
+HANDOVER_TIMEOUT: Time = (
+    80_000  # eight seconds, in which two views can follow: a router that ends waits so long
+)
+HANDOVER_POLL_INTERVAL = 0.05  # seconds
+MILLISECOND: Time = 10
+MAX_NAMES_LOGGED = 16  # in one line
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class PeerSettings:
+    """The operator file's `peers` as typed values."""
+
+    name: str  # this router's
+    listen: str  # host:port
+    keys: Mapping[str, bytes]  # by peer, of the pair with it
+    addresses: Mapping[str, Address]  # by peer
+
+    @classmethod
+    def from_operator_file(cls, section: Mapping[str, Any]) -> "PeerSettings":
+        """Raises ConfigurationError for an address that is none."""
+        others = section["others"]
+        return cls(
+            name=section["name"],
+            listen=section["listen"],
+            keys={other["name"]: other["key"].encode() for other in others},
+            addresses={
+                other["name"]: Address(*address(other["address"], "peers.others")) for other in others
+            },
+        )
+
+    @property
+    def router_names(self) -> list[str]:
+        """All routers, this one first."""
+        return [self.name, *self.keys]
+
+
+def fleet_settings(settings: PeerSettings, station: Station, *, has_partners: bool) -> FleetSettings:
+    """What the fleet's view is built from, by the deployment's settings."""
+    catalog: Mapping[str, Any] = station.catalog
+    columns = catalog.get("report.columns", ())
+    limits = [WARM_UP_LIMIT] if catalog.get("guarantees.cold") else []
+    tenants = map(tenant_limit, range(catalog.get("parties.count", 0)))
+    limits += [tenant for tenant in tenants if catalog.get(f"{tenant}.quota_per_s")]
+    if has_partners:
+        limits.append(POOL_LIMIT)
+    return FleetSettings(
+        name=settings.name,
+        router_names=settings.router_names,
+        columns=columns if isinstance(columns, list | tuple) else [columns],
+        limits=limits,
+        seed=station.seed,
+    )
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RouterContext:
+    """The router, as its extensions see it."""
+
+    station: Station
+    log: Log
+    handle: Callable[[Event], None]  # takes events for the reducer
+    clock: Callable[[], Time]  # of the reducer's events; another than the peers'
+
+
+class PeerExtension:
+    """A router among peers, with its history and its partners where they are on; implements
+    `interface.RouterExtension`."""
 
-class Peering:
     def __init__(
         self,
-        operator: Mapping[str, object],
-        station: Station,
-        module: QueryScheduler,
-        log: Log,
-        handle: Callable[[Event], None],
-        unix: Callable[[], Time] = lambda: 0,
+        *,
+        operator: Mapping[str, Any],
+        router: RouterContext,
+        scheduler: QueryScheduler,
     ) -> None:
-        """`handle` is given the events that come of it: load reports of other routers, the answer history's
-        verdicts, and queries that other partners' routers passed on, with the time by `unix`."""
-        settings = operator["peers"]
-        self.log, self.handle, self.clock = log, handle, SteadyUnixClock()
-        now, me = self.clock(), settings["name"]
-        keys, self.addresses = named(settings)
-        catalog = station.catalog
-        tenants = catalog.get("parties.count", 0)
-        rated = [f"parties.{n}" for n in range(tenants) if catalog.get(f"parties.{n}.quota_per_s")]
-        columns = catalog.get("report.columns", ())
-        columns = columns if isinstance(columns, list | tuple) else [columns]
-        limits = (["cold"] if catalog.get("guarantees.cold") else []) + rated
-        limits += ["pool"] if operator.get("partners") else []
-        fleet = FleetSettings(
-            name=me, router_names=[me, *keys], columns=columns, limits=limits, seed=station.seed
-        )
-        self.company = FleetView(fleet, now)
-        self.node = Node(RouterIdentity(me, now // 10), keys, station.seed, now, self.company)
-        self.transport = PeerTransport(
-            Address(*address(settings["listen"], "peers.listen")),
-            self.addresses,
+        """`operator`: the operator file. The router's `handle` gets other routers' load reports, decisions on
+        claims, and queries that other partners' routers forwarded. Raises ConfigurationError for an address
+        that is none."""
+        self.settings = PeerSettings.from_operator_file(operator["peers"])
+        self.router = router
+        self.log = router.log
+        self.handle = router.handle
+        self.clock = SteadyUnixClock()
+        now = self.clock()
+        has_partners = bool(operator.get("partners"))
+        self.fleet = FleetView(fleet_settings(self.settings, router.station, has_partners=has_partners), now)
+        identity = RouterIdentity(self.settings.name, now // MILLISECOND)
+        self.node = Node(identity, self.settings.keys, router.station.seed, now, self.fleet)
+        self.transport = self._make_transport()
+        self.partners = self._make_partners(operator)
+        self.history = self._make_history(operator)
+        self.fleet_scheduler = self._make_scheduler(scheduler)
+        self.scheduler: Scheduler = self.fleet_scheduler
+        self.claims_idempotent = self.history is not None
+        self.claims_non_idempotent = self.partners is not None
+        self.forwarded_queries: ForwardingFrontend | None = None
+        if self.partners is not None:
+            self.forwarded_queries = self.partners.forwarded_queries
+        self.statistics_logged_at = now
+        self.known_peers: list[str] = []  # those that lived when this was last looked at
+
+    # ---- construction -------------------------------------------------------------------------------------
+
+    def _make_transport(self) -> PeerTransport:
+        return PeerTransport(
+            Address(*address(self.settings.listen, "peers.listen")),
+            self.settings.addresses,
             self.node,
             self.clock,
             TransportCallbacks(
-                due_payloads=lambda now: self.company.due_digests(now, self.node.live_peers()),
-                on_change=self.heard,
-                on_fault=lambda trace: log.write("fault", what="peers", trace=trace),
+                due_payloads=lambda now: self.fleet.due_digests(now, self.node.live_peers()),
+                on_change=self.on_change,
+                on_fault=lambda trace: self.log.write("fault", what="peers", trace=trace),
             ),
         )
-        self.telling = Telling(
-            module, self.company, catalog, self.clock, self.node.live_peers, self.transport.schedule_payloads
+
+    def _make_context(self) -> "ExtensionContext":
+        from hillchute.router.integrations.fragmented_channel import ExtensionContext
+
+        return ExtensionContext(
+            node=self.node,
+            clock=self.clock,
+            log=self.log,
+            handle=self.handle,
+            schedule_messages=self.schedule_messages,
         )
-        self.scheduler = self.telling
-        self.remembering = self.partnering = None
-        if operator.get("partners"):
-            from hillchute.router.integrations.partners import Partnering
-
-            about = (operator["partners"], self.node, catalog, station.seed, self.clock, log)
-            self.partnering = Partnering(*about, self.judged, handle, self.ride, unix)
-            self.telling.partnering = self.partnering
-        if operator.get("history"):
-            from hillchute.router.integrations.history import Remembering
-
-            deeds = self.partnering and self.partnering.council.ownership
-            about = (operator["history"], self.node, self.clock, log, self.judged, self.ride, deeds)
-            self.remembering = Remembering(*about)
-            if self.partnering is not None:
-                self.partnering.views = self.remembering.replica
-        self.claims_idempotent = self.remembering is not None
-        self.claims_non_idempotent = self.partnering is not None
-        self.forwarded_queries = self.partnering
-        self.settings = settings
-        self.logged = now
-        self.known: list[str] = []
 
-    def ride(self) -> None:
-        """A rider has something to say. Before the sockets are open it waits for the next look."""
-        if self.transport.tasks is not None:
-            self.transport.send_messages()
+    def _make_partners(self, operator: Mapping[str, Any]) -> "PartnerExtension | None":
+        if not operator.get("partners"):
+            return None
+        from hillchute.router.integrations.partners import PartnerExtension
+
+        return PartnerExtension(
+            settings=operator["partners"],
+            context=self._make_context(),
+            seed=self.router.station.seed,
+            router_clock=self.router.clock,
+        )
+
+    def _make_history(self, operator: Mapping[str, Any]) -> "HistoryExtension | None":
+        if not operator.get("history"):
+            return None
+        from hillchute.router.integrations.history import HistoryExtension
+
+        return HistoryExtension(
+            settings=operator["history"],
+            context=self._make_context(),
+            agreement=None if self.partners is None else self.partners.negotiation.ownership,
+        )
+
+    def _make_pool(self) -> CapacityPool | None:
+        partners = self.partners
+        if partners is None:
+            return None
+        from hillchute.router.integrations.pool_quota import EngineNames, PoolQuota
 
-    def judged(self, id: str, number: int, verdict: ClaimVerdict, why: str, rows: Rows | None) -> None:
-        self.handle(ClaimDecided(id, number, verdict, why, rows))
+        return PoolQuota(
+            clock=self.clock,
+            members=lambda: partners.settings.members,
+            engine_names=EngineNames.from_catalog(self.router.station.catalog),
+            negotiation=partners.negotiation,
+            views=None if self.history is None else self.history.replica.views,
+        )
+
+    def _make_scheduler(self, scheduler: QueryScheduler) -> FleetScheduler:
+        fleet = FleetAccess(
+            view=self.fleet,
+            clock=self.clock,
+            live_peers=self.node.live_peers,
+            schedule_digests=self.transport.schedule_payloads,
+        )
+        return FleetScheduler(scheduler=scheduler, fleet=fleet, pool=self._make_pool())
+
+    # ---- what the service calls ---------------------------------------------------------------------------
 
     def connect_endpoint_list(self, offset: Callable[[], int]) -> None:
-        self.telling.reached = offset
+        """`offset` gives the event that the endpoint list has reached; called before anything else."""
+        self.fleet_scheduler.connect_endpoint_list(offset)
 
     def carry_out(self, effect: ExtensionEffect) -> None:
+        """Carries out one effect of the reducer. Raises ValueError for one of a part that is off."""
         match effect:
-            case ClaimQuery():
-                self.remembering.claim(*effect)
-            case EndClaim():
-                self.remembering.close(*effect)
-            case ForwardQuery():
-                self.partnering.pass_on(*effect)
-            case CancelForward():
-                self.partnering.recall(*effect)
+            case ClaimQuery() if self.history is not None:
+                self.history.claim(effect)
+            case EndClaim() if self.history is not None:
+                self.history.end_claim(effect)
+            case ForwardQuery() if self.partners is not None:
+                self.partners.forward(effect)
+            case CancelForward() if self.partners is not None:
+                self.partners.cancel(effect)
+            case _:
+                raise ValueError(f"{type(effect).__name__} of a part that the operator file does not have")
 
     def open(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Opens the sockets and starts the loop that serves them; PeerListenError if an address is taken."""
         self.transport.open()
         tasks.start_soon(self.transport.run)
 
     def begin_shutdown(self) -> None:
-        """This router ends: it says farewell, and calls no more views."""
+        """The router ends: it says farewell to its peers, and starts no more views."""
         self.transport.leave()
-        if self.remembering is not None:
-            self.remembering.replica.prepare_to_leave()
+        if self.history is not None:
+            self.history.replica.prepare_to_leave()
 
     async def hand_over(self) -> None:
-        """A router that ends stays until others have what it alone holds, and the answers that it owes them,
-        or for so long."""
-        if self.remembering is None:
+        """Waits until others have the records that this router alone holds, and the results that it owes
+        them; HANDOVER_TIMEOUT at the most."""
+        if self.history is None:
             return
-        end, partnering = self.clock() + HAND_OVER, self.partnering
-        while self.clock() < end:
-            owes = partnering is not None and partnering.passing.has_unacknowledged_results
-            if self.remembering.handed_over and not owes:
+        deadline = self.clock() + HANDOVER_TIMEOUT
+        while self.clock() < deadline:
+            owes_results = (
+                self.partners is not None and self.partners.forwarded_queries.has_unacknowledged_results
+            )
+            if self.history.is_handed_over and not owes_results:
                 break
-            await anyio.sleep(HAND_OVER_STEP)
+            await anyio.sleep(HANDOVER_POLL_INTERVAL)
+
+    def reload(self, operator: Mapping[str, Any]) -> list[str]:
+        """Takes an operator file read again; returns the paths of what needs a restart. Raises
+        ConfigurationError for an address that is none; then nothing has changed."""
+        settings = PeerSettings.from_operator_file(operator["peers"])
+        restart = [
+            f"peers.{key}"
+            for key in ("name", "listen")
+            if getattr(settings, key) != getattr(self.settings, key)
+        ]
+        if not restart:
+            self._reload_peers(settings)
+        history = operator.get("history")
+        if self.history is not None and history:
+            if not restart:
+                self.history.on_routers_named()
+            self.history.reload(history)
+        elif bool(history) != (self.history is not None):
+            restart.append("history")
+        return restart + self._reload_partners(operator.get("partners"), may_change=not restart)
+
+    def _reload_peers(self, settings: PeerSettings) -> None:
+        now = self.clock()
+        self.node.set_keys(settings.keys, now)
+        self.fleet.set_router_names(now, settings.router_names)
+        self.transport.addresses = dict(settings.addresses)
+        self.settings = settings
+
+    def _reload_partners(self, section: Mapping[str, Any] | None, *, may_change: bool) -> list[str]:
+        """Paths of what needs a restart. `may_change`: nothing before needs one."""
+        if bool(section) != (self.partners is not None):
+            return ["partners"]
+        if self.partners is None or not section or not may_change:
+            return []
+        return self.partners.reload(section)
+
+    # ---- what the peers' part calls -----------------------------------------------------------------------
 
-    def heard(self) -> None:
-        """Something came, or the time has gone on."""
+    def schedule_messages(self) -> None:
+        """A channel has messages to send. Before the sockets are open they wait for the next tick."""
+        if self.transport.tasks is not None:
+            self.transport.send_messages()
+
+    def on_change(self) -> None:
+        """Something has come from peers, or time has passed."""
         now = self.clock()
-        living = self.node.live_peers()
-        if living != self.known:
-            gone, come = sorted(set(self.known) - set(living)), sorted(set(living) - set(self.known))
-            self.log.write("peers", living=len(living), come=come[:16], gone=gone[:16])
-            self.known = living
-        if now - self.logged >= LOGGED:
-            self.logged = now
-            self.tell_counts(now)
-        if self.company.relayed_reports or now >= self.telling.until:
-            self.handle(PeersChanged(self.company.take_relayed_reports()))
-
-    def tell_counts(self, now: int) -> None:
-        quotas = self.company.quotas
-        parts = {name: round(quotas.usable_share(name, now), 4) for name in quotas.limits}
+        live = self.node.live_peers()
+        if live != self.known_peers:
+            gone = sorted(set(self.known_peers) - set(live))
+            come = sorted(set(live) - set(self.known_peers))
+            self.log.write(
+                "peers", living=len(live), come=come[:MAX_NAMES_LOGGED], gone=gone[:MAX_NAMES_LOGGED]
+            )
+            self.known_peers = live
+        if now - self.statistics_logged_at >= STATISTICS_INTERVAL:
+            self.statistics_logged_at = now
+            self.log_statistics(now)
+        if self.fleet.relayed_reports or now >= self.fleet_scheduler.state_valid_until:
+            self.handle(PeersChanged(list(self.fleet.take_relayed_reports())))
+
+    # ---- log ----------------------------------------------------------------------------------------------
+
+    def log_statistics(self, now: Time) -> None:
+        """Writes figures on peers and quotas, and what is wrong with names or the clock."""
+        quotas = self.fleet.quotas
+        shares = {name: round(quotas.usable_share(name, now), 4) for name in quotas.limits}
         self.log.write(
             "peers_count",
-            living=len(self.known),
+            living=len(self.known_peers),
             **dict(self.transport.counts),
             dropped=dict(self.node.dropped),
-            refused=self.company.signals.implausible_reports,
-            closed=sorted(self.telling.closed),
-            parts=parts,
+            refused=self.fleet.signals.implausible_reports,
+            closed=sorted(self.fleet_scheduler.closed),
+            parts=shares,
         )
-        for name in sorted(self.company.differing_routers):
-            self.log.write(
-                "peers_differ", **PeerListMismatchError("other names under `peers`", name).log_fields
-            )
-
-        if behind := self.node.dropped[DropReason.TO_LATER_GENERATION]:
-            fault = ClockBehindError(f"{behind} datagrams to a later start of this router", self.node.name)
-            self.log.write("peers_clock", **fault.log_fields)
-
-    def reload(self, operator: Mapping[str, object]) -> list[str]:
-        """The operator file's peers and history read again; the paths of what needs a restart."""
-        settings, history = operator["peers"], operator.get("history")
-        keys, addresses = named(settings)
-        restart = [f"peers.{key}" for key in ("name", "listen") if settings[key] != self.settings[key]]
-        if not restart:
-            self.node.set_keys(keys, self.clock())
-            self.company.set_router_names(self.clock(), [settings["name"], *keys])
-            self.transport.addresses = addresses
-            self.settings = settings
-        if self.remembering is not None and history:
-            if not restart:
-                self.remembering.named()
-            self.remembering.renew(history)
-        elif bool(history) != (self.remembering is not None):
-            restart.append("history")
-        partners = operator.get("partners")
-        if bool(partners) != (self.partnering is not None):
-            restart.append("partners")
-        elif partners and not restart:
-            restart += self.partnering.renew(partners)
-        return restart
-
-
-def named(settings: Mapping[str, object]) -> tuple[dict[str, bytes], dict[str, Address]]:
-    """Keys and addresses of the other routers, by name."""
-    others = settings["others"]
-    keys = {other["name"]: other["key"].encode() for other in others}
-    return keys, {other["name"]: Address(*address(other["address"], "peers.others")) for other in others}
+        for name in sorted(self.fleet.differing_routers):
+            mismatch = PeerListMismatchError("other names under `peers`", name)
+            self.log.write("peers_differ", **mismatch.log_fields)
+        behind = self.node.dropped[DropReason.TO_LATER_GENERATION]
+        if behind:
+            error = ClockBehindError(f"{behind} datagrams to a later start of this router", self.node.name)
+            self.log.write("peers_clock", **error.log_fields)
--- /dev/null
+++ b/hillchute/router/integrations/pool_quota.py
@@ -0,0 +1,120 @@
+"""The engines that partners share: what each partner contributes, and this router's quota of them.
+
+Owns when the quota leases' entitlement to the pool is confined to the floor. The division itself is
+partners/capacity_pool.py's, lending and borrowing coordination/quota_leases.py's.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from hillchute.coordination.quota_leases import LENDER_HOLD, Entitlement, QuotaLeases
+from hillchute.decision.interface import EndpointState, Listing, Time
+from hillchute.history.view_protocol import ViewProtocol
+from hillchute.history.views import DRIFT, LEASE
+from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
+from hillchute.partners.negotiation import AgreementProtocol
+from hillchute.router.integrations.fleet_scheduler import POOL_LIMIT
+from hillchute.router.integrations.partner_settings import PartnerMember
+
+# A router whose share grows by a new agreement waits for so long: by then all whose shares shrink use less.
+ENTITLEMENT_SETTLING_TIME: Time = int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class EngineNames:
+    """Zones and kinds of engines by the numbers that the endpoint list gives, and each kind's cores."""
+
+    zones: tuple[str, ...]
+    kinds: tuple[str, ...]
+    cores: tuple[int, ...]  # by kind; an engine of a kind beyond these contributes nothing
+
+    @classmethod
+    def from_catalog(cls, catalog: Mapping[str, Any]) -> "EngineNames":
+        """Reads the deployment's settings."""
+        return cls(
+            zones=_as_tuple(catalog.get("dcs")),
+            kinds=_as_tuple(catalog.get("kinds")),
+            cores=_as_tuple(catalog.get("domain.kind_cores")),
+        )
+
+    def is_contributed_by(self, member: PartnerMember, engine: Listing) -> bool:
+        """Whether an engine is of the zones and kinds that a partner names as its own."""
+        return _is_among(member.zones, self.zones, engine.zone) and _is_among(
+            member.kinds, self.kinds, engine.kind
+        )
+
+
+def _as_tuple(value: Any) -> tuple[Any, ...]:
+    """A setting that is a list, or one value in place of a list of one."""
+    if value is None:
+        return ()
+    return tuple(value) if isinstance(value, list | tuple) else (value,)
+
+
+def _is_among(names: frozenset[str], known: tuple[str, ...], number: int) -> bool:
+    """Whether a number stands for one of the names; any does where none are given."""
+    return not names or (number < len(known) and known[number] in names)
+
+
+class PoolQuota:
+    """This router's part of the pool; implements `fleet_scheduler.CapacityPool`."""
+
+    def __init__(
+        self,
+        *,
+        clock: Callable[[], Time],
+        members: Callable[[], Iterable[PartnerMember]],
+        engine_names: EngineNames,
+        negotiation: AgreementProtocol,
+        views: ViewProtocol | None,
+    ) -> None:
+        """`members`: as the operator file has them now. `views`: the answer history's; without one no
+        agreement is known to hold."""
+        self.clock = clock
+        self.members = members
+        self.engine_names = engine_names
+        self.negotiation = negotiation
+        self.views = views
+        self.allocations: dict[str, int] = {}  # units of the pool, by router
+        self.allocations_revision = 0  # of slot ownership, from which the allocations follow
+
+    def on_endpoint_list(self, listings: Iterable[Listing]) -> None:
+        """The endpoint list has changed; these are all its entries."""
+        capacities = self.contributed_cores(listings)
+        self.negotiation.ownership.set_capacities(self.clock(), capacities)
+
+    def contributed_cores(self, listings: Iterable[Listing]) -> dict[str, int]:
+        """Cores of the engines that are ready, by partner. An engine that fits several is the first one's."""
+        members = list(self.members())
+        cores = {member.name: 0 for member in members}
+        for engine in listings:
+            owner = next((m for m in members if self.engine_names.is_contributed_by(m, engine)), None)
+            if owner is None or engine.state != EndpointState.READY:
+                continue
+            if engine.kind < len(self.engine_names.cores):
+                cores[owner.name] += self.engine_names.cores[engine.kind]
+        return cores
+
+    def update_entitlement(self, quotas: QuotaLeases) -> None:
+        """Sets this router's entitlement to the pool, as the agreement in force gives it.
+
+        Where the agreement is not known to be in force, for want of a view or of the agreement that others
+        follow, the router is confined to the floor.
+        """
+        now = self.clock()
+        ownership = self.negotiation.ownership
+        routers = self.negotiation.routers
+        total = quotas.limits[POOL_LIMIT].total
+        if self.allocations_revision != ownership.revision:
+            self.allocations_revision = ownership.revision
+            self.allocations = router_allocations(total, ownership.effective_shares(now), routers)
+        has_view = self.views is not None and self.views.in_force(now)
+        entitlement = Entitlement(
+            units=self.allocations.get(self.negotiation.router, 0),
+            floor=minimum_allocation(total, max(1, sum(map(len, routers.values())))),
+            group=routers.get(self.negotiation.partner, frozenset()),
+            settling_time=ENTITLEMENT_SETTLING_TIME,
+            confined=not (has_view and ownership.up_to_date() and ownership.is_in_force(now)),
+        )
+        quotas.set_entitlement(now, POOL_LIMIT, entitlement)
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -19,13 +19,13 @@
     QueryId,
     Reject,
     Report,
+    Scheduler,
     SetTerms,
     Submit,
     Time,
     Wake,
     WatchEndpoints,
 )
-from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
@@ -58,7 +58,7 @@
     so do the others that change data, since only the owner of their slot may run them (partners).
     """
 
-    def __init__(self, module: QueryScheduler, catalog: Mapping[str, Any], max_connections: int) -> None:
+    def __init__(self, module: Scheduler, catalog: Mapping[str, Any], max_connections: int) -> None:
         self.module = module
         self.context = ReducerContext(max(1, catalog.get("tick", 1)))
         self.rules = RequestRules(catalog)
@@ -177,7 +177,7 @@
         """Load reports of other routers, or a change among them, go to the decision module."""
         for engine, report, age in reports:
             self.module.on_load_report(self.context.now, engine, report, age)
-        self.module.stand(self.context.now)  # type: ignore[attr-defined]  # a router with peers has it
+        self.module.on_fleet_changed(self.context.now)
 
     # ---- engines ----------------------------------------------------------------------------------
 
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -164,9 +164,10 @@
         return Server(settings, self.reducer.rules.groups, self.log, self.clock, self.handle)
 
     def router_extension(self, operator: Mapping[str, object], module: QueryScheduler) -> RouterExtension:
-        from hillchute.router.integrations.peers import Peering
+        from hillchute.router.integrations.peers import PeerExtension, RouterContext
 
-        return Peering(operator, self.station, module, self.log, self.handle, self.clock)
+        router = RouterContext(station=self.station, log=self.log, handle=self.handle, clock=self.clock)
+        return PeerExtension(operator=operator, router=router, scheduler=module)
 
     def front(self, session: int):
         """Who has the client of a session: calls of the Flight front have their numbers above those of MySQL,
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -16,6 +16,7 @@
 
 from hillchute import errors
 from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.errors import HillchuteError
@@ -31,9 +32,10 @@
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, TransportCallbacks
 from hillchute.router import config
-from hillchute.router.integrations.history import Remembering
-from hillchute.router.integrations.partners import Partnering
-from hillchute.router.integrations.peers import Peering
+from hillchute.router.integrations.fragmented_channel import ExtensionContext
+from hillchute.router.integrations.history import HistoryExtension
+from hillchute.router.integrations.partners import PartnerExtension
+from hillchute.router.integrations.peers import PeerExtension, RouterContext
 
 KEY = b"k" * 32
 ROOT = Path(__file__).parents[1]
@@ -119,52 +121,64 @@
     assert fault.value.log_fields.keys() == {"error", "what", "where", "remedy"}
 
 
-def lists_differ(log: RecordingLog, tmp_path: Path) -> None:
+def peer_extension(log: RecordingLog) -> PeerExtension:
+    """A router with peers by the operator file, none of which it names."""
     station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
-    peering = Peering({"peers": peers}, station, None, log, lambda event: None)
-    peering.company.differing_routers = {"b"}
-    peering.tell_counts(0)
+    return PeerExtension(
+        operator={"peers": peers},
+        router=RouterContext(station=station, log=log, handle=lambda event: None, clock=lambda: 0),
+        scheduler=QueryScheduler(1, station.catalog, 0),
+    )
+
+
+def lists_differ(log: RecordingLog, tmp_path: Path) -> None:
+    extension = peer_extension(log)
+    extension.fleet.differing_routers = {"b"}
+    extension.log_statistics(0)
 
 
 def clock_behind(log: RecordingLog, tmp_path: Path) -> None:
     """The router was up at a later time by its clock, which was then set back; another still knows that."""
-    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, 1)
-    peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
-    peering = Peering({"peers": peers}, station, None, log, lambda event: None)
-    node = peering.node
+    extension = peer_extension(log)
+    node = extension.node
     node.set_keys({"b": KEY}, EPOCH)
     other = Node(RouterIdentity("b", node.generation), {"a": KEY}, 1, EPOCH, None)
     other.replay_windows["a"].generation = node.generation + 3_600_000
     ((_, data),) = other.payload_datagrams("a", b"x")
     assert node.receive(EPOCH, data) == []
-    peering.tell_counts(0)
+    extension.log_statistics(0)
 
 
-def remembering(
-    log: RecordingLog, tmp_path: Path, **changes: object
-) -> tuple[Remembering, Mapping[str, Any]]:
+def extension_context(log: RecordingLog) -> ExtensionContext:
+    """What the part among peers gives to router a, which has the peer b."""
+    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
+    return ExtensionContext(
+        node=node, clock=lambda: EPOCH, log=log, handle=lambda event: None, schedule_messages=lambda: None
+    )
+
+
+def history_extension(log: RecordingLog, **changes: object) -> tuple[HistoryExtension, Mapping[str, Any]]:
     """A history whose settings have these changes, and the settings."""
     text = "history: {number: 2, default: {}}\n" + 'peers: {name: "a", listen: "127.0.0.1:1", others: []}'
     settings = reading.hold(text)["history"] | changes
-    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
-    return Remembering(settings, node, lambda: EPOCH, log, lambda *about: None, lambda: None), settings
+    return HistoryExtension(settings=settings, context=extension_context(log)), settings
 
 
 def book_not_taken(log: RecordingLog, tmp_path: Path) -> None:
-    held, settings = remembering(log, tmp_path)
-    held.renew(settings | {"number": 1})
+    held, settings = history_extension(log)
+    held.reload(settings | {"number": 1})
 
 
 def book_not_current(log: RecordingLog, tmp_path: Path) -> None:
-    held, _ = remembering(log, tmp_path)
+    held, _ = history_extension(log)
     held.replica.context.living = lambda: {"a": 1, "b": 1}
     held.replica.views.proposed, held.replica.views.policies_numbers = object(), {"b": 1}
-    held.tell(EPOCH)
+    held.log_statistics(EPOCH)
 
 
 def disk_in_the_log(log: RecordingLog, tmp_path: Path) -> None:
-    remembering(log, tmp_path, disk=str(tmp_path / "none" / "h.db"))
+    history_extension(log, disk=str(tmp_path / "none" / "h.db"))
 
 
 def accept_paused(log: RecordingLog, tmp_path: Path) -> None:
@@ -187,13 +201,15 @@
     text = f"""history: {{number: 2, default: {{}}}}
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
-    node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
-    none = [lambda *about: None] * 4
-    about = reading.hold(text)["partners"], node, {}, 1, lambda: EPOCH, log
-    partnering = Partnering(*about, *none)
+    extension = PartnerExtension(
+        settings=reading.hold(text)["partners"],
+        context=extension_context(log),
+        seed=1,
+        router_clock=lambda: EPOCH,
+    )
     two = [Signature("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
-    partnering.council.ledger.equivocations["x"] = Equivocation(*two)
-    partnering.tell(EPOCH)
+    extension.negotiation.ledger.equivocations["x"] = Equivocation(*two)
+    extension.log_statistics(EPOCH)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -26,7 +26,9 @@
     RejectQuery,
     SendResult,
 )
-from hillchute.router.integrations.partners import Partnering
+from hillchute.router.integrations.fragmented_channel import ExtensionContext
+from hillchute.router.integrations.partners import PartnerExtension
+from hillchute.router.integrations.pool_quota import EngineNames, PoolQuota
 from hillchute.router.reducer import Reducer
 from hillchute.router.request_rules import history_key
 from hillchute.statements.request import Request
@@ -203,44 +205,43 @@
         self.lines.append((event, fields))
 
 
-def partnering(tmp_path, marks=True, **changed):
+def partner_extension(tmp_path, marks=True, handle=lambda event: None, **changed):
     (tmp_path / "k").write_text(private("a").hex())
     own = f'own: "a", {MEMBERS}'
     if marks:
         own += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
     stated = reading.hold(text(own))["partners"] | changed
     node = Node(RouterIdentity("r0", EPOCH // 10), {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
-    log, none = Log(), lambda *about: None
-    catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
-    return (
-        Partnering(stated, node, catalog, 1, lambda: EPOCH, log, none, none, none, lambda: EPOCH),
-        log,
-        stated,
+    log = Log()
+    context = ExtensionContext(
+        node=node, clock=lambda: EPOCH, log=log, handle=handle, schedule_messages=lambda: None
     )
+    extension = PartnerExtension(settings=stated, context=context, seed=1, router_clock=lambda: EPOCH)
+    return extension, log, stated
 
 
 def test_offer_of_the_operator_file_is_known_and_a_lower_turn_is_said(tmp_path):
-    held, log, stated = partnering(tmp_path)
-    (offer, _) = held.council.ledger.offers["a"]
+    held, log, stated = partner_extension(tmp_path)
+    (offer, _) = held.negotiation.ledger.offers["a"]
     assert (offer.partner, offer.desired_share, offer.ends_at) == ("a", 5000, 90)
-    held.renew(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
-    assert held.council.ledger.offers["a"][0].desired_share == 6000
-    held.renew(stated | {"offer": stated["offer"] | {"turn": 2}})
+    held.reload(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
+    assert held.negotiation.ledger.offers["a"][0].desired_share == 6000
+    held.reload(stated | {"offer": stated["offer"] | {"turn": 2}})
     assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["InvalidAgreementError"]
-    assert held.renew(stated | {"own": "b"}) == ["partners.own"]
+    assert held.reload(stated | {"own": "b"}) == ["partners.own"]
 
 
 def test_router_without_the_key_marks_nothing_and_a_bad_file_of_marks_is_said(tmp_path):
-    held, _, _ = partnering(tmp_path, marks=False)
-    assert held.council.signer is None and not held.council.ledger.offers
+    held, _, _ = partner_extension(tmp_path, marks=False)
+    assert held.negotiation.signer is None and not held.negotiation.ledger.offers
     (tmp_path / "m").write_text("what\n")
-    held, log, _ = partnering(tmp_path)
-    assert held.council.signer is None
+    held, log, _ = partner_extension(tmp_path)
+    assert held.negotiation.signer is None
     assert [fields["error"] for _, fields in log.lines] == ["SignatureJournalError"]
 
 
 def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
-    held, _, _ = partnering(tmp_path)
+    held, _, _ = partner_extension(tmp_path)
     listings = [
         Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: a's
         Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: b's
@@ -248,16 +249,25 @@
         Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # neither's
         Listing(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
     ]
-    held.listed(listings)
-    assert held.council.ownership.capacities == {"a": 40, "b": 32}
+    catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
+    pool = PoolQuota(
+        clock=lambda: EPOCH,
+        members=lambda: held.settings.members,
+        engine_names=EngineNames.from_catalog(catalog),
+        negotiation=held.negotiation,
+        views=None,
+    )
+    pool.on_endpoint_list(listings)
+    assert held.negotiation.ownership.capacities == {"a": 40, "b": 32}
 
 
 def test_nobody_of_the_owner_lives_so_the_query_is_deferred(tmp_path):
-    held, _, _ = partnering(tmp_path)
     told = []
-    held.judged = lambda *about: told.append(about)
-    held.pass_on("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50)
-    assert told == [("id", 1, "DEFER", "no router of its slot's owner is known to live", None)]
+    held, _, _ = partner_extension(tmp_path, handle=told.append)
+    held.forward(ForwardQuery("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50))
+    reason = "no router of its slot's owner is known to live"
+    assert told == [events.ClaimDecided("id", 1, events.ClaimVerdict.REJECT, reason, None)]
+    assert told[0].verdict == "DEFER"
 
 
 # ---- shares of the pool ----
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -37,7 +37,7 @@
 from hillchute.peers.datagrams import MAX_DATAGRAM_BYTES, DatagramKind
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import config
-from hillchute.router.integrations.fleet_scheduler import Telling
+from hillchute.router.integrations.fleet_scheduler import FleetAccess, FleetScheduler
 
 KEY = b"k" * 32
 NOW = 17_000_000_000_000
@@ -237,111 +237,132 @@
     assert net.nodes["a"].live_peers() == [] and net.nodes["a"].dropped["unknown peer"]
 
 
-# ---- the module in company --------------------------------------------------------------------------
+# ---- the scheduler among peers ----------------------------------------------------------------------
 
 
 @pytest.fixture
-def told():
-    """A telling over a module with engines 1 to 3, its clock, and a company of four routers."""
+def fleet_scheduler():
+    """A fleet scheduler with engines 1 to 3, its clock, and a fleet of four routers."""
     catalog = config.settings(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
     clock = [NOW]
     settings = FleetSettings(
         name="r0", router_names=["r0", "r1", "r2", "r3"], columns=["inflight"], limits=["cold"], seed=1
     )
-    company = FleetView(settings, NOW)
-    soon = []
-    found = Telling(
-        QueryScheduler(1, catalog, 0),
-        company,
-        catalog,
-        lambda: clock[0],
-        lambda: ["r1", "r2"],
-        lambda: soon.append(1),
+    scheduled = []
+    fleet = FleetAccess(
+        view=FleetView(settings, NOW),
+        clock=lambda: clock[0],
+        live_peers=lambda: ["r1", "r2"],
+        schedule_digests=lambda: scheduled.append(1),
     )
-    found.clock_of, found.said = clock, soon
+    found = FleetScheduler(scheduler=QueryScheduler(1, catalog, 0), fleet=fleet)
+    found.clock_of, found.scheduled_digests = clock, scheduled
     listings = [Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0) for n in (1, 2, 3)]
     found.on_endpoint_list(0, ListMode.COMPLETE, listings)
     found.on_subset(0, frozenset({1, 2, 3}))
     return found
 
 
-def test_queries_taken_and_turned_away_are_counted_by_their_group(told):
-    group = told.module.groups[0]
-    told.module.groups.append(replace(group, settings=replace(group.settings, number=1)))
+def test_queries_taken_and_turned_away_are_counted_by_their_group(fleet_scheduler):
+    group = fleet_scheduler.scheduler.groups[0]
+    fleet_scheduler.scheduler.groups.append(replace(group, settings=replace(group.settings, number=1)))
     for n, group in enumerate((0, 1, 1)):
-        told.on_query(10, NewQuery(f"q{n}", group, 90_000, 1, 0, 100, 0.0, None))
-    told.module.planned.clear()
-    told.module.dispatcher.give_up(told.module.queries["q1"], Reason.ENGINES_OVERLOADED)
-    answer = told.next_decision(10)
+        fleet_scheduler.on_query(10, NewQuery(f"q{n}", group, 90_000, 1, 0, 100, 0.0, None))
+    fleet_scheduler.scheduler.planned.clear()
+    fleet_scheduler.scheduler.dispatcher.give_up(
+        fleet_scheduler.scheduler.queries["q1"], Reason.ENGINES_OVERLOADED
+    )
+    answer = fleet_scheduler.next_decision(10)
     assert isinstance(answer, Reject) and answer.query == "q1"
-    told.on_client_left(10, "q0")
-    assert told.company.own.received == {0: 1, 1: 2} and told.company.own.rejected == {1: 1}
-    assert told.asking.keys() == {"q2"}
+    fleet_scheduler.on_client_left(10, "q0")
+    assert fleet_scheduler.fleet.own.received == {0: 1, 1: 2} and fleet_scheduler.fleet.own.rejected == {1: 1}
+    assert fleet_scheduler.groups_by_query.keys() == {"q2"}
 
 
-def test_module_hears_how_many_routers_live_and_its_parts(told):
-    assert told.module.pool.routers == 3 and told.module.pool.subset == {1, 2, 3}
-    assert 0 < told.module.pool.shares["cold"] <= 0.25
+def test_module_hears_how_many_routers_live_and_its_parts(fleet_scheduler):
+    assert fleet_scheduler.scheduler.pool.routers == 3 and fleet_scheduler.scheduler.pool.subset == {1, 2, 3}
+    assert 0 < fleet_scheduler.scheduler.pool.shares["cold"] <= 0.25
 
 
-def test_report_that_comes_here_is_told_and_one_heard_of_is_not(told):
-    told.on_health_check(10, 1, AttemptResult.SERVED, {"inflight": 3})
-    assert told.said and told.company.own.load_reports.keys() == {1}
-    told.on_load_report(10, 2, {"inflight": 3}, age=5)
-    assert told.company.own.load_reports.keys() == {1} and told.module.engines[2].reported_at == 5
+def test_report_that_comes_here_is_told_and_one_heard_of_is_not(fleet_scheduler):
+    fleet_scheduler.on_health_check(10, 1, AttemptResult.SERVED, {"inflight": 3})
+    assert fleet_scheduler.scheduled_digests and fleet_scheduler.fleet.own.load_reports.keys() == {1}
+    fleet_scheduler.on_load_report(10, 2, {"inflight": 3}, age=5)
+    assert fleet_scheduler.fleet.own.load_reports.keys() == {1}
+    assert fleet_scheduler.scheduler.engines[2].reported_at == 5
 
 
-def test_engine_closed_by_others_word_takes_nothing_until_the_list_has_come_so_far(told):
+def test_engine_closed_by_others_word_takes_nothing_until_the_list_has_come_so_far(fleet_scheduler):
     for witness in ("r1", "r2"):
-        told.company.signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(3, 9),)))
-    told.stand(20)
-    assert not told.module.engines[3].ready
-    told.on_endpoint_list(25, ListMode.PARTIAL, [Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)])
-    told.on_subset(25, frozenset())  # an older word of the list does not open it
-    assert not told.module.engines[3].ready
-    told.reached = lambda: 8
-    told.on_endpoint_list(30, ListMode.PARTIAL, [Listing(2, 0, 0, 0, 0, EndpointState.READY, 1.0)])
-    told.on_subset(30, frozenset())
-    assert not told.module.engines[3].ready
-    told.reached = lambda: 9  # the list has reached the event, and says nothing of the engine
-    told.on_subset(40, frozenset())
-    assert told.module.engines[3].ready
-
-
-def test_parts_are_read_anew_before_a_process_that_stood_still_decides(told):
-    limit = told.company.quotas.limits["cold"]
-    told.clock_of[0] += 10 * SECOND
-    told.stand(100)
-    own = told.module.pool.shares["cold"]
-    now = told.clock_of[0]
+        fleet_scheduler.fleet.signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(3, 9),)))
+    fleet_scheduler.on_fleet_changed(20)
+    assert not fleet_scheduler.scheduler.engines[3].ready
+    fleet_scheduler.on_endpoint_list(25, ListMode.PARTIAL, [Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    fleet_scheduler.on_subset(25, frozenset())  # an older word of the list does not open it
+    assert not fleet_scheduler.scheduler.engines[3].ready
+    fleet_scheduler.connect_endpoint_list(lambda: 8)
+    fleet_scheduler.on_endpoint_list(30, ListMode.PARTIAL, [Listing(2, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    fleet_scheduler.on_subset(30, frozenset())
+    assert not fleet_scheduler.scheduler.engines[3].ready
+    # The list has reached the event, and says nothing of the engine.
+    fleet_scheduler.connect_endpoint_list(lambda: 9)
+    fleet_scheduler.on_subset(40, frozenset())
+    assert fleet_scheduler.scheduler.engines[3].ready
+
+
+def test_parts_are_read_anew_before_a_process_that_stood_still_decides(fleet_scheduler):
+    limit = fleet_scheduler.fleet.quotas.limits["cold"]
+    fleet_scheduler.clock_of[0] += 10 * SECOND
+    fleet_scheduler.on_fleet_changed(100)
+    own = fleet_scheduler.scheduler.pool.shares["cold"]
+    now = fleet_scheduler.clock_of[0]
     limit.borrowed["r1"] = BorrowedLease(1, now, 100_000, 100_000, now + LEASE_DURATION)
-    told.stand(100)
-    assert told.module.pool.shares["cold"] > own
+    fleet_scheduler.on_fleet_changed(100)
+    assert fleet_scheduler.scheduler.pool.shares["cold"] > own
     # The process is suspended as long as the lease lasts, and wakes in a decision.
-    told.clock_of[0] += LEASE_DURATION
-    told.next_decision(100)
-    assert told.module.pool.shares["cold"] == own
+    fleet_scheduler.clock_of[0] += LEASE_DURATION
+    fleet_scheduler.next_decision(100)
+    assert fleet_scheduler.scheduler.pool.shares["cold"] == own
+
+
+def modules_imported_by(statement):
+    """The modules that a process has imported after this statement."""
+    program = f"import sys; {statement}; print(*sys.modules)"
+    ran = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    return ran.stdout.split()
+
+
+INTEGRATIONS = "hillchute.router.integrations"
 
 
 def test_switched_off_nothing_of_it_is_imported():
-    program = (
-        "import sys, hillchute.router.__main__, hillchute.router.service;"
-        "print(*[name for name in sys.modules if name.startswith(('hillchute.peers', 'msgspec', 'sqlite3',"
-        " 'hillchute.history', 'hillchute.partners', 'cryptography',"
-        " 'hillchute.router.integrations.history'))"
-        " or name in ('hillchute.coordination.fleet_view', 'hillchute.router.integrations.peers',"
-        " 'hillchute.router.integrations.fleet_scheduler')])"
-    )
-    told = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == ""
-    program = (
-        "import sys, hillchute.router.integrations.peers;"
-        "print(*[name for name in sys.modules if name.startswith(("
-        "'hillchute.history', 'sqlite3', 'hillchute.partners', 'hillchute.router.integrations.history',"
-        "'hillchute.router.integrations.partners', 'cryptography'))])"
+    imported = modules_imported_by("import hillchute.router.__main__, hillchute.router.service")
+    optional = (
+        "hillchute.peers",
+        "hillchute.history",
+        "hillchute.partners",
+        "msgspec",
+        "sqlite3",
+        "cryptography",
     )
-    told = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == ""
+    assert [name for name in imported if name.startswith(optional)] == []
+    assert "hillchute.coordination.fleet_view" not in imported
+    assert {name for name in imported if name.startswith(INTEGRATIONS)} == {
+        INTEGRATIONS,
+        f"{INTEGRATIONS}.interface",
+    }
+
+
+def test_peers_alone_import_nothing_of_history_and_partners():
+    imported = modules_imported_by(f"import {INTEGRATIONS}.peers")
+    optional = ("hillchute.history", "hillchute.partners", "sqlite3", "cryptography")
+    assert [name for name in imported if name.startswith(optional)] == []
+    assert {name for name in imported if name.startswith(INTEGRATIONS)} == {
+        INTEGRATIONS,
+        f"{INTEGRATIONS}.interface",
+        f"{INTEGRATIONS}.fleet_scheduler",
+        f"{INTEGRATIONS}.peers",
+    }
 
 
 # ---- the operator file ------------------------------------------------------------------------------
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -24,7 +24,7 @@
 from hillchute.peers import fragmentation
 from hillchute.router import events
 from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
-from hillchute.router.integrations.history import book_of
+from hillchute.router.integrations.history import retention_policies
 from hillchute.router.reducer import Reducer
 from hillchute.statements.request import Request
 
@@ -146,7 +146,7 @@
     text = """history: {number: 3, copies: 1, founded_ms: 5, default: {rows: true, least_ms: 5000},
       customers: [{name: "a", policy: {hold: true}}], forget: [{before_ms: 7, customer: "a", key: "k"}]}
       peers: {name: "a", listen: "127.0.0.1:1", others: []}"""
-    book = book_of(reading.hold(text)["history"])
+    book = retention_policies(reading.hold(text)["history"])
     assert (book.number, book.copies, book.founded) == (3, 1, 50)
     assert book.default == RetentionPolicy(rows=True, least_ms=5000) and book.policy_for("a").hold
     assert book.erasure_requests == (ErasureRequest(70, "a", "k"),)
@@ -154,7 +154,7 @@
 
 def test_defaults_of_the_operator_file_are_those_of_the_book():
     text = 'history: {number: 1, default: {}}\npeers: {name: "a", listen: "127.0.0.1:1", others: []}'
-    assert book_of(reading.hold(text)["history"]) == RetentionPolicies(number=1)
+    assert retention_policies(reading.hold(text)["history"]) == RetentionPolicies(number=1)
 
 
 @pytest.mark.parametrize(
