--- a/hillchute/router/integrations/forwarded_queries.py
+++ b/hillchute/router/integrations/forwarded_queries.py
@@ -124,7 +124,7 @@
 
 
 def is_generation_over(node: Node, router: str, generation: int) -> bool:
-    """Whether a generation of a router is known to be over: the router is dead or unknown, or was heard in a
+    """Whether a generation of a router is known to be over: the router is dead or unknown, or has spoken in a
     later one (0: no generation is known). One that shuts down still answers."""
     peer = node.failure_detector.peers.get(router)
     if peer is None or peer.state == PeerState.DEAD:
--- a/hillchute/router/integrations/fragmented_channel.py
+++ b/hillchute/router/integrations/fragmented_channel.py
@@ -45,7 +45,7 @@
 
     @abstractmethod
     def receive_message(self, now: Time, sender: str, message: MessageT) -> None:
-        """A message has come whole; it is authentic and within its bounds."""
+        """A message is complete; it is authentic and within its bounds."""
 
     @abstractmethod
     def take_messages(self) -> list[tuple[str, MessageT]]:
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -189,6 +189,25 @@
     assert waits(5) == waits(5)
 
 
+def test_scheduler_gets_reports_of_other_routers_before_it_reads_the_fleets_state():
+    reducer = Reducer(QueryScheduler(1, {}, 0), {}, 100)
+    calls = []
+    reducer.module.on_load_report = lambda *report: calls.append(report)
+    reducer.module.on_fleet_changed = lambda now: calls.append(now)
+    reducer.module.next_decision = lambda now: calls.append("decision")
+    reports = [(3, {"inflight": 2.0}, 5), (4, {"inflight": 1.0}, 0)]
+    reducer.reduce(events.PeersChanged(reports), 70)
+    assert calls == [*((70, *report) for report in reports), 70, "decision"]
+
+
+def test_scheduler_without_peers_ignores_that_the_fleet_has_changed():
+    scheduler = QueryScheduler(1, {"n_instances": 3}, 0)
+    scheduler.on_subset(0, frozenset({1}), 2, {"cold": 0.5})
+    scheduler.on_fleet_changed(10)
+    assert (scheduler.pool.subset, scheduler.pool.routers) == ({1}, 2)
+    assert scheduler.pool.shares == {"cold": 0.5}
+
+
 def test_subset_follows_the_endpoint_list_that_the_router_receives():
     entries = [
         event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -1,12 +1,14 @@
 """Partners on routers that run: the reducer's side, the operator file, shares of the pool, the wiring."""
 
+from types import SimpleNamespace
+
 import pytest
 from conftest import CATALOG
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from hillchute.cli import commands
-from hillchute.coordination.quota_leases import LENDER_HOLD
+from hillchute.coordination.quota_leases import LENDER_HOLD, QuotaLeases
 from hillchute.decision.interface import SECOND, EndpointState, Listing
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.fronts.events import FIRST_GUEST
@@ -15,6 +17,8 @@
 from hillchute.lab.partners_net import private, public
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
+from hillchute.partners.forwarding import Completion
+from hillchute.partners.messages import ForwardOutcome
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import events
 from hillchute.router.effects import (
@@ -26,9 +30,11 @@
     RejectQuery,
     SendResult,
 )
+from hillchute.router.integrations import forwarded_queries
 from hillchute.router.integrations.fragmented_channel import ExtensionContext
 from hillchute.router.integrations.partners import PartnerExtension
-from hillchute.router.integrations.pool_quota import EngineNames, PoolQuota
+from hillchute.router.integrations.pool_quota import ENTITLEMENT_SETTLING_TIME, EngineNames, PoolQuota
+from hillchute.router.integrations.rows_codec import encode_rows
 from hillchute.router.reducer import Reducer
 from hillchute.router.request_rules import history_key
 from hillchute.statements.request import Request
@@ -270,6 +276,65 @@
     assert told[0].verdict == "DEFER"
 
 
+@pytest.mark.parametrize(
+    ("outcome", "rows", "verdict", "reason", "answer"),
+    [
+        (ForwardOutcome.SERVED, encode_rows([[b"a", b"b", b"c"]]), "ANSWER", "r", [[b"a", b"b", b"c"]]),
+        (ForwardOutcome.SERVED, None, "KILL", "it has finished; its rows did not come", None),
+        (ForwardOutcome.SERVED, b"\xc1", "KILL", "its rows can't be read", None),
+        (ForwardOutcome.REJECTED, None, "DEFER", "r", None),
+        (ForwardOutcome.FAILED, None, "KILL", "r", None),
+    ],
+)
+def test_end_of_a_forwarded_query_as_the_reducer_gets_it(outcome, rows, verdict, reason, answer):
+    decided = forwarded_queries.claim_decided(("id", 3), Completion(1, outcome, "r", rows))
+    assert decided == events.ClaimDecided(
+        "id", 3, events.ClaimVerdict(verdict), f"passed on: {reason}", answer
+    )
+
+
+@pytest.mark.parametrize(
+    ("view", "up_to_date", "in_force", "confined"),
+    [
+        (True, True, True, False),
+        (False, True, True, True),
+        (None, True, True, True),
+        (True, False, True, True),
+        (True, True, False, True),
+    ],
+)
+def test_router_is_confined_to_the_floor_unless_view_and_agreement_are_in_force(
+    view, up_to_date, in_force, confined
+):
+    shares = {"a": 7000, "b": 3000}
+    ownership = SimpleNamespace(
+        revision=1,
+        effective_shares=lambda now: shares,
+        up_to_date=lambda: up_to_date,
+        is_in_force=lambda now: in_force,
+    )
+    routers = {"a": frozenset({"a0", "a1"}), "b": frozenset({"b0", "b1"})}
+    pool = PoolQuota(
+        clock=lambda: EPOCH,
+        members=tuple,
+        engine_names=EngineNames.from_catalog({}),
+        negotiation=SimpleNamespace(router="a0", partner="a", routers=routers, ownership=ownership),
+        views=None if view is None else SimpleNamespace(in_force=lambda now: view),
+    )
+    quotas = QuotaLeases("a0", ["a0", "a1", "b0", "b1"], {"pool": 1_000_000}, 1, EPOCH)
+    pool.update_entitlement(quotas)
+    limit = quotas.limits["pool"]
+    assert (limit.entitlement, limit.group, limit.confined) == (350_000, routers["a"], confined)
+    assert limit.fixed_floor == 1_000_000 // 64
+    assert limit.settling_time == ENTITLEMENT_SETTLING_TIME
+    shares["a"] = 3000
+    pool.update_entitlement(quotas)
+    assert limit.entitlement == 350_000  # the shares are read anew with another revision
+    ownership.revision = 2
+    pool.update_entitlement(quotas)
+    assert limit.entitlement == 250_000
+
+
 # ---- shares of the pool ----
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"]}
