--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -13,9 +13,9 @@
     AttemptResult,
     EngineId,
     QueryId,
+    Scheduler,
     Time,
 )
-from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.router.connection_pool import ConnectionPool, Endpoint, EngineConnection
@@ -44,7 +44,7 @@
     """The attempts of all queries of a router."""
 
     def __init__(
-        self, context: ReducerContext, module: QueryScheduler, rules: RequestRules, owner: QueryOwner
+        self, context: ReducerContext, module: Scheduler, rules: RequestRules, owner: QueryOwner
     ) -> None:
         self.context = context
         self.module = module
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -56,11 +56,6 @@
     settings: Settings
     closing: Time  # how long after a planned end all queries must be answered
 
-    @property
-    def catalog(self) -> Mapping[str, object]:
-        """The plain catalog, for those integrations that do not take `settings` yet."""
-        return self.stated_catalog
-
 
 def read_station(environ: Mapping[str, str] = os.environ) -> Station:
     """Reads the file that EDGE_CONFIG names; raises ConfigurationError for the first fault."""
--- a/hillchute/router/integrations/interface.py
+++ b/hillchute/router/integrations/interface.py
@@ -5,34 +5,35 @@
 
 import anyio.abc
 
-from hillchute.decision.interface import Time
-from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.interface import Scheduler, Time
 from hillchute.engines.words import Rows, Stream
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
 
+STATISTICS_INTERVAL: Time = 50_000  # five seconds between two log lines with an extension's figures
+
 ExtensionEffect = ClaimQuery | EndClaim | ForwardQuery | CancelForward
 
 
 class Frontend(Protocol):
     """Answers the clients of sessions; a session gets one answer."""
 
-    def finish(self, session: int, rows: Rows) -> None:
+    def finish(self, session: int, rows: Rows, /) -> None:
         """The query was served; its rows are complete."""
 
-    def defer(self, session: int, after: Time) -> None:
+    def defer(self, session: int, after: Time, /) -> None:
         """The query was rejected without effect; the client may retry after so long (0: not stated)."""
 
-    def kill(self, session: int, why: str) -> None:
+    def kill(self, session: int, reason: str, /) -> None:
         """The query failed; it may have run."""
 
-    def cut(self, session: int, why: str) -> None:
+    def cut(self, session: int, reason: str, /) -> None:
         """The stream that the session is being sent can't go on."""
 
 
 class ForwardingFrontend(Frontend, Protocol):
     """Answers queries that other routers forwarded to this one."""
 
-    def begin(self, session: int, stream: Stream) -> None:
+    def begin(self, session: int, stream: Stream, /) -> None:
         """The result comes as a stream."""
 
 
@@ -47,7 +48,7 @@
     claims_non_idempotent: bool  # so do queries that are unsafe to repeat
 
     @property
-    def scheduler(self) -> QueryScheduler:
+    def scheduler(self) -> Scheduler:
         """Stands in the place of the router's own, which the constructor was given."""
 
     @property
@@ -61,7 +62,7 @@
         """Carries out one effect of the reducer."""
 
     def open(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Opens the sockets and starts the loop that serves them; OSError if an address is taken."""
+        """Opens the sockets and starts the loop that serves them; PeerListenError if an address is taken."""
 
     def begin_shutdown(self) -> None:
         """The router ends: others are told."""
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -80,11 +80,10 @@
         self.trace = EventTrace()
         self.faults = FaultLog(log, self.trace, clock)
         settings = operator_file.settings
-        module = QueryScheduler(station.seed, station.settings, clock())
-        self.extension = self._build_extension(settings, module)
-        if self.extension is not None:
-            module = self.extension.scheduler
-        self.reducer = Reducer(module, station.settings, station.sockets // 3)
+        own_scheduler = QueryScheduler(station.seed, station.settings, clock())
+        self.extension = self._build_extension(settings, own_scheduler)
+        scheduler = own_scheduler if self.extension is None else self.extension.scheduler
+        self.reducer = Reducer(scheduler, station.settings, station.sockets // 3)
         if self.extension is not None:
             self._connect_extension(self.extension)
         self.door = self._build_door()
@@ -102,9 +101,10 @@
     def _build_extension(self, settings: OperatorSettings, module: QueryScheduler) -> RouterExtension | None:
         if not settings.get("peers"):
             return None
-        from hillchute.router.peering import Peering
+        from hillchute.router.integrations.peers import PeerExtension, RouterContext
 
-        return Peering(settings, self.station, module, self.log, self.handle, self.clock)
+        router = RouterContext(station=self.station, log=self.log, handle=self.handle, clock=self.clock)
+        return PeerExtension(operator=settings, router=router, scheduler=module)
 
     def _connect_extension(self, extension: RouterExtension) -> None:
         extension.connect_endpoint_list(self.endpoint_list_offset)
