--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -40,7 +40,7 @@
 class AttemptResult(StrEnum):
     """How an attempt to run a query on an engine, or a health check, ended.
 
-    The values are the spelling that the simulator's wire and the log have.
+    The values are the spelling that the simulator's wire has; the log has the members' names in lower case.
     """
 
     SERVED = "finished"  # a result, or the answer to a health check
@@ -110,7 +110,10 @@
 
 
 class Reason(StrEnum):
-    """Which check rejected or failed a query; the values are the log's words."""
+    """Which check rejected or failed a query.
+
+    The log has the members' names in lower case; the values are what simulations print.
+    """
 
     DEADLINE = "its end"  # its deadline has come
     NO_RETRY = "tried"  # its attempt ended without a result, and there may be no further one, or none in time
--- a/hillchute/discovery/watcher.py
+++ b/hillchute/discovery/watcher.py
@@ -99,4 +99,4 @@
     def _log_lost_connection(self, error: Exception) -> None:
         remedy = error.log_fields if isinstance(error, EventBusProtocolError) else {}
         reason = str(error) or type(error).__name__
-        self.log.write("bus_lost", why=reason, last=self.last_offset(), **remedy)
+        self.log.write("event_bus_lost", reason=reason, last_offset=self.last_offset(), **remedy)
--- a/hillchute/engines/flight/links.py
+++ b/hillchute/engines/flight/links.py
@@ -161,7 +161,7 @@
             if self.tasks.cancel_scope.cancel_called:
                 raise
         except Exception as fault:
-            self.log.write("fault", what=work.__name__, why=repr(fault))
+            self.log.write("fault", what=work.__name__, reason=repr(fault))
 
     def channel(self, address: str) -> grpc.aio.Channel:
         options = [
@@ -192,7 +192,7 @@
                 self.links.pop(link.number, None)
                 await self.close(link)
                 why = str(fault) or "time-out"
-                self.log.write("not_connected", line=link.number, to=address, why=why)
+                self.log.write("connect_failed", connection=link.number, address=address, reason=why)
                 self.handle(events.NotConnected(link.number, events.ConnectFault.UNREACHED))
                 return
             link.up = True
@@ -284,10 +284,10 @@
                 # A call that was cancelled brings its cancel up in whoever waits for it; that ends it alone.
                 self.told(link, run, "severed", None)
             except Exception as fault:
-                self.log.write("fault", what=f"run on line {link.number}", why=repr(fault))
+                self.log.write("fault", what=f"run on connection {link.number}", reason=repr(fault))
                 self.told(link, run, "severed", None)
             except arrow.Unreadable as fault:
-                self.log.write("unreadable", line=link.number, why=str(fault))
+                self.log.write("result_unreadable", connection=link.number, reason=str(fault))
                 self.told(link, run, "severed", None)
 
     def told(self, link: Link, run: words.Run, result: str, trailers) -> None:
--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -153,7 +153,7 @@
     def not_connected(self, link: Link, fault: OSError) -> None:
         self.links.pop(link.number, None)
         self.close_connecting(link)
-        self.log.write("not_connected", line=link.number, why=str(fault))
+        self.log.write("connect_failed", connection=link.number, reason=str(fault))
         self.handle(events.NotConnected(link.number, connect_fault(fault)))
 
     def close_connecting(self, link: Link) -> None:
--- a/hillchute/fronts/flight/server.py
+++ b/hillchute/fronts/flight/server.py
@@ -133,10 +133,10 @@
             try:
                 keys = self.keys(tls)
             except (OSError, ValueError) as fault:  # half-written: the running keys stay
-                self.log.write("flight", kept="the running keys", why=str(fault))
+                self.log.write("flight", kept="the running keys", reason=str(fault))
                 return None
             known["marks"] = marks
-            self.log.write("flight", keys="read anew")
+            self.log.write("flight", keys="reloaded")
             return keys
 
         return grpc.dynamic_ssl_server_credentials(
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -163,7 +163,7 @@
                 return
             client.pipe = BufferedSocket(sock, self.poller, client, READ)
         except OSError as fault:  # it has broken already, or the poller takes no more
-            self.log.write("not_accepted", why=str(fault))
+            self.log.write("accept_failed", reason=str(fault))
             with contextlib.suppress(OSError):
                 self.system.close(sock)
             return
@@ -257,7 +257,7 @@
         try:
             request = statements.read(query.text)
         except statements.Misread as fault:
-            self.log.write("misread", session=client.number, why=str(fault))
+            self.log.write("invalid_query", session=client.number, reason=str(fault))
             client.pipe.write(client.session.failed(packets.BAD_STATEMENT, str(fault)))
             return
         since = self.sent(client, query.since)
@@ -309,7 +309,7 @@
                 self.poller.add(self.listener, self)
                 self.paused = False
             except OSError as fault:
-                self.log.write("not_accepted", why=str(fault))
+                self.log.write("accept_failed", reason=str(fault))
         now = self.clock()
         for number in self.seats.late(now):
             client = self.clients[number]
--- a/hillchute/log.py
+++ b/hillchute/log.py
@@ -106,4 +106,4 @@
         self.window_start = now
         self.lines_by_event = Counter()
         if left_out:
-            self.write("log_alike", left_out=left_out)
+            self.write("log_suppressed", left_out=left_out)
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -1,15 +1,25 @@
 """The log's lines on answers: one a second that counts them all, and one for each that is worth a look."""
 
-from hillchute.decision.interface import Time
+from hillchute.decision.interface import Reason, Time
 from hillchute.discovery import event_bus
 from hillchute.router.connection_pool import ConnectionPool
 from hillchute.router.loop_lag import LoopLag
-from hillchute.router.query_state import QueryState
+from hillchute.router.query_state import QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 
 LOG_INTERVAL: Time = 10_000  # a second between two lines that count the answers
 
 
+def outcome_text(outcome: QueryOutcome, reason: str) -> str:
+    """An outcome as the counts have it, with the check that brought it about, if any.
+
+    A Reason goes by its name: its value is the text that clients and the simulations' figures have.
+    """
+    if not reason:
+        return outcome
+    return f"{outcome}: {reason.name.lower() if isinstance(reason, Reason) else reason}"
+
+
 class AnswerLog:
     """Counts answers by resource group and outcome; the log is read by people, so one line a second."""
 
@@ -38,9 +48,9 @@
         self.context.log(
             "answers",
             count_and_mean_ms=answers,
-            open=open_queries,
-            late=self.loop_lag.worst / 10,
-            behind=self.loop_lag.standing_delay / 10,
+            open_queries=open_queries,
+            loop_lag_ms=self.loop_lag.worst / 10,
+            standing_delay_ms=self.loop_lag.standing_delay / 10,
         )
         # Hundreds of engines in each line would cost more than queries do: only those that are active.
         endpoints = self.pool.endpoints
@@ -55,17 +65,17 @@
     def log_query(self, query: QueryState, outcome: str) -> None:
         """Writes a line on one query and its attempts; times in milliseconds since it came."""
         received_at = query.received_at
-        tries = [
+        attempts = [
             (event_bus.engine_name(attempt.engine), (attempt.started_at - received_at) / 10)
             for attempt in query.attempts
         ]
         self.context.log(
             "query",
-            id=query.request.id,
+            query=query.request.id,
             group=query.request.group,
-            how=outcome,
-            tries=tries,
-            after=(self.context.now - received_at) / 10,
-            patience=query.request.patience / 10,
+            outcome=outcome,
+            attempts=attempts,
+            elapsed_ms=(self.context.now - received_at) / 10,
+            client_timeout_ms=query.request.patience / 10,
             session=query.session,
         )
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -156,7 +156,7 @@
         self._report(attempt, result, final or streaming or query.answered, message or attempt.run_over)
         if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
             name = event_bus.engine_name(attempt.engine)
-            self.context.log("submission", id=query.request.id, engine=name, result=result)
+            self.context.log("attempt_ended", query=query.request.id, engine=name, result=result.name.lower())
         attempt.run_over = None
         if attempt.stream is not None and result != AttemptResult.SERVED:
             # No retry: the client may have seen some of the result.
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -134,7 +134,7 @@
         """Opens a connection; None if the pool is full and every connection in use."""
         if len(self.connections) >= self.max_connections and not self._close_idlest():
             name = event_bus.engine_name(endpoint.engine)
-            self.context.log("no_connection", engine=name, open=len(self.connections))
+            self.context.log("connections_exhausted", engine=name, connections=len(self.connections))
             return None
         now = self.context.now
         number = self.context.next_number()
@@ -204,7 +204,7 @@
         for tag in connection.health_checks:
             self.module.on_health_check(self.context.now, connection.engine, result, None)
             name = event_bus.engine_name(connection.engine)
-            self.context.log("probe", engine=name, tag=tag, result=result)
+            self.context.log("health_check", engine=name, number=tag, result=result.name.lower())
         while connection.waiting:
             self.on_attempt_ended(connection.waiting.popleft(), result)
 
@@ -215,7 +215,8 @@
             return
         self._forget(connection)
         name = event_bus.engine_name(connection.engine)
-        self.context.log("line_lost", engine=name, why=reason, open=len(connection.attempts))
+        in_flight = len(connection.attempts)
+        self.context.log("connection_lost", engine=name, reason=reason, in_flight=in_flight)
         for query, attempt in list(connection.attempts.items()):
             self.on_attempt_ended(attempt, lost_result(query in never_sent))
         for tag in connection.health_checks:
@@ -281,7 +282,7 @@
         self.module.on_subset(self.context.now, self.subset.select(ready))
         self._forget_endpoints()
         states = {event_bus.engine_name(engine): entry.listing.state for engine, entry in listed.items()}
-        self.context.log("roster", number=update.offset, mode=update.kind, engines=states)
+        self.context.log("endpoint_list", offset=update.offset, mode=update.kind, engines=states)
 
     def _update_endpoint(self, entry: event_bus.Endpoint) -> None:
         listing = entry.listing
@@ -339,13 +340,15 @@
         connections = endpoint.connections.values()
         return {
             "ready": endpoint.ready,
-            "lines": len(connections),
-            "open": sum(len(connection.attempts) + len(connection.waiting) for connection in connections),
-            "out": state.open_attempts,
-            "reported": state.reported_threads and round(state.reported_threads, 1),
-            "granted": state.memory_granted,
-            "age_ms": (now - state.reported_at) / 10,
-            "rests_ms": max(0, state.ejected_until - now) / 10,
+            "connections": len(connections),
+            "open_attempts": sum(
+                len(connection.attempts) + len(connection.waiting) for connection in connections
+            ),
+            "in_flight": state.open_attempts,
+            "reported_threads": state.reported_threads and round(state.reported_threads, 1),
+            "memory_granted": state.memory_granted,
+            "report_age_ms": (now - state.reported_at) / 10,
+            "ejected_ms": max(0, state.ejected_until - now) / 10,
         }
 
 
--- a/hillchute/router/effects.py
+++ b/hillchute/router/effects.py
@@ -90,11 +90,11 @@
 
 
 class ClaimOutcome(StrEnum):
-    """How a query ended for the answer history; the values are the log's words."""
+    """How a query ended for the answer history."""
 
-    NOT_RUN = "freed"  # nothing of it can have run
-    SERVED = "finished"
-    FAILED = "killed"  # it may have run
+    NOT_RUN = "not_run"  # nothing of it can have run
+    SERVED = "served"
+    FAILED = "failed"  # it may have run
 
 
 class EndClaim(NamedTuple):
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -30,10 +30,10 @@
     """What becomes of a query that the answer history was asked about; the values are the trace's words."""
 
     RUN = "RUN"
-    REPLAY = "ANSWER"  # it has run: its client gets the rows
-    REJECT = "DEFER"
-    FAIL = "KILL"
-    FORWARD = "PASS"  # its slot has another owner
+    REPLAY = "REPLAY"  # it has run: its client gets the rows
+    REJECT = "REJECT"
+    FAIL = "FAIL"
+    FORWARD = "FORWARD"  # its slot has another owner
 
 
 class ClaimDecided(NamedTuple):
--- a/hillchute/router/lifecycle.py
+++ b/hillchute/router/lifecycle.py
@@ -43,7 +43,7 @@
         """Enters a phase; False where it can't follow the present one (at a second signal, for example)."""
         if phase not in TRANSITIONS[self.phase]:
             return False
-        self.log.write("phase", phase=phase.value, after=self.phase.value)
+        self.log.write("phase", phase=phase.value, previous=self.phase.value)
         self.phase = phase
         self.phase_changed.set()
         self.phase_changed = anyio.Event()
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -30,11 +30,11 @@
 class QueryOutcome(StrEnum):
     """How a query ended for its client; the values are the log's words."""
 
-    SERVED = "finished"
-    REJECTED = "deferred"
-    FAILED = "killed"
-    CLIENT_LEFT = "left"
-    ABORTED = "cut"  # within a stream that had begun
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    CLIENT_LEFT = "client_left"
+    ABORTED = "aborted"  # within a stream that had begun
     UNANSWERED = "unanswered"  # no decision came in time, and it was failed
 
 
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -29,7 +29,7 @@
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
-from hillchute.router.answer_log import AnswerLog
+from hillchute.router.answer_log import AnswerLog, outcome_text
 from hillchute.router.attempts import Attempts
 from hillchute.router.claims import Claims
 from hillchute.router.connection_pool import ConnectionPool, EngineConnection
@@ -203,7 +203,7 @@
         fault = self.find_fault(session, request)
         if fault is not None:
             self.context.emit(FailQuery(session, fault))
-            self.context.log("misread", session=session, why=fault)
+            self.context.log("invalid_query", session=session, reason=fault)
             return
         if len(self.unanswered) >= self.rules.max_open:
             self.context.emit(RejectQuery(session, 0))
@@ -212,7 +212,12 @@
         group = self.rules.group_of(request)
         if not self.module.admits(now, group, self.loop_lag.standing_delay):
             self.context.emit(RejectQuery(session, 0))
-            self.answer_log.count(request.group, "turned away", now - received_at, len(self.unanswered))
+            self.answer_log.count(
+                request.group,
+                f"{QueryOutcome.REJECTED}: router_overloaded",
+                now - received_at,
+                len(self.unanswered),
+            )
             return
         query = self.add_query(session, request, received_at)
         if self.claims_idempotent and group in self.rules.idempotent and request.token is not None:
@@ -315,13 +320,13 @@
             return
         failure = FailQuery(query.session, "no answer in time")
         if query.claim is ClaimState.FORWARDED:
-            self.answer(query, failure, QueryOutcome.FAILED, "passed on: no answer in time")
+            self.answer(query, failure, QueryOutcome.FAILED, "forwarded: no answer in time")
             return
         # A process that stood still wakes with this timer and the module's own all due at once.
         last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
         late = self.context.now - max(query.deadline, last_moment)
-        event = "late" if late > LAST_ANSWER_MARGIN else "fault"
-        self.context.log(event, what="unanswered at its end", query=query.request.id)
+        event = "answered_late" if late > LAST_ANSWER_MARGIN else "fault"
+        self.context.log(event, what="unanswered at its deadline", query=query.request.id)
         self.module.on_client_left(self.context.now, query.request.id)
         self.answer(query, failure, QueryOutcome.UNANSWERED)
 
@@ -340,7 +345,7 @@
         if effect is not None:
             self.context.emit(effect)
         self.attempts.end_open(query)
-        counted_as = f"{outcome}: {reason}" if reason else outcome
+        counted_as = outcome_text(outcome, reason)
         elapsed = self.context.now - query.received_at
         self.answer_log.count(query.request.group, counted_as, elapsed, len(self.unanswered))
         if outcome not in (QueryOutcome.SERVED, QueryOutcome.REJECTED):
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -213,7 +213,9 @@
         try:
             work(*about)
         except Exception as fault:
-            self.log.write("fault", what=work.__name__, why=repr(fault), trace=traceback.format_exc(limit=-6))
+            self.log.write(
+                "fault", what=work.__name__, reason=repr(fault), trace=traceback.format_exc(limit=-6)
+            )
             self.dump(BEFORE_A_FAULT)
 
     def carry_out(self, effect: Effect) -> None:
@@ -255,7 +257,7 @@
         except BaseException as fault:
             if not isinstance(fault, Exception) and self.tasks.cancel_scope.cancel_called:
                 raise
-            self.log.write("fault", what=f"stream of {session}", why=repr(fault))
+            self.log.write("fault", what=f"stream of {session}", reason=repr(fault))
             stream.close()
             self.handle(events.Spoilt(session, "a fault of ours"))
 
@@ -297,7 +299,7 @@
             return listing
         name = event_bus.engine_name(listing.engine)
         fault = UnknownEngineKindError(f"kind {listing.kind} of {self.kinds}", name)
-        self.log.write("listing", **fault.log_fields)
+        self.log.write("endpoint_unusable", **fault.log_fields)
         state = "Gone" if listing.state == "Gone" else "Terminating"
         return listing._replace(kind=0, state=state)
 
@@ -390,7 +392,7 @@
         except Exception as fault:
             owner = about[0]
             self.log.write(
-                "fault", what=type(owner).__name__, why=repr(fault), trace=traceback.format_exc(limit=-6)
+                "fault", what=type(owner).__name__, reason=repr(fault), trace=traceback.format_exc(limit=-6)
             )
             self.dump(BEFORE_A_FAULT)
             self.door.drop(owner) if isinstance(owner, Client) else self.links.lost(owner, "a fault of ours")
@@ -398,7 +400,7 @@
     def look_at_alarm(self, now: int) -> None:
         if self.alarm is not None and now >= self.alarm:
             if now - self.alarm > LAG * SECOND:
-                self.log.write("lag", ms=(now - self.alarm) / 10)
+                self.log.write("loop_lag", ms=(now - self.alarm) / 10)
             self.alarm = None
             self.handle(events.AlarmDue())
 
@@ -449,7 +451,7 @@
         signalled = self.signals.arrivals.get(signal.SIGTERM, self.clock())
         self.shutdown = ShutdownSchedule(signalled, self.station.closing, self.reducer.loop_lag.worst)
         ago, left = self.clock() - signalled, self.shutdown.exit_by - self.clock()
-        self.log.write("closing", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
+        self.log.write("shutdown", signalled_ms_ago=ago / 10, exit_in_ms=left / 10)
         self.handle(events.ShutdownStarted(self.shutdown.answer_by))
         if self.extension is not None:
             self.extension.begin_shutdown()
@@ -501,7 +503,7 @@
         try:
             station = config.read()
         except ConfigurationError as fault:
-            self.log.write("reload", kept="the running configuration", why=str(fault), **fault.log_fields)
+            self.log.write("reload", kept="the running configuration", reason=str(fault), **fault.log_fields)
             return
         restart = config.needs_restart(self.station, station)
         if self.read_operator is not None:
@@ -509,7 +511,7 @@
                 restart += self.renew(self.read_operator())
             except ValueError as fault:
                 told = fault.log_fields if isinstance(fault, HillchuteError) else {}
-                self.log.write("reload", kept="the running operator file", why=str(fault), **told)
+                self.log.write("reload", kept="the running operator file", reason=str(fault), **told)
         self.log.write("reload", bus=list(station.bus), needs_restart=restart)
         self.station = self.station._replace(bus=station.bus)
         for news in station.known:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -138,7 +138,7 @@
     watcher.anyio.connect_tcp = connect
     began = time.monotonic()
     play(bus, lambda: len(bus.connects) >= 2)
-    assert time.monotonic() - began >= 0.04 and ("bus_lost" in [event for event, _ in bus.log.lines])
+    assert time.monotonic() - began >= 0.04 and ("event_bus_lost" in [event for event, _ in bus.log.lines])
 
 
 def test_addresses_in_quick_succession_while_connects_are_under_way_end_at_the_last(bus):
@@ -266,7 +266,7 @@
     )
     engines = rig.service.reducer.module.engines
     assert not engines[1].ready and not engines[3].ready
-    (line,) = [fields for event, fields in rig.log.lines if event == "listing"]
+    (line,) = [fields for event, fields in rig.log.lines if event == "endpoint_unusable"]
     assert line["error"] == "UnknownEngineKindError" and line["remedy"] and not rig.log.faults()
 
 
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -213,7 +213,7 @@
     assert not streaming.finals(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
     assert streaming.reducer.unanswered
     assert not streaming.finals(events.Passed(1)) and not streaming.reducer.queries
-    assert streaming.reducer.answer_log.counts[("lookup", "finished")][0] == 1
+    assert streaming.reducer.answer_log.counts[("lookup", "served")][0] == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -79,34 +79,36 @@
 def test_query_of_anothers_slot_is_passed_on_and_its_answer_is_the_answer():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    (passed,) = of(rig.judged(id, "PASS", "b"), ForwardQuery)
+    (passed,) = of(rig.judged(id, "FORWARD", "b"), ForwardQuery)
     assert (passed.query, passed.owner, passed.request.token) == (id, "b", "ab")
     assert 0 < passed.time_left <= 5 * SECOND and id not in rig.module.queries
-    said = rig.judged(id, "ANSWER", "", [[b"1"], [b"2"], [b"3"]])
+    said = rig.judged(id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
     assert [(e.session, e.rows) for e in of(said, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
     assert not of(said, CancelForward) and id not in rig.reducer.queries
-    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [(id, "freed")]  # the next of its key may go
+    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [
+        (id, "not_run")
+    ]  # the next of its key may go
 
 
-@pytest.mark.parametrize(("verdict", "effect"), [("DEFER", RejectQuery), ("KILL", FailQuery)])
+@pytest.mark.parametrize(("verdict", "effect"), [("REJECT", RejectQuery), ("FAIL", FailQuery)])
 def test_query_that_was_passed_on_ends_once_as_it_ended_there(verdict, effect):
     rig = Rig()
     id, _ = rig.ask("write")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     assert len(of(rig.judged(id, verdict), effect)) == 1 and id not in rig.reducer.queries
 
 
 def test_there_is_no_second_hop():
     rig = Rig()
     id, _ = rig.ask("load", "ab", session=FIRST_GUEST + 1)
-    said = rig.judged(id, "PASS", "c")
+    said = rig.judged(id, "FORWARD", "c")
     assert not of(said, ForwardQuery) and len(of(said, RejectQuery)) == 1
 
 
 def test_query_that_was_passed_on_has_failed_when_no_answer_comes_in_time():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
     assert len(of(said, FailQuery)) == 1 and not of(said, RejectQuery)  # it may have run
     assert [(e.query, e.number) for e in of(said, CancelForward)] == [(id, 1)] or of(said, CancelForward)
@@ -115,10 +117,10 @@
 def test_client_that_leaves_takes_back_what_was_passed_on():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     said = rig.reducer.reduce(events.Left(rig.count), 10)
     assert [e.query for e in of(said, CancelForward)] == [id] == [e.query for e in of(said, EndClaim)]
-    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "ANSWER", "", []), 20), SendResult)
+    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "REPLAY", "", []), 20), SendResult)
 
 
 def test_place_in_the_history_is_the_keys_or_the_table_groups():
@@ -257,7 +259,7 @@
     told = []
     held.judged = lambda *about: told.append(about)
     held.pass_on("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50)
-    assert told == [("id", 1, "DEFER", "no router of its slot's owner is known to live", None)]
+    assert told == [("id", 1, "REJECT", "no router of its slot's owner is known to live", None)]
 
 
 # ---- shares of the pool ----
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "effect"), [("ANSWER", SendResult), ("DEFER", RejectQuery), ("KILL", FailQuery)]
+    ("verdict", "effect"), [("REPLAY", SendResult), ("REJECT", RejectQuery), ("FAIL", FailQuery)]
 )
 def test_word_that_is_no_run_is_the_answer(verdict, effect):
     rig = Rig()
@@ -95,24 +95,24 @@
     id, _ = rig.ask()
     said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
     assert len(of(said, RejectQuery)) == 1 and not of(said, FailQuery)
-    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "not_run")]
 
 
 def test_client_that_leaves_frees_its_claim():
     rig = Rig()
     id, _ = rig.ask()
     said = rig.reducer.reduce(events.Left(rig.count), 10)
-    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "not_run")]
 
 
 @pytest.mark.parametrize(
     ("results", "how"),
     [
-        ([], "freed"),
-        (["saturated", "unreached"], "freed"),
-        (["saturated", "finished"], "finished"),
-        (["errored"], "killed"),
-        (["overdue"], "killed"),
+        ([], "not_run"),
+        (["saturated", "unreached"], "not_run"),
+        (["saturated", "finished"], "served"),
+        (["errored"], "failed"),
+        (["overdue"], "failed"),
     ],
 )
 def test_history_hears_what_may_have_run(results, how):
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,7 +12,7 @@
 from rounds_by_hand import Signals
 
 from hillchute.benchlink.codec import Fields
-from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.interface import SECOND, AttemptResult, EndpointState, Listing, Reason
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
@@ -27,6 +27,7 @@
 from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events, loop_lag, service
+from hillchute.router.answer_log import outcome_text
 from hillchute.router.effects import (
     CloseConnection,
     FailQuery,
@@ -37,6 +38,7 @@
     WriteLog,
 )
 from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.query_state import QueryOutcome
 from hillchute.router.reducer import Reducer
 from hillchute.statements import request as statement
 
@@ -780,12 +782,47 @@
     assert done == ["first one", "first two", "second one", "second two"]
 
 
+LOGGED_REASONS = {
+    Reason.DEADLINE: "deadline",
+    Reason.NO_RETRY: "no_retry",
+    Reason.TOO_LATE: "too_late",
+    Reason.TOO_HEAVY: "too_heavy",
+    Reason.ENGINES_OVERLOADED: "engines_overloaded",
+    Reason.LOADS_AHEAD: "loads_ahead",
+}
+LOGGED_RESULTS = {
+    AttemptResult.OVERLOADED: "overloaded",
+    AttemptResult.CONNECTION_REFUSED: "connection_refused",
+    AttemptResult.UNREACHABLE: "unreachable",
+    AttemptResult.NOT_SENT: "not_sent",
+    AttemptResult.CONNECTION_LOST: "connection_lost",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.FAILED: "failed",
+}
+
+
+def test_log_counts_answers_by_outcome_and_the_name_of_the_check():
+    assert LOGGED_REASONS.keys() == set(Reason)
+    for reason, name in LOGGED_REASONS.items():
+        assert outcome_text(QueryOutcome.REJECTED, reason) == f"rejected: {name}"
+    assert outcome_text(QueryOutcome.SERVED, "") == "served"
+    assert outcome_text(QueryOutcome.REJECTED, "history: no verdict in time").endswith(": no verdict in time")
+
+
+@pytest.mark.parametrize(("result", "name"), LOGGED_RESULTS.items())
+def test_log_has_the_name_of_an_attempts_result(rig, result, name):
+    line = rig.sent()
+    said = rig.do(events.Said(line, words.Ended("a" * 16, result)), 10, WriteLog)
+    (ended,) = [note for note in said if note.event == "attempt_ended"]
+    assert ended.fields["result"] == name
+
+
 def test_lines_alike_are_counted_not_written():
     log = Log("n1", -1)
     for _ in range(100):
-        log.write("misread", why="x")
+        log.write("invalid_query", reason="x")
     log.window_start = 0
-    log.write("misread", why="x")
+    log.write("invalid_query", reason="x")
     lines = [orjson.loads(line) for line in log.buffer.splitlines()]
     assert len(lines) == MAX_LINES_PER_EVENT + 2
-    assert lines[-2]["left_out"] == {"misread": 100 - MAX_LINES_PER_EVENT}
+    assert lines[-2]["left_out"] == {"invalid_query": 100 - MAX_LINES_PER_EVENT}
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -194,7 +194,7 @@
     assert done.returncode == 0, done.stderr
     phases = [line["phase"] for line in lines if line["event"] == "phase"]
     assert phases[-3:] == ["closing", "flushing", "stopped"]
-    (closing,) = [line for line in lines if line["event"] == "closing"]
+    (closing,) = [line for line in lines if line["event"] == "shutdown"]
     assert closing["signalled_ms_ago"] >= ago
 
 
