--- a/hillchute/peers/node.py
+++ b/hillchute/peers/node.py
@@ -163,7 +163,7 @@
         try:
             data = self.seal(OutgoingDatagram(receiver, DatagramKind.PAYLOAD, 0), payload)
         except ValueError:
-            self.dropped["load too long to go"] += 1
+            self.dropped["payload too long"] += 1
             return []
         return [AddressedDatagram(receiver, data)]
 
--- a/hillchute/router/effect_executor.py
+++ b/hillchute/router/effect_executor.py
@@ -195,6 +195,6 @@
         except BaseException as error:
             if not isinstance(error, Exception) and self.tasks.cancel_scope.cancel_called:
                 raise
-            self.log.write("fault", what=f"stream of {session}", why=repr(error))
+            self.log.write("fault", what=f"stream of {session}", reason=repr(error))
             stream.close()
             self.handle(Spoilt(session, "a fault of ours"))
--- a/hillchute/router/endpoint_updates.py
+++ b/hillchute/router/endpoint_updates.py
@@ -44,6 +44,6 @@
             return listing
         name = event_bus.engine_name(listing.engine)
         error = UnknownEngineKindError(f"kind {listing.kind} of {self.machine_kinds}", name)
-        self.log.write("listing", **error.log_fields)
+        self.log.write("endpoint_unusable", **error.log_fields)
         gone = listing.state == EndpointState.GONE
         return listing._replace(kind=0, state=EndpointState.GONE if gone else EndpointState.DRAINING)
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -196,6 +196,6 @@
             return
         lag = now - due_at
         if lag > LOGGED_ALARM_LAG:
-            self.log.write("lag", ms=lag / MILLISECOND)
+            self.log.write("loop_lag", ms=lag / MILLISECOND)
         self.alarm.clear()
         self.handle(AlarmDue())
--- a/hillchute/router/fault_log.py
+++ b/hillchute/router/fault_log.py
@@ -24,7 +24,7 @@
     def write(self, source: str, error: Exception) -> None:
         """Logs the exception that is being handled; `source` names the call or the object that failed."""
         stack = traceback.format_exc(limit=TRACEBACK_FRAMES)
-        self.log.write("fault", what=source, why=repr(error), trace=stack)
+        self.log.write("fault", what=source, reason=repr(error), trace=stack)
         self.write_trace()
 
     def write_trace(self) -> None:
--- a/hillchute/router/graceful_shutdown.py
+++ b/hillchute/router/graceful_shutdown.py
@@ -47,7 +47,7 @@
         self.schedule = schedule
         signalled_ms_ago = (self.clock() - signalled_at) / MILLISECOND
         exit_in_ms = (schedule.exit_by - self.clock()) / MILLISECOND
-        self.log.write("closing", signalled_ms_ago=signalled_ms_ago, exit_in_ms=exit_in_ms)
+        self.log.write("shutdown", signalled_ms_ago=signalled_ms_ago, exit_in_ms=exit_in_ms)
         self.handle(ShutdownStarted(schedule.answer_by))
         if self.extension is not None:
             self.extension.begin_shutdown()
--- a/hillchute/router/integrations/partners.py
+++ b/hillchute/router/integrations/partners.py
@@ -141,13 +141,13 @@
         agreement = ownership.agreement()
         self.context.log.write(
             "partners_count",
-            text=ownership.agreement_number,
-            named=ownership.announced_number,
-            known=max(ledger.accepted, default=0),
-            holds=ownership.is_in_force(now),
+            agreement=ownership.agreement_number,
+            announced_agreement=ownership.announced_number,
+            latest_agreement=max(ledger.accepted, default=0),
+            in_force=ownership.is_in_force(now),
             shares=ownership.effective_shares(now),
-            gone=sorted(ledger.departed(agreement, now)) if agreement is not None else [],
-            out=len(forwarder.outgoing),
+            departed=sorted(ledger.departed(agreement, now)) if agreement is not None else [],
+            in_flight=len(forwarder.outgoing),
             **dict(forwarder.counts),
             **dict(self.negotiation.counts),
         )
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -302,10 +302,10 @@
         now = self.clock()
         live = self.node.live_peers()
         if live != self.known_peers:
-            gone = sorted(set(self.known_peers) - set(live))
-            come = sorted(set(live) - set(self.known_peers))
+            left = sorted(set(self.known_peers) - set(live))
+            joined = sorted(set(live) - set(self.known_peers))
             self.log.write(
-                "peers", living=len(live), come=come[:MAX_NAMES_LOGGED], gone=gone[:MAX_NAMES_LOGGED]
+                "peers", alive=len(live), joined=joined[:MAX_NAMES_LOGGED], left=left[:MAX_NAMES_LOGGED]
             )
             self.known_peers = live
         if now - self.statistics_logged_at >= STATISTICS_INTERVAL:
@@ -322,12 +322,12 @@
         shares = {name: round(quotas.usable_share(name, now), 4) for name in quotas.limits}
         self.log.write(
             "peers_count",
-            living=len(self.known_peers),
+            alive=len(self.known_peers),
             **dict(self.transport.counts),
             dropped=dict(self.node.dropped),
-            refused=self.fleet.signals.implausible_reports,
-            closed=sorted(self.fleet_scheduler.closed),
-            parts=shares,
+            implausible_reports=self.fleet.signals.implausible_reports,
+            closed_engines=sorted(self.fleet_scheduler.closed),
+            quota_shares=shares,
         )
         for name in sorted(self.fleet.differing_routers):
             mismatch = PeerListMismatchError("other names under `peers`", name)
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -54,7 +54,7 @@
         try:
             station = config.read_station()
         except ConfigurationError as error:
-            self.log.write("reload", kept="the running configuration", why=str(error), **error.log_fields)
+            self.log.write("reload", kept="the running configuration", reason=str(error), **error.log_fields)
             return
         restart = config.needs_restart(self.station, station) + self._reload_operator_file()
         self.log.write("reload", bus=list(station.bus), needs_restart=restart)
@@ -71,7 +71,7 @@
             return self._apply(self.operator_file.read())
         except ValueError as error:
             remedy = error.log_fields if isinstance(error, HillchuteError) else {}
-            self.log.write("reload", kept="the running operator file", why=str(error), **remedy)
+            self.log.write("reload", kept="the running operator file", reason=str(error), **remedy)
             return []
 
     def _apply(self, settings: OperatorSettings) -> list[str]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -77,10 +77,10 @@
     assert drop_reason(data + b"\0" * 1200) == "too long"
     assert drop_reason(b"\2" + data[1:]) == "version"
     assert drop_reason(data, {"n3": KEY}) == "unknown peer"
-    assert drop_reason(encode(PING, OTHER_KEY)) == "mark"
+    assert drop_reason(encode(PING, OTHER_KEY)) == "wrong tag"
     turned = msgspec.structs.replace(PING, sender="n3")
-    assert drop_reason(encode(turned, KEY)) == "mark"  # n1 speaks as n3 with the key of its own pair
-    assert drop_reason(encode(msgspec.structs.replace(PING, receiver="n9"), KEY)) == "another's"
+    assert drop_reason(encode(turned, KEY)) == "wrong tag"  # n1 speaks as n3 with the key of its own pair
+    assert drop_reason(encode(msgspec.structs.replace(PING, receiver="n9"), KEY)) == "other receiver"
 
 
 @pytest.mark.parametrize(
@@ -157,24 +157,24 @@
     """n2 restarts. What n1 sent to its earlier generation is not believed, whoever sends it again."""
     old = sent(41, receiver_generation=2000)
     window = ReplayWindow()
-    with pytest.raises(InvalidDatagramError, match="to an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="to earlier generation"):
         window.accept(old, 3000)
     assert window.known_generation == 1000  # goes back to n1, which then knows the new generation
     assert window.accept(sent(42, receiver_generation=3000), 3000)
     for again in (old, sent(41, generation=900, receiver_generation=2000)):
-        with pytest.raises(InvalidDatagramError, match="earlier life"):
+        with pytest.raises(InvalidDatagramError, match="earlier generation"):
             window.accept(again, 3000)
     restarted = sent(43, generation=1500, receiver_generation=0)  # n1, which has heard of nobody yet
     assert not window.accept(restarted, 3000)
     assert window.known_generation == 1500
     assert window.accept(sent(0, generation=1500, receiver_generation=3000), 3000)
-    with pytest.raises(InvalidDatagramError, match="of an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="from earlier generation"):
         window.accept(sent(44, receiver_generation=3000), 3000)
 
 
 def test_error_says_what_where_and_what_to_do():
     assert issubclass(InvalidDatagramError, HillchuteError)
-    told = InvalidDatagramError("mark", "n1").log_fields
+    told = InvalidDatagramError("wrong tag", "n1").log_fields
     assert told["error"] == "InvalidDatagramError" and told["where"] == "n1" and "peers" in told["remedy"]
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -193,7 +193,7 @@
     net.play(3)
     assert net.nodes["b"].live_peers() == ["a"] and net.nodes["a"].live_peers() == ["b"]
     assert not net.nodes["a"].payload_datagrams("b", b"x" * MAX_DATAGRAM_BYTES)
-    assert net.nodes["a"].dropped["load too long to go"] == 1
+    assert net.nodes["a"].dropped["payload too long"] == 1
 
 
 def test_router_that_is_heard_by_a_load_alone_lives():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -115,7 +115,7 @@
     events = [entry for event, fields in log.lines if event == "trace" for entry in fields["events"]]
     assert len(events) == EVENTS_BEFORE_FAULT and events[-1] == [0, "Left", EVENTS_BEFORE_FAULT]
     (fault,) = log.faults()
-    assert fault["what"] == "send" and "no number" in fault["why"] and "in fail" in fault["trace"]
+    assert fault["what"] == "send" and "no number" in fault["reason"] and "in fail" in fault["trace"]
     lines = len(log.lines)
     now[0] += TRACE_INTERVAL - 1
     fail()
