--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,7 +75,7 @@
 def test_each_fault_has_its_own_reason():
     data = encode(PING, KEY)
     assert drop_reason(data + b"\0" * 1200) == "too long"
-    assert drop_reason(b"\2" + data[1:]) == "version"
+    assert drop_reason(b"\2" + data[1:]) == "unknown version"
     assert drop_reason(data, {"n3": KEY}) == "unknown peer"
     assert drop_reason(encode(PING, OTHER_KEY)) == "wrong tag"
     turned = msgspec.structs.replace(PING, sender="n3")
@@ -140,7 +140,7 @@
         try:
             accepted.append(number) if window.accept(sent(number), 2000) else None
         except InvalidDatagramError as fault:
-            assert fault.detail == "repeat" and number in accepted
+            assert fault.detail == "replayed" and number in accepted
     assert sorted(accepted) == list(range(300))
 
 
@@ -148,7 +148,7 @@
     window = ReplayWindow()
     assert window.accept(sent(500), 2000)
     for number in (500, 500 - ReplayWindow.SPAN, 0):
-        with pytest.raises(InvalidDatagramError, match="repeat"):
+        with pytest.raises(InvalidDatagramError, match="replayed"):
             window.accept(sent(number), 2000)
     assert window.accept(sent(500 - ReplayWindow.SPAN + 1), 2000)
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -157,7 +157,7 @@
             extension=extension,
             log=self.log,
         )
-        monkeypatch.setattr(config, "read", lambda: rig.station._replace(bus=BUS))
+        monkeypatch.setattr(config, "read_station", lambda: rig.station._replace(bus=BUS))
         self.reloader.reload(None)
 
     def needs_restart(self):
@@ -171,7 +171,7 @@
     def unreadable():
         raise ConfigurationError("missing", "bus")
 
-    monkeypatch.setattr(config, "read", unreadable)
+    monkeypatch.setattr(config, "read_station", unreadable)
     reload.reloader.reload(None)
     ((event, fields),) = reload.log.lines[1:]
     assert event == "reload" and fields["kept"] == "the running configuration" and fields["where"] == "bus"
