--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -189,7 +189,7 @@
 
 
 def test_scheduler_gets_reports_of_other_routers_before_it_reads_the_fleets_state():
-    reducer = Reducer(QueryScheduler(1, {}, 0), {}, 100)
+    reducer = Reducer(QueryScheduler(1, Settings.from_catalog({}), 0), Settings.from_catalog({}), 100)
     calls = []
     reducer.module.on_load_report = lambda *report: calls.append(report)
     reducer.module.on_fleet_changed = lambda now: calls.append(now)
@@ -200,7 +200,7 @@
 
 
 def test_scheduler_without_peers_ignores_that_the_fleet_has_changed():
-    scheduler = QueryScheduler(1, {"n_instances": 3}, 0)
+    scheduler = QueryScheduler(1, Settings.from_catalog({"n_instances": 3}), 0)
     scheduler.on_subset(0, frozenset({1}), 2, {"cold": 0.5})
     scheduler.on_fleet_changed(10)
     assert (scheduler.pool.subset, scheduler.pool.routers) == ({1}, 2)
