--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -29,6 +29,7 @@
 from hillchute.errors import HillchuteError
 from hillchute.lab import processes
 from hillchute.lab.clients import Query
+from hillchute.lab.fleet import free_port
 from hillchute.lab.partnership import over_quota, two_owners
 from hillchute.lab.world import Ran, World
 from hillchute.operator import reading
@@ -432,9 +433,8 @@
 @pytest.fixture
 def link():
     faults = []
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-        free.bind(("127.0.0.1", 0))
-        address = transport.Address(*free.getsockname())
+    # A port that the kernel gives for UDP may be another test's for TCP: free_port() asks for both.
+    address = transport.Address("127.0.0.1", free_port())
     found = transport.PeerTransport(
         address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, callbacks(lambda: None, faults.append)
     )
