--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -40,7 +40,7 @@
 class AttemptResult(StrEnum):
     """How an attempt to run a query on an engine, or a health check, ended.
 
-    The values are the spelling that the simulator's wire and the log have.
+    The values are the spelling that the simulator's wire has; the log has the members' names in lower case.
     """
 
     SERVED = "finished"  # a result, or the answer to a health check
@@ -110,7 +110,10 @@
 
 
 class Reason(StrEnum):
-    """Which check rejected or failed a query; the values are the log's words."""
+    """Which check rejected or failed a query.
+
+    The log has the members' names in lower case; the values are what simulations print.
+    """
 
     DEADLINE = "its end"  # its deadline has come
     NO_RETRY = "tried"  # its attempt ended without a result, and there may be no further one, or none in time
@@ -224,6 +227,10 @@
     def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
         """Another router passed on a load report, which is so old; an older one than is known is ignored."""
 
+    def on_fleet_changed(self, now: Time) -> None:
+        """What other routers observe, which of them live, or what they lend may have changed. A scheduler
+        that knows of no peers has nothing to read anew."""
+
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
         """An engine reports how far an attempt has come."""
 
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -232,7 +232,7 @@
             for member in self.members:
                 while not any(line["in_force"] and not line["fetching"] for line in member.told("history")):
                     await anyio.sleep(0.2)
-                while self.partners and not any(line["holds"] for line in member.told("partners_count")):
+                while self.partners and not any(line["in_force"] for line in member.told("partners_count")):
                     await anyio.sleep(0.2)
 
     async def look_at_connections(self) -> None:
--- a/hillchute/peers/datagrams.py
+++ b/hillchute/peers/datagrams.py
@@ -59,16 +59,16 @@
 
     TOO_LONG = "too long"
     TOO_SHORT = "too short"
-    UNKNOWN_VERSION = "version"
+    UNKNOWN_VERSION = "unknown version"
     UNREADABLE = "unreadable"
     UNKNOWN_PEER = "unknown peer"
-    WRONG_TAG = "mark"
-    OTHER_RECEIVER = "another's"
-    TO_EARLIER_GENERATION = "to an earlier life"
+    WRONG_TAG = "wrong tag"
+    OTHER_RECEIVER = "other receiver"
+    TO_EARLIER_GENERATION = "to earlier generation"
     # The wall clock was set back before this start: the others know a generation above this one.
-    TO_LATER_GENERATION = "to a later life of this router"
-    FROM_EARLIER_GENERATION = "of an earlier life"
-    REPLAYED = "repeat"
+    TO_LATER_GENERATION = "to later generation"
+    FROM_EARLIER_GENERATION = "from earlier generation"
+    REPLAYED = "replayed"
 
 
 class Rumour(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -6,19 +6,19 @@
 """
 
 from collections import deque
-from collections.abc import Callable, Container, Mapping
+from collections.abc import Callable, Container
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
 from hillchute.coordination.subsetting import Subset
-from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Time
-from hillchute.decision.scheduler import QueryScheduler
+from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Scheduler, Time
 from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
 from hillchute.router.effects import CloseConnection, OpenConnection, SendCommand
 from hillchute.router.query_state import Attempt, QueryState
 from hillchute.router.reducer_context import ReducerContext
+from hillchute.settings import Settings
 
 
 @dataclass(slots=True, eq=False)
@@ -52,34 +52,35 @@
     connections: dict[int, EngineConnection] = field(default_factory=dict)
 
 
-class ConnectionPool:
-    """All connections of a router to its engines, at most `max_connections` of them.
+class ConnectionCallbacks(NamedTuple):
+    """What a pool of connections tells of the attempts on them."""
+
+    on_open: Callable[[Attempt, EngineConnection], None]  # the connection is open for the attempt
+    on_attempt_ended: Callable[[Attempt, AttemptResult], None]  # with its connection
 
-    `on_open` is called with an attempt and the connection that is open for it, `on_attempt_ended` with an
-    attempt that ended with its connection, and the result.
-    """
+
+class ConnectionPool:
+    """All connections of a router to its engines, at most `max_connections` of them."""
 
     def __init__(
         self,
         context: ReducerContext,
-        module: QueryScheduler,
-        catalog: Mapping[str, Any],
+        module: Scheduler,
+        settings: Settings,
         max_connections: int,
-        on_open: Callable[[Attempt, EngineConnection], None],
-        on_attempt_ended: Callable[[Attempt, AttemptResult], None],
+        callbacks: ConnectionCallbacks,
     ) -> None:
         self.context = context
         self.module = module
         self.max_connections = max_connections
-        self.on_open = on_open
-        self.on_attempt_ended = on_attempt_ended
-        self.max_streams = catalog.get("limits.streams_per_conn", 1)
-        self.connect_timeout: Time = catalog.get("limits.connect_timeout", 0)
-        self.keepalive: Time = catalog.get("limits.keepalive", 0)
-        self.progress_interval: Time = catalog.get("domain.tells_every", 0)
+        self.on_open, self.on_attempt_ended = callbacks
+        self.max_streams = settings.connections.max_streams
+        self.connect_timeout: Time = settings.connections.connect_timeout
+        self.keepalive: Time = settings.connections.keepalive
+        self.progress_interval: Time = settings.connections.progress_interval
         # Engines report progress as often as the settings say; the rest is the round trip.
         self.silence_limit: Time = self.progress_interval + 2 * self.connect_timeout
-        self.subset = Subset(catalog.get("me", 0), catalog.get("n_instances", 1))
+        self.subset = Subset(settings.router, settings.routers)
         self.list_offset = 0  # offset of the last watch event that was taken in
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: dict[int, EngineConnection] = {}
@@ -134,7 +135,7 @@
         """Opens a connection; None if the pool is full and every connection in use."""
         if len(self.connections) >= self.max_connections and not self._close_idlest():
             name = event_bus.engine_name(endpoint.engine)
-            self.context.log("no_connection", engine=name, open=len(self.connections))
+            self.context.log("connections_exhausted", engine=name, connections=len(self.connections))
             return None
         now = self.context.now
         number = self.context.next_number()
@@ -204,7 +205,7 @@
         for tag in connection.health_checks:
             self.module.on_health_check(self.context.now, connection.engine, result, None)
             name = event_bus.engine_name(connection.engine)
-            self.context.log("probe", engine=name, tag=tag, result=result)
+            self.context.log("health_check", engine=name, number=tag, result=result.name.lower())
         while connection.waiting:
             self.on_attempt_ended(connection.waiting.popleft(), result)
 
@@ -215,7 +216,8 @@
             return
         self._forget(connection)
         name = event_bus.engine_name(connection.engine)
-        self.context.log("line_lost", engine=name, why=reason, open=len(connection.attempts))
+        in_flight = len(connection.attempts)
+        self.context.log("connection_lost", engine=name, reason=reason, in_flight=in_flight)
         for query, attempt in list(connection.attempts.items()):
             self.on_attempt_ended(attempt, lost_result(query in never_sent))
         for tag in connection.health_checks:
@@ -281,7 +283,7 @@
         self.module.on_subset(self.context.now, self.subset.select(ready))
         self._forget_endpoints()
         states = {event_bus.engine_name(engine): entry.listing.state for engine, entry in listed.items()}
-        self.context.log("roster", number=update.offset, mode=update.kind, engines=states)
+        self.context.log("endpoint_list", offset=update.offset, mode=update.kind, engines=states)
 
     def _update_endpoint(self, entry: event_bus.Endpoint) -> None:
         listing = entry.listing
@@ -339,13 +341,15 @@
         connections = endpoint.connections.values()
         return {
             "ready": endpoint.ready,
-            "lines": len(connections),
-            "open": sum(len(connection.attempts) + len(connection.waiting) for connection in connections),
-            "out": state.open_attempts,
-            "reported": state.reported_threads and round(state.reported_threads, 1),
-            "granted": state.memory_granted,
-            "age_ms": (now - state.reported_at) / 10,
-            "rests_ms": max(0, state.ejected_until - now) / 10,
+            "connections": len(connections),
+            "open_attempts": sum(
+                len(connection.attempts) + len(connection.waiting) for connection in connections
+            ),
+            "in_flight": state.open_attempts,
+            "reported_threads": state.reported_threads and round(state.reported_threads, 1),
+            "memory_granted": state.memory_granted,
+            "report_age_ms": (now - state.reported_at) / 10,
+            "ejected_ms": max(0, state.ejected_until - now) / 10,
         }
 
 
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -24,17 +24,17 @@
     ASKED = "asked"  # it waits for the history's decision
     GRANTED = "granted"  # it may run
     FORWARDED = "forwarded"  # it is at a router of another partner
-    RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be told
+    RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be notified
 
 
 class QueryOutcome(StrEnum):
     """How a query ended for its client; the values are the log's words."""
 
-    SERVED = "finished"
-    REJECTED = "deferred"
-    FAILED = "killed"
-    CLIENT_LEFT = "left"
-    ABORTED = "cut"  # within a stream that had begun
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    CLIENT_LEFT = "client_left"
+    ABORTED = "aborted"  # within a stream that had begun
     UNANSWERED = "unanswered"  # no decision came in time, and it was failed
 
 
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -6,9 +6,6 @@
 whole tenths of a millisecond.
 """
 
-from collections.abc import Mapping
-from typing import Any
-
 from hillchute.decision.interface import (
     Cancel,
     Decision,
@@ -19,20 +16,20 @@
     QueryId,
     Reject,
     Report,
+    Scheduler,
     SetTerms,
     Submit,
     Time,
     Wake,
     WatchEndpoints,
 )
-from hillchute.decision.scheduler import QueryScheduler
 from hillchute.engines import words
 from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
 from hillchute.fronts.events import Asked, Left, Passed, Spoilt
-from hillchute.router.answer_log import AnswerLog
+from hillchute.router.answer_log import AnswerLog, outcome_text
 from hillchute.router.attempts import Attempts
 from hillchute.router.claims import Claims
-from hillchute.router.connection_pool import ConnectionPool, EngineConnection
+from hillchute.router.connection_pool import ConnectionCallbacks, ConnectionPool, EngineConnection
 from hillchute.router.effects import AbortStream, Effect, FailQuery, RejectQuery
 from hillchute.router.events import (
     AlarmDue,
@@ -46,6 +43,7 @@
 from hillchute.router.query_state import Attempt, ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 from hillchute.router.request_rules import SHOWN, RequestRules
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout a query is answered, whatever happens
@@ -58,18 +56,16 @@
     so do the others that change data, since only the owner of their slot may run them (partners).
     """
 
-    def __init__(self, module: QueryScheduler, catalog: Mapping[str, Any], max_connections: int) -> None:
+    def __init__(self, module: Scheduler, settings: Settings, max_connections: int) -> None:
         self.module = module
-        self.context = ReducerContext(max(1, catalog.get("tick", 1)))
-        self.rules = RequestRules(catalog)
+        self.context = ReducerContext(max(1, settings.tick))
+        self.rules = RequestRules(settings)
         self.attempts = Attempts(self.context, module, self.rules, self)
-        self.pool = ConnectionPool(
-            self.context, module, catalog, max_connections, self.on_connection_open, self.attempts.end
-        )
+        callbacks = ConnectionCallbacks(on_open=self.on_connection_open, on_attempt_ended=self.attempts.end)
+        self.pool = ConnectionPool(self.context, module, settings, max_connections, callbacks)
         self.loop_lag = LoopLag()
         self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
-        order_pause = catalog.get("guarantees.order_pause", 0)
-        self.claims = Claims(self.context, self, order_pause)
+        self.claims = Claims(self.context, self, settings.retries.order_pause)
         self.claims_idempotent = False
         self.claims_non_idempotent = False
         self.shutdown_deadline: Time | None = None
@@ -79,14 +75,14 @@
     def reduce(self, event: Event, now: Time) -> list[Effect]:
         """Takes in one event; gives the effects that follow from it, in order."""
         context = self.context
-        # A message of an engine tells the module nothing that it decides by, unless an attempt ends with it.
+        # A message of an engine has nothing for the module to decide by, unless an attempt ends with it.
         context.begin_event(now, module_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
             self.handle(event)
-        except Exception:  # a fault in one event must not end the router
+        except Exception:  # noqa: BLE001 - a fault in one event must not end the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
         if context.module_notified:
@@ -143,7 +139,7 @@
         try:
             while (decision := self.module.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:  # a fault of the module must not end the router
+        except Exception:  # noqa: BLE001 - a fault of the module must not end the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
@@ -177,7 +173,7 @@
         """Load reports of other routers, or a change among them, go to the decision module."""
         for engine, report, age in reports:
             self.module.on_load_report(self.context.now, engine, report, age)
-        self.module.stand(self.context.now)  # type: ignore[attr-defined]  # a router with peers has it
+        self.module.on_fleet_changed(self.context.now)
 
     # ---- engines ----------------------------------------------------------------------------------
 
@@ -199,11 +195,11 @@
     # ---- queries ----------------------------------------------------------------------------------
 
     def on_query(self, session: int, request: Request, received_at: Time) -> None:
-        """A query has come whole: it is failed where it can't be a query, rejected, or taken."""
+        """A complete query was received: it is failed where it can't be a query, rejected, or taken."""
         fault = self.find_fault(session, request)
         if fault is not None:
             self.context.emit(FailQuery(session, fault))
-            self.context.log("misread", session=session, why=fault)
+            self.context.log("invalid_query", session=session, reason=fault)
             return
         if len(self.unanswered) >= self.rules.max_open:
             self.context.emit(RejectQuery(session, 0))
@@ -212,7 +208,12 @@
         group = self.rules.group_of(request)
         if not self.module.admits(now, group, self.loop_lag.standing_delay):
             self.context.emit(RejectQuery(session, 0))
-            self.answer_log.count(request.group, "turned away", now - received_at, len(self.unanswered))
+            self.answer_log.count(
+                request.group,
+                f"{QueryOutcome.REJECTED}: router_overloaded",
+                now - received_at,
+                len(self.unanswered),
+            )
             return
         query = self.add_query(session, request, received_at)
         if self.claims_idempotent and group in self.rules.idempotent and request.token is not None:
@@ -298,9 +299,10 @@
         self.module.on_shutdown(self.context.now, answer_by)
         for query in list(self.unanswered.values()):
             query.deadline = min(query.deadline, answer_by)
-            names = (query.request.id, query.number)
-            self.context.call_at(query.deadline + 2 * LAST_ANSWER_MARGIN, self.on_timeout, *names)
-            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, *names)
+            query_id, number = query.request.id, query.number
+            last_moment = query.deadline + 2 * LAST_ANSWER_MARGIN
+            self.context.call_at(last_moment, self.on_timeout, query_id, number)
+            self.context.call_at(query.deadline, self.attempts.on_stream_timeout, query_id, number)
 
     # ---- answers ----------------------------------------------------------------------------------
 
@@ -315,13 +317,13 @@
             return
         failure = FailQuery(query.session, "no answer in time")
         if query.claim is ClaimState.FORWARDED:
-            self.answer(query, failure, QueryOutcome.FAILED, "passed on: no answer in time")
+            self.answer(query, failure, QueryOutcome.FAILED, "forwarded: no answer in time")
             return
         # A process that stood still wakes with this timer and the module's own all due at once.
         last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
         late = self.context.now - max(query.deadline, last_moment)
-        event = "late" if late > LAST_ANSWER_MARGIN else "fault"
-        self.context.log(event, what="unanswered at its end", query=query.request.id)
+        event = "answered_late" if late > LAST_ANSWER_MARGIN else "fault"
+        self.context.log(event, what="unanswered at its deadline", query=query.request.id)
         self.module.on_client_left(self.context.now, query.request.id)
         self.answer(query, failure, QueryOutcome.UNANSWERED)
 
@@ -340,7 +342,7 @@
         if effect is not None:
             self.context.emit(effect)
         self.attempts.end_open(query)
-        counted_as = f"{outcome}: {reason}" if reason else outcome
+        counted_as = outcome_text(outcome, reason)
         elapsed = self.context.now - query.received_at
         self.answer_log.count(query.request.group, counted_as, elapsed, len(self.unanswered))
         if outcome not in (QueryOutcome.SERVED, QueryOutcome.REJECTED):
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -17,7 +17,7 @@
 from hillchute.net.poller import Poller
 from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import config, events
-from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.lifecycle import Phase
 from hillchute.router.service import Service
 
 MILLISECOND = 10  # tenths of a millisecond
@@ -183,16 +183,15 @@
         self.address = self.door.getsockname()
         table = table or deployment.table(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
-        self.station = config.station(table, {})
+        self.station = config.parse_station(table, {})
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
         self.turn_time, start = (TURN_TIME if time_by_turns else 0), time.monotonic_ns()
         self.clock = clock or Clock(lambda: (start if time_by_turns else time.monotonic_ns()) + self.ahead)
-        lifecycle = Lifecycle(self.log)
-        self.service = Service(self.station, self.log, lifecycle, Poller(system), self.clock)
-        self.service.tasks = None
+        self.service = Service(self.station, self.log, poller=Poller(system), clock=self.clock)
+        self.service.attach_tasks(None)
         self.service.door.open(self.door)
-        lifecycle.enter(Phase.SERVING)
+        self.service.lifecycle.enter(Phase.SERVING)
         self.talks, self.wants, self.clients = [], [], []
         self.fields = {}  # of each attempt that came to the engine
         self.serving = True
@@ -201,7 +200,9 @@
     def list(self, number, state=EndpointState.READY, started=0, engine=1, port=None):
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
-        self.service.told(WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),)))
+        self.service.endpoint_updates.on_watch_event(
+            WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),))
+        )
 
     def client(self, data=LOGIN):
         client = Client(self)
@@ -231,7 +232,7 @@
     def turn(self, rounds=1):
         for _ in range(rounds):
             self.ahead += self.turn_time
-            self.service.round()
+            self.service.event_loop.round()
             self.engine()
 
     def until(self, done):
@@ -244,7 +245,7 @@
 
     def connected(self):
         """A connection to the engine is up, and one client is logged in."""
-        patience = self.station.catalog["groups.0.queue_timeout"] // MILLISECOND
+        patience = self.station.settings.groups[0].queue_timeout // MILLISECOND
         client = self.client(LOGIN + query(0xFFFF, patience=patience))
         self.until(lambda: client.answers() == ["served"])
         self.wants.clear()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 import pytest
 from rounds_by_hand import LOGIN, Rig, query
 
-from hillchute.net.clock import Clock, EngineStartTimes, round_up_to_time_units
+from hillchute.net.clock import Clock, EngineStartTimes, round_down_to_time_units, round_up_to_time_units
 from hillchute.peers.transport import SteadyUnixClock
 
 HOUR = 3_600 * 10**9
@@ -46,6 +46,13 @@
         self.offset_ns += int(seconds * 1e9)
 
 
+@pytest.mark.parametrize(
+    ("nanoseconds", "down", "up"), [(0, 0, 0), (1, 0, 1), (100_000, 1, 1), (199_999, 1, 2)]
+)
+def test_nanoseconds_become_time_units(nanoseconds: int, down: int, up: int) -> None:
+    assert (round_down_to_time_units(nanoseconds), round_up_to_time_units(nanoseconds)) == (down, up)
+
+
 @pytest.mark.parametrize("seconds", STEPS)
 def test_clock_goes_on_evenly_over_a_step(seconds: int) -> None:
     wall_clock = SteppingWallClock()
@@ -114,8 +121,8 @@
         client.write(query(2))
         rig.until(lambda: len(client.answers()) == 2)
         assert 0.04 <= time.monotonic() - began < 5
-        rig.service.leave()
-        assert 0 < rig.service.shutdown.answer_by - rig.clock() <= rig.station.closing
+        rig.service.shutdown.begin()
+        assert 0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.station.closing
         client.write(query(3))  # the listener is still open
         rig.until(lambda: len(client.answers()) == 3)
         assert out.answers() == ["served"]
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -2,7 +2,6 @@
 
 import random
 from collections import Counter
-from types import SimpleNamespace
 
 import pytest
 from conftest import LOOKUP, REPORT
@@ -24,7 +23,8 @@
 from hillchute.discovery import event_bus
 from hillchute.router import events
 from hillchute.router.reducer import Reducer
-from hillchute.router.service import Service
+from hillchute.router.retry_delays import RetryDelays
+from hillchute.settings import Settings
 
 SIZES = [(1, 1), (3, 8), (7, 3), (60, 20), (200, 80), (50, 300), (230, 1)]
 fleets = st.tuples(st.integers(1, 120), st.sets(st.integers(0, 2**32 - 1), min_size=1, max_size=60))
@@ -178,9 +178,8 @@
 
 def test_router_of_many_comes_back_to_the_event_bus_at_moments_of_its_own():
     def waits(seed):
-        service = Service.__new__(Service)
-        service.station, service.waits = SimpleNamespace(seed=seed), 0
-        return [service.wait(0.25) for _ in range(4)]
+        delays = RetryDelays(seed)
+        return [delays.next_delay(0.25) for _ in range(4)]
 
     fleet = [waits(seed) for seed in range(200)]
     for one_try in zip(*fleet):
@@ -189,11 +188,31 @@
     assert waits(5) == waits(5)
 
 
+def test_scheduler_gets_reports_of_other_routers_before_it_reads_the_fleets_state():
+    reducer = Reducer(QueryScheduler(1, Settings.from_catalog({}), 0), Settings.from_catalog({}), 100)
+    calls = []
+    reducer.module.on_load_report = lambda *report: calls.append(report)
+    reducer.module.on_fleet_changed = lambda now: calls.append(now)
+    reducer.module.next_decision = lambda now: calls.append("decision")
+    reports = [(3, {"inflight": 2.0}, 5), (4, {"inflight": 1.0}, 0)]
+    reducer.reduce(events.PeersChanged(reports), 70)
+    assert calls == [*((70, *report) for report in reports), 70, "decision"]
+
+
+def test_scheduler_without_peers_ignores_that_the_fleet_has_changed():
+    scheduler = QueryScheduler(1, Settings.from_catalog({"n_instances": 3}), 0)
+    scheduler.on_subset(0, frozenset({1}), 2, {"cold": 0.5})
+    scheduler.on_fleet_changed(10)
+    assert (scheduler.pool.subset, scheduler.pool.routers) == ({1}, 2)
+    assert scheduler.pool.shares == {"cold": 0.5}
+
+
 def test_subset_follows_the_endpoint_list_that_the_router_receives():
     entries = [
         event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
     ]
-    reducer = Reducer(QueryScheduler(1, {"n_instances": 200, "me": 7}, 0), {"n_instances": 200, "me": 7}, 100)
+    settings = Settings.from_catalog({"n_instances": 200, "me": 7})
+    reducer = Reducer(QueryScheduler(1, settings, 0), settings, 100)
     reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
     assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.module.pool.subset)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,9 +10,11 @@
 from hillchute.discovery import event_bus, watcher
 from hillchute.discovery.event_bus import FRAME_HEADER, Endpoint, WatchEvent
 from hillchute.discovery.watcher import EndpointWatcher
+from hillchute.router.retry_delays import RetryDelays
 
 KEEPALIVE = FRAME_HEADER.pack(9, 0, 0)
 FIRST, SECOND, THIRD = (("127.0.0.1", port) for port in (1, 2, 3))
+LONG = 60  # seconds: no test waits for it
 
 
 def delta_frame(offset, state=0, engine=1):
@@ -138,20 +140,22 @@
     watcher.anyio.connect_tcp = connect
     began = time.monotonic()
     play(bus, lambda: len(bus.connects) >= 2)
-    assert time.monotonic() - began >= 0.04 and ("bus_lost" in [event for event, _ in bus.log.lines])
+    assert time.monotonic() - began >= 0.04 and ("event_bus_lost" in [event for event, _ in bus.log.lines])
 
 
-def test_addresses_in_quick_succession_while_connects_are_under_way_end_at_the_last(bus):
+def test_addresses_in_quick_succession_while_connects_are_under_way_end_at_the_last(bus, monkeypatch):
     """The second never comes up; the first is heard until the third is."""
+    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", LONG)
 
     async def run():
         bus.gates[SECOND] = anyio.Event()
         bus.gates[THIRD] = anyio.Event()
         bus.scripts = {FIRST: [[delta_frame(1)]], THIRD: [[delta_frame(2)]]}
         async with anyio.create_task_group() as tasks:
-            for address in (FIRST, SECOND, THIRD):
+            for connects, address in enumerate((FIRST, SECOND, THIRD), start=1):
                 bus.watcher.watch(address, tasks)
-                await anyio.sleep(0.005)
+                while len(bus.connects) < connects or not bus.events:
+                    await anyio.sleep(0.001)
             assert [event.offset for event in bus.events] == [1] and bus.closed == []
             bus.gates[THIRD].set()
             while len(bus.events) < 2:
@@ -163,8 +167,9 @@
     assert bus.connects[-1] == THIRD
 
 
-def test_connection_that_breaks_as_a_newer_one_lets_it_go_ends_nothing_else(bus):
+def test_connection_that_breaks_as_a_newer_one_lets_it_go_ends_nothing_else(bus, monkeypatch):
     """Both in one turn of the loop: the old one's end is on its way when its scope is cancelled."""
+    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", LONG)
 
     async def let_go_and_break():
         bus.watcher.scopes.pop(0)
@@ -214,7 +219,7 @@
     (old,) = rig.service.links.links.values()
     started = rig.clock() - 200_000  # long enough ago to be warm
     entries = [entry(rig, "Terminating"), entry(rig, "Gone"), entry(rig, "Ready", started)]
-    rig.service.told(WatchEvent(2, "Partial", tuple(entries)))
+    rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", tuple(entries)))
     assert rig.service.reducer.module.engines[1].ready
     assert old.pipe.closed  # the process that it was open to is gone
     client.write(query(1))
@@ -227,7 +232,9 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),)))
+    rig.service.endpoint_updates.on_watch_event(
+        WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),))
+    )
     other.write(query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2  # the new attempt went to the new process, on a connection of its own
@@ -242,7 +249,9 @@
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
-    rig.service.told(WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2))))
+    rig.service.endpoint_updates.on_watch_event(
+        WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2)))
+    )
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: len(rig.wants) == 2)
     assert len(rig.talks) == 2
@@ -261,25 +270,17 @@
 
 
 def test_engine_of_a_kind_that_the_settings_do_not_name_gets_nothing_and_the_rest_of_the_list_counts(rig):
-    rig.service.told(
+    rig.service.endpoint_updates.on_watch_event(
         WatchEvent(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating")))
     )
     engines = rig.service.reducer.module.engines
     assert not engines[1].ready and not engines[3].ready
-    (line,) = [fields for event, fields in rig.log.lines if event == "listing"]
+    (line,) = [fields for event, fields in rig.log.lines if event == "endpoint_unusable"]
     assert line["error"] == "UnknownEngineKindError" and line["remedy"] and not rig.log.faults()
 
 
 def test_routers_that_lose_it_in_one_instant_do_not_come_back_in_one_instant():
-    from types import SimpleNamespace
-
-    from hillchute.router.service import Service
-
-    waits = []
-    for seed in range(200):
-        service = SimpleNamespace(station=SimpleNamespace(seed=seed), waits=0)
-        waits.append(Service.wait(service, watcher.RETRY_DELAY))
-    waits.sort()
+    waits = sorted(RetryDelays(seed).next_delay(watcher.RETRY_DELAY) for seed in range(200))
     tenth = watcher.RETRY_DELAY / 10
     assert max(sum(start <= wait < start + tenth for wait in waits) for start in waits) < 40
     assert waits[0] >= watcher.RETRY_DELAY / 2 and waits[-1] <= watcher.RETRY_DELAY * 1.5
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -1,12 +1,14 @@
 """Partners on routers that run: the reducer's side, the operator file, shares of the pool, the wiring."""
 
+from types import SimpleNamespace
+
 import pytest
 from conftest import CATALOG
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from hillchute.cli import commands
-from hillchute.coordination.quota_leases import LENDER_HOLD
+from hillchute.coordination.quota_leases import LENDER_HOLD, QuotaLeases
 from hillchute.decision.interface import SECOND, EndpointState, Listing
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.fronts.events import FIRST_GUEST
@@ -15,6 +17,8 @@
 from hillchute.lab.partners_net import private, public
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
+from hillchute.partners.forwarding import Completion
+from hillchute.partners.messages import ForwardOutcome
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.router import events
 from hillchute.router.effects import (
@@ -26,9 +30,14 @@
     RejectQuery,
     SendResult,
 )
-from hillchute.router.partnering import Partnering
+from hillchute.router.integrations import forwarded_queries
+from hillchute.router.integrations.fragmented_channel import ExtensionContext
+from hillchute.router.integrations.partners import PartnerExtension
+from hillchute.router.integrations.pool_quota import ENTITLEMENT_SETTLING_TIME, EngineNames, PoolQuota
+from hillchute.router.integrations.rows_codec import encode_rows
 from hillchute.router.reducer import Reducer
 from hillchute.router.request_rules import history_key
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 NAMES = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
@@ -38,9 +47,9 @@
     """A reducer among partners."""
 
     def __init__(self):
-        catalog = CATALOG | NAMES | {"limits.open_cap": 100}
-        self.module = QueryScheduler(7, catalog, 0)
-        self.reducer = Reducer(self.module, catalog, 8)
+        settings = Settings.from_catalog(CATALOG | NAMES | {"limits.open_cap": 100})
+        self.module = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.module, settings, 8)
         self.reducer.claims_idempotent = self.reducer.claims_non_idempotent = True
         self.count = 0
 
@@ -79,34 +88,36 @@
 def test_query_of_anothers_slot_is_passed_on_and_its_answer_is_the_answer():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    (passed,) = of(rig.judged(id, "PASS", "b"), ForwardQuery)
+    (passed,) = of(rig.judged(id, "FORWARD", "b"), ForwardQuery)
     assert (passed.query, passed.owner, passed.request.token) == (id, "b", "ab")
     assert 0 < passed.time_left <= 5 * SECOND and id not in rig.module.queries
-    said = rig.judged(id, "ANSWER", "", [[b"1"], [b"2"], [b"3"]])
+    said = rig.judged(id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
     assert [(e.session, e.rows) for e in of(said, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
     assert not of(said, CancelForward) and id not in rig.reducer.queries
-    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [(id, "freed")]  # the next of its key may go
+    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [
+        (id, "not_run")
+    ]  # the next of its key may go
 
 
-@pytest.mark.parametrize(("verdict", "effect"), [("DEFER", RejectQuery), ("KILL", FailQuery)])
+@pytest.mark.parametrize(("verdict", "effect"), [("REJECT", RejectQuery), ("FAIL", FailQuery)])
 def test_query_that_was_passed_on_ends_once_as_it_ended_there(verdict, effect):
     rig = Rig()
     id, _ = rig.ask("write")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     assert len(of(rig.judged(id, verdict), effect)) == 1 and id not in rig.reducer.queries
 
 
 def test_there_is_no_second_hop():
     rig = Rig()
     id, _ = rig.ask("load", "ab", session=FIRST_GUEST + 1)
-    said = rig.judged(id, "PASS", "c")
+    said = rig.judged(id, "FORWARD", "c")
     assert not of(said, ForwardQuery) and len(of(said, RejectQuery)) == 1
 
 
 def test_query_that_was_passed_on_has_failed_when_no_answer_comes_in_time():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
     assert len(of(said, FailQuery)) == 1 and not of(said, RejectQuery)  # it may have run
     assert [(e.query, e.number) for e in of(said, CancelForward)] == [(id, 1)] or of(said, CancelForward)
@@ -115,10 +126,10 @@
 def test_client_that_leaves_takes_back_what_was_passed_on():
     rig = Rig()
     id, _ = rig.ask("load", "ab")
-    rig.judged(id, "PASS", "b")
+    rig.judged(id, "FORWARD", "b")
     said = rig.reducer.reduce(events.Left(rig.count), 10)
     assert [e.query for e in of(said, CancelForward)] == [id] == [e.query for e in of(said, EndClaim)]
-    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "ANSWER", "", []), 20), SendResult)
+    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "REPLAY", "", []), 20), SendResult)
 
 
 def test_place_in_the_history_is_the_keys_or_the_table_groups():
@@ -203,44 +214,43 @@
         self.lines.append((event, fields))
 
 
-def partnering(tmp_path, marks=True, **changed):
+def partner_extension(tmp_path, marks=True, handle=lambda event: None, **changed):
     (tmp_path / "k").write_text(private("a").hex())
     own = f'own: "a", {MEMBERS}'
     if marks:
         own += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
     stated = reading.hold(text(own))["partners"] | changed
     node = Node(RouterIdentity("r0", EPOCH // 10), {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
-    log, none = Log(), lambda *about: None
-    catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
-    return (
-        Partnering(stated, node, catalog, 1, lambda: EPOCH, log, none, none, none, lambda: EPOCH),
-        log,
-        stated,
+    log = Log()
+    context = ExtensionContext(
+        node=node, clock=lambda: EPOCH, log=log, handle=handle, schedule_messages=lambda: None
     )
+    extension = PartnerExtension(settings=stated, context=context, seed=1, router_clock=lambda: EPOCH)
+    return extension, log, stated
 
 
 def test_offer_of_the_operator_file_is_known_and_a_lower_turn_is_said(tmp_path):
-    held, log, stated = partnering(tmp_path)
-    (offer, _) = held.council.ledger.offers["a"]
+    held, log, stated = partner_extension(tmp_path)
+    (offer, _) = held.negotiation.ledger.offers["a"]
     assert (offer.partner, offer.desired_share, offer.ends_at) == ("a", 5000, 90)
-    held.renew(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
-    assert held.council.ledger.offers["a"][0].desired_share == 6000
-    held.renew(stated | {"offer": stated["offer"] | {"turn": 2}})
+    held.reload(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
+    assert held.negotiation.ledger.offers["a"][0].desired_share == 6000
+    held.reload(stated | {"offer": stated["offer"] | {"turn": 2}})
     assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["InvalidAgreementError"]
-    assert held.renew(stated | {"own": "b"}) == ["partners.own"]
+    assert held.reload(stated | {"own": "b"}) == ["partners.own"]
 
 
 def test_router_without_the_key_marks_nothing_and_a_bad_file_of_marks_is_said(tmp_path):
-    held, _, _ = partnering(tmp_path, marks=False)
-    assert held.council.signer is None and not held.council.ledger.offers
+    held, _, _ = partner_extension(tmp_path, marks=False)
+    assert held.negotiation.signer is None and not held.negotiation.ledger.offers
     (tmp_path / "m").write_text("what\n")
-    held, log, _ = partnering(tmp_path)
-    assert held.council.signer is None
+    held, log, _ = partner_extension(tmp_path)
+    assert held.negotiation.signer is None
     assert [fields["error"] for _, fields in log.lines] == ["SignatureJournalError"]
 
 
 def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
-    held, _, _ = partnering(tmp_path)
+    held, _, _ = partner_extension(tmp_path)
     listings = [
         Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: a's
         Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: b's
@@ -248,16 +258,84 @@
         Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # neither's
         Listing(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
     ]
-    held.listed(listings)
-    assert held.council.ownership.capacities == {"a": 40, "b": 32}
+    catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
+    pool = PoolQuota(
+        clock=lambda: EPOCH,
+        members=lambda: held.settings.members,
+        engine_names=EngineNames.from_settings(Settings.from_catalog(catalog)),
+        negotiation=held.negotiation,
+        views=None,
+    )
+    pool.on_endpoint_list(listings)
+    assert held.negotiation.ownership.capacities == {"a": 40, "b": 32}
 
 
 def test_nobody_of_the_owner_lives_so_the_query_is_deferred(tmp_path):
-    held, _, _ = partnering(tmp_path)
     told = []
-    held.judged = lambda *about: told.append(about)
-    held.pass_on("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50)
-    assert told == [("id", 1, "DEFER", "no router of its slot's owner is known to live", None)]
+    held, _, _ = partner_extension(tmp_path, handle=told.append)
+    held.forward(ForwardQuery("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50))
+    reason = "no router of its slot's owner is known to live"
+    assert told == [events.ClaimDecided("id", 1, events.ClaimVerdict.REJECT, reason, None)]
+    assert told[0].verdict == "REJECT"
+
+
+@pytest.mark.parametrize(
+    ("outcome", "rows", "verdict", "reason", "answer"),
+    [
+        (ForwardOutcome.SERVED, encode_rows([[b"a", b"b", b"c"]]), "REPLAY", "r", [[b"a", b"b", b"c"]]),
+        (ForwardOutcome.SERVED, None, "FAIL", "it has finished; its rows did not come", None),
+        (ForwardOutcome.SERVED, b"\xc1", "FAIL", "its rows can't be read", None),
+        (ForwardOutcome.REJECTED, None, "REJECT", "r", None),
+        (ForwardOutcome.FAILED, None, "FAIL", "r", None),
+    ],
+)
+def test_end_of_a_forwarded_query_as_the_reducer_gets_it(outcome, rows, verdict, reason, answer):
+    decided = forwarded_queries.claim_decided(("id", 3), Completion(1, outcome, "r", rows))
+    assert decided == events.ClaimDecided(
+        "id", 3, events.ClaimVerdict(verdict), f"passed on: {reason}", answer
+    )
+
+
+@pytest.mark.parametrize(
+    ("view", "up_to_date", "in_force", "confined"),
+    [
+        (True, True, True, False),
+        (False, True, True, True),
+        (None, True, True, True),
+        (True, False, True, True),
+        (True, True, False, True),
+    ],
+)
+def test_router_is_confined_to_the_floor_unless_view_and_agreement_are_in_force(
+    view, up_to_date, in_force, confined
+):
+    shares = {"a": 7000, "b": 3000}
+    ownership = SimpleNamespace(
+        revision=1,
+        effective_shares=lambda now: shares,
+        up_to_date=lambda: up_to_date,
+        is_in_force=lambda now: in_force,
+    )
+    routers = {"a": frozenset({"a0", "a1"}), "b": frozenset({"b0", "b1"})}
+    pool = PoolQuota(
+        clock=lambda: EPOCH,
+        members=tuple,
+        engine_names=EngineNames.from_settings(Settings.from_catalog({})),
+        negotiation=SimpleNamespace(router="a0", partner="a", routers=routers, ownership=ownership),
+        views=None if view is None else SimpleNamespace(in_force=lambda now: view),
+    )
+    quotas = QuotaLeases("a0", ["a0", "a1", "b0", "b1"], {"pool": 1_000_000}, 1, EPOCH)
+    pool.update_entitlement(quotas)
+    limit = quotas.limits["pool"]
+    assert (limit.entitlement, limit.group, limit.confined) == (350_000, routers["a"], confined)
+    assert limit.fixed_floor == 1_000_000 // 64
+    assert limit.settling_time == ENTITLEMENT_SETTLING_TIME
+    shares["a"] = 3000
+    pool.update_entitlement(quotas)
+    assert limit.entitlement == 350_000  # the shares are read anew with another revision
+    ownership.revision = 2
+    pool.update_entitlement(quotas)
+    assert limit.entitlement == 250_000
 
 
 # ---- shares of the pool ----
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,12 +75,12 @@
 def test_each_fault_has_its_own_reason():
     data = encode(PING, KEY)
     assert drop_reason(data + b"\0" * 1200) == "too long"
-    assert drop_reason(b"\2" + data[1:]) == "version"
+    assert drop_reason(b"\2" + data[1:]) == "unknown version"
     assert drop_reason(data, {"n3": KEY}) == "unknown peer"
-    assert drop_reason(encode(PING, OTHER_KEY)) == "mark"
+    assert drop_reason(encode(PING, OTHER_KEY)) == "wrong tag"
     turned = msgspec.structs.replace(PING, sender="n3")
-    assert drop_reason(encode(turned, KEY)) == "mark"  # n1 speaks as n3 with the key of its own pair
-    assert drop_reason(encode(msgspec.structs.replace(PING, receiver="n9"), KEY)) == "another's"
+    assert drop_reason(encode(turned, KEY)) == "wrong tag"  # n1 speaks as n3 with the key of its own pair
+    assert drop_reason(encode(msgspec.structs.replace(PING, receiver="n9"), KEY)) == "other receiver"
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
         try:
             accepted.append(number) if window.accept(sent(number), 2000) else None
         except InvalidDatagramError as fault:
-            assert fault.detail == "repeat" and number in accepted
+            assert fault.detail == "replayed" and number in accepted
     assert sorted(accepted) == list(range(300))
 
 
@@ -148,7 +148,7 @@
     window = ReplayWindow()
     assert window.accept(sent(500), 2000)
     for number in (500, 500 - ReplayWindow.SPAN, 0):
-        with pytest.raises(InvalidDatagramError, match="repeat"):
+        with pytest.raises(InvalidDatagramError, match="replayed"):
             window.accept(sent(number), 2000)
     assert window.accept(sent(500 - ReplayWindow.SPAN + 1), 2000)
 
@@ -157,24 +157,24 @@
     """n2 restarts. What n1 sent to its earlier generation is not believed, whoever sends it again."""
     old = sent(41, receiver_generation=2000)
     window = ReplayWindow()
-    with pytest.raises(InvalidDatagramError, match="to an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="to earlier generation"):
         window.accept(old, 3000)
     assert window.known_generation == 1000  # goes back to n1, which then knows the new generation
     assert window.accept(sent(42, receiver_generation=3000), 3000)
     for again in (old, sent(41, generation=900, receiver_generation=2000)):
-        with pytest.raises(InvalidDatagramError, match="earlier life"):
+        with pytest.raises(InvalidDatagramError, match="earlier generation"):
             window.accept(again, 3000)
     restarted = sent(43, generation=1500, receiver_generation=0)  # n1, which has heard of nobody yet
     assert not window.accept(restarted, 3000)
     assert window.known_generation == 1500
     assert window.accept(sent(0, generation=1500, receiver_generation=3000), 3000)
-    with pytest.raises(InvalidDatagramError, match="of an earlier life"):
+    with pytest.raises(InvalidDatagramError, match="from earlier generation"):
         window.accept(sent(44, receiver_generation=3000), 3000)
 
 
 def test_error_says_what_where_and_what_to_do():
     assert issubclass(InvalidDatagramError, HillchuteError)
-    told = InvalidDatagramError("mark", "n1").log_fields
+    told = InvalidDatagramError("wrong tag", "n1").log_fields
     assert told["error"] == "InvalidDatagramError" and told["where"] == "n1" and "peers" in told["remedy"]
 
 
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -24,8 +24,9 @@
 from hillchute.peers import fragmentation
 from hillchute.router import events
 from hillchute.router.effects import ClaimQuery, EndClaim, FailQuery, RejectQuery, SendResult
+from hillchute.router.integrations.history import retention_policies
 from hillchute.router.reducer import Reducer
-from hillchute.router.remembering import book_of
+from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
 DISK = RetentionPolicy(rows=True, disk=True, least_ms=20_000, most_ms=60_000)
@@ -45,8 +46,9 @@
     def __init__(self):
         names = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
         names["limits.open_cap"] = 100
-        self.module = QueryScheduler(7, CATALOG | names, 0)
-        self.reducer = Reducer(self.module, CATALOG | names, 8)
+        settings = Settings.from_catalog(CATALOG | names)
+        self.module = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.module, settings, 8)
         self.reducer.claims_idempotent = True
         self.group = "load"
         self.count = 0
@@ -78,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "effect"), [("ANSWER", SendResult), ("DEFER", RejectQuery), ("KILL", FailQuery)]
+    ("verdict", "effect"), [("REPLAY", SendResult), ("REJECT", RejectQuery), ("FAIL", FailQuery)]
 )
 def test_word_that_is_no_run_is_the_answer(verdict, effect):
     rig = Rig()
@@ -95,24 +97,24 @@
     id, _ = rig.ask()
     said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
     assert len(of(said, RejectQuery)) == 1 and not of(said, FailQuery)
-    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "not_run")]
 
 
 def test_client_that_leaves_frees_its_claim():
     rig = Rig()
     id, _ = rig.ask()
     said = rig.reducer.reduce(events.Left(rig.count), 10)
-    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "freed")]
+    assert [(c.query, c.outcome) for c in of(said, EndClaim)] == [(id, "not_run")]
 
 
 @pytest.mark.parametrize(
     ("results", "how"),
     [
-        ([], "freed"),
-        (["saturated", "unreached"], "freed"),
-        (["saturated", "finished"], "finished"),
-        (["errored"], "killed"),
-        (["overdue"], "killed"),
+        ([], "not_run"),
+        (["saturated", "unreached"], "not_run"),
+        (["saturated", "finished"], "served"),
+        (["errored"], "failed"),
+        (["overdue"], "failed"),
     ],
 )
 def test_history_hears_what_may_have_run(results, how):
@@ -146,7 +148,7 @@
     text = """history: {number: 3, copies: 1, founded_ms: 5, default: {rows: true, least_ms: 5000},
       customers: [{name: "a", policy: {hold: true}}], forget: [{before_ms: 7, customer: "a", key: "k"}]}
       peers: {name: "a", listen: "127.0.0.1:1", others: []}"""
-    book = book_of(reading.hold(text)["history"])
+    book = retention_policies(reading.hold(text)["history"])
     assert (book.number, book.copies, book.founded) == (3, 1, 50)
     assert book.default == RetentionPolicy(rows=True, least_ms=5000) and book.policy_for("a").hold
     assert book.erasure_requests == (ErasureRequest(70, "a", "k"),)
@@ -154,7 +156,7 @@
 
 def test_defaults_of_the_operator_file_are_those_of_the_book():
     text = 'history: {number: 1, default: {}}\npeers: {name: "a", listen: "127.0.0.1:1", others: []}'
-    assert book_of(reading.hold(text)["history"]) == RetentionPolicies(number=1)
+    assert retention_policies(reading.hold(text)["history"]) == RetentionPolicies(number=1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,7 +12,7 @@
 from rounds_by_hand import Signals
 
 from hillchute.benchlink.codec import Fields
-from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.interface import SECOND, AttemptResult, EndpointState, Listing, Reason
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
@@ -26,7 +26,8 @@
 from hillchute.log import MAX_LINES_PER_EVENT, Log
 from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.system_calls import SYSTEM_CALLS
-from hillchute.router import config, events, loop_lag, service
+from hillchute.router import config, events, loop_lag, signal_handling
+from hillchute.router.answer_log import outcome_text
 from hillchute.router.effects import (
     CloseConnection,
     FailQuery,
@@ -36,8 +37,11 @@
     SendResult,
     WriteLog,
 )
-from hillchute.router.lifecycle import Lifecycle, Phase
+from hillchute.router.lifecycle import Phase
+from hillchute.router.query_state import QueryOutcome
 from hillchute.router.reducer import Reducer
+from hillchute.router.service import Service
+from hillchute.settings import Settings
 from hillchute.statements import request as statement
 
 COMMENT = b"/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,weight=820.0,mb=96 */ "
@@ -109,7 +113,7 @@
 
 @pytest.fixture
 def session():
-    session = mysql.Session(7, config.LONGEST_PACKET)
+    session = mysql.Session(7, config.MAX_PACKET_BYTES)
     session.greeting()
     return session
 
@@ -251,8 +255,10 @@
     pairs += " domain.kind_cores=8,16 domain.grants=false limits.connect_timeout_ns=250000000"
     pairs += " limits.keepalive_ns=30000000000 parties="
     fields = Fields(f"UP 7 {pairs}", 1)
-    fields.integer("init_seed")
-    assert config.station(TABLE, {}).catalog == fields.catalog() | {"sessions": 1024 // 3}
+    fields.required_integer("init_seed")
+    station = config.parse_station(TABLE, {})
+    assert station.stated_catalog == fields.catalog() | {"sessions": 1024 // 3}
+    assert station.settings == Settings.from_catalog(station.stated_catalog)
 
 
 @pytest.mark.parametrize(
@@ -275,7 +281,7 @@
         place = place[name]
     place[last] = value
     with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
-        config.station(table, {})
+        config.parse_station(table, {})
 
 
 # ---- the reducer ----------------------------------------------------------------------------------
@@ -295,7 +301,8 @@
     def __init__(self, **changed):
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
         self.exchanges = {}
-        self.reducer = Reducer(QueryScheduler(7, catalog, 0), catalog, 10)
+        settings = Settings.from_catalog(catalog)
+        self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
         listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
         entries = [event_bus.Endpoint(listing, "127.0.0.1", listing.engine) for listing in listings]
         self.do(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))))
@@ -593,15 +600,14 @@
 
 @pytest.fixture
 def station():
-    return config.station(TABLE, {})
+    return config.parse_station(TABLE, {})
 
 
 @pytest.fixture
 def router(station):
-    log = Log("n1", -1)
-    lifecycle = Lifecycle(log)
-    lifecycle.enter(Phase.SERVING)
-    return service.Service(station, log, lifecycle)
+    router = Service(station, Log("n1", -1))
+    router.lifecycle.enter(Phase.SERVING)
+    return router
 
 
 def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
@@ -617,11 +623,14 @@
                 raise found
             return found
 
-        monkeypatch.setattr(service.config, "read", read)
+        monkeypatch.setattr(config, "read_station", read)
         monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
-        monkeypatch.setattr(service.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2))
+        monkeypatch.setattr(
+            signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2)
+        )
         router.station = station._replace(bus=buses[0].getsockname(), offset=7)
-        async with anyio.create_task_group() as router.tasks:
+        async with anyio.create_task_group() as tasks:
+            router.attach_tasks(tasks)
             router.endpoint_watcher.watch(router.station.bus, router.tasks)
             first = (await anyio.to_thread.run_sync(buses[0].accept))[0]
             assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.encode_subscription(7)
@@ -629,7 +638,7 @@
             second = (await anyio.to_thread.run_sync(buses[1].accept))[0]
             assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.encode_subscription(7)
             assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # left
-            router.tasks.cancel_scope.cancel()
+            tasks.cancel_scope.cancel()
         for sock in (*buses, first, second):
             sock.close()
 
@@ -642,7 +651,43 @@
     table = orjson.loads(orjson.dumps(TABLE))
     table["settings"]["limits"]["keepalive_ns"] = 1_000_000
     table["bus"] = "127.0.0.1:9"
-    assert config.needs_restart(station, config.station(table, {})) == ["limits.keepalive"]
+    assert config.needs_restart(station, config.parse_station(table, {})) == ["limits.keepalive"]
+
+
+def test_fewer_sockets_are_named_with_the_sessions_that_follow_from_them(station):
+    fewer = config.parse_station(TABLE | {"limits": {"sockets": 512}}, {})
+    assert config.needs_restart(station, fewer) == ["sockets", "sessions"]
+
+
+@pytest.mark.parametrize("seed, number", [("ff", 255), (17, 17)])
+def test_seed_is_hexadecimal_text_or_a_number(seed, number):
+    assert config.parse_station(TABLE | {"seed": seed}, {}).seed == number
+
+
+@pytest.mark.parametrize(
+    "path, value, message",
+    [
+        ("seed", True, "seed: expected str or int, got 'True'"),
+        ("seed", "xyz", "seed: not a hexadecimal number: 'xyz'"),
+        ("seed", None, "seed: missing"),
+        ("known", [], "known: not an object"),
+        ("bus", "nowhere", "bus: not an address of the form host:port: 'nowhere'"),
+        ("limits", {"sockets": 63}, "limits.sockets: 63 are too few to serve with"),
+        ("limits", {"memory_mb": 23}, "limits.memory_mb: 23 are too few to serve with"),
+        ("limits", {"sockets": True}, "limits.sockets: expected int, got 'True'"),
+    ],
+)
+def test_fault_of_a_configuration_is_told_in_words(path, value, message):
+    with pytest.raises(ConfigurationError) as error:
+        config.parse_station(TABLE | {path: value}, {})
+    assert str(error.value) == message
+
+
+def test_settings_of_a_shape_that_no_check_knows_are_refused_by_name():
+    domain = SETTINGS["domain"] | {"report_x0": ["a", "b"]}
+    with pytest.raises(ConfigurationError) as error:
+        config.parse_station(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
+    assert error.value.location == "settings"
 
 
 # ---- who may stay connected -----------------------------------------------------------------------
@@ -713,11 +758,12 @@
     """Runs a router's door on a port of its own while `talk` speaks to it in a thread."""
     listener = socket.create_server(("127.0.0.1", 0))
     router.door.open(listener)
-    async with anyio.create_task_group() as router.tasks:
-        router.tasks.start_soon(router.work)
-        router.tasks.start_soon(router.sweep)
+    async with anyio.create_task_group() as tasks:
+        router.attach_tasks(tasks)
+        tasks.start_soon(router.event_loop.run)
+        tasks.start_soon(router.event_loop.run_sweep)
         await anyio.to_thread.run_sync(talk, listener.getsockname())
-        router.tasks.cancel_scope.cancel()
+        tasks.cancel_scope.cancel()
     router.door.close()
 
 
@@ -775,17 +821,52 @@
         if effect == "first one":
             router.handle("second")
 
-    monkeypatch.setattr(router, "carry_out", carry_out)
+    monkeypatch.setattr(router.executor, "carry_out", carry_out)
     router.handle("first")
     assert done == ["first one", "first two", "second one", "second two"]
 
 
+LOGGED_REASONS = {
+    Reason.DEADLINE: "deadline",
+    Reason.NO_RETRY: "no_retry",
+    Reason.TOO_LATE: "too_late",
+    Reason.TOO_HEAVY: "too_heavy",
+    Reason.ENGINES_OVERLOADED: "engines_overloaded",
+    Reason.LOADS_AHEAD: "loads_ahead",
+}
+LOGGED_RESULTS = {
+    AttemptResult.OVERLOADED: "overloaded",
+    AttemptResult.CONNECTION_REFUSED: "connection_refused",
+    AttemptResult.UNREACHABLE: "unreachable",
+    AttemptResult.NOT_SENT: "not_sent",
+    AttemptResult.CONNECTION_LOST: "connection_lost",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.FAILED: "failed",
+}
+
+
+def test_log_counts_answers_by_outcome_and_the_name_of_the_check():
+    assert LOGGED_REASONS.keys() == set(Reason)
+    for reason, name in LOGGED_REASONS.items():
+        assert outcome_text(QueryOutcome.REJECTED, reason) == f"rejected: {name}"
+    assert outcome_text(QueryOutcome.SERVED, "") == "served"
+    assert outcome_text(QueryOutcome.REJECTED, "history: no verdict in time").endswith(": no verdict in time")
+
+
+@pytest.mark.parametrize(("result", "name"), LOGGED_RESULTS.items())
+def test_log_has_the_name_of_an_attempts_result(rig, result, name):
+    line = rig.sent()
+    said = rig.do(events.Said(line, words.Ended("a" * 16, result)), 10, WriteLog)
+    (ended,) = [note for note in said if note.event == "attempt_ended"]
+    assert ended.fields["result"] == name
+
+
 def test_lines_alike_are_counted_not_written():
     log = Log("n1", -1)
     for _ in range(100):
-        log.write("misread", why="x")
+        log.write("invalid_query", reason="x")
     log.window_start = 0
-    log.write("misread", why="x")
+    log.write("invalid_query", reason="x")
     lines = [orjson.loads(line) for line in log.buffer.splitlines()]
     assert len(lines) == MAX_LINES_PER_EVENT + 2
-    assert lines[-2]["left_out"] == {"misread": 100 - MAX_LINES_PER_EVENT}
+    assert lines[-2]["left_out"] == {"invalid_query": 100 - MAX_LINES_PER_EVENT}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -78,7 +78,7 @@
 )
 def test_absent_or_absurd_setting_is_named_by_its_path(path, value):
     with pytest.raises(ConfigurationError) as fault:
-        config.station(changed(path, value), {})
+        config.parse_station(changed(path, value), {})
     assert fault.value.location.startswith(f"settings.{path}") and fault.value.remedy
 
 
@@ -130,7 +130,7 @@
     )
     (news,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
     rig = Rig()
-    rig.service.told(news._replace(offset=2))
+    rig.service.endpoint_updates.on_watch_event(news._replace(offset=2))
     assert len(rig.service.reducer.module.engines) == count and not rig.log.faults()
     rig.close()
 
