--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -29,11 +29,11 @@
 from hillchute.coordination.quota_leases import QuotaLeases
 from hillchute.coordination.report_relay import ReportRelay
 from hillchute.coordination.subsetting import SUBSET_SIZE, Subset, first_routers, routers_per_engine
-from hillchute.decision.interface import EngineId, Report, Time
+from hillchute.decision.interface import EngineId, FleetShares, Report, Time
 
 LIMIT_UNITS = 1_000_000  # units of a limit: parts in a million
-WARM_UP_LIMIT = "cold"  # the limit of work on warming engines, as messages and the decision module name it
-HEALTH_CHECK_SHARE = "probes"  # the share of health checks, as the decision module names it
+WARM_UP_LIMIT = "cold"  # the limit of work on warming engines, as messages name it
+TENANT_LIMIT_PREFIX = "parties."  # of the limits on tenants' queries, as messages and settings name them
 REPORT_BYTES_PER_DIGEST = 700  # with all else in it a datagram is still not fragmented
 REPORT_HEADER_BYTES = 12
 FIGURE_BYTES = 5
@@ -44,6 +44,11 @@
 STATE_LIFETIME: Time = SECOND  # a fleet state is computed anew at least so often
 
 
+def tenant_limit(number: int) -> str:
+    """The name of the limit on one tenant's queries."""
+    return f"{TENANT_LIMIT_PREFIX}{number}"
+
+
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSettings:
     """What a router's view is built from."""
@@ -63,7 +68,7 @@
     subset: frozenset[EngineId]
     closed: frozenset[EngineId]  # by witnesses; the own endpoint list does not say so yet
     routers: int
-    shares: Mapping[str | EngineId, float]  # of a limit, by name; 0 for a warming engine that had enough
+    shares: FleetShares
     valid_until: Time  # from then on shares may be smaller
 
 
@@ -310,15 +315,14 @@
             valid_until=self.next_lease_expiry(now),
         )
 
-    def shares(
-        self, now: Time, warming: Mapping[EngineId, float], window: Time
-    ) -> dict[str | EngineId, float]:
-        """This router's share of each limit, and 0 for each warming engine that it must not use."""
-        limits: dict[str | EngineId, float] = {
+    def shares(self, now: Time, warming: Mapping[EngineId, float], window: Time) -> FleetShares:
+        """This router's share of each limit, and the warming engines that it must not use."""
+        limits = {
             name: max(1 / LIMIT_UNITS, self.quotas.usable_share(name, now)) for name in self.quotas.limits
         }
-        excluded: dict[str | EngineId, float] = {
-            engine: 0.0
+        warm_up = limits.get(WARM_UP_LIMIT)
+        excluded = {
+            engine
             for engine, overload_work in warming.items()
             if not self.warm_up_capacity(now, engine, overload_work, window)
         }
@@ -326,10 +330,19 @@
         if own_warming:
             # Warming engines outside the subset are left to the routers that have them in theirs; in return
             # this router's share of all warming engines goes to those of its subset.
-            excluded |= dict.fromkeys(warming.keys() - own_warming, 0.0)
-            share = limits.get(WARM_UP_LIMIT, 1 / len(self.router_names))
-            limits[WARM_UP_LIMIT] = min(1.0, share * len(warming) / len(own_warming))
-        return limits | {HEALTH_CHECK_SHARE: CHECKS_PER_QUERY} | excluded
+            excluded |= warming.keys() - own_warming
+            share = 1 / len(self.router_names) if warm_up is None else warm_up
+            warm_up = min(1.0, share * len(warming) / len(own_warming))
+        return FleetShares(
+            warm_up=warm_up,
+            tenants={
+                int(name.removeprefix(TENANT_LIMIT_PREFIX)): share
+                for name, share in limits.items()
+                if name.startswith(TENANT_LIMIT_PREFIX)
+            },
+            health_checks=CHECKS_PER_QUERY,
+            excluded_engines=frozenset(excluded),
+        )
 
     def next_lease_expiry(self, now: Time) -> Time:
         """When the first borrowed lease expires, at most STATE_LIFETIME from now."""
--- a/hillchute/decision/admission.py
+++ b/hillchute/decision/admission.py
@@ -116,7 +116,7 @@
         if not settings.quota_per_s or settings.fraction is None:
             return False
         queries = self.traffic.by_tenant[tenant]
-        share = self.pool.shares.get(f"parties.{tenant}", 1 / self.pool.routers)
+        share = self.pool.shares.tenants.get(tenant, 1 / self.pool.routers)
         if queries * SECOND <= settings.quota_per_s * share * self.traffic.span(now):
             return False
         return queries > OVER_SHARE * settings.fraction * len(self.traffic.arrivals)
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -2,11 +2,11 @@
 
 from bisect import bisect_left, insort
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from hillchute.decision.interface import EndpointState, EngineId, Listing, ListMode, Time
+from hillchute.decision.interface import EndpointState, EngineId, FleetShares, Listing, ListMode, Time
 from hillchute.settings import Settings
 
 NEVER: Time = -(10**9)  # before every time
@@ -141,7 +141,7 @@
         self.leaving: dict[EngineId, EngineState] = {}  # gone with attempts open
         self.subset: frozenset[EngineId] = frozenset()  # to be preferred
         self.routers = max(1, settings.routers)
-        self.shares: Mapping[str | EngineId, float] = {}  # of limits, by name or recovering engine
+        self.shares = FleetShares()
 
     def update(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> list[EngineId]:
         """Takes in the endpoint list or a change of it; the engines that are forgotten with it."""
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -47,7 +47,7 @@
 
     def query_arrived(self) -> None:
         """Checks are paced by the queries admitted, up to one for each engine."""
-        share = self.pool.shares.get("probes", 1)
+        share = self.pool.shares.health_checks
         self.credit += min(self.credit_per_query, share, len(self.pool.engines) - self.credit)
 
     def send(self, now: Time, engine: EngineState) -> None:
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple, Protocol, TypeAlias
 
@@ -106,6 +106,20 @@
     report: Report | None = None  # the load report that came with the answer
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetShares:
+    """This router's shares of the limits that all routers have in common.
+
+    A limit of which no share is stated is divided equally among the routers.
+    """
+
+    warm_up: float | None = None  # of the light queries that warming engines get
+    tenants: Mapping[int, float] = field(default_factory=dict)  # of tenants' quotas, by tenant
+    health_checks: float = 1  # checks for each query at the most
+    pool_routers: float | None = None  # with partners: as many routers with this one's share fill the pool
+    excluded_engines: frozenset[EngineId] = frozenset()  # warming engines that get no more queries for now
+
+
 # ---- decisions ------------------------------------------------------------------------------------
 
 
@@ -204,7 +218,7 @@
         now: Time,
         engines: frozenset[EngineId],
         routers: int | None = None,
-        shares: Mapping[str | EngineId, float] | None = None,
+        shares: FleetShares | None = None,
     ) -> None:
         """The engines to prefer have changed (subsetting), the number of live routers, or this router's
         shares of the limits that routers have in common; None leaves the earlier value."""
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -22,6 +22,7 @@
     AttemptResult,
     Decision,
     EngineId,
+    FleetShares,
     Listing,
     ListMode,
     NewQuery,
@@ -113,7 +114,7 @@
         now: Time,
         engines: frozenset[EngineId],
         routers: int | None = None,
-        shares: Mapping[str | EngineId, float] | None = None,
+        shares: FleetShares | None = None,
     ) -> None:
         """The engines to prefer, the number of live routers or this router's shares have changed."""
         self.now = now
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -119,8 +119,9 @@
         for engine in [engine for engine in warming_up.values() if not engine.is_warming_up(now)]:
             del warming_up[engine.id]
         shares = self.pool.shares
-        engines = [engine for engine in warming_up.values() if engine.ready and shares.get(engine.id, 1)]
-        share = shares.get("cold", 1 / self.pool.routers)
+        excluded = shares.excluded_engines
+        engines = [engine for engine in warming_up.values() if engine.ready and engine.id not in excluded]
+        share = 1 / self.pool.routers if shares.warm_up is None else shares.warm_up
         query.permit_engine = self.permits.draw(now, engines, query.work, share)
 
     def may_use_permit(self, now: Time, query: QueryState) -> bool:
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -107,9 +107,9 @@
         free = bound - self.load.total_threads(now, engine)
         least = 1
         if now < engine.under_pressure_until:
-            share = bound / self.pool.shares.get(
-                "pool", self.pool.routers
-            )  # partners: by agreed shares of it
+            # With partners by agreed shares of the pool, else evenly.
+            pool_routers = self.pool.shares.pool_routers
+            share = bound / (self.pool.routers if pool_routers is None else pool_routers)
             # Guards against many routers whose bound is under one query: each then has one by chance only.
             least = int(fraction_of(f"{query.id}:{engine.id}") < share / threads)
             free = min(free, max(threads, share) - engine.threads) * least
--- a/hillchute/router/integrations/fleet_scheduler.py
+++ b/hillchute/router/integrations/fleet_scheduler.py
@@ -7,10 +7,10 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Protocol
 
-from hillchute.coordination.fleet_view import LIMIT_UNITS, WARM_UP_LIMIT, FleetView
+from hillchute.coordination.fleet_view import LIMIT_UNITS, WARM_UP_LIMIT, FleetView, tenant_limit
 from hillchute.coordination.quota_leases import QuotaLeases
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.interface import (
@@ -21,6 +21,7 @@
     EndpointState,
     EngineId,
     Fail,
+    FleetShares,
     Listing,
     ListMode,
     NewQuery,
@@ -109,7 +110,7 @@
         now: Time,
         engines: frozenset[EngineId],
         routers: int | None = None,
-        shares: Mapping[str | EngineId, float] | None = None,
+        shares: FleetShares | None = None,
     ) -> None:
         """The endpoint list has changed. Subset, routers and shares follow from the peers' names instead of
         from the settings, so the caller's are not used."""
@@ -225,7 +226,7 @@
         }
         state = self.fleet.state(self.clock(), self.live_peers(), overload_work, warm_up.budget_window)
         self.state_valid_until = state.valid_until
-        shares = dict(state.shares) | self._pool_share()
+        shares = replace(state.shares, pool_routers=self._pool_routers())
         self.scheduler.on_subset(now, state.subset, state.routers, shares)
         self._close_engines(now, state.closed)
 
@@ -243,12 +244,12 @@
         if changed:
             self.scheduler.on_endpoint_list(now, ListMode.PARTIAL, changed)
 
-    def _pool_share(self) -> dict[str | EngineId, float]:
+    def _pool_routers(self) -> float | None:
         """Where there are partners: how many routers with this one's share the pool would serve."""
         if self.pool is None:
-            return {}
+            return None
         share = self.fleet.quotas.usable_share(POOL_LIMIT, self.clock())
-        return {POOL_LIMIT: 1 / max(1 / LIMIT_UNITS, share)}
+        return 1 / max(1 / LIMIT_UNITS, share)
 
     def _warming_engines(self, now: Time) -> list[EngineState]:
         return [
@@ -288,8 +289,3 @@
                 span = traffic.span(now)
                 units = int(LIMIT_UNITS * queries * SECOND / span / tenant.quota_per_s)
                 quotas.set_requested(limit, units)
-
-
-def tenant_limit(number: int) -> str:
-    """The name of the limit on one tenant's queries, as messages and settings have it."""
-    return f"parties.{number}"
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -11,7 +11,7 @@
 import anyio
 import anyio.abc
 
-from hillchute.coordination.fleet_view import WARM_UP_LIMIT, FleetSettings, FleetView
+from hillchute.coordination.fleet_view import WARM_UP_LIMIT, FleetSettings, FleetView, tenant_limit
 from hillchute.decision.interface import Scheduler, Time
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.errors import ClockBehindError, PeerListMismatchError
@@ -27,7 +27,6 @@
     CapacityPool,
     FleetAccess,
     FleetScheduler,
-    tenant_limit,
 )
 from hillchute.router.integrations.interface import (
     STATISTICS_INTERVAL,
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -14,6 +14,7 @@
     SECOND,
     AttemptResult,
     EndpointState,
+    FleetShares,
     HealthCheck,
     Listing,
     ListMode,
@@ -201,10 +202,10 @@
 
 def test_scheduler_without_peers_ignores_that_the_fleet_has_changed():
     scheduler = QueryScheduler(1, Settings.from_catalog({"n_instances": 3}), 0)
-    scheduler.on_subset(0, frozenset({1}), 2, {"cold": 0.5})
+    scheduler.on_subset(0, frozenset({1}), 2, FleetShares(warm_up=0.5))
     scheduler.on_fleet_changed(10)
     assert (scheduler.pool.subset, scheduler.pool.routers) == ({1}, 2)
-    assert scheduler.pool.shares == {"cold": 0.5}
+    assert scheduler.pool.shares == FleetShares(warm_up=0.5)
 
 
 def test_subset_follows_the_endpoint_list_that_the_router_receives():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,6 +10,7 @@
     SECOND,
     AttemptResult,
     EndpointState,
+    FleetShares,
     HealthCheck,
     Listing,
     ListMode,
@@ -304,7 +305,7 @@
 def test_fresh_report_of_another_router_spares_the_look(probing):
     for engine in (1, 2, 3):
         probing.router.on_load_report(100, engine, {"inflight": 1}, age=90)
-    probing.router.on_subset(100, frozenset({1, 2, 3}), 2, {"probes": 0.0})
+    probing.router.on_subset(100, frozenset({1, 2, 3}), 2, FleetShares(health_checks=0.0))
     q = probing.arrive(LOOKUP, now=100)
     assert [d.query for d in probing.decisions(100) if isinstance(d, Submit)] == [q.id]
 
@@ -317,9 +318,9 @@
     assert router.admission.is_over_share(
         router.now, 0
     )  # three in a second, where one of four routers has one
-    router.on_subset(0, frozenset(), 4, {"parties.0": 0.9, "cold": 0.25})
+    router.on_subset(0, frozenset(), 4, FleetShares(tenants={0: 0.9}, warm_up=0.25))
     assert not router.admission.is_over_share(router.now, 0)
-    router.on_subset(0, frozenset(), 2, {"parties.0": 0.1})
+    router.on_subset(0, frozenset(), 2, FleetShares(tenants={0: 0.1}))
     assert router.admission.is_over_share(router.now, 0) and router.pool.routers == 2
 
 
@@ -328,7 +329,7 @@
     for part in (0.05, 0.5):
         harness = make_harness(n_instances=10)
         harness.list_engines(2, 3, mode=ListMode.PARTIAL, started=1)
-        harness.router.on_subset(1, frozenset({1, 2, 3}), 10, {"cold": part})
+        harness.router.on_subset(1, frozenset({1, 2, 3}), 10, FleetShares(warm_up=part))
         taken = [harness.arrive(LOOKUP, now=1 + n * 400) for n in range(200)]
         drawn.append(sum(q.permit_engine is not None for q in taken))
     assert drawn[0] * 4 < drawn[1]
--- a/tests/test_load_signals.py
+++ b/tests/test_load_signals.py
@@ -328,11 +328,11 @@
         other.on_warm_up_work(NOW + n, engine, 1_000)
         fleet[0].on_warm_up_work(NOW + n, engine, 500)
         fleet[0].on_digest(NOW + n, other.name, other.ping_digest(NOW + n, "n00"))
-    assert engine not in fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares
+    assert engine not in fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares.excluded_engines
     for n in range(10):
         fleet[0].on_warm_up_work(NOW + n, engine, 700)
-    assert fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares[engine] == 0
-    assert engine not in fleet[0].state(NOW + 20_000, NAMES, tips, 15_000).shares
+    assert engine in fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares.excluded_engines
+    assert engine not in fleet[0].state(NOW + 20_000, NAMES, tips, 15_000).shares.excluded_engines
 
 
 def test_router_with_other_names_is_believed_but_lends_nothing():
@@ -389,5 +389,5 @@
 
 def test_total_of_a_limit_is_a_million_units():
     fleet = fleet_views()
-    parts = [view.state(NOW, NAMES, {}, 1).shares["cold"] for view in fleet]
+    parts = [view.state(NOW, NAMES, {}, 1).shares.warm_up for view in fleet]
     assert sum(parts) <= 1 and all(part >= 1 / LIMIT_UNITS for part in parts)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -283,7 +283,7 @@
 
 def test_module_hears_how_many_routers_live_and_its_parts(fleet_scheduler):
     assert fleet_scheduler.scheduler.pool.routers == 3 and fleet_scheduler.scheduler.pool.subset == {1, 2, 3}
-    assert 0 < fleet_scheduler.scheduler.pool.shares["cold"] <= 0.25
+    assert 0 < fleet_scheduler.scheduler.pool.shares.warm_up <= 0.25
 
 
 def test_report_that_comes_here_is_told_and_one_heard_of_is_not(fleet_scheduler):
@@ -316,15 +316,15 @@
     limit = fleet_scheduler.fleet.quotas.limits["cold"]
     fleet_scheduler.clock_of[0] += 10 * SECOND
     fleet_scheduler.on_fleet_changed(100)
-    own = fleet_scheduler.scheduler.pool.shares["cold"]
+    own = fleet_scheduler.scheduler.pool.shares.warm_up
     now = fleet_scheduler.clock_of[0]
     limit.borrowed["r1"] = BorrowedLease(1, now, 100_000, 100_000, now + LEASE_DURATION)
     fleet_scheduler.on_fleet_changed(100)
-    assert fleet_scheduler.scheduler.pool.shares["cold"] > own
+    assert fleet_scheduler.scheduler.pool.shares.warm_up > own
     # The process is suspended as long as the lease lasts, and wakes in a decision.
     fleet_scheduler.clock_of[0] += LEASE_DURATION
     fleet_scheduler.next_decision(100)
-    assert fleet_scheduler.scheduler.pool.shares["cold"] == own
+    assert fleet_scheduler.scheduler.pool.shares.warm_up == own
 
 
 def modules_imported_by(statement):
