--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -1,6 +1,6 @@
 """One router's view of the fleet: its observations go out as gossip digests, those of others come in.
 
-Owns which digest goes to whom and what follows for the decision module from all that is known. Pure: events
+Owns which digest goes to whom and what follows for the scheduler from all that is known. Pure: events
 and the time in, digests and a fleet state out. Other routers are never needed: cut off from all, a router has
 its own observations and the floor of each limit, and decides as if alone.
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What the decision module gets: see its `on_subset` and `on_endpoint_list`."""
+    """What the scheduler gets: see its `on_subset` and `on_endpoint_list`."""
 
     subset: frozenset[EngineId]
     closed: frozenset[EngineId]  # by witnesses; the own endpoint list does not say so yet
@@ -73,7 +73,7 @@
 
 
 class RelayedReport(NamedTuple):
-    """Another router's load report of an engine, for the decision module."""
+    """Another router's load report of an engine, for the scheduler."""
 
     engine: EngineId
     report: Report
@@ -96,7 +96,7 @@
         self.own = OwnObservations(self.columns)
         self.relay = ReportRelay(now)
         self.lease_messages: dict[str, list[LeaseMessage]] = {}  # by recipient
-        self.relayed_reports: list[RelayedReport] = []  # not taken by the decision module yet
+        self.relayed_reports: list[RelayedReport] = []  # not taken by the scheduler yet
         self.router_names: list[str] = []
         self.ready: frozenset[EngineId] = frozenset()
         self.signals = LoadSignals(0, self.has_in_subset)
@@ -216,7 +216,7 @@
         return reports
 
     def to_report(self, load_report: LoadReport) -> Report:
-        """A load report as the decision module gets it from engines."""
+        """A load report as the scheduler gets it from engines."""
         pairs = zip(self.columns, load_report.figures, strict=False)
         return {name: figure / 100 for name, figure in pairs if figure >= 0}
 
@@ -292,7 +292,7 @@
         )
         return codec.encode(digest)
 
-    # ---- for the decision module -------------------------------------------------------------------
+    # ---- for the scheduler -------------------------------------------------------------------
 
     def warm_up_capacity(self, now: Time, engine: EngineId, overload_work: float, window: Time) -> float:
         """Core time that may still go to a warming engine, by what is known of all that has. Permits
--- a/hillchute/coordination/load_signals.py
+++ b/hillchute/coordination/load_signals.py
@@ -109,7 +109,7 @@
 
     def on_observations(self, now: Time, witness: str, observations: Observations) -> list[LoadReport]:
         """Merges what another router observed. Returns the load reports that are newer than any known before,
-        for the decision module. They are not relayed to other routers: a witness speaks for itself."""
+        for the scheduler. They are not relayed to other routers: a witness speaks for itself."""
         newest = []
         for report in observations.load_reports:
             if self.merge_load_report(now, witness, report):
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -1,4 +1,4 @@
-"""The decision module's interface: what has happened goes in, typed decisions come out. Types only.
+"""The scheduler's interface: what has happened goes in, typed decisions come out. Types only.
 
 Times are whole tenths of a millisecond on the caller's clock; ids are kept as the caller gives them.
 """
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -49,7 +49,7 @@
 
 
 class QueryScheduler:
-    """The decision module of one router; implements `interface.Scheduler`."""
+    """The scheduler of one router; implements `interface.Scheduler`."""
 
     def __init__(self, seed: int, settings: Settings, now: Time) -> None:
         """`seed`: of all draws by chance, another for each router."""
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -1,7 +1,7 @@
 """Attempts to run queries on engines: each from its submission to its end.
 
-Reports every end to the decision module and gives the results of attempts to their query's owner. Does not
-decide which engine gets an attempt, when, or for how long: that is the decision module's. Times are whole
+Reports every end to the scheduler and gives the results of attempts to their query's owner. Does not
+decide which engine gets an attempt, when, or for how long: that is the scheduler's. Times are whole
 tenths of a millisecond.
 """
 
@@ -44,14 +44,14 @@
     """The attempts of all queries of a router."""
 
     def __init__(
-        self, context: ReducerContext, module: Scheduler, rules: RequestRules, owner: QueryOwner
+        self, context: ReducerContext, scheduler: Scheduler, rules: RequestRules, owner: QueryOwner
     ) -> None:
         self.context = context
-        self.module = module
+        self.scheduler = scheduler
         self.rules = rules
         self.owner = owner
 
-    # ---- what the decision module asks for --------------------------------------------------------
+    # ---- what the scheduler asks for --------------------------------------------------------
 
     def submit(self, pool: ConnectionPool, query: QueryState, engine: EngineId, time_limit: Time) -> None:
         """Starts an attempt on an engine: on an open connection, or on one that is being opened."""
@@ -147,7 +147,7 @@
         final: bool = False,
         message: words.Over | words.Whole | words.Ended | None = None,
     ) -> None:
-        """An attempt has ended; the decision module is notified, once.
+        """An attempt has ended; the scheduler is notified, once.
 
         `cancel_run`: the engine is asked to give the run up; `final`: the client has its answer with this;
         `message`: what the engine sent with the end.
@@ -158,7 +158,7 @@
         attempt.result = result
         query = attempt.query
         self._leave_connection(attempt, cancel_run)
-        self.context.module_notified = True
+        self.context.scheduler_notified = True
         streaming = attempt.stream is not None
         self._report(attempt, result, final or streaming or query.answered, message or attempt.run_over)
         if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
@@ -200,7 +200,7 @@
         elapsed = now - attempt.started_at
         query = attempt.query.request.id
         ended = AttemptEnded(query, attempt.number, result, final, elapsed, cost, report)
-        self.module.on_attempt_ended(now, ended)
+        self.scheduler.on_attempt_ended(now, ended)
 
     # ---- what engines send ------------------------------------------------------------------------
 
@@ -222,7 +222,7 @@
             case words.Began(_, stream):
                 self._on_stream_started(attempt, stream)
             case words.Noted(query, topic, value):
-                self.module.on_progress(self.context.now, query, attempt.number, topic, value)
+                self.scheduler.on_progress(self.context.now, query, attempt.number, topic, value)
             case words.Ended(_, result):
                 self.end(attempt, AttemptResult(result), message=message)
 
@@ -240,7 +240,7 @@
         if query.answered:
             self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
             return
-        self.module.on_stream_started(self.context.now, query.request.id)
+        self.scheduler.on_stream_started(self.context.now, query.request.id)
         self.context.call_at(query.deadline, self.on_stream_timeout, query.request.id, query.number)
         self.context.emit(StartStream(query.session, stream))
 
@@ -252,7 +252,7 @@
         streams = [attempt.stream for attempt in query.attempts if attempt.stream is not None]
         if not streams:
             return
-        self.module.on_client_left(self.context.now, query_id)
+        self.scheduler.on_client_left(self.context.now, query_id)
         for stream in streams:
             stream.close()
         self.owner.answer(
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -37,7 +37,7 @@
         """Gives a query its one answer."""
 
     def schedule(self, query: QueryState) -> None:
-        """Hands a query to the decision module."""
+        """Hands a query to the scheduler."""
 
 
 class Claims:
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -1,7 +1,7 @@
 """The one place where a router's configuration is read, checked and given defaults.
 
 Owns the environment variables, the JSON file that they name and the checks on both; a fault names its key by
-the full path. Must never hold a value that decides anything about a query: those are the decision module's,
+the full path. Must never hold a value that decides anything about a query: those are the scheduler's,
 or come from the file. Durations are whole tenths of a millisecond.
 """
 
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -1,7 +1,7 @@
 """The engines of the endpoint list, the connections to them, and the health checks on these.
 
 Decides which connection can take one more attempt and which are of no more use. Does not judge an engine:
-that is the decision module's. What becomes of an attempt whose connection ends is the reducer's, which is
+that is the scheduler's. What becomes of an attempt whose connection ends is the reducer's, which is
 called back. Times are whole tenths of a millisecond.
 """
 
@@ -65,13 +65,13 @@
     def __init__(
         self,
         context: ReducerContext,
-        module: Scheduler,
+        scheduler: Scheduler,
         settings: Settings,
         max_connections: int,
         callbacks: ConnectionCallbacks,
     ) -> None:
         self.context = context
-        self.module = module
+        self.scheduler = scheduler
         self.max_connections = max_connections
         self.on_open, self.on_attempt_ended = callbacks
         self.max_streams = settings.connections.max_streams
@@ -203,7 +203,7 @@
         self._forget(connection)
         result = AttemptResult(fault.value)
         for tag in connection.health_checks:
-            self.module.on_health_check(self.context.now, connection.engine, result, None)
+            self.scheduler.on_health_check(self.context.now, connection.engine, result, None)
             name = event_bus.engine_name(connection.engine)
             self.context.log("health_check", engine=name, number=tag, result=result.name.lower())
         while connection.waiting:
@@ -222,7 +222,7 @@
             self.on_attempt_ended(attempt, lost_result(query in never_sent))
         for tag in connection.health_checks:
             result = lost_result(tag in never_sent)
-            self.module.on_health_check(self.context.now, connection.engine, result, None)
+            self.scheduler.on_health_check(self.context.now, connection.engine, result, None)
 
     def _forget(self, connection: EngineConnection) -> None:
         self.connections.pop(connection.number, None)
@@ -236,7 +236,7 @@
         now = self.context.now
         connection = self.connection_for(self.endpoints[engine], None)
         if connection is None:
-            self.module.on_health_check(now, engine, AttemptResult.NOT_SENT, None)
+            self.scheduler.on_health_check(now, engine, AttemptResult.NOT_SENT, None)
             return
         tag = f"p{self.context.next_number()}"
         connection.health_checks[tag] = now
@@ -251,15 +251,15 @@
         if started_at is None:
             return
         now = self.context.now
-        self.context.module_notified = True
+        self.context.scheduler_notified = True
         if now - started_at <= self.connect_timeout:
             result = AttemptResult(answer.result)
-            self.module.on_health_check(now, connection.engine, result, answer.report)
+            self.scheduler.on_health_check(now, connection.engine, result, answer.report)
 
     def _on_health_check_timeout(self, connection: EngineConnection, tag: str) -> None:
         """No answer in time. The tag stays known: a silent connection is recognised by it."""
         if tag in connection.health_checks and connection.number in self.connections:
-            self.module.on_health_check(self.context.now, connection.engine, AttemptResult.TIMED_OUT, None)
+            self.scheduler.on_health_check(self.context.now, connection.engine, AttemptResult.TIMED_OUT, None)
 
     # ---- the endpoint list ------------------------------------------------------------------------
 
@@ -278,9 +278,9 @@
             for engine, endpoint in self.endpoints.items():
                 endpoint.ready = endpoint.ready and engine in listed
         listings = [entry.listing for entry in update.endpoints]
-        self.module.on_endpoint_list(self.context.now, ListMode(update.kind), listings)
-        ready = [engine for engine, state in self.module.engines.items() if state.ready]
-        self.module.on_subset(self.context.now, self.subset.select(ready))
+        self.scheduler.on_endpoint_list(self.context.now, ListMode(update.kind), listings)
+        ready = [engine for engine, state in self.scheduler.engines.items() if state.ready]
+        self.scheduler.on_subset(self.context.now, self.subset.select(ready))
         self._forget_endpoints()
         states = {event_bus.engine_name(engine): entry.listing.state for engine, entry in listed.items()}
         self.context.log("endpoint_list", offset=update.offset, mode=update.kind, engines=states)
@@ -317,11 +317,11 @@
                 endpoint.connections.pop(connection.number)
 
     def _forget_endpoints(self) -> None:
-        """Drops engines that the decision module has forgotten: they are gone, with nothing open."""
-        if len(self.endpoints) == len(self.module.engines):
+        """Drops engines that the scheduler has forgotten: they are gone, with nothing open."""
+        if len(self.endpoints) == len(self.scheduler.engines):
             return
         for engine, endpoint in list(self.endpoints.items()):
-            if engine not in self.module.engines:
+            if engine not in self.scheduler.engines:
                 for connection in list(endpoint.connections.values()):
                     self._close(connection)
                 del self.endpoints[engine]
@@ -330,13 +330,13 @@
 
     def is_active(self, engine: EngineId, since: Time) -> bool:
         """Whether an engine has an open attempt, has reported its load since then, or is ejected."""
-        state = self.module.engines[engine]
+        state = self.scheduler.engines[engine]
         ejected = state.ejected_until > self.context.now
         return bool(state.open_attempts) or state.reported_at >= since or ejected
 
     def describe(self, endpoint: Endpoint) -> dict[str, object]:
         """What is believed of an engine, and what is open on the connections to it, as the log names it."""
-        state = self.module.engines[endpoint.engine]
+        state = self.scheduler.engines[endpoint.engine]
         now = self.context.now
         connections = endpoint.connections.values()
         return {
--- a/hillchute/router/loop_lag.py
+++ b/hillchute/router/loop_lag.py
@@ -1,7 +1,7 @@
 """How late the event loop is: its worst lag of late, and the delay that every query meets.
 
 The callers record what they measure; this module never reads a clock and decides nothing. From its figures
-follow the margin that answers are given before a client's timeout, and, in the decision module, which
+follow the margin that answers are given before a client's timeout, and, in the scheduler, which
 queries are rejected. Times are whole tenths of a millisecond.
 """
 
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -1,7 +1,7 @@
 """The state of one router's queries, and the only place that changes it: (event, now) -> effects.
 
 Pure: reads no clock, does no I/O, knows no protocol. Owns the open queries and gives each its one answer;
-attempts.py holds their attempts, connection_pool.py the connections to engines, and the decision module
+attempts.py holds their attempts, connection_pool.py the connections to engines, and the scheduler
 decides what runs where and when, what is rejected or failed, and how long an attempt may take. Times are
 whole tenths of a millisecond.
 """
@@ -56,13 +56,13 @@
     so do the others that change data, since only the owner of their slot may run them (partners).
     """
 
-    def __init__(self, module: Scheduler, settings: Settings, max_connections: int) -> None:
-        self.module = module
+    def __init__(self, scheduler: Scheduler, settings: Settings, max_connections: int) -> None:
+        self.scheduler = scheduler
         self.context = ReducerContext(max(1, settings.tick))
         self.rules = RequestRules(settings)
-        self.attempts = Attempts(self.context, module, self.rules, self)
+        self.attempts = Attempts(self.context, scheduler, self.rules, self)
         callbacks = ConnectionCallbacks(on_open=self.on_connection_open, on_attempt_ended=self.attempts.end)
-        self.pool = ConnectionPool(self.context, module, settings, max_connections, callbacks)
+        self.pool = ConnectionPool(self.context, scheduler, settings, max_connections, callbacks)
         self.loop_lag = LoopLag()
         self.answer_log = AnswerLog(self.context, self.pool, self.loop_lag)
         self.claims = Claims(self.context, self, settings.retries.order_pause)
@@ -75,8 +75,8 @@
     def reduce(self, event: Event, now: Time) -> list[Effect]:
         """Takes in one event; gives the effects that follow from it, in order."""
         context = self.context
-        # A message of an engine has nothing for the module to decide by, unless an attempt ends with it.
-        context.begin_event(now, module_notified=not isinstance(event, Said))
+        # A message of an engine has nothing for the scheduler to decide by, unless an attempt ends with it.
+        context.begin_event(now, scheduler_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
             # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
@@ -85,7 +85,7 @@
         except Exception:  # noqa: BLE001 - a fault in one event must not end the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
-        if context.module_notified:
+        if context.scheduler_notified:
             self.take_decisions()
         context.update_alarm()
         return context.effects
@@ -135,11 +135,11 @@
     # ---- decisions --------------------------------------------------------------------------------
 
     def take_decisions(self) -> None:
-        """Carries out the decision module's decisions until there is none."""
+        """Carries out the scheduler's decisions until there is none."""
         try:
-            while (decision := self.module.next_decision(self.context.now)) is not None:
+            while (decision := self.scheduler.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:  # noqa: BLE001 - a fault of the module must not end the router
+        except Exception:  # noqa: BLE001 - a fault of the scheduler must not end the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
@@ -161,19 +161,19 @@
             case HealthCheck(engine):
                 self.pool.start_health_check(engine)
             case Wake(time, name):
-                self.context.call_at(time, self.on_module_timer, name)
+                self.context.call_at(time, self.on_scheduler_timer, name)
             case WatchEndpoints():
                 pass  # the event bus is always followed
 
-    def on_module_timer(self, name: str) -> None:
-        """A time that the decision module named has come."""
-        self.module.on_timer(self.context.now, name)
+    def on_scheduler_timer(self, name: str) -> None:
+        """A time that the scheduler named has come."""
+        self.scheduler.on_timer(self.context.now, name)
 
     def on_peers_changed(self, reports: list[tuple[EngineId, Report, Time]]) -> None:
-        """Load reports of other routers, or a change among them, go to the decision module."""
+        """Load reports of other routers, or a change among them, go to the scheduler."""
         for engine, report, age in reports:
-            self.module.on_load_report(self.context.now, engine, report, age)
-        self.module.on_fleet_changed(self.context.now)
+            self.scheduler.on_load_report(self.context.now, engine, report, age)
+        self.scheduler.on_fleet_changed(self.context.now)
 
     # ---- engines ----------------------------------------------------------------------------------
 
@@ -206,7 +206,7 @@
             return
         now = self.context.now
         group = self.rules.group_of(request)
-        if not self.module.admits(now, group, self.loop_lag.standing_delay):
+        if not self.scheduler.admits(now, group, self.loop_lag.standing_delay):
             self.context.emit(RejectQuery(session, 0))
             self.answer_log.count(
                 request.group,
@@ -247,7 +247,7 @@
         return query
 
     def schedule(self, query: QueryState) -> None:
-        """Hands a query to the decision module."""
+        """Hands a query to the scheduler."""
         request = query.request
         group = self.rules.group_of(request)
         new_query = NewQuery(
@@ -259,7 +259,7 @@
             memory_mb=request.memory,
             ordering_key=request.key if group in self.rules.ordered else None,
         )
-        self.module.on_query(self.context.now, new_query)
+        self.scheduler.on_query(self.context.now, new_query)
 
     def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
         """The query that a timer or claim was for; None if it is over, also where its id is in use again."""
@@ -275,7 +275,7 @@
         """A client gave its query up, or is gone."""
         query = self.unanswered.get(session)
         if query is not None:
-            self.module.on_client_left(self.context.now, query.request.id)
+            self.scheduler.on_client_left(self.context.now, query.request.id)
             self.answer(query, None, QueryOutcome.CLIENT_LEFT)
 
     def on_stream_delivered(self, session: int) -> None:
@@ -290,13 +290,13 @@
         if query is None:
             return
         self.attempts.end_streams(query)
-        self.module.on_client_left(self.context.now, query.request.id)
+        self.scheduler.on_client_left(self.context.now, query.request.id)
         self.answer(query, AbortStream(session, f"the result can't be read: {reason}"), QueryOutcome.ABORTED)
 
     def on_shutdown(self, answer_by: Time) -> None:
         """The router ends: all queries, also those that still come, are answered by then."""
         self.shutdown_deadline = answer_by
-        self.module.on_shutdown(self.context.now, answer_by)
+        self.scheduler.on_shutdown(self.context.now, answer_by)
         for query in list(self.unanswered.values()):
             query.deadline = min(query.deadline, answer_by)
             query_id, number = query.request.id, query.number
@@ -319,12 +319,12 @@
         if query.claim is ClaimState.FORWARDED:
             self.answer(query, failure, QueryOutcome.FAILED, "forwarded: no answer in time")
             return
-        # A process that stood still wakes with this timer and the module's own all due at once.
+        # A process that stood still wakes with this timer and the scheduler's own all due at once.
         last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
         late = self.context.now - max(query.deadline, last_moment)
         event = "answered_late" if late > LAST_ANSWER_MARGIN else "fault"
         self.context.log(event, what="unanswered at its deadline", query=query.request.id)
-        self.module.on_client_left(self.context.now, query.request.id)
+        self.scheduler.on_client_left(self.context.now, query.request.id)
         self.answer(query, failure, QueryOutcome.UNANSWERED)
 
     def answer(
--- a/hillchute/router/reducer_context.py
+++ b/hillchute/router/reducer_context.py
@@ -34,16 +34,16 @@
         self.alarm_resolution = alarm_resolution
         self.now: Time = 0
         self.effects: list[Effect] = []
-        self.module_notified = False  # whether the decision module learned anything from this event
+        self.scheduler_notified = False  # whether the scheduler learned anything from this event
         self.last_number = 0
         self.timers: list[Timer] = []  # a heap
         self.alarm: Time | None = None
 
-    def begin_event(self, now: Time, module_notified: bool) -> None:
+    def begin_event(self, now: Time, scheduler_notified: bool) -> None:
         """Starts the reduction of an event that came at `now`."""
         self.now = now
         self.effects = []
-        self.module_notified = module_notified
+        self.scheduler_notified = scheduler_notified
 
     def next_number(self) -> int:
         """A number that no timer, connection, query or health check has had."""
@@ -71,7 +71,7 @@
         """Calls back for all timers that are due, also those that such a call sets."""
         while self.timers and self.timers[0].due <= self.now:
             timer = heappop(self.timers)
-            self.module_notified = True
+            self.scheduler_notified = True
             try:
                 timer.callback(*timer.arguments)
             except Exception:  # noqa: BLE001 - a fault in one timer keeps no other from its time
@@ -80,7 +80,7 @@
     def update_alarm(self) -> None:
         """Emits an alarm if the first timer has changed.
 
-        Alarms come at multiples of the resolution: the module asks for a wake-up at every query's turns,
+        Alarms come at multiples of the resolution: the scheduler asks for a wake-up at every query's turns,
         thousands a second when it is busy.
         """
         first = None
--- a/hillchute/router/round_schedule.py
+++ b/hillchute/router/round_schedule.py
@@ -6,7 +6,7 @@
 short however much has come.
 
 Owns the queries that were read and not taken yet, and the time up to which all input is known. Never touches
-a socket, reads a clock or looks at what a query is; only the decision module rejects queries. Times are whole
+a socket, reads a clock or looks at what a query is; only the scheduler rejects queries. Times are whole
 tenths of a millisecond.
 """
 
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -2,7 +2,7 @@
 
 The parts know one another only through what they are given here. Does none of their work: the event loop
 makes the rounds, the effect executor takes events in and carries effects out, the reducer holds all state of
-queries, and the decision module decides.
+queries, and the scheduler decides.
 """
 
 import gc
@@ -98,13 +98,15 @@
 
     # ---- the parts --------------------------------------------------------------------------------
 
-    def _build_extension(self, settings: OperatorSettings, module: QueryScheduler) -> RouterExtension | None:
+    def _build_extension(
+        self, settings: OperatorSettings, scheduler: QueryScheduler
+    ) -> RouterExtension | None:
         if not settings.get("peers"):
             return None
         from hillchute.router.integrations.peers import PeerExtension, RouterContext
 
         router = RouterContext(station=self.station, log=self.log, handle=self.handle, clock=self.clock)
-        return PeerExtension(operator=settings, router=router, scheduler=module)
+        return PeerExtension(operator=settings, router=router, scheduler=scheduler)
 
     def _connect_extension(self, extension: RouterExtension) -> None:
         extension.connect_endpoint_list(self.endpoint_list_offset)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -116,7 +116,7 @@
         rig.talks[0].serve(rig.wants[0])
         rig.until(lambda: out.answers())
         rig.serving = True
-        rig.service.reducer.module.engines[1].ejected_until = rig.clock() + 500
+        rig.service.reducer.scheduler.engines[1].ejected_until = rig.clock() + 500
         began = time.monotonic()
         client.write(query(2))
         rig.until(lambda: len(client.answers()) == 2)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -192,9 +192,9 @@
 def test_scheduler_gets_reports_of_other_routers_before_it_reads_the_fleets_state():
     reducer = Reducer(QueryScheduler(1, Settings.from_catalog({}), 0), Settings.from_catalog({}), 100)
     calls = []
-    reducer.module.on_load_report = lambda *report: calls.append(report)
-    reducer.module.on_fleet_changed = lambda now: calls.append(now)
-    reducer.module.next_decision = lambda now: calls.append("decision")
+    reducer.scheduler.on_load_report = lambda *report: calls.append(report)
+    reducer.scheduler.on_fleet_changed = lambda now: calls.append(now)
+    reducer.scheduler.next_decision = lambda now: calls.append("decision")
     reports = [(3, {"inflight": 2.0}, 5), (4, {"inflight": 1.0}, 0)]
     reducer.reduce(events.PeersChanged(reports), 70)
     assert calls == [*((70, *report) for report in reports), 70, "decision"]
@@ -215,12 +215,12 @@
     settings = Settings.from_catalog({"n_instances": 200, "me": 7})
     reducer = Reducer(QueryScheduler(1, settings, 0), settings, 100)
     reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
-    assert reducer.module.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
-    gone = min(reducer.module.pool.subset)
+    assert reducer.scheduler.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
+    gone = min(reducer.scheduler.pool.subset)
     listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
     change = event_bus.WatchEvent(2, "Partial", (entries[gone]._replace(listing=listing),))
     reducer.reduce(events.EndpointsChanged(change), 0)
-    assert reducer.module.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
+    assert reducer.scheduler.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
 
 
 # ---- their use in the module ------------------------------------------------------------------------
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -114,7 +114,7 @@
 def test_timer_after_a_pause_begins_nothing_for_who_left_meanwhile(rig):
     """The engine's rest ends while the router stands still; its alarm is due before it has looked."""
     client = rig.connected()
-    engine = rig.service.reducer.module.engines[1]
+    engine = rig.service.reducer.scheduler.engines[1]
     engine.ejected_until = rig.clock() + 2_000
     client.write(query(1))
     rig.until(lambda: rig.service.reducer.unanswered)
@@ -128,7 +128,7 @@
 
 def test_client_that_stays_is_served_after_the_same_pause(rig):
     client = rig.connected()
-    rig.service.reducer.module.engines[1].ejected_until = rig.clock() + 2_000
+    rig.service.reducer.scheduler.engines[1].ejected_until = rig.clock() + 2_000
     client.write(query(1))
     rig.until(lambda: rig.service.reducer.unanswered)
     rig.pass_time(0.3)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -209,9 +209,9 @@
     rig.list(7, state=EndpointState.DRAINING)
     for number in (7, 3, 1):
         rig.list(number, state=EndpointState.READY)
-    assert not rig.service.reducer.module.engines[1].ready
+    assert not rig.service.reducer.scheduler.engines[1].ready
     rig.list(40, state=EndpointState.READY)
-    assert rig.service.reducer.module.engines[1].ready and rig.service.reducer.pool.list_offset == 40
+    assert rig.service.reducer.scheduler.engines[1].ready and rig.service.reducer.pool.list_offset == 40
 
 
 def test_engine_that_drains_vanishes_and_returns_in_one_frame_is_a_new_process(rig):
@@ -220,7 +220,7 @@
     started = rig.clock() - 200_000  # long enough ago to be warm
     entries = [entry(rig, "Terminating"), entry(rig, "Gone"), entry(rig, "Ready", started)]
     rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", tuple(entries)))
-    assert rig.service.reducer.module.engines[1].ready
+    assert rig.service.reducer.scheduler.engines[1].ready
     assert old.pipe.closed  # the process that it was open to is gone
     client.write(query(1))
     rig.until(lambda: len(client.answers()) == 2)
@@ -273,7 +273,7 @@
     rig.service.endpoint_updates.on_watch_event(
         WatchEvent(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating")))
     )
-    engines = rig.service.reducer.module.engines
+    engines = rig.service.reducer.scheduler.engines
     assert not engines[1].ready and not engines[3].ready
     (line,) = [fields for event, fields in rig.log.lines if event == "endpoint_unusable"]
     assert line["error"] == "UnknownEngineKindError" and line["remedy"] and not rig.log.faults()
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -48,8 +48,8 @@
 
     def __init__(self):
         settings = Settings.from_catalog(CATALOG | NAMES | {"limits.open_cap": 100})
-        self.module = QueryScheduler(7, settings, 0)
-        self.reducer = Reducer(self.module, settings, 8)
+        self.scheduler = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.scheduler, settings, 8)
         self.reducer.claims_idempotent = self.reducer.claims_non_idempotent = True
         self.count = 0
 
@@ -75,14 +75,14 @@
     id, said = rig.ask("write")
     (claim,) = of(said, ClaimQuery)
     assert claim.once and not claim.ordered and (claim.customer, claim.token) == ("", id)
-    assert claim.key == "\0tables 3" and id not in rig.module.queries
+    assert claim.key == "\0tables 3" and id not in rig.scheduler.queries
     rig.judged(id, "RUN")
-    assert id in rig.module.queries
+    assert id in rig.scheduler.queries
     id, said = rig.ask("lookup")
-    assert not of(said, ClaimQuery) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.scheduler.queries
     rig.reducer.claims_non_idempotent = False
     id, said = rig.ask("write")
-    assert not of(said, ClaimQuery) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.scheduler.queries
 
 
 def test_query_of_anothers_slot_is_passed_on_and_its_answer_is_the_answer():
@@ -90,7 +90,7 @@
     id, _ = rig.ask("load", "ab")
     (passed,) = of(rig.judged(id, "FORWARD", "b"), ForwardQuery)
     assert (passed.query, passed.owner, passed.request.token) == (id, "b", "ab")
-    assert 0 < passed.time_left <= 5 * SECOND and id not in rig.module.queries
+    assert 0 < passed.time_left <= 5 * SECOND and id not in rig.scheduler.queries
     said = rig.judged(id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
     assert [(e.session, e.rows) for e in of(said, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
     assert not of(said, CancelForward) and id not in rig.reducer.queries
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -47,8 +47,8 @@
         names = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
         names["limits.open_cap"] = 100
         settings = Settings.from_catalog(CATALOG | names)
-        self.module = QueryScheduler(7, settings, 0)
-        self.reducer = Reducer(self.module, settings, 8)
+        self.scheduler = QueryScheduler(7, settings, 0)
+        self.reducer = Reducer(self.scheduler, settings, 8)
         self.reducer.claims_idempotent = True
         self.group = "load"
         self.count = 0
@@ -74,9 +74,9 @@
     (claim,) = of(said, ClaimQuery)
     assert (claim.query, claim.customer, claim.key, claim.token) == (id, "a", "cd", "ab")
     assert 0 < claim.time_left <= 5 * SECOND
-    assert id not in rig.module.queries
+    assert id not in rig.scheduler.queries
     rig.judged(id, "RUN")
-    assert id in rig.module.queries
+    assert id in rig.scheduler.queries
 
 
 @pytest.mark.parametrize(
@@ -87,9 +87,9 @@
     id, _ = rig.ask()
     said = rig.judged(id, verdict, [[b"1"], [b"2"], [b"3"]])
     assert len(of(said, effect)) == 1 and not of(said, EndClaim)
-    assert id not in rig.reducer.queries and id not in rig.module.queries
+    assert id not in rig.reducer.queries and id not in rig.scheduler.queries
     assert rig.reducer.reduce(events.ClaimDecided(id, 1, "RUN", "", None), 20) is not None
-    assert id not in rig.module.queries  # a word that comes again, or late, is nobody's
+    assert id not in rig.scheduler.queries  # a word that comes again, or late, is nobody's
 
 
 def test_query_without_a_word_is_deferred_at_its_end_and_its_claim_is_freed():
@@ -126,7 +126,7 @@
     q = rig.reducer.queries[id]
     q.attempts = [Attempt(q, n, 1, 0, 0, ended=True, result=result) for n, result in enumerate(results)]
     q.answered, q.rows = True, [[b"1"]]
-    rig.reducer.context.begin_event(20, module_notified=False)
+    rig.reducer.context.begin_event(20, scheduler_notified=False)
     rig.reducer.forget(q)
     now = [c.outcome for c in of(rig.reducer.context.effects, EndClaim)]
     later = [c.outcome for c in of(rig.reducer.reduce(events.AlarmDue(), 10 * SECOND), EndClaim)]
@@ -138,7 +138,7 @@
     rig = Rig()
     rig.reducer.claims_idempotent = False
     id, said = rig.ask()
-    assert not of(said, ClaimQuery) and id in rig.module.queries
+    assert not of(said, ClaimQuery) and id in rig.scheduler.queries
 
 
 # ---- the operator file ----
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -390,13 +390,13 @@
     assert engine in rig.reducer.pool.endpoints
     rig.do(events.Lost(line, "reset"), 10)
     told(3, "Gone")
-    assert engine not in rig.reducer.pool.endpoints and engine not in rig.reducer.module.engines
+    assert engine not in rig.reducer.pool.endpoints and engine not in rig.reducer.scheduler.engines
     told(4, "Ready")
     assert rig.reducer.pool.endpoints[engine].ready
 
 
 def test_fault_in_one_event_leaves_the_effects_before_it(rig):
-    rig.reducer.module.on_query = lambda *_: 1 / 0
+    rig.reducer.scheduler.on_query = lambda *_: 1 / 0
     (note,) = [e for e in rig.ask() if isinstance(e, WriteLog)]
     assert note.event == "fault" and "ZeroDivisionError" in note.fields["trace"]
     assert [type(e) for e in rig.do(events.AlarmDue(), 5 * SECOND, FailQuery)] == [FailQuery]
@@ -414,7 +414,7 @@
 def test_endings_are_told_apart(rig, event, result):
     line = rig.sent()
     told = []
-    rig.reducer.module.on_attempt_ended = lambda now, ended: told.append(ended.result)
+    rig.reducer.scheduler.on_attempt_ended = lambda now, ended: told.append(ended.result)
     rig.do(event(line), 10)
     assert told == [result]
 
@@ -448,7 +448,7 @@
 def test_want_of_connections_is_no_verdict_on_the_engine(rig):
     rig.reducer.pool.max_connections = 0
     assert [type(e) for e in rig.ask() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
-    assert not [e for e in rig.reducer.module.engines.values() if e.failures or e.started]
+    assert not [e for e in rig.reducer.scheduler.engines.values() if e.failures or e.started]
 
 
 def test_second_submission_never_shares_the_connection_of_the_first(rig):
@@ -470,7 +470,7 @@
 
 def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
     line = rig.sent(patience=SECOND)
-    margin = loop_lag.LoopLag().answer_margin(SECOND) + rig.reducer.module.answer_margin
+    margin = loop_lag.LoopLag().answer_margin(SECOND) + rig.reducer.scheduler.answer_margin
     effects = rig.do(events.AlarmDue(), SECOND - margin)
     assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
     assert [type(e) for e in effects if isinstance(e, RejectQuery | FailQuery)] == [RejectQuery]
@@ -520,7 +520,7 @@
 
 
 def test_fault_in_the_decisions_leaves_no_query_unanswered(rig):
-    rig.reducer.module.next_decision = lambda now: 1 / 0
+    rig.reducer.scheduler.next_decision = lambda now: 1 / 0
     notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, WriteLog)]
     assert "ZeroDivisionError" in notes[0].fields["trace"]
     assert [type(e) for e in rig.do(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
@@ -536,7 +536,7 @@
 def test_closing_answers_everything_by_its_end(rig):
     rig.sent(patience=9 * SECOND)
     rig.do(events.ShutdownStarted(2 * SECOND), SECOND)
-    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.module.answer_margin, RejectQuery)
+    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.scheduler.answer_margin, RejectQuery)
     assert [e.session for e in done] == [1]
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -131,7 +131,7 @@
     (news,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
     rig = Rig()
     rig.service.endpoint_updates.on_watch_event(news._replace(offset=2))
-    assert len(rig.service.reducer.module.engines) == count and not rig.log.faults()
+    assert len(rig.service.reducer.scheduler.engines) == count and not rig.log.faults()
     rig.close()
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -60,7 +60,7 @@
         )
         assert rig.service.door.listener is not None
         assert not rig.log.faults()
-        blamed = [e.failures for e in rig.service.reducer.module.engines.values()]
+        blamed = [e.failures for e in rig.service.reducer.scheduler.engines.values()]
         return system, first.ended, first.answers(), blamed
     finally:
         rig.close()
