--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -13,9 +13,10 @@
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
 from hillchute.log import Log
+from hillchute.net.buffered_socket import TCP_INFO
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller
-from hillchute.net.system_calls import SYSTEM_CALLS
+from hillchute.net.system_calls import SYSTEM_CALLS, TCP_INFO_SIZE, SystemCalls
 from hillchute.router import config, events
 from hillchute.router.lifecycle import Phase
 from hillchute.router.service import Service
@@ -52,6 +53,18 @@
     return packet(0, b"\x03" + text.encode())
 
 
+def tcp_info(received_ms_ago=0):
+    """The kernel's struct tcp_info as the router reads it: when bytes last came."""
+    return TCP_INFO.pack(0, received_ms_ago).ljust(TCP_INFO_SIZE, b"\0")
+
+
+class JustReceived(SystemCalls):
+    """Bytes have always come just now: the kernel's idle times go by the machine's clock."""
+
+    def tcp_info(self, sock):
+        return tcp_info()
+
+
 class Signals:
     """Stands in for the receiver of signals."""
 
@@ -229,9 +242,13 @@
         """The router's clock goes on by so much at once."""
         self.ahead += int(seconds * 1e9)
 
+    def pass_turn_time(self):
+        """The time of one turn goes by, where the router's time goes on by turns."""
+        self.ahead += self.turn_time
+
     def turn(self, rounds=1):
         for _ in range(rounds):
-            self.ahead += self.turn_time
+            self.pass_turn_time()
             self.service.event_loop.round()
             self.engine()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 import anyio
 import orjson
 import pytest
-from rounds_by_hand import LOGIN, MILLISECOND, Kept, Rig, Signals, query, short_deadlines
+from rounds_by_hand import LOGIN, MILLISECOND, JustReceived, Kept, Rig, Signals, query, short_deadlines
 
 from hillchute.fronts.mysql.packets import FAILED, REFUSED
 from hillchute.lab import deployment
@@ -26,7 +26,8 @@
 
 @pytest.fixture(params=LONGEST)
 def rig(request):
-    rig = Rig(table=short_deadlines(request.param, deployment.table(sockets=128)))
+    table = short_deadlines(request.param, deployment.table(sockets=128))
+    rig = Rig(JustReceived(), table=table, time_by_turns=True)
     rig.longest = request.param
     yield rig
     rig.close()
@@ -44,6 +45,7 @@
 
 
 def step(rig):
+    rig.pass_turn_time()
     found = rig.service.shutdown.advance()
     rig.engine()
     return found
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 import pytest
-from rounds_by_hand import LOGIN, PING, QUIT, SELECT, Rig, query
+from rounds_by_hand import LOGIN, PING, QUIT, SELECT, Rig, query, tcp_info
 
 from hillchute.engines import events, words
 from hillchute.engines.line.links import Link, Links
@@ -13,9 +13,7 @@
 from hillchute.lab import deployment
 from hillchute.lab.faulty_system import DOCUMENTED_ERRNOS, Fault, FaultySystemCalls
 from hillchute.log import Log
-from hillchute.net.buffered_socket import TCP_INFO
 from hillchute.net.poller import Poller, ReadySocket
-from hillchute.net.system_calls import TCP_INFO_SIZE
 
 LOCAL_ERRNO_NAMES = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"}
 
@@ -28,7 +26,7 @@
     def tcp_info(self, sock: socket.socket) -> bytes:
         """Fail where that is chosen, and else return the script's time."""
         super().tcp_info(sock)
-        return TCP_INFO.pack(0, self.received_ms_ago).ljust(TCP_INFO_SIZE, b"\0")
+        return tcp_info(self.received_ms_ago)
 
 
 def scripted(fault: Fault) -> tuple[FaultySystemCalls, bool, list[str | int], list[int]]:
