--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -1,6 +1,6 @@
 """One router's view of the fleet: its observations go out as gossip digests, those of others come in.
 
-Owns which digest goes to whom and what follows for the decision module from all that is known. Pure: events
+Owns which digest goes to whom and what follows for the scheduler from all that is known. Pure: events
 and the time in, digests and a fleet state out. Other routers are never needed: cut off from all, a router has
 its own observations and the floor of each limit, and decides as if alone.
 
@@ -29,11 +29,11 @@
 from hillchute.coordination.quota_leases import QuotaLeases
 from hillchute.coordination.report_relay import ReportRelay
 from hillchute.coordination.subsetting import SUBSET_SIZE, Subset, first_routers, routers_per_engine
-from hillchute.decision.interface import EngineId, Report, Time
+from hillchute.decision.interface import EngineId, FleetShares, Report, Time
 
 LIMIT_UNITS = 1_000_000  # units of a limit: parts in a million
-WARM_UP_LIMIT = "cold"  # the limit of work on warming engines, as messages and the decision module name it
-HEALTH_CHECK_SHARE = "probes"  # the share of health checks, as the decision module names it
+WARM_UP_LIMIT = "cold"  # the limit of work on warming engines, as messages name it
+TENANT_LIMIT_PREFIX = "parties."  # of the limits on tenants' queries, as messages and settings name them
 REPORT_BYTES_PER_DIGEST = 700  # with all else in it a datagram is still not fragmented
 REPORT_HEADER_BYTES = 12
 FIGURE_BYTES = 5
@@ -44,6 +44,11 @@
 STATE_LIFETIME: Time = SECOND  # a fleet state is computed anew at least so often
 
 
+def tenant_limit(number: int) -> str:
+    """The name of the limit on one tenant's queries."""
+    return f"{TENANT_LIMIT_PREFIX}{number}"
+
+
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSettings:
     """What a router's view is built from."""
@@ -58,17 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What the decision module gets: see its `on_subset` and `on_endpoint_list`."""
+    """What the scheduler gets: see its `on_subset` and `on_endpoint_list`."""
 
     subset: frozenset[EngineId]
     closed: frozenset[EngineId]  # by witnesses; the own endpoint list does not say so yet
     routers: int
-    shares: Mapping[str | EngineId, float]  # of a limit, by name; 0 for a warming engine that had enough
+    shares: FleetShares
     valid_until: Time  # from then on shares may be smaller
 
 
 class RelayedReport(NamedTuple):
-    """Another router's load report of an engine, for the decision module."""
+    """Another router's load report of an engine, for the scheduler."""
 
     engine: EngineId
     report: Report
@@ -91,7 +96,7 @@
         self.own = OwnObservations(self.columns)
         self.relay = ReportRelay(now)
         self.lease_messages: dict[str, list[LeaseMessage]] = {}  # by recipient
-        self.relayed_reports: list[RelayedReport] = []  # not taken by the decision module yet
+        self.relayed_reports: list[RelayedReport] = []  # not taken by the scheduler yet
         self.router_names: list[str] = []
         self.ready: frozenset[EngineId] = frozenset()
         self.signals = LoadSignals(0, self.has_in_subset)
@@ -211,7 +216,7 @@
         return reports
 
     def to_report(self, load_report: LoadReport) -> Report:
-        """A load report as the decision module gets it from engines."""
+        """A load report as the scheduler gets it from engines."""
         pairs = zip(self.columns, load_report.figures, strict=False)
         return {name: figure / 100 for name, figure in pairs if figure >= 0}
 
@@ -287,7 +292,7 @@
         )
         return codec.encode(digest)
 
-    # ---- for the decision module -------------------------------------------------------------------
+    # ---- for the scheduler -------------------------------------------------------------------
 
     def warm_up_capacity(self, now: Time, engine: EngineId, overload_work: float, window: Time) -> float:
         """Core time that may still go to a warming engine, by what is known of all that has. Permits
@@ -310,15 +315,14 @@
             valid_until=self.next_lease_expiry(now),
         )
 
-    def shares(
-        self, now: Time, warming: Mapping[EngineId, float], window: Time
-    ) -> dict[str | EngineId, float]:
-        """This router's share of each limit, and 0 for each warming engine that it must not use."""
-        limits: dict[str | EngineId, float] = {
+    def shares(self, now: Time, warming: Mapping[EngineId, float], window: Time) -> FleetShares:
+        """This router's share of each limit, and the warming engines that it must not use."""
+        limits = {
             name: max(1 / LIMIT_UNITS, self.quotas.usable_share(name, now)) for name in self.quotas.limits
         }
-        excluded: dict[str | EngineId, float] = {
-            engine: 0.0
+        warm_up = limits.get(WARM_UP_LIMIT)
+        excluded = {
+            engine
             for engine, overload_work in warming.items()
             if not self.warm_up_capacity(now, engine, overload_work, window)
         }
@@ -326,10 +330,19 @@
         if own_warming:
             # Warming engines outside the subset are left to the routers that have them in theirs; in return
             # this router's share of all warming engines goes to those of its subset.
-            excluded |= dict.fromkeys(warming.keys() - own_warming, 0.0)
-            share = limits.get(WARM_UP_LIMIT, 1 / len(self.router_names))
-            limits[WARM_UP_LIMIT] = min(1.0, share * len(warming) / len(own_warming))
-        return limits | {HEALTH_CHECK_SHARE: CHECKS_PER_QUERY} | excluded
+            excluded |= warming.keys() - own_warming
+            share = 1 / len(self.router_names) if warm_up is None else warm_up
+            warm_up = min(1.0, share * len(warming) / len(own_warming))
+        return FleetShares(
+            warm_up=warm_up,
+            tenants={
+                int(name.removeprefix(TENANT_LIMIT_PREFIX)): share
+                for name, share in limits.items()
+                if name.startswith(TENANT_LIMIT_PREFIX)
+            },
+            health_checks=CHECKS_PER_QUERY,
+            excluded_engines=frozenset(excluded),
+        )
 
     def next_lease_expiry(self, now: Time) -> Time:
         """When the first borrowed lease expires, at most STATE_LIFETIME from now."""
