--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -120,7 +120,8 @@
         self.now = now
         self.pool.subset = engines
         self.pool.routers = routers or self.pool.routers
-        self.pool.shares = shares or self.pool.shares
+        if shares is not None:
+            self.pool.shares = shares
 
     def admits(self, now: Time, group: int, lateness: float) -> bool:
         """Whether a query of this group is admitted while the event loop runs so late."""
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -11,7 +11,15 @@
 from typing import NamedTuple
 
 from hillchute.coordination.subsetting import Subset
-from hillchute.decision.interface import AttemptResult, EndpointState, EngineId, ListMode, Scheduler, Time
+from hillchute.decision.interface import (
+    MILLISECOND,
+    AttemptResult,
+    EndpointState,
+    EngineId,
+    ListMode,
+    Scheduler,
+    Time,
+)
 from hillchute.discovery import event_bus
 from hillchute.engines import words
 from hillchute.engines.events import ConnectFault
@@ -348,8 +356,8 @@
             "in_flight": state.open_attempts,
             "reported_threads": state.reported_threads and round(state.reported_threads, 1),
             "memory_granted": state.memory_granted,
-            "report_age_ms": (now - state.reported_at) / 10,
-            "ejected_ms": max(0, state.ejected_until - now) / 10,
+            "report_age_ms": (now - state.reported_at) / MILLISECOND,
+            "ejected_ms": max(0, state.ejected_until - now) / MILLISECOND,
         }
 
 
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -139,6 +139,8 @@
         """All that have left are dropped before anything follows from it: the place of one must not go to a
         query of another."""
         departed = [client for client, ready in clients.items() if ready.ended]
+        if not departed:
+            return
         with self.executor.events_held():
             for client in departed:
                 if client.pipe.closed:
