--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -399,9 +399,9 @@
         self.faults: list[str] = []
         self.resets = 0
         self.clients: list[Client] = []
-        self.station = config.parse_station(deployment.table(engines=4, sockets=256), {})
+        self.configuration = config.parse_configuration(deployment.table(engines=4, sockets=256), {})
         clock = self.world.time()
-        self.service = Service(self.station, Log("rig", -1), poller=Poller(self), clock=clock)
+        self.service = Service(self.configuration, Log("rig", -1), poller=Poller(self), clock=clock)
         self.listener = Listener(self.world)
         self.service.door.open(self.listener)
         self.told: int | None = None
@@ -502,7 +502,7 @@
         service, world = self.service, self.world
         async with anyio.create_task_group() as tasks:
             service.attach_tasks(tasks)
-            for news in self.station.known:
+            for news in self.configuration.initial_watch_events:
                 service.handle(events.EndpointsChanged(news))
             service.lifecycle.enter(Phase.SERVING)
             sweep = world.us
@@ -550,7 +550,7 @@
                 self.faults.append(f"{asked.id} {asked.group} answered {asked.answers[0][0] - end} too late")
         if self.told is not None and self.gone is not None:
             took = (self.gone - self.told) // 100
-            if took > self.station.closing + KILL_AFTER:
+            if took > self.configuration.longest_shutdown + KILL_AFTER:
                 self.faults.append(f"the end took {took}")
         for key, seen in self.runs.items():
             self.check_key(key, sorted(seen))
@@ -563,7 +563,7 @@
             if what != "start":
                 running.discard(id)
                 if what == "given up":
-                    rests = when + self.station.settings.retries.order_pause * 100
+                    rests = when + self.configuration.settings.retries.order_pause * 100
                 continue
             if when < rests - TOLERANCE * 100:
                 self.faults.append(f"key {key}: {id} began {(rests - when) // 100} before its rest was over")
--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -20,11 +20,11 @@
 EXIT_CANNOT_START = 2  # exit status: the configuration, an address or keys can't be used
 
 
-async def serve(station: config.Station, operator_file: OperatorFile) -> None:
+async def serve(configuration: config.RouterConfiguration, operator_file: OperatorFile) -> None:
     """Runs one router until a signal ends it; raises what Service and its run() raise."""
     log_settings = operator_file.settings.get("log", {})
-    log = Log(station.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
-    await Service(station, log, operator_file=operator_file).run()
+    log = Log(configuration.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
+    await Service(configuration, log, operator_file=operator_file).run()
     log.flush()
 
 
@@ -48,14 +48,14 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     operator_path = operator_path or os.environ.get("HILLCHUTE_OPERATOR")
     try:
-        station = config.read_station()
+        configuration = config.read_configuration()
         operator_file = read_operator_file(operator_path) if operator_path else NO_OPERATOR_FILE
     except (HillchuteError, ValueError) as error:
         print_error(error)
         return EXIT_CANNOT_START
     start_errors: list[Exception] = []
     try:
-        anyio.run(serve, station, operator_file, backend_options={"use_uvloop": True})
+        anyio.run(serve, configuration, operator_file, backend_options={"use_uvloop": True})
     except* (OSError, HillchuteError) as group:  # an address that is taken, keys that can't be read
         start_errors.extend(group.exceptions)
     for start_error in start_errors:
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -28,8 +28,10 @@
 DEFAULT_MEMORY_MB = 64  # likewise
 MIN_SOCKETS = 64
 MIN_MEMORY_MB = 24
-ADMITTED_SESSIONS_DIVISOR = 3  # the protocol: clients hold a third of the descriptors at most
-CONNECTED_SESSIONS_DIVISOR = 2  # sessions that are connected take half of them at most
+# Parts of the descriptors.
+ADMITTED_SESSIONS_DIVISOR = 3  # the protocol: clients hold a third at most
+ENGINE_CONNECTIONS_DIVISOR = 3
+CONNECTED_SESSIONS_DIVISOR = 2  # clients that are connected, those among them that have yet to log in too
 
 BYTES_PER_MB = 1_048_576
 UNREAD_INPUT_DIVISOR = 16  # part of the memory for all sessions' unread input; the program needs a third
@@ -40,24 +42,34 @@
 PORT_LIMIT = 65_536
 
 
-class Station(NamedTuple):
-    """What this router is told at its start."""
+class RouterConfiguration(NamedTuple):
+    """What a router is given at its start, by its environment and its configuration file."""
 
     name: str
     host: str  # on which it listens
     port: int
     seed: int  # of all its draws by chance
     sockets: int  # descriptors that it may have open
-    packet: int  # bytes that one session's unread input may take
-    bus: tuple[str, int]  # host and port of the event bus
-    offset: int  # of the last event in `known`
-    known: tuple[event_bus.WatchEvent, ...]  # the endpoint list as the configuration gives it
+    max_packet_bytes: int  # bytes that one session's unread input may take
+    event_bus_address: tuple[str, int]  # host and port of the event bus
+    initial_watch_events: tuple[event_bus.WatchEvent, ...]  # the endpoint list at the start
+    initial_offset: int  # of the last of these
     stated_catalog: Mapping[str, object]  # the settings by the keys that operators see, for `needs_restart`
     settings: Settings
-    closing: Time  # how long after a planned end all queries must be answered
+    longest_shutdown: Time  # how long after a planned end all queries must be answered
 
+    @property
+    def max_connected_sessions(self) -> int:
+        """Clients that may be connected at once, also those that have yet to log in."""
+        return self.sockets // CONNECTED_SESSIONS_DIVISOR
 
-def read_station(environ: Mapping[str, str] = os.environ) -> Station:
+    @property
+    def max_engine_connections(self) -> int:
+        """Connections to engines that may be open at once."""
+        return self.sockets // ENGINE_CONNECTIONS_DIVISOR
+
+
+def read_configuration(environ: Mapping[str, str] = os.environ) -> RouterConfiguration:
     """Reads the file that EDGE_CONFIG names; raises ConfigurationError for the first fault."""
     path = environ.get("EDGE_CONFIG")
     if not path:
@@ -71,10 +83,10 @@
         raise ConfigurationError(f"{path}: not JSON: {error}", "EDGE_CONFIG") from error
     if not isinstance(table, dict):
         raise ConfigurationError(f"{path}: not a JSON object", "EDGE_CONFIG")
-    return parse_station(table, environ)
+    return parse_configuration(table, environ)
 
 
-def parse_station(table: JsonObject, environ: Mapping[str, str]) -> Station:
+def parse_configuration(table: JsonObject, environ: Mapping[str, str]) -> RouterConfiguration:
     """Checks a configuration and gives what it says; raises ConfigurationError for the first fault.
 
     EDGE_LISTEN and EDGE_NAME in `environ` override the file's `listen` and `name`.
@@ -91,19 +103,19 @@
     known = _parse_endpoint_list(table)
     settings = _typed_settings(catalog)
     unread_input_bytes = memory_mb * BYTES_PER_MB // UNREAD_INPUT_DIVISOR
-    return Station(
+    return RouterConfiguration(
         name=environ.get("EDGE_NAME") or _required(table, "name", str),
         host=host,
         port=port,
         seed=seed,
         sockets=sockets,
-        packet=min(MAX_PACKET_BYTES, unread_input_bytes // (sockets // CONNECTED_SESSIONS_DIVISOR)),
-        bus=_required_address(table, "bus"),
-        offset=offset,
-        known=known,
+        max_packet_bytes=min(MAX_PACKET_BYTES, unread_input_bytes // (sockets // CONNECTED_SESSIONS_DIVISOR)),
+        event_bus_address=_required_address(table, "bus"),
+        initial_offset=offset,
+        initial_watch_events=known,
         stated_catalog=catalog,
         settings=settings,
-        closing=min(settings.longest_queue_timeout, LONGEST_SHUTDOWN),
+        longest_shutdown=min(settings.longest_queue_timeout, LONGEST_SHUTDOWN),
     )
 
 
@@ -114,7 +126,7 @@
     return translate_settings(flatten_settings(settings))
 
 
-def needs_restart(running: Station, read_again: Station) -> list[str]:
+def needs_restart(running: RouterConfiguration, read_again: RouterConfiguration) -> list[str]:
     """The keys of what has changed beside the event bus and the endpoint list, as operators know them.
 
     A running router takes on nothing of these.
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -19,7 +19,7 @@
 from hillchute.peers.datagrams import DropReason
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, SteadyUnixClock, TransportCallbacks
-from hillchute.router.config import Station, address
+from hillchute.router.config import RouterConfiguration, address
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
 from hillchute.router.events import Event, PeersChanged
 from hillchute.router.integrations.fleet_scheduler import (
@@ -75,18 +75,20 @@
         return [self.name, *self.keys]
 
 
-def fleet_settings(settings: PeerSettings, station: Station, *, has_partners: bool) -> FleetSettings:
+def fleet_settings(
+    settings: PeerSettings, configuration: RouterConfiguration, *, has_partners: bool
+) -> FleetSettings:
     """What the fleet's view is built from, by the deployment's settings."""
-    limits = [WARM_UP_LIMIT] if station.settings.warm_up.duration else []
-    limits += map(tenant_limit, station.settings.tenants_with_quota)
+    limits = [WARM_UP_LIMIT] if configuration.settings.warm_up.duration else []
+    limits += map(tenant_limit, configuration.settings.tenants_with_quota)
     if has_partners:
         limits.append(POOL_LIMIT)
     return FleetSettings(
         name=settings.name,
         router_names=settings.router_names,
-        columns=station.settings.report_columns,
+        columns=configuration.settings.report_columns,
         limits=limits,
-        seed=station.seed,
+        seed=configuration.seed,
     )
 
 
@@ -94,7 +96,7 @@
 class RouterContext:
     """The router, as its extensions see it."""
 
-    station: Station
+    configuration: RouterConfiguration
     log: Log
     handle: Callable[[Event], None]  # takes events for the reducer
     clock: Callable[[], Time]  # of the reducer's events; another than the peers'
@@ -121,9 +123,11 @@
         self.clock = SteadyUnixClock()
         now = self.clock()
         has_partners = bool(operator.get("partners"))
-        self.fleet = FleetView(fleet_settings(self.settings, router.station, has_partners=has_partners), now)
+        self.fleet = FleetView(
+            fleet_settings(self.settings, router.configuration, has_partners=has_partners), now
+        )
         identity = RouterIdentity(self.settings.name, now // MILLISECOND)
-        self.node = Node(identity, self.settings.keys, router.station.seed, now, self.fleet)
+        self.node = Node(identity, self.settings.keys, router.configuration.seed, now, self.fleet)
         self.transport = self._make_transport()
         self.partners = self._make_partners(operator)
         self.history = self._make_history(operator)
@@ -171,7 +175,7 @@
         return PartnerExtension(
             settings=operator["partners"],
             context=self._make_context(),
-            seed=self.router.station.seed,
+            seed=self.router.configuration.seed,
             router_clock=self.router.clock,
         )
 
@@ -195,7 +199,7 @@
         return PoolQuota(
             clock=self.clock,
             members=lambda: partners.settings.members,
-            engine_names=EngineNames.from_settings(self.router.station.settings),
+            engine_names=EngineNames.from_settings(self.router.configuration.settings),
             negotiation=partners.negotiation,
             views=None if self.history is None else self.history.replica.views,
         )
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -14,7 +14,7 @@
 from hillchute.errors import ConfigurationError, HillchuteError
 from hillchute.log import Log
 from hillchute.router import config
-from hillchute.router.config import Station
+from hillchute.router.config import RouterConfiguration
 from hillchute.router.endpoint_updates import EndpointUpdates
 from hillchute.router.integrations.interface import RouterExtension
 from hillchute.router.interfaces import FlightFrontend
@@ -41,7 +41,7 @@
 class ConfigurationReloader:
     """Holds the configuration that is in force, and replaces it."""
 
-    station: Station
+    configuration: RouterConfiguration
     operator_file: OperatorFile
     endpoint_updates: EndpointUpdates
     endpoint_watcher: EndpointWatcher
@@ -52,16 +52,16 @@
     def reload(self, tasks: anyio.abc.TaskGroup) -> None:
         """Reads both files again; the event bus is watched at its new address in `tasks`."""
         try:
-            station = config.read_station()
+            configuration = config.read_configuration()
         except ConfigurationError as error:
             self.log.write("reload", kept="the running configuration", reason=str(error), **error.log_fields)
             return
-        restart = config.needs_restart(self.station, station) + self._reload_operator_file()
-        self.log.write("reload", bus=list(station.bus), needs_restart=restart)
-        self.station = self.station._replace(bus=station.bus)
-        for update in station.known:
+        restart = config.needs_restart(self.configuration, configuration) + self._reload_operator_file()
+        self.log.write("reload", bus=list(configuration.event_bus_address), needs_restart=restart)
+        self.configuration = self.configuration._replace(event_bus_address=configuration.event_bus_address)
+        for update in configuration.initial_watch_events:
             self.endpoint_updates.on_watch_event(update)
-        self.endpoint_watcher.watch(self.station.bus, tasks)
+        self.endpoint_watcher.watch(self.configuration.event_bus_address, tasks)
 
     def _reload_operator_file(self) -> list[str]:
         """Returns the paths of what needs a restart; none if the file can't be used, which is logged."""
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -22,7 +22,7 @@
 from hillchute.net.clock import Clock, EngineStartTimes
 from hillchute.net.poller import Poller
 from hillchute.router.alarm import Alarm
-from hillchute.router.config import Station
+from hillchute.router.config import RouterConfiguration
 from hillchute.router.effect_executor import EffectExecutor
 from hillchute.router.endpoint_updates import EndpointUpdates
 from hillchute.router.event_loop import EventLoop
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        station: Station,
+        configuration: RouterConfiguration,
         log: Log,
         *,
         poller: Poller | None = None,
@@ -69,7 +69,7 @@
 
         Raises HillchuteError or OSError where keys, a disk or an address of an optional part can't be used.
         """
-        self.station = station  # as it was at the start: the reloader has what is in force
+        self.configuration = configuration  # as it was at the start: the reloader has what is in force
         self.log = log
         self.poller = poller or Poller()
         self.clock = clock = clock or Clock()
@@ -80,10 +80,10 @@
         self.trace = EventTrace()
         self.faults = FaultLog(log, self.trace, clock)
         settings = operator_file.settings
-        own_scheduler = QueryScheduler(station.seed, station.settings, clock())
+        own_scheduler = QueryScheduler(configuration.seed, configuration.settings, clock())
         self.extension = self._build_extension(settings, own_scheduler)
         scheduler = own_scheduler if self.extension is None else self.extension.scheduler
-        self.reducer = Reducer(scheduler, station.settings, station.sockets // 3)
+        self.reducer = Reducer(scheduler, configuration.settings, configuration.max_engine_connections)
         if self.extension is not None:
             self._connect_extension(self.extension)
         self.door = self._build_door()
@@ -105,7 +105,9 @@
             return None
         from hillchute.router.integrations.peers import PeerExtension, RouterContext
 
-        router = RouterContext(station=self.station, log=self.log, handle=self.handle, clock=self.clock)
+        router = RouterContext(
+            configuration=self.configuration, log=self.log, handle=self.handle, clock=self.clock
+        )
         return PeerExtension(operator=settings, router=router, scheduler=scheduler)
 
     def _connect_extension(self, extension: RouterExtension) -> None:
@@ -115,8 +117,8 @@
 
     def _build_door(self) -> Door:
         return Door(
-            self.station.sockets // 2,
-            self.station.packet,
+            self.configuration.max_connected_sessions,
+            self.configuration.max_packet_bytes,
             self.poller,
             self.rounds,
             self.log,
@@ -174,7 +176,7 @@
     def _build_endpoint_updates(self) -> EndpointUpdates:
         return EndpointUpdates(
             start_times=EngineStartTimes(self.clock),
-            machine_kinds=self.station.settings.named_engine_kinds,
+            machine_kinds=self.configuration.settings.named_engine_kinds,
             log=self.log,
             handle=self.handle,
         )
@@ -184,12 +186,12 @@
             self.log,
             on_event=self.endpoint_updates.on_watch_event,
             last_offset=self.last_watch_offset,
-            jittered=RetryDelays(self.station.seed).next_delay,
+            jittered=RetryDelays(self.configuration.seed).next_delay,
         )
 
     def _build_reloader(self, operator_file: OperatorFile) -> ConfigurationReloader:
         return ConfigurationReloader(
-            station=self.station,
+            configuration=self.configuration,
             operator_file=operator_file,
             endpoint_updates=self.endpoint_updates,
             endpoint_watcher=self.endpoint_watcher,
@@ -200,7 +202,7 @@
 
     def _build_shutdown(self) -> GracefulShutdown:
         return GracefulShutdown(
-            longest_timeout=self.station.closing,
+            longest_timeout=self.configuration.longest_shutdown,
             event_loop=self.event_loop,
             executor=self.executor,
             reducer=self.reducer,
@@ -254,7 +256,7 @@
 
     def last_watch_offset(self) -> int:
         """The offset after which the event bus is to go on: the configuration's until an event has come."""
-        return max(self.endpoint_list_offset(), self.station.offset)
+        return max(self.endpoint_list_offset(), self.configuration.initial_offset)
 
     # ---- from start to exit -----------------------------------------------------------------------
 
@@ -281,15 +283,15 @@
         self.lifecycle.enter(Phase.STOPPED)
 
     async def _start(self) -> None:
-        for update in self.station.known:
+        for update in self.configuration.initial_watch_events:
             self.endpoint_updates.on_watch_event(update)
-        family = socket.AF_INET6 if ":" in self.station.host else socket.AF_INET
-        address = (self.station.host, self.station.port)
+        family = socket.AF_INET6 if ":" in self.configuration.host else socket.AF_INET
+        address = (self.configuration.host, self.configuration.port)
         self.door.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
         self.tasks.start_soon(self.signals.listen, self.on_signal)
         self.tasks.start_soon(self.event_loop.run_alarm)
         self.tasks.start_soon(self.event_loop.run_sweep)
-        self.endpoint_watcher.watch(self.station.bus, self.tasks)
+        self.endpoint_watcher.watch(self.configuration.event_bus_address, self.tasks)
         self.tasks.start_soon(self.event_loop.run)
         if self.flight is not None:
             await self.flight.open()
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -196,12 +196,12 @@
         self.address = self.door.getsockname()
         table = table or deployment.table(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
-        self.station = config.parse_station(table, {})
+        self.configuration = config.parse_configuration(table, {})
         self.log, self.system = Kept(), system
         self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
         self.turn_time, start = (TURN_TIME if time_by_turns else 0), time.monotonic_ns()
         self.clock = clock or Clock(lambda: (start if time_by_turns else time.monotonic_ns()) + self.ahead)
-        self.service = Service(self.station, self.log, poller=Poller(system), clock=self.clock)
+        self.service = Service(self.configuration, self.log, poller=Poller(system), clock=self.clock)
         self.service.attach_tasks(None)
         self.service.door.open(self.door)
         self.service.lifecycle.enter(Phase.SERVING)
@@ -262,7 +262,7 @@
 
     def connected(self):
         """A connection to the engine is up, and one client is logged in."""
-        patience = self.station.settings.groups[0].queue_timeout // MILLISECOND
+        patience = self.configuration.settings.groups[0].queue_timeout // MILLISECOND
         client = self.client(LOGIN + query(0xFFFF, patience=patience))
         self.until(lambda: client.answers() == ["served"])
         self.wants.clear()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -122,7 +122,7 @@
         rig.until(lambda: len(client.answers()) == 2)
         assert 0.04 <= time.monotonic() - began < 5
         rig.service.shutdown.begin()
-        assert 0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.station.closing
+        assert 0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.configuration.longest_shutdown
         client.write(query(3))  # the listener is still open
         rig.until(lambda: len(client.answers()) == 3)
         assert out.answers() == ["served"]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -336,7 +336,8 @@
 
 def test_reload_under_an_open_query_changes_nothing_for_it(rig, monkeypatch):
     client = out(rig)
-    monkeypatch.setattr(config, "read_station", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
+    moved_bus = rig.configuration._replace(event_bus_address=("127.0.0.1", 9))
+    monkeypatch.setattr(config, "read_configuration", lambda: moved_bus)
     monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda *about: None)
     rig.talks[0].serve(ids(1)[0])  # its answer is on its way as the signal comes
     rig.service.reloader.reload(rig.service.tasks)
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -146,8 +146,8 @@
         rig.turn()
         number = max(rig.service.door.clients)
         held = rig.service.door.clients[number].session
-        assert held.ahead + len(held.buffer) <= rig.station.packet + 16_384 + 4
-    assert sent > rig.station.packet
+        assert held.ahead + len(held.buffer) <= rig.configuration.max_packet_bytes + 16_384 + 4
+    assert sent > rig.configuration.max_packet_bytes
     other.write(query(2))
     rig.until(lambda: len(other.answers()) == 2)
     assert other.answers()[1] == "served"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -63,7 +63,7 @@
     path.write_text("{}")
     os.environ["EDGE_CONFIG"] = str(path)
     try:
-        config.read_station()
+        config.read_configuration()
     finally:
         del os.environ["EDGE_CONFIG"]
 
@@ -125,12 +125,27 @@
 
 def peer_extension(log: RecordingLog) -> PeerExtension:
     """A router with peers by the operator file, none of which it names."""
-    station = config.Station("a", "", 0, 1, 1, 1, ("", 0), 0, (), {"parties.count": 0}, NO_TENANTS, 1)
+    configuration = config.RouterConfiguration(
+        name="a",
+        host="",
+        port=0,
+        seed=1,
+        sockets=1,
+        max_packet_bytes=1,
+        event_bus_address=("", 0),
+        initial_watch_events=(),
+        initial_offset=0,
+        stated_catalog={"parties.count": 0},
+        settings=NO_TENANTS,
+        longest_shutdown=1,
+    )
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     return PeerExtension(
         operator={"peers": peers},
-        router=RouterContext(station=station, log=log, handle=lambda event: None, clock=lambda: 0),
-        scheduler=QueryScheduler(1, station.settings, 0),
+        router=RouterContext(
+            configuration=configuration, log=log, handle=lambda event: None, clock=lambda: 0
+        ),
+        scheduler=QueryScheduler(1, configuration.settings, 0),
     )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -218,11 +218,13 @@
     kind = TABLE["settings"]["classes"][0] | {"goal_time_ns": 10**9, "deadline_ns": 8 * 10**9}
     settings = TABLE["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
     table = TABLE | {"known": known, "settings": settings}
-    station = config.parse_station(table, {})
+    configuration = config.parse_configuration(table, {})
     reducer = Reducer(
-        QueryScheduler(station.seed, station.settings, 0), station.settings, station.sockets // 3
+        QueryScheduler(configuration.seed, configuration.settings, 0),
+        configuration.settings,
+        configuration.max_engine_connections,
     )
-    for news in station.known:
+    for news in configuration.initial_watch_events:
         reducer.reduce(events.EndpointsChanged(news), 0)
     assert len(reducer.pool.endpoints) == 1024
     group = next(iter(reducer.rules.groups))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -256,9 +256,9 @@
     pairs += " limits.keepalive_ns=30000000000 parties="
     fields = Fields(f"UP 7 {pairs}", 1)
     fields.required_integer("init_seed")
-    station = config.parse_station(TABLE, {})
-    assert station.stated_catalog == fields.catalog() | {"sessions": 1024 // 3}
-    assert station.settings == Settings.from_catalog(station.stated_catalog)
+    configuration = config.parse_configuration(TABLE, {})
+    assert configuration.stated_catalog == fields.catalog() | {"sessions": 1024 // 3}
+    assert configuration.settings == Settings.from_catalog(configuration.stated_catalog)
 
 
 @pytest.mark.parametrize(
@@ -281,7 +281,7 @@
         place = place[name]
     place[last] = value
     with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
-        config.parse_station(table, {})
+        config.parse_configuration(table, {})
 
 
 # ---- the reducer ----------------------------------------------------------------------------------
@@ -599,22 +599,25 @@
 
 
 @pytest.fixture
-def station():
-    return config.parse_station(TABLE, {})
+def configuration():
+    return config.parse_configuration(TABLE, {})
 
 
 @pytest.fixture
-def router(station):
-    router = Service(station, Log("n1", -1))
+def router(configuration):
+    router = Service(configuration, Log("n1", -1))
     router.lifecycle.enter(Phase.SERVING)
     return router
 
 
-def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, station, monkeypatch):
+def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, configuration, monkeypatch):
     async def run():
         buses = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
         read_again = iter(
-            [ConfigurationError("missing", "bus"), station._replace(bus=buses[1].getsockname())]
+            [
+                ConfigurationError("missing", "bus"),
+                configuration._replace(event_bus_address=buses[1].getsockname()),
+            ]
         )
 
         def read():
@@ -623,15 +626,17 @@
                 raise found
             return found
 
-        monkeypatch.setattr(config, "read_station", read)
+        monkeypatch.setattr(config, "read_configuration", read)
         monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
         monkeypatch.setattr(
             signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2)
         )
-        router.station = station._replace(bus=buses[0].getsockname(), offset=7)
+        router.configuration = configuration._replace(
+            event_bus_address=buses[0].getsockname(), initial_offset=7
+        )
         async with anyio.create_task_group() as tasks:
             router.attach_tasks(tasks)
-            router.endpoint_watcher.watch(router.station.bus, router.tasks)
+            router.endpoint_watcher.watch(router.configuration.event_bus_address, router.tasks)
             first = (await anyio.to_thread.run_sync(buses[0].accept))[0]
             assert await anyio.to_thread.run_sync(first.recv, 8) == event_bus.encode_subscription(7)
             await router.signals.listen(router.on_signal)
@@ -647,21 +652,21 @@
     assert router.lifecycle.phase is Phase.SERVING
 
 
-def test_changes_that_need_a_restart_are_named(station):
+def test_changes_that_need_a_restart_are_named(configuration):
     table = orjson.loads(orjson.dumps(TABLE))
     table["settings"]["limits"]["keepalive_ns"] = 1_000_000
     table["bus"] = "127.0.0.1:9"
-    assert config.needs_restart(station, config.parse_station(table, {})) == ["limits.keepalive"]
+    assert config.needs_restart(configuration, config.parse_configuration(table, {})) == ["limits.keepalive"]
 
 
-def test_fewer_sockets_are_named_with_the_sessions_that_follow_from_them(station):
-    fewer = config.parse_station(TABLE | {"limits": {"sockets": 512}}, {})
-    assert config.needs_restart(station, fewer) == ["sockets", "sessions"]
+def test_fewer_sockets_are_named_with_the_sessions_that_follow_from_them(configuration):
+    fewer = config.parse_configuration(TABLE | {"limits": {"sockets": 512}}, {})
+    assert config.needs_restart(configuration, fewer) == ["sockets", "sessions"]
 
 
 @pytest.mark.parametrize("seed, number", [("ff", 255), (17, 17)])
 def test_seed_is_hexadecimal_text_or_a_number(seed, number):
-    assert config.parse_station(TABLE | {"seed": seed}, {}).seed == number
+    assert config.parse_configuration(TABLE | {"seed": seed}, {}).seed == number
 
 
 @pytest.mark.parametrize(
@@ -679,14 +684,14 @@
 )
 def test_fault_of_a_configuration_is_told_in_words(path, value, message):
     with pytest.raises(ConfigurationError) as error:
-        config.parse_station(TABLE | {path: value}, {})
+        config.parse_configuration(TABLE | {path: value}, {})
     assert str(error.value) == message
 
 
 def test_settings_of_a_shape_that_no_check_knows_are_refused_by_name():
     domain = SETTINGS["domain"] | {"report_x0": ["a", "b"]}
     with pytest.raises(ConfigurationError) as error:
-        config.parse_station(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
+        config.parse_configuration(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
     assert error.value.location == "settings"
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -92,8 +92,12 @@
 
 def connects(engines):
     """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
-    station = config.parse_station(deployment.table(routers=200, sockets=576), {})
-    reducer = Reducer(QueryScheduler(1, station.settings, 0), station.settings, station.sockets // 3)
+    configuration = config.parse_configuration(deployment.table(routers=200, sockets=576), {})
+    reducer = Reducer(
+        QueryScheduler(1, configuration.settings, 0),
+        configuration.settings,
+        configuration.max_engine_connections,
+    )
     entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
     reducer.reduce(events.EndpointsChanged(WatchEvent(1, "Complete", entries)), 1)
     made, waiting = 0, []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -149,7 +149,7 @@
     def __init__(self, rig, monkeypatch, running, read_again, flight=None, extension=None):
         self.log, self.watched, service = Kept(), [], rig.service
         self.reloader = ConfigurationReloader(
-            station=rig.station,
+            configuration=rig.configuration,
             operator_file=OperatorFile(running, read_again),
             endpoint_updates=service.endpoint_updates,
             endpoint_watcher=SimpleNamespace(watch=lambda address, tasks: self.watched.append(address)),
@@ -157,7 +157,8 @@
             extension=extension,
             log=self.log,
         )
-        monkeypatch.setattr(config, "read_station", lambda: rig.station._replace(bus=BUS))
+        moved_bus = rig.configuration._replace(event_bus_address=BUS)
+        monkeypatch.setattr(config, "read_configuration", lambda: moved_bus)
         self.reloader.reload(None)
 
     def needs_restart(self):
@@ -171,7 +172,7 @@
     def unreadable():
         raise ConfigurationError("missing", "bus")
 
-    monkeypatch.setattr(config, "read_station", unreadable)
+    monkeypatch.setattr(config, "read_configuration", unreadable)
     reload.reloader.reload(None)
     ((event, fields),) = reload.log.lines[1:]
     assert event == "reload" and fields["kept"] == "the running configuration" and fields["where"] == "bus"
@@ -187,7 +188,10 @@
     reload = Reload(rig, monkeypatch, running, unusable)
     assert [fields.get("kept") for _, fields in reload.log.lines] == ["the running operator file", None]
     assert reload.reloader.operator_file.settings is running
-    assert reload.watched == [BUS] == [reload.reloader.station.bus] and reload.needs_restart() == []
+    assert (
+        reload.watched == [BUS] == [reload.reloader.configuration.event_bus_address]
+        and reload.needs_restart() == []
+    )
 
 
 def test_parts_that_run_take_their_settings_and_name_what_needs_a_restart(rig, monkeypatch):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -78,7 +78,7 @@
 )
 def test_absent_or_absurd_setting_is_named_by_its_path(path, value):
     with pytest.raises(ConfigurationError) as fault:
-        config.parse_station(changed(path, value), {})
+        config.parse_configuration(changed(path, value), {})
     assert fault.value.location.startswith(f"settings.{path}") and fault.value.remedy
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -131,7 +131,8 @@
     assert not rig.service.lifecycle.enter(Phase.CLOSING)
     end = schedule.answer_by
     moved = []
-    monkeypatch.setattr(config, "read_station", lambda: rig.station._replace(bus=("127.0.0.1", 9)))
+    moved_bus = rig.configuration._replace(event_bus_address=("127.0.0.1", 9))
+    monkeypatch.setattr(config, "read_configuration", lambda: moved_bus)
     monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda bus, tasks: moved.append(bus))
     monkeypatch.setattr(signal_handling.signal, "pthread_sigmask", lambda *_: None)
     monkeypatch.setattr(
@@ -154,11 +155,11 @@
 DURING_THE_START = """
 import os, signal, sys
 from hillchute.router import __main__ as program
-read = program.config.read_station
+read = program.config.read_configuration
 def read_and_be_told():
     os.kill(os.getpid(), signal.SIGTERM)  # it is blocked now
     return read()
-program.config.read_station = read_and_be_told
+program.config.read_configuration = read_and_be_told
 sys.exit(program.main())
 """
 DURING_A_LONG_ROUND = """
