--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -1,16 +1,16 @@
-"""Every type of error that an operator may meet, with what can be done about it.
+"""All errors that an operator may encounter, each with its remedy.
 
-A fault of the program itself is no member of this family. Each class has a `remedy`, which names only fields,
-files and signals that exist; the log has it beside what happened.
+Faults of the program itself are not among them. Each class has a `remedy`, which names only existing fields,
+files and signals and is logged together with the error.
 """
 
 from typing import ClassVar
 
 
 class HillchuteError(Exception):
-    """Base of all: what happened (`detail`), where (`location`), and what an operator can do (`remedy`).
+    """Base class: what happened (`detail`), where (`location`), and what an operator can do (`remedy`).
 
-    Each class says what its `location` is; an empty one means that there is none.
+    The docstring of each class says what its `location` is; an empty string means that there is none.
     """
 
     remedy: ClassVar[str] = ""
@@ -22,7 +22,7 @@
 
     @property
     def log_fields(self) -> dict[str, str]:
-        """The fields that the structured log has for this error."""
+        """The fields of this error in the structured log."""
         return {
             "error": type(self).__name__,
             "what": self.detail,
@@ -32,138 +32,146 @@
 
 
 class ConfigurationError(HillchuteError):
-    """The platform's configuration can't be used; `location` is the key, by its full path."""
+    """The platform's configuration can't be used; `location` is the full path of the key."""
 
-    remedy = "mend that key in the file that EDGE_CONFIG names, then start again or send SIGHUP"
+    remedy = "correct that key in the file that EDGE_CONFIG names, then restart the router or send SIGHUP"
 
 
 class AcceptPausedError(HillchuteError):
-    """New connections can't be accepted for want of descriptors or memory; `location` is the address.
+    """Connections can't be accepted for lack of descriptors or memory; `location` is the listener's address.
 
-    They wait in the kernel's backlog, and are accepted once descriptors or memory are free again.
+    They wait in the kernel's backlog, and are accepted once descriptors or memory are available again.
     """
 
     remedy = (
-        "see which program of this machine holds the descriptors or the memory, or raise the limit that the"
-        " message names; the router tries again ten times a second and needs no restart"
+        "find the program on this machine that uses up the descriptors or the memory, or raise the limit that"
+        " the message names; the router tries again ten times a second and needs no restart"
     )
 
 
 class OperatorFileError(HillchuteError, ValueError):
-    """An operator file can't be used; `detail` has all its faults, one a line.
+    """An operator file can't be used; `detail` lists all its errors, one per line.
 
-    A line reads `file:line: path: expected ..., got ...`.
+    Each line has the form `file:line: path: expected ..., got ...`.
     """
 
     remedy = (
-        "mend the file that HILLCHUTE_OPERATOR names, see it through with `hillchute check`, then start again"
-        " or send SIGHUP; a running router goes on with what it read before"
+        "correct the file that HILLCHUTE_OPERATOR names, verify it with `hillchute check`, then restart the"
+        " router or send SIGHUP; a running router keeps the settings that it has read before"
     )
 
 
 class EventBusProtocolError(HillchuteError):
-    """The event bus sent what its protocol does not allow."""
+    """The event bus has violated its protocol."""
 
     remedy = (
-        "see that `bus` in the file that EDGE_CONFIG names is the address of an event bus, and which version"
-        " it is of; the router goes on with the last list and tries again"
+        "check that `bus` in the file that EDGE_CONFIG names is the address of an event bus, and check the"
+        " version of that event bus; the router keeps the last endpoint list and tries again"
     )
 
 
 class UnknownEngineKindError(HillchuteError):
-    """The event bus lists an engine of a kind that the settings do not name; `location` is the engine.
+    """The event bus lists an engine of a kind that the settings do not define; `location` is the engine.
 
-    It gets no queries.
+    The engine gets no queries.
     """
 
     remedy = (
-        "name the kind under `settings.kinds` in the file that EDGE_CONFIG names, then start the router again"
+        "add the kind to `settings.kinds` in the file that EDGE_CONFIG names, then restart the router"
     )
 
 
 class InvalidDatagramError(HillchuteError):
-    """A datagram between routers that is rejected, as malformed, forged or replayed.
+    """A datagram between routers was rejected as malformed, forged or replayed.
 
-    `location` is the peer, if the authentication tag was its own.
+    `location` is the peer, if the datagram has a valid authentication tag of that peer.
     """
 
     remedy = (
-        "compare `peers` in the operator files of both routers: address and key; then send SIGHUP to both"
+        "compare the addresses and keys under `peers` in the operator files of both routers, then send SIGHUP"
+        " to both"
     )
 
 
 class PeerListenError(HillchuteError):
-    """The address for other routers can't be bound; `location` is the address."""
+    """The address on which peers reach this router can't be bound; `location` is the address."""
 
-    remedy = "give `peers.listen` an address of this machine that no other program holds, UDP and TCP"
+    remedy = "set `peers.listen` to an address of this machine that no other program uses for UDP or TCP"
 
 
 class PeerListMismatchError(HillchuteError):
     """Another router has a different list of routers than this one; `location` is its name."""
 
-    remedy = "give all routers the same names under `peers`, then send SIGHUP; until then no parts are lent"
+    remedy = (
+        "list the same names under `peers` on all routers, then send SIGHUP; until then routers whose lists"
+        " differ lend each other no quota"
+    )
 
 
 class ClockBehindError(HillchuteError):
-    """Other routers know a later start of this one: its wall clock was set back before it started.
+    """Other routers know a later start of this router: its wall clock was set back before this start.
 
-    They reject all its datagrams, and it shares nothing with them; it serves as a router alone. `location`
-    is its name.
+    They reject all its datagrams, so it exchanges nothing with them and serves on its own. `location` is the
+    name of this router.
     """
 
-    remedy = "set this machine's clock right, then restart the router"
+    remedy = "correct this machine's clock, then restart the router"
 
 
 class StalePoliciesError(HillchuteError):
-    """A replica of the answer history has not applied the last policies; `location` is its name."""
+    """A replica of the answer history has not applied the latest policies; `location` is its name."""
 
     remedy = (
-        "see that the router is reached by the others (`peers`); until it has applied them it answers"
-        " nothing from the history"
+        "check that the other routers can reach this router (`peers`); until it has applied the policies, it"
+        " answers nothing from the history"
     )
 
 
 class PoliciesRejectedError(HillchuteError):
-    """Policies of the answer history that are not later than those in force; `location` is the field."""
+    """New policies of the answer history are not later than those in force; `location` is the field."""
 
-    remedy = "raise `history.number` above the number that holds, then send SIGHUP"
+    remedy = "raise `history.number` above the number in force, then send SIGHUP"
 
 
 class HistoryStorageError(HillchuteError):
     """The answer history's file can't be written or read; `location` is the file.
 
-    Queries whose policy requires the disk are deferred; its records are served again once it is repaired.
+    Queries whose policy requires the disk are rejected; its records are used again after a repair.
     """
 
     remedy = (
-        "see that `history.disk` names a file in a folder that the router may write to, with room; move a"
-        " damaged file away and restart the router: others bring back what they hold"
+        "check that `history.disk` names a file in a directory that the router may write to, with free space;"
+        " move a damaged file away and restart the router: other routers send it the records that they hold"
     )
 
 
 class SignatureJournalError(HillchuteError):
-    """The journal of what a partner has signed can't be read or written; `location` is the file."""
+    """The journal of a partner's signatures can't be read or written; `location` is the file."""
 
     remedy = (
-        "see that `partners.marks_file` names a file in a folder that the router may write to, with room, and"
-        " that no line of it was changed; until then this partner signs no agreement, and the last one holds"
+        "check that `partners.marks_file` names a file in a directory that the router may write to, with free"
+        " space, and that none of its lines was changed; until then this partner signs no agreement, and the"
+        " last one stays in force"
     )
 
 
 class PartnerEquivocationError(HillchuteError):
-    """A partner has signed two agreements of one number; `location` is its name.
+    """A partner has signed two different agreements with the same number; `location` is its name.
 
-    Its share goes to the others.
+    Its share is divided among the other partners.
     """
 
     remedy = (
-        "ask that partner whether two of its routers have its `partners.key_file`, or an old"
-        " `partners.marks_file` was put back; to have a part again it needs another key under"
-        " `partners.members` everywhere, and SIGHUP"
+        "ask that partner whether two of its routers have its `partners.key_file`, or whether an old"
+        " `partners.marks_file` was restored; to get a share again, it needs a new key under"
+        " `partners.members` on all routers, which then need SIGHUP"
     )
 
 
 class InvalidAgreementError(HillchuteError):
-    """An agreement between partners that this one can't sign; `location` is the field or the partner."""
+    """This partner can't sign an agreement; `location` is the field or the partner."""
 
-    remedy = "compare `partners.offer` of all partners; make a new offer with a higher turn, then send SIGHUP"
+    remedy = (
+        "compare `partners.offer` of all partners, make a new offer with a higher `partners.offer.turn`, then"
+        " send SIGHUP"
+    )
--- a/hillchute/log.py
+++ b/hillchute/log.py
@@ -1,7 +1,8 @@
-"""The structured log: one JSON object a line for each event, on standard output.
+"""The structured log: one line with a JSON object per event, on standard output.
 
-Owns the descriptor and a bounded buffer. Must never block the event loop nor fail its caller: what a full
-pipe does not take waits in the buffer, what the buffer does not hold is dropped and counted.
+Owns the file descriptor and a bounded buffer. Never blocks the event loop, and never raises because of a
+failed write: lines that a full pipe does not accept are buffered; lines that exceed the buffer are dropped
+and counted.
 """
 
 import os
@@ -11,25 +12,25 @@
 import orjson
 
 MAX_LINES_PER_EVENT = 20
-"""Lines of one event in a window; more are only counted: to write a line costs as much as a query."""
+"""Lines per event and window; further ones are only counted, as writing a line costs as much as a query."""
 
 WINDOW_NS = 1_000_000_000
-"""Length of the window in which lines of one event are counted: a second."""
+"""Length of the window in which the lines of each event are counted: one second."""
 
 MAX_BUFFER_SIZE = 256 * 1024
-"""Bytes held for a slow reader: some seconds of lines."""
+"""Bytes buffered for a slow reader: a few seconds of lines."""
 
 FLUSH_SIZE = 4096
-"""Bytes of routine lines that are gathered before they are written in one call."""
+"""Bytes of routine lines that are collected before they are written in one call."""
 
 MAX_WRITE_SIZE = 65_536
-"""Bytes given to one write(2): the capacity of a Linux pipe."""
+"""Bytes passed to one write(2): the capacity of a Linux pipe."""
 
 ROUTINE_EVENTS = frozenset({"query"})
-"""Events so frequent that their lines may wait for others; all other lines are written at once."""
+"""Events so frequent that their lines are written in batches; all other lines are written immediately."""
 
 CLOSED = -1
-"""In place of a descriptor that nobody reads any more."""
+"""Replaces a descriptor that has failed, for example because its reader has gone."""
 
 TIMESTAMP_UNIT_NS = 100_000
 TIMESTAMP_UNITS_PER_SECOND = 10_000
@@ -47,16 +48,16 @@
         self.max_lines_per_event = max_lines_per_event
         self.buffer = bytearray()
         self.dropped = 0
-        """Lines for which the buffer had no space, since the last line that said so."""
-        self.window_start = 0  # nanoseconds of the monotonic clock: a step of the wall clock changes nothing
-        self.lines_by_event: Counter[str] = Counter()  # in this window
+        """Lines dropped for lack of buffer space since the last `log_dropped` line."""
+        self.window_start = 0  # nanoseconds of the monotonic clock, which no step of the wall clock affects
+        self.lines_by_event: Counter[str] = Counter()  # in the current window
         try:
             os.set_blocking(descriptor, False)
         except OSError:
             self.descriptor = CLOSED
 
     def write(self, event: str, **fields: object) -> None:
-        """Write one line, unless the event has had its share of lines in this window."""
+        """Write one line, unless the event has reached its maximum number of lines in this window."""
         now = time.monotonic_ns()
         if now - self.window_start >= WINDOW_NS:
             self._start_window(now)
@@ -79,7 +80,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write as much of the buffer as the descriptor takes now."""
+        """Write as much of the buffer as the descriptor accepts without blocking."""
         if self.dropped and len(self.buffer) < MAX_BUFFER_SIZE // 2:
             self.buffer += orjson.dumps(
                 {"event": "log_dropped", "router": self.name, "lines": self.dropped},
@@ -97,7 +98,7 @@
             self.buffer.clear()
 
     def _start_window(self, now: int) -> None:
-        """Begin a new window, and log how many lines of which events were left out in the last."""
+        """Start a new window, and log the number of lines suppressed in the last one, by event."""
         left_out = {
             event: lines - self.max_lines_per_event
             for event, lines in self.lines_by_event.items()
--- a/hillchute/net/buffered_socket.py
+++ b/hillchute/net/buffered_socket.py
@@ -1,7 +1,7 @@
-"""One connection's non-blocking socket, with a buffer for bytes that the kernel has not taken yet.
+"""Non-blocking socket of one connection, with a buffer for bytes that the kernel has not accepted yet.
 
-Owns the socket from the moment it is connected to its close. Must never wait, nor know a protocol: limits on
-what is read at once or left unsent are the caller's.
+Owns the socket from the time it is connected until it is closed. Never blocks, and is independent of any
+protocol: the caller limits how much is read at once and how much may remain unsent.
 """
 
 import contextlib
@@ -13,43 +13,43 @@
 from hillchute.net.system_calls import MEMORY_ERRNOS, TRANSIENT_ERRNOS
 
 TCP_INFO = struct.Struct("=44xI4xI")
-"""Of Linux's struct tcp_info: tcpi_last_data_sent and tcpi_last_data_recv, in milliseconds."""
+"""The fields tcpi_last_data_sent and tcpi_last_data_recv of Linux's struct tcp_info, in milliseconds."""
 
 TIME_UNITS_PER_MILLISECOND = 10
 
 
 class IdleTimes(NamedTuple):
-    """Milliseconds since the last bytes went out and came in; both count from the connection's start."""
+    """Milliseconds since bytes were last sent and received; both start to count when the connection opens."""
 
     sent: int
     received: int
 
 
 class BufferedSocket:
-    """Writes are sent at once where the kernel takes them: a task for each would cost more than a query."""
+    """Sends writes immediately if the kernel accepts them: a task per write would cost more than a query."""
 
     def __init__(self, sock: socket.socket, poller: Poller, owner: SocketOwner, read_size: int) -> None:
         """Register with the poller.
 
-        `read_size` is the most bytes that one read() returns. Raises OSError where the poller takes no
-        more; the socket is then the caller's to close.
+        `read_size` is the maximum number of bytes that one read() returns. Raises OSError if the poller can't
+        register the socket; the caller must then close it.
         """
         self.sock = sock
         self.poller = poller
         self.system = poller.system
         self.read_size = read_size
         self.unsent = bytearray()
-        """Written, and not yet taken by the kernel."""
+        """Written, but not yet accepted by the kernel."""
         self.closed = False
         self.write_shut_down = False
         self.broken = False
-        """A send failed for good: read() returns the end of the stream."""
+        """A send has failed permanently: read() returns the end of the stream."""
         poller.add(sock, owner)
 
     def write(self, data: bytes) -> int:
-        """Send, and keep in `unsent` what the kernel does not take.
+        """Send, and append to `unsent` what the kernel does not accept.
 
-        Returns how many bytes of `data` the kernel took now.
+        Returns how many bytes of `data` the kernel has accepted during this call.
         """
         if self.closed or self.broken:
             return 0
@@ -63,7 +63,7 @@
         return sent
 
     def flush(self) -> None:
-        """Send more of `unsent`: the poller has reported the socket as writable."""
+        """Send more of `unsent`, after the poller has reported the socket as writable."""
         if self.unsent:
             del self.unsent[: self._send(self.unsent)]
         if self.broken:
@@ -72,11 +72,11 @@
             self.poller.watch_writing(self.sock, False)
 
     def discard_unsent(self, size: int) -> None:
-        """Drop the last `size` bytes that were written; all of them must still be in `unsent`."""
+        """Discard the last `size` bytes that were written; all of them must still be in `unsent`."""
         del self.unsent[len(self.unsent) - size :]
 
     def read(self) -> bytes | None:
-        """Return what has come: None where nothing has, empty at the end of the stream or when broken."""
+        """Return the bytes received: None if there are none, empty at the end of the stream or if broken."""
         if self.broken:
             return b""
         try:
@@ -88,31 +88,32 @@
             return None if error.errno in TRANSIENT_ERRNOS else b""
 
     def last_received_at(self, now: int) -> int:
-        """When the last bytes came in, to some milliseconds: a busy loop reads them late.
+        """Return when the kernel last received bytes, accurate to a few milliseconds.
 
-        `now` and the result are in tenths of a millisecond.
+        A busy event loop reads them later than that. `now` and the result are in tenths of a millisecond.
         """
         return now - TIME_UNITS_PER_MILLISECOND * self._idle_times().received
 
     def connected_at(self, now: int) -> int:
-        """When the kernel took the connection, to some milliseconds; right until something was sent.
+        """Return when the kernel accepted the connection, accurate to a few milliseconds.
 
-        `now` and the result are in tenths of a millisecond.
+        Valid only until something is sent. `now` and the result are in tenths of a millisecond.
         """
         return now - TIME_UNITS_PER_MILLISECOND * self._idle_times().sent
 
     def has_unread(self) -> bool:
-        """Whether bytes have come that were not read yet."""
+        """Return whether bytes have been received that were not read yet."""
         return self._peek() not in (None, b"")
 
     def has_ended(self) -> bool:
-        """Whether the peer has closed or reset the connection and nothing is left to read."""
+        """Return whether the peer has closed or reset the connection and nothing is left to read."""
         return self._peek() == b""
 
     def shutdown_write(self) -> None:
-        """End the outgoing stream, so that the peer can still read the last answer.
+        """Shut down sending, so that the peer can still read the last answer.
 
-        A close with bytes unread here would reset the connection and destroy that answer.
+        Closing the socket while received bytes are unread would reset the connection, and the peer would lose
+        that answer.
         """
         if not self.write_shut_down and not self.closed:
             self.write_shut_down = True
@@ -120,7 +121,7 @@
                 self.system.shut_down(self.sock, socket.SHUT_WR)
 
     def close(self) -> None:
-        """Leave the poller and close the socket; a second call does nothing."""
+        """Deregister from the poller and close the socket; a second call does nothing."""
         if not self.closed:
             self.closed = True
             self.poller.remove(self.sock)
@@ -128,7 +129,7 @@
                 self.system.close(self.sock)
 
     def _send(self, data: bytes | bytearray) -> int:
-        """Send once; returns 0 where the kernel takes nothing, also where the connection is lost."""
+        """Send once; return the number of bytes accepted, which is 0 also if the connection is lost."""
         try:
             return self.system.send(self.sock, data)
         except OSError as error:
@@ -139,20 +140,20 @@
             return 0
 
     def _break(self) -> None:
-        """Nothing more can be sent: the next poll reports the end, and read() returns it."""
+        """Mark the connection as lost: the next poll reports its end, and read() returns it."""
         self.broken = True
         with contextlib.suppress(OSError):
             self.system.shut_down(self.sock, socket.SHUT_RDWR)
 
     def _idle_times(self) -> IdleTimes:
-        """Ask the kernel; zeros where it can't tell."""
+        """Return the kernel's idle times, or zeros if it can't report them."""
         try:
             return IdleTimes._make(TCP_INFO.unpack_from(self.system.tcp_info(self.sock)))
         except OSError:
             return IdleTimes(0, 0)
 
     def _peek(self) -> bytes | None:
-        """Return the next byte without taking it: None where there is none, empty at the end."""
+        """Return the next byte without consuming it: None if there is none, empty at the end."""
         if self.broken:
             return b""
         try:
--- a/hillchute/net/clock.py
+++ b/hillchute/net/clock.py
@@ -1,9 +1,9 @@
-"""The router's clock: it only ever goes forward, whatever happens to the wall clock.
+"""The router's clock, which never goes back, whatever happens to the wall clock.
 
-Owns the one reading of the Unix time that the clock starts from, and the translation of engines' start times,
-which settings and the endpoint list state as Unix time. Deadlines, timers, windows, backoff and leases are
-counted by Clock; nothing that serves reads the wall clock except the files that tests/test_clock.py names.
-Must never know what a time is for. Times are whole time units of a tenth of a millisecond.
+Also converts the start times of engines, which the settings and the endpoint list give as Unix time, to this
+clock. Deadlines, timers, windows, backoff and leases are measured with Clock; outside of hillchute/lab only
+the files listed in tests/test_clock.py read the wall clock. Times are integers in time units of a tenth of a
+millisecond.
 """
 
 import time
@@ -25,10 +25,10 @@
 
 
 class Clock:
-    """Unix time as it was when the clock was made, continued by the monotonic clock.
+    """The Unix time at which the clock was created, plus the monotonic time that has passed since.
 
-    A step of the wall clock, backward or forward, does not move it. A wall clock that is wrong when the
-    program starts shifts all readings, not the distances between them.
+    A step of the wall clock, backward or forward, does not affect it. If the wall clock is wrong when the
+    program starts, all readings are shifted, but differences between them are correct.
     """
 
     def __init__(
@@ -41,33 +41,34 @@
         self._offset = unix_ns() - monotonic_ns()  # nanoseconds
 
     def __call__(self) -> int:
-        """Return the time now, in time units."""
+        """Return the current time, in time units."""
         return round_up_to_time_units(self._offset + self._monotonic_ns())
 
     def age(self, unix_time: int) -> int:
-        """Return how long ago a moment was that another program states as Unix time; never below 0.
+        """Return the age of a Unix time reported by another program, in time units; at least 0.
 
-        This clock and the wall clock differ after a step, and which of them is right is not known. The
-        smaller age is taken: an engine that may have just started is treated as if it had.
+        After a step of the wall clock, this clock and the wall clock differ, and it is unknown which of them
+        is right. The smaller of the two ages is returned, so that an engine that may have just started is
+        treated as newly started.
         """
         wall_time = round_up_to_time_units(self._unix_ns())
         return max(0, min(self() - unix_time, wall_time - unix_time))
 
 
 class StartTime(NamedTuple):
-    """One engine's start."""
+    """The start time of one engine, in time units."""
 
     stated: int
-    """As the endpoint list states it, in Unix time."""
+    """As given by the endpoint list, in Unix time."""
     started: int
-    """On the router's clock."""
+    """The same time on the router's clock."""
 
 
 class EngineStartTimes:
-    """When engines started, on the router's clock.
+    """The start times of engines, on the router's clock.
 
-    Each statement is translated once, when it is first read: the same statement read again after a step of
-    the wall clock is not a new start.
+    Each start time is converted once, when it is first read, so that the same start time read again after a
+    step of the wall clock does not look like a restart.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -75,7 +76,7 @@
         self._start_times: dict[int, StartTime] = {}  # by engine
 
     def to_router_clock(self, engine: int, stated: int) -> int:
-        """Translate a stated start; 0 stands for an engine that was there before the list began."""
+        """Convert a stated start time; 0 means that the engine started before the endpoint list began."""
         if not stated:
             self.forget(engine)
             return 0
@@ -87,5 +88,5 @@
         return started
 
     def forget(self, engine: int) -> None:
-        """Drop what is known of an engine; one that is not known is no error."""
+        """Forget the start time of an engine, if it is known."""
         self._start_times.pop(engine, None)
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -1,8 +1,9 @@
-"""Which sockets are ready, all of them at once: one epoll behind the event loop.
+"""Reports all sockets that are ready at once, for the event loop, using one epoll instance.
 
-Owns the kernel's list of registered sockets and the owner of each. Must never read or write a socket, nor
-know what it is for. The registration is level-triggered: a socket that is ready and was left alone is ready
-again at the next poll, so nothing is lost by deferring one; fairness among the deferred is the caller's.
+Owns the epoll registrations and the owner object of each socket. Does not read or write the sockets. The
+registration is level-triggered: a socket that is ready and was not handled is reported again by the next
+poll, so handling it can be deferred without losing an event; fairness among deferred sockets is up to the
+caller.
 """
 
 import contextlib
@@ -16,44 +17,44 @@
 from hillchute.net.system_calls import SYSTEM_CALLS, TRANSIENT_ERRNOS, SystemCalls
 
 MAX_EVENTS = 4_096
-"""Sockets in one poll: more than any deployment allows descriptors, so that a poll always finds all."""
+"""Maximum number of sockets per poll; no deployment allows more descriptors, so one poll reports all."""
 
 ENDED_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 READABLE_EVENTS = select.EPOLLIN | select.EPOLLPRI | ENDED_EVENTS
 
 
 class SocketOwner(Protocol):
-    """The object that a socket's events are delivered to."""
+    """The object to which the events of a socket are delivered."""
 
     served: int
-    """Number of the event loop's round in which it was last served."""
+    """Number of the event loop round in which this object was last served."""
 
 
 class ReadySocket(NamedTuple):
-    """One socket that is ready, by its owner."""
+    """A socket that is ready, identified by its owner."""
 
     owner: SocketOwner
     readable: bool
-    """There are bytes to read, or the end of the stream, or an error."""
+    """There are bytes, the end of the stream or an error to read."""
     writable: bool
-    """The kernel takes bytes again."""
+    """The kernel accepts more bytes."""
     ended: bool = False
-    """The peer has closed or reset the connection, whatever is still to be read."""
+    """The peer has closed or reset the connection; received bytes may still be unread."""
 
 
 @dataclass(slots=True)
 class Registration:
-    """What one socket is registered for."""
+    """The events for which a socket is registered."""
 
     owner: SocketOwner
     writing: bool
     reading: bool = True
     paused: bool = False
-    """A call on it failed for want of kernel memory: left alone until Poller.resume()."""
+    """A call on the socket failed because the kernel lacked memory: ignored until Poller.resume()."""
 
     @property
     def mask(self) -> int:
-        """The epoll events to ask for. The end of the connection is always among them."""
+        """The epoll events to request; the end of the connection is always one of them."""
         if self.paused:
             return select.EPOLLRDHUP
         reading = select.EPOLLIN if self.reading else 0
@@ -62,7 +63,7 @@
 
 
 class Poller:
-    """Register sockets with add() and remove(), poll() for those ready now, wait_until_ready() for any."""
+    """One epoll instance: add() and remove() sockets, poll() those that are ready, wait_until_ready()."""
 
     def __init__(self, system: SystemCalls = SYSTEM_CALLS) -> None:
         self.system = system
@@ -71,9 +72,9 @@
         self._paused: set[int] = set()  # descriptors
 
     def add(self, sock: socket.socket, owner: SocketOwner, writing: bool = False) -> None:
-        """Register a socket for reading, and for writing if asked; a second call for it changes nothing.
+        """Register a socket for reading, and also for writing if `writing` is set.
 
-        Raises OSError where the kernel registers no more.
+        Does nothing if the socket is registered already. Raises OSError if the kernel can't register it.
         """
         descriptor = sock.fileno()
         if descriptor in self._registrations:
@@ -83,7 +84,7 @@
         self._registrations[descriptor] = registration
 
     def watch_writing(self, sock: socket.socket, enabled: bool) -> None:
-        """Report the socket also when it takes bytes again, or no longer."""
+        """Enable or disable reporting the socket when it is writable."""
         descriptor = sock.fileno()
         registration = self._registrations.get(descriptor)
         if registration is not None and registration.writing != enabled:
@@ -91,9 +92,10 @@
             self._apply(descriptor, registration)
 
     def watch_reading(self, sock: socket.socket, enabled: bool) -> None:
-        """Report the socket when there are bytes to read, or only at its end.
+        """Enable or disable reporting the socket when there are bytes to read; its end is always reported.
 
-        While reading is disabled, unread bytes stay with the kernel, which holds up the sender.
+        While reading is disabled, unread bytes stay in the kernel's buffer, and TCP flow control slows down
+        the sender.
         """
         descriptor = sock.fileno()
         registration = self._registrations.get(descriptor)
@@ -102,9 +104,9 @@
             self._apply(descriptor, registration)
 
     def pause(self, sock: socket.socket) -> None:
-        """Leave a socket alone until resume(): a call on it failed because the kernel lacks memory.
+        """Stop reporting a socket until resume(), after a call on it failed because the kernel lacked memory.
 
-        Without this a level-triggered loop would spin on the failing call.
+        Otherwise the level-triggered event loop would repeat the failing call without pause.
         """
         descriptor = sock.fileno()
         self._paused.add(descriptor)
@@ -114,7 +116,7 @@
             self._apply(descriptor, registration)
 
     def resume(self) -> None:
-        """Register again what was paused. To be called from time to time."""
+        """Register the paused sockets again; must be called periodically."""
         descriptors = self._paused
         self._paused = set()
         for descriptor in descriptors:
@@ -124,16 +126,16 @@
                 self._apply(descriptor, registration)
 
     def remove(self, sock: socket.socket) -> None:
-        """Forget a socket. Must come before its close: the descriptor may be reused a moment later."""
+        """Deregister a socket; must precede its close, after which the descriptor may be reused."""
         descriptor = sock.fileno()
         if self._registrations.pop(descriptor, None) is None:
             return
         self._paused.discard(descriptor)
-        with contextlib.suppress(OSError):  # the kernel forgets it with the close that follows
+        with contextlib.suppress(OSError):  # closing the socket also deregisters it
             self.system.epoll_remove(self.epoll, descriptor)
 
     def poll(self) -> list[ReadySocket]:
-        """Return the sockets that are ready now, without waiting."""
+        """Return the sockets that are ready, without waiting."""
         try:
             found = self.system.epoll_wait(self.epoll, MAX_EVENTS)
         except OSError as error:
@@ -156,14 +158,14 @@
         await anyio.wait_readable(self.epoll)
 
     def close(self) -> None:
-        """Close the epoll descriptor; a waiting wait_until_ready() is woken with an error."""
+        """Close the epoll descriptor; a pending wait_until_ready() raises an error."""
         anyio.notify_closing(self.epoll)
         self.epoll.close()
 
     def _apply(self, descriptor: int, registration: Registration) -> None:
-        """Tell the kernel what a socket is registered for now."""
+        """Update the kernel's registration of a socket."""
         try:
             self.system.epoll_modify(self.epoll, descriptor, registration.mask)
-        except OSError:  # of memory: the next resume() tries again
+        except OSError:  # lack of memory: the next resume() tries again
             registration.paused = True
             self._paused.add(descriptor)
--- a/hillchute/net/system_calls.py
+++ b/hillchute/net/system_calls.py
@@ -1,8 +1,8 @@
-"""Every system call on a socket that serves, in one place, and what its errors mean.
+"""All system calls on sockets of MySQL clients and line protocol engines, and what their errors mean.
 
-Owns no state. A test puts another SystemCalls in its place and makes any call fail with any documented errno
-at any time (hillchute/lab/faulty_system.py). Must never retry, wait or know a protocol: what follows from an
-error is for the caller to decide, by the sets of errno below.
+Stateless. Tests substitute another SystemCalls that makes any call fail with any documented errno at any time
+(hillchute/lab/faulty_system.py). Does not retry or wait, and is independent of any protocol: the caller
+decides how to handle an error, using the sets of errno values below.
 """
 
 import errno
@@ -10,10 +10,10 @@
 import socket
 
 TRANSIENT_ERRNOS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR})
-"""The call did nothing and may succeed if it is made again at once, or when the socket is ready."""
+"""The call had no effect and may succeed if repeated, immediately or once the socket is ready."""
 
 MEMORY_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-"""The call did nothing and may succeed if it is made again once the kernel has memory."""
+"""The call had no effect and may succeed if repeated once the kernel has memory."""
 
 ABORTED_CONNECTION_ERRNOS = frozenset(
     {
@@ -30,7 +30,7 @@
         errno.EPERM,
     }
 )
-"""Of accept(2): the error belongs to the connection that would have been accepted, not to the listener."""
+"""Errors of accept(2) that concern the connection to be accepted, not the listener."""
 
 LOCAL_RESOURCE_ERRNOS = MEMORY_ERRNOS | {
     errno.EMFILE,
@@ -43,42 +43,42 @@
     errno.EPERM,
     errno.ENETDOWN,
 }
-"""Of socket(2), connect(2) and epoll_ctl(2): this machine lacks a resource; the peer was never reached."""
+"""Errors of socket(2), connect(2) and epoll_ctl(2) for lack of a local resource: the peer was not reached."""
 
 TCP_INFO_SIZE = 64
-"""Bytes of Linux's struct tcp_info that are asked for: those up to tcpi_last_data_recv and a little more."""
+"""Bytes requested of Linux's struct tcp_info: enough to include tcpi_last_data_recv."""
 
 
 class SystemCalls:
-    """The calls as the kernel has them; each raises OSError."""
+    """The system calls of the kernel; each raises OSError on failure."""
 
     def open_stream(self, family: int) -> socket.socket:
-        """Open an unconnected TCP socket of this address family: socket(2)."""
+        """Open an unconnected TCP socket of the given address family: socket(2)."""
         return socket.socket(family, socket.SOCK_STREAM)
 
     def accept(self, listener: socket.socket) -> socket.socket:
-        """Take the next connection that the kernel holds for this listener: accept(2)."""
+        """Accept the next connection in the listener's backlog: accept(2)."""
         return listener.accept()[0]
 
     def prepare(self, sock: socket.socket) -> None:
-        """Make the socket non-blocking, and let small writes leave at once (TCP_NODELAY)."""
+        """Make the socket non-blocking, and disable the delay of small writes (TCP_NODELAY)."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def connect(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """Start to connect; a non-blocking socket raises BlockingIOError while it is in progress."""
+        """Start to connect; raises BlockingIOError while the connect is in progress: connect(2)."""
         sock.connect(address)
 
     def connect_error(self, sock: socket.socket) -> int:
-        """Return the errno with which a connect in progress ended; 0 where the connection is up."""
+        """Return the errno with which a pending connect has failed, or 0 if it has succeeded (SO_ERROR)."""
         return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def receive(self, sock: socket.socket, size: int, flags: int = 0) -> bytes:
-        """Receive up to `size` bytes; empty at the end of the stream: recv(2)."""
+        """Receive up to `size` bytes; returns empty bytes at the end of the stream: recv(2)."""
         return sock.recv(size, flags) if flags else sock.recv(size)
 
     def send(self, sock: socket.socket, data: bytes | bytearray) -> int:
-        """Send and return how many bytes the kernel took: send(2)."""
+        """Send, and return the number of bytes that the kernel has accepted: send(2)."""
         return sock.send(data)
 
     def tcp_info(self, sock: socket.socket) -> bytes:
@@ -102,13 +102,13 @@
         epoll.modify(descriptor, mask)
 
     def epoll_remove(self, epoll: select.epoll, descriptor: int) -> None:
-        """Take a descriptor off: EPOLL_CTL_DEL."""
+        """Deregister a descriptor: EPOLL_CTL_DEL."""
         epoll.unregister(descriptor)
 
     def epoll_wait(self, epoll: select.epoll, max_events: int) -> list[tuple[int, int]]:
-        """Return (descriptor, event mask) of those that are ready now, without waiting: epoll_wait(2)."""
+        """Return (descriptor, event mask) of the ready descriptors, without waiting: epoll_wait(2)."""
         return epoll.poll(0, max_events)
 
 
 SYSTEM_CALLS = SystemCalls()
-"""The kernel's own; stateless, so one serves all."""
+"""The shared instance; it has no state."""
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock steps by an hour: nothing is lost, early, late or repeated."""
+"""Steps of the wall clock by seconds and by an hour must not make anything early, late, lost or repeated."""
 
 import re
 import time
@@ -14,47 +14,47 @@
 STEPS = [-3_600, -5, 5, 3_600]
 ROOT = Path(__file__).parents[1]
 
-# Who may read the wall clock, and for what.
-WALL_CLOCK = {
-    "hillchute/log.py": "stamps of the log's lines",
-    "hillchute/net/clock.py": "the Unix time from which the router's clock starts, and stated ages",
-    "hillchute/peers/transport.py": "the Unix time from which the clock of leases starts, for incarnations",
+# The files that may read the wall clock, and their reasons.
+WALL_CLOCK_READERS = {
+    "hillchute/log.py": "timestamps of log lines",
+    "hillchute/net/clock.py": "the Unix time at which the router's clock starts, and ages of Unix times",
+    "hillchute/peers/transport.py": "the Unix time at which the lease clock starts, for incarnations",
 }
-READING = re.compile(
+WALL_CLOCK_CALL = re.compile(
     r"\btime\.time\(|\btime\.time_ns\b|\btime\.time\b(?!_)|CLOCK_REALTIME|datetime\.(now|utcnow|today)|"
     r"from time import|time\.(localtime|gmtime|ctime)\("
 )
 
 
 class SteppingWallClock:
-    """A wall clock that steps beside a monotonic one that does not."""
+    """A wall clock that can be stepped, and a monotonic clock that is not affected."""
 
     def __init__(self) -> None:
         self.monotonic_ns = 10**15
-        self.offset_ns = 17 * 10**17  # of the wall clock from the monotonic one
+        self.offset_ns = 17 * 10**17  # wall clock minus monotonic clock
 
     def unix_ns(self) -> int:
         """The wall clock's reading."""
         return self.offset_ns + self.monotonic_ns
 
     def router_clock(self) -> Clock:
-        """A router's clock that starts from these two."""
+        """A router's clock that uses these two clocks."""
         return Clock(lambda: self.monotonic_ns, self.unix_ns)
 
     def step(self, seconds: float) -> None:
-        """Set the wall clock forward, or back."""
+        """Set the wall clock forward, or back if `seconds` is negative."""
         self.offset_ns += int(seconds * 1e9)
 
 
 @pytest.mark.parametrize(
     ("nanoseconds", "down", "up"), [(0, 0, 0), (1, 0, 1), (100_000, 1, 1), (199_999, 1, 2)]
 )
-def test_nanoseconds_become_time_units(nanoseconds: int, down: int, up: int) -> None:
+def test_nanoseconds_are_converted_to_time_units(nanoseconds: int, down: int, up: int) -> None:
     assert (round_down_to_time_units(nanoseconds), round_up_to_time_units(nanoseconds)) == (down, up)
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_clock_goes_on_evenly_over_a_step(seconds: int) -> None:
+def test_clock_is_not_affected_by_a_step(seconds: int) -> None:
     wall_clock = SteppingWallClock()
     clock = wall_clock.router_clock()
     before = clock()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_start_of_an_engine_is_translated_once_and_never_makes_it_older_than_it_may_be(seconds: int) -> None:
+def test_start_time_of_an_engine_is_converted_once_and_its_age_never_overestimated(seconds: int) -> None:
     wall_clock = SteppingWallClock()
     clock = wall_clock.router_clock()
     start_times = EngineStartTimes(clock)
@@ -73,22 +73,21 @@
     started = start_times.to_router_clock(1, stated)
     assert clock() - started == 40_000
     wall_clock.step(seconds)
-    assert start_times.to_router_clock(1, stated) == started  # the same statement is no new start
-    age = clock() - start_times.to_router_clock(2, stated)  # another engine, read after the step
+    assert start_times.to_router_clock(1, stated) == started  # the same start time is not a restart
+    age = clock() - start_times.to_router_clock(2, stated)  # another engine, listed after the step
     assert 0 <= age <= 40_000
     assert clock() - started == 40_000
     if seconds > 0:
-        assert age == 40_000  # only the wall clock makes it older; this clock knows better
+        assert age == 40_000  # the age by the wall clock is larger, so the router's clock counts
 
 
-def test_start_stated_in_the_future_is_now_and_a_later_start_of_the_same_engine_is_a_new_one() -> None:
+def test_start_time_in_the_future_counts_as_now_and_a_later_one_as_a_restart() -> None:
     wall_clock = SteppingWallClock()
     clock = wall_clock.router_clock()
     start_times = EngineStartTimes(clock)
     unix = round_up_to_time_units(wall_clock.unix_ns())
-    assert (
-        start_times.to_router_clock(1, unix + 36_000_000) == clock()
-    )  # this machine's clock was set back, say
+    # For example, this machine's wall clock was set back by an hour.
+    assert start_times.to_router_clock(1, unix + 36_000_000) == clock()
     wall_clock.monotonic_ns += 5 * 10**9
     assert start_times.to_router_clock(1, unix + 36_000_000) == clock() - 50_000
     assert start_times.to_router_clock(1, unix + 36_100_000) == clock()
@@ -96,8 +95,8 @@
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_router_serves_through_a_step_and_its_timers_run_on(seconds: int) -> None:
-    """One query is out, one waits for an engine's rest, one is asked after the step; then the end begins."""
+def test_router_and_its_timers_work_during_a_step(seconds: int) -> None:
+    """One query runs during the step, one waits for the end of an ejection, and one comes during shutdown."""
     wall = {"step": 0}
 
     def unix_ns() -> int:
@@ -107,25 +106,25 @@
     try:
         client = rig.connected()
         rig.serving = False
-        out = rig.client(LOGIN + query(1))
+        first = rig.client(LOGIN + query(1))
         rig.until(lambda: len(rig.wants) == 1)
         wall["step"] = seconds * 10**9
         rig.turn(5)
-        assert len(rig.service.reducer.unanswered) == 1  # neither late nor early
-        assert out.answers() == []
+        assert len(rig.service.reducer.unanswered) == 1  # it has neither timed out nor been answered
+        assert first.answers() == []
         rig.talks[0].serve(rig.wants[0])
-        rig.until(lambda: out.answers())
+        rig.until(lambda: first.answers())
         rig.serving = True
         rig.service.reducer.scheduler.engines[1].ejected_until = rig.clock() + 500
-        began = time.monotonic()
+        sent_at = time.monotonic()
         client.write(query(2))
         rig.until(lambda: len(client.answers()) == 2)
-        assert 0.04 <= time.monotonic() - began < 5
+        assert 0.04 <= time.monotonic() - sent_at < 5
         rig.service.shutdown.begin()
         assert 0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.configuration.longest_shutdown
         client.write(query(3))  # the listener is still open
         rig.until(lambda: len(client.answers()) == 3)
-        assert out.answers() == ["served"]
+        assert first.answers() == ["served"]
         assert client.answers() == ["served"] * 3
         assert rig.wants == [f"{n:016x}" for n in (1, 2, 3)]
     finally:
@@ -133,7 +132,7 @@
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_clock_of_leases_goes_on_evenly_over_a_step(seconds: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lease_clock_is_not_affected_by_a_step(seconds: int, monkeypatch: pytest.MonkeyPatch) -> None:
     now = time.time_ns
     clock = SteadyUnixClock()
     before = clock()
@@ -141,13 +140,13 @@
     assert 0 <= clock() - before < 10_000
 
 
-def test_nothing_that_serves_reads_the_wall_clock_outside_the_files_that_are_named() -> None:
+def test_only_the_listed_files_read_the_wall_clock() -> None:
     found = {}
     for path in sorted((ROOT / "hillchute").rglob("*.py")):
         name = path.relative_to(ROOT).as_posix()
         if name.startswith("hillchute/lab/"):
             continue
-        lines = [n for n, line in enumerate(path.read_text().splitlines(), 1) if READING.search(line)]
+        lines = [n for n, line in enumerate(path.read_text().splitlines(), 1) if WALL_CLOCK_CALL.search(line)]
         if lines:
             found[name] = lines
-    assert found.keys() == WALL_CLOCK.keys(), found
+    assert found.keys() == WALL_CLOCK_READERS.keys(), found
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each type of error is raised by a path through the program, and its remedy names something that exists."""
+"""Each error type is caused by at least one test here, and its remedy names only things that exist."""
 
 import os
 import re
@@ -44,17 +44,17 @@
 
 
 class RecordingLog:
-    """A log that keeps its lines."""
+    """A log that records its lines."""
 
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
 
     def write(self, event: str, **fields: object) -> None:
-        """As Log's."""
+        """Records a line; the signature is that of Log.write."""
         self.lines.append({"event": event, **fields})
 
     def errors(self) -> dict[str, dict[str, Any]]:
-        """The lines that tell of an error, by its type."""
+        """The last line of each error type, by its name."""
         return {line["error"]: line for line in self.lines if "error" in line}
 
 
@@ -68,63 +68,63 @@
         del os.environ["EDGE_CONFIG"]
 
 
-def bad_record(tmp_path: Path) -> None:
+def missing_operator_file(tmp_path: Path) -> None:
     reading.read(tmp_path / "none.cue")
 
 
-def bus_unreadable(tmp_path: Path) -> None:
+def invalid_watch_event(tmp_path: Path) -> None:
     list(event_bus.WatchEventDecoder().feed(event_bus.FRAME_HEADER.pack(5, 0, 250) + b"x" * 50))
 
 
-def datagram_dropped(tmp_path: Path) -> None:
+def invalid_datagram(tmp_path: Path) -> None:
     datagrams.decode(b"", "a", {"b": KEY})
 
 
-def peers_not_reachable(tmp_path: Path) -> None:
+def peer_address_in_use(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         node = Node(RouterIdentity("a", 1), {}, 1, 0, None)
-        none = TransportCallbacks(due_payloads=None, on_change=None, on_fault=None)
-        PeerTransport(Address(*taken.getsockname()), {}, node, None, none).open()
+        callbacks = TransportCallbacks(due_payloads=None, on_change=None, on_fault=None)
+        PeerTransport(Address(*taken.getsockname()), {}, node, None, callbacks).open()
 
 
-def disk_not_usable(tmp_path: Path) -> None:
+def history_file_not_writable(tmp_path: Path) -> None:
     SqliteStore(tmp_path / "none" / "h.db")
 
 
-def agreement_rejected(tmp_path: Path) -> None:
+def agreement_without_offers(tmp_path: Path) -> None:
     derive_agreement([], 1)
 
 
-def signature_journal_unreadable(tmp_path: Path) -> None:
+def invalid_signature_journal(tmp_path: Path) -> None:
     (tmp_path / "signatures").write_text("no signature\n")
     SignatureJournal(tmp_path / "signatures")
 
 
 @pytest.mark.parametrize(
-    ("error", "path"),
+    ("error", "cause"),
     [
         (errors.ConfigurationError, bad_configuration),
-        (errors.OperatorFileError, bad_record),
-        (errors.EventBusProtocolError, bus_unreadable),
-        (errors.InvalidDatagramError, datagram_dropped),
-        (errors.PeerListenError, peers_not_reachable),
-        (errors.HistoryStorageError, disk_not_usable),
-        (errors.InvalidAgreementError, agreement_rejected),
-        (errors.SignatureJournalError, signature_journal_unreadable),
+        (errors.OperatorFileError, missing_operator_file),
+        (errors.EventBusProtocolError, invalid_watch_event),
+        (errors.InvalidDatagramError, invalid_datagram),
+        (errors.PeerListenError, peer_address_in_use),
+        (errors.HistoryStorageError, history_file_not_writable),
+        (errors.InvalidAgreementError, agreement_without_offers),
+        (errors.SignatureJournalError, invalid_signature_journal),
     ],
 )
-def test_type_is_raised_by_a_path_and_says_what_where_and_what_to_do(
-    tmp_path: Path, error: type[HillchuteError], path: Callable[..., None]
+def test_raised_error_has_detail_remedy_and_log_fields(
+    tmp_path: Path, error: type[HillchuteError], cause: Callable[..., None]
 ) -> None:
-    with pytest.raises(error) as fault:
-        path(tmp_path)
-    assert fault.value.detail
-    assert fault.value.remedy == error.remedy
-    assert fault.value.log_fields.keys() == {"error", "what", "where", "remedy"}
+    with pytest.raises(error) as raised:
+        cause(tmp_path)
+    assert raised.value.detail
+    assert raised.value.remedy == error.remedy
+    assert raised.value.log_fields.keys() == {"error", "what", "where", "remedy"}
 
 
 def peer_extension(log: RecordingLog) -> PeerExtension:
-    """A router with peers by the operator file, none of which it names."""
+    """The peer extension of a router whose operator file has `peers`, but no other routers under it."""
     configuration = config.RouterConfiguration(
         name="a",
         host="",
@@ -149,14 +149,14 @@
     )
 
 
-def lists_differ(log: RecordingLog, tmp_path: Path) -> None:
+def peer_lists_differ(log: RecordingLog, tmp_path: Path) -> None:
     extension = peer_extension(log)
     extension.fleet.differing_routers = {"b"}
     extension.log_statistics(0)
 
 
 def clock_behind(log: RecordingLog, tmp_path: Path) -> None:
-    """The router was up at a later time by its clock, which was then set back; another still knows that."""
+    """A peer knows a later generation of the router, whose wall clock was then set back."""
     extension = peer_extension(log)
     node = extension.node
     node.set_keys({"b": KEY}, EPOCH)
@@ -168,7 +168,7 @@
 
 
 def extension_context(log: RecordingLog) -> ExtensionContext:
-    """What the part among peers gives to router a, which has the peer b."""
+    """The context of the extensions of router a, which has the peer b."""
     node = Node(RouterIdentity("a", EPOCH // 10), {"b": KEY}, 1, EPOCH, None)
     return ExtensionContext(
         node=node, clock=lambda: EPOCH, log=log, handle=lambda event: None, schedule_messages=lambda: None
@@ -176,25 +176,25 @@
 
 
 def history_extension(log: RecordingLog, **changes: object) -> tuple[HistoryExtension, Mapping[str, Any]]:
-    """A history whose settings have these changes, and the settings."""
+    """A history extension with these changes to its settings, and the settings."""
     text = "history: {number: 2, default: {}}\n" + 'peers: {name: "a", listen: "127.0.0.1:1", others: []}'
     settings = reading.hold(text)["history"] | changes
     return HistoryExtension(settings=settings, context=extension_context(log)), settings
 
 
-def book_not_taken(log: RecordingLog, tmp_path: Path) -> None:
-    held, settings = history_extension(log)
-    held.reload(settings | {"number": 1})
+def policies_rejected(log: RecordingLog, tmp_path: Path) -> None:
+    extension, settings = history_extension(log)
+    extension.reload(settings | {"number": 1})
 
 
-def book_not_current(log: RecordingLog, tmp_path: Path) -> None:
-    held, _ = history_extension(log)
-    held.replica.context.living = lambda: {"a": 1, "b": 1}
-    held.replica.views.proposed, held.replica.views.policies_numbers = object(), {"b": 1}
-    held.log_statistics(EPOCH)
+def policies_stale(log: RecordingLog, tmp_path: Path) -> None:
+    extension, _ = history_extension(log)
+    extension.replica.context.living = lambda: {"a": 1, "b": 1}
+    extension.replica.views.proposed, extension.replica.views.policies_numbers = object(), {"b": 1}
+    extension.log_statistics(EPOCH)
 
 
-def disk_in_the_log(log: RecordingLog, tmp_path: Path) -> None:
+def history_file_logged_as_not_writable(log: RecordingLog, tmp_path: Path) -> None:
     history_extension(log, disk=str(tmp_path / "none" / "h.db"))
 
 
@@ -226,29 +226,29 @@
         seed=1,
         router_clock=lambda: EPOCH,
     )
-    two = [Signature("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
-    extension.negotiation.ledger.equivocations["x"] = Equivocation(*two)
+    signatures = [Signature("x", 1, bytes([n]) * 32, bytes(64)) for n in (1, 2)]
+    extension.negotiation.ledger.equivocations["x"] = Equivocation(*signatures)
     extension.log_statistics(EPOCH)
 
 
 @pytest.mark.parametrize(
-    ("error", "path"),
+    ("error", "cause"),
     [
-        (errors.PeerListMismatchError, lists_differ),
+        (errors.PeerListMismatchError, peer_lists_differ),
         (errors.ClockBehindError, clock_behind),
         (errors.PartnerEquivocationError, partner_equivocated),
-        (errors.PoliciesRejectedError, book_not_taken),
-        (errors.StalePoliciesError, book_not_current),
-        (errors.HistoryStorageError, disk_in_the_log),
+        (errors.PoliciesRejectedError, policies_rejected),
+        (errors.StalePoliciesError, policies_stale),
+        (errors.HistoryStorageError, history_file_logged_as_not_writable),
         (errors.AcceptPausedError, accept_paused),
         (errors.UnknownEngineKindError, unknown_kind),
     ],
 )
-def test_type_is_in_the_log_with_its_remedy(
-    tmp_path: Path, error: type[HillchuteError], path: Callable[..., None]
+def test_logged_error_has_its_remedy(
+    tmp_path: Path, error: type[HillchuteError], cause: Callable[..., None]
 ) -> None:
     log = RecordingLog()
-    path(log, tmp_path)
+    cause(log, tmp_path)
     line = log.errors()[error.__name__]
     assert line["what"]
     assert line["remedy"] == error.remedy
@@ -261,31 +261,31 @@
     ]
 
 
-def test_every_type_is_caused_here() -> None:
+def test_every_error_type_is_caused_in_this_file() -> None:
     source = Path(__file__).read_text()
     assert all(f"(errors.{kind.__name__}, " in source for kind in error_types() if kind is not HillchuteError)
 
 
-def test_remedies_name_what_exists() -> None:
+def test_remedies_name_only_what_exists() -> None:
     paths = {path.replace("?", "") for path, _, _ in reading.fields()}
     names = {re.sub(r"\[.*?\]", "", part) for path in paths for part in (path, path.split(".")[-1])}
     environ = {"EDGE_CONFIG", "HILLCHUTE_OPERATOR"}
     sources = "".join(file.read_text() for file in (ROOT / "hillchute").rglob("*.py"))
     assert all(f'"{name}"' in sources for name in environ)
     commands = {"hillchute check"}
-    platform = Path(config.__file__).read_text()  # it reads each key of the platform's file by its name
+    platform = Path(config.__file__).read_text()  # contains the name of each key of the platform's file
     for kind in error_types():
         if kind is HillchuteError:
             continue
         assert kind.remedy, kind
-        for said in re.findall(r"`([^`]+)`", kind.remedy):
-            known = said in names or said in commands or any(path.startswith(said) for path in names)
-            assert known or f'"{said}"' in platform, f"{kind.__name__}: {said}"
+        for quoted in re.findall(r"`([^`]+)`", kind.remedy):
+            known = quoted in names or quoted in commands or any(path.startswith(quoted) for path in names)
+            assert known or f'"{quoted}"' in platform, f"{kind.__name__}: {quoted}"
         for word in re.findall(r"\b[A-Z][A-Z_]{4,}\b", kind.remedy):
             assert word in environ or hasattr(signal, word), f"{kind.__name__}: {word}"
 
 
-def test_start_that_is_refused_says_what_to_do(tmp_path: Path) -> None:
+def test_router_that_cannot_start_prints_the_remedy(tmp_path: Path) -> None:
     (tmp_path / "c.json").write_bytes(orjson.dumps(deployment.table()))
     (tmp_path / "o.cue").write_text("peers: 5")
     environ = os.environ | {
