--- a/hillchute/engines/__init__.py
+++ b/hillchute/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Sql engines: one package a protocol."""
+"""Connections to SQL engines: one package per protocol."""
--- a/hillchute/engines/flight/__init__.py
+++ b/hillchute/engines/flight/__init__.py
@@ -1,1 +1,1 @@
-"""Sql engines that speak Arrow Flight SQL: links.py holds the channels and the calls on them."""
+"""SQL engines that speak Arrow Flight SQL: links.py holds the gRPC channels and the calls on them."""
--- a/hillchute/engines/flight/links.py
+++ b/hillchute/engines/flight/links.py
@@ -1,8 +1,8 @@
-"""Connections to sql engines on Arrow Flight SQL: one channel each, many calls on it.
+"""Connections to SQL engines that speak Arrow Flight SQL: one gRPC channel per connection, with many calls.
 
-Owns the channels and the calls. Must never know what a command is for, nor judge an engine. What proves that
-nothing ran is as strict as on the line protocol: asking for a FlightInfo runs nothing, so whatever goes wrong
-before its ticket is used is a refusal; after that only an engine's own word for it counts.
+Owns the channels and the calls. Does not judge engines. What counts as proof that a query did not run is as
+strict as on the line protocol: GetFlightInfo runs nothing, so if it fails, the query did not run; once DoGet
+or DoPut was called, only an error reason sent by the engine itself can prove that.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,157 +21,180 @@
 from hillchute.protocol.status import reason
 
 SECOND = 10_000  # tenths of a millisecond
-ALIVE = 1_000  # milliseconds between two pings of a channel: a machine that vanished is found within two
-LARGEST = 1e9  # of any figure that an engine reports
-BEAT = 4  # a line that is up is heard so many times within the time after which it counts as silent
+KEEPALIVE_MS = 1_000  # ping interval and ping timeout: a vanished machine is detected within their sum
+MAX_NUMBER = 1e9  # limit of any number in an engine's trailers and load reports
+LIVENESS_REPORTS = 4  # number of times that an open channel is reported as alive per silence limit
 
-# An engine's own words in a call's details, as endings; every other end of a call that ran is `severed`.
-ENDINGS = {"FULL": "saturated", "STALE": "superseded", "FAILED": "errored"}
-BROKEN = (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.CANCELLED, grpc.StatusCode.DEADLINE_EXCEEDED)
+# Values of AttemptResult, by the error reason in the status details that an engine sends.
+RESULT_BY_REASON = {"FULL": "saturated", "STALE": "superseded", "FAILED": "errored"}
+# Without such a reason, a call that failed with one of these codes is `severed`, any other `errored`.
+CONNECTION_LOST_CODES = (
+    grpc.StatusCode.UNAVAILABLE,
+    grpc.StatusCode.CANCELLED,
+    grpc.StatusCode.DEADLINE_EXCEEDED,
+)
 
 
 class Stream:
-    """A result as an engine sends it: messages as they are, one at a time, the next when it is asked for."""
+    """A streamed result. Passes messages on unchanged; each one is fetched when it is read."""
 
-    def __init__(self, link: "Link", id: str, call, first: list[bytes]) -> None:
-        self.link, self.id, self.call = link, id, call
-        self.ahead = first
-        self.over = False
-        self.broken = False  # it ended before its end
+    def __init__(self, connection: "FlightConnection", id: str, call, buffered: list[bytes]) -> None:
+        self.connection, self.id, self.call = connection, id, call
+        self.buffered = buffered  # messages that were received before the stream was handed out
+        self.ended = False
+        self.broken = False  # it ended before its last message
 
     async def read(self) -> bytes | None:
-        """The next message; None after the last, or where the stream broke off: then the query is told so."""
-        if self.ahead:
-            return self.ahead.pop(0)
-        if self.over:
+        """The next message; None after the last one, and if the stream breaks off.
+
+        Both are also reported as the end of the run.
+        """
+        if self.buffered:
+            return self.buffered.pop(0)
+        if self.ended:
             return None
         try:
             raw = await self.call.read()
         except anyio.get_cancelled_exc_class():
-            if self.over:  # closed from this side while it was read: that is no cancel of the reader
+            if self.ended:  # the cancellation comes from close(), not from the reader's own scope
                 return None
             raise
-        except grpc.aio.AioRpcError as fault:
+        except grpc.aio.AioRpcError as error:
             self.broken = True
-            self.ended(ending(fault), fault.trailing_metadata())
+            self.finish(attempt_result(error), error.trailing_metadata())
             return None
         if raw is grpc.aio.EOF:
-            self.ended("finished", await self.call.trailing_metadata())
+            self.finish("finished", await self.call.trailing_metadata())
             return None
-        self.link.heard()
+        self.connection.report_alive()
         return raw
 
-    def ended(self, result: str, trailers) -> None:
-        if not self.over:
-            self.over = True
-            self.link.tell_end(self.id, result, trailers)
+    def finish(self, result: str, trailers) -> None:
+        """Reports the end of the stream, once."""
+        if not self.ended:
+            self.ended = True
+            self.connection.on_stream_ended(self.id, result, trailers)
 
     def close(self) -> None:
-        self.broken = self.broken or not self.over
-        self.over = True
-        self.ahead.clear()
+        """Cancels the call; the end of the stream is not reported."""
+        self.broken = self.broken or not self.ended
+        self.ended = True
+        self.buffered.clear()
         self.call.cancel()
 
 
-def ending(fault: grpc.aio.AioRpcError, ran: bool = True) -> str:
-    """A call's end as an ending; `ran`: whether anything may have run by then."""
-    said = ENDINGS.get(reason(fault.trailing_metadata()) or "")
-    if said is not None:
-        return said
-    if not ran:
+def attempt_result(error: grpc.aio.AioRpcError, may_have_run: bool = True) -> str:
+    """The value of the AttemptResult for a failed call; `may_have_run` is false before DoGet and DoPut."""
+    result = RESULT_BY_REASON.get(reason(error.trailing_metadata()) or "")
+    if result is not None:
+        return result
+    if not may_have_run:
         return "refused_conn"
-    return "severed" if fault.code() in BROKEN else "errored"
+    return "severed" if error.code() in CONNECTION_LOST_CODES else "errored"
 
 
-def figures(trailers) -> tuple[float | None, dict[str, float] | None]:
-    """The work and the load report in a call's trailers; what is no figure in range is passed over."""
+def parse_trailers(trailers) -> tuple[float | None, dict[str, float] | None]:
+    """The CPU time in milliseconds and the load report in a call's trailers; invalid numbers are ignored."""
     work = report = None
     for name, value in trailers or ():
         if name == "x-hillchute-work":
-            work = figure(value)
+            work = parse_number(value)
         elif name == "x-hillchute-report":
             pairs = (pair.partition(":") for pair in value.split(";"))
-            known = {n: f for n, _, v in pairs if (f := figure(v)) is not None}
-            report = known or None
+            numbers = {n: f for n, _, v in pairs if (f := parse_number(v)) is not None}
+            report = numbers or None
     return work, report
 
 
-def figure(text: str) -> float | None:
+def parse_number(text: str) -> float | None:
+    """A number from 0 to MAX_NUMBER; None for any other text."""
     try:
         value = float(text)
     except ValueError:
         return None
-    return value if 0 <= value <= LARGEST else None
+    return value if 0 <= value <= MAX_NUMBER else None
 
 
-class Link:
-    """A channel to an engine, from the first try on."""
+class FlightConnection:
+    """A channel to an engine, from the start of the connect on."""
 
-    def __init__(self, links: "Links", number: int) -> None:
-        self.links, self.number = links, number
+    def __init__(self, owner: "Links", number: int) -> None:
+        self.owner, self.number = owner, number
         self.scope = anyio.CancelScope()
         self.channel: grpc.aio.Channel | None = None
-        self.runs: dict[str, anyio.CancelScope] = {}
-        self.streams: dict[str, Stream] = {}
-        self.up = False
+        self.run_scopes: dict[str, anyio.CancelScope] = {}  # by run id, until the run or its stream has ended
+        self.streams: dict[str, Stream] = {}  # by run id
+        self.is_open = False
 
-    def say(self, what: words.Said) -> None:
-        if self.up:
-            self.links.handle(events.Said(self.number, what))
+    def emit(self, message: words.Said) -> None:
+        if self.is_open:
+            self.owner.handle(events.Said(self.number, message))
 
-    def heard(self) -> None:
-        self.say(None)
+    def report_alive(self) -> None:
+        self.emit(None)
 
-    def tell_end(self, id: str, result: str, trailers) -> None:
+    def on_stream_ended(self, id: str, result: str, trailers) -> None:
         self.streams.pop(id, None)
-        self.runs.pop(id, None)
-        work, report = figures(trailers)
-        self.say(words.Ended(id, result, work, report))
+        self.run_scopes.pop(id, None)
+        work, report = parse_trailers(trailers)
+        self.emit(words.Ended(id, result, work, report))
 
 
 class Links:
-    """Links by number. `handle` takes what happens to them, as the reducer's events."""
+    """All connections to engines. `handle` receives their events."""
 
     def __init__(
         self,
         settings: Mapping[str, object],
         log: Log,
         handle: Callable[[events.Event], None],
-        wait: int,
-        silence: int,
+        connect_timeout: int,
+        silence_limit: int,
     ) -> None:
-        """`settings`: the operator file's `engines`; `wait`: how long a connection may take to come up;
-        `silence`: how long one may say nothing; both in tenths of a millisecond."""
+        """`settings` are those under `engines` in the operator file. The reducer gives a connection up after
+        `silence_limit` without a message. Both times are in tenths of a millisecond."""
         self.settings, self.log, self.handle = settings, log, handle
-        self.wait, self.beat = wait, max(0.05, silence / SECOND / BEAT)
-        self.links: dict[int, Link] = {}
+        self.connect_timeout, self.liveness_interval = (
+            connect_timeout,
+            max(0.05, silence_limit / SECOND / LIVENESS_REPORTS),  # seconds
+        )
+        self.links: dict[int, FlightConnection] = {}  # by number
         self.tasks: anyio.abc.TaskGroup
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
+        """Starts to connect."""
         self.tasks = tasks
-        link = self.links[number] = Link(self, number)
-        tasks.start_soon(self.alone, self.live, link, f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
-
-    async def alone(self, work: Callable, *about: object) -> None:
-        """Runs a task of its own. A call that is cancelled brings that up as a cancel in whoever waits for
-        it, and a task that ends so would take the whole router with it; so would any fault."""
+        connection = self.links[number] = FlightConnection(self, number)
+        tasks.start_soon(
+            self.alone,
+            self.run_connection,
+            connection,
+            f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
+        )
+
+    async def alone(self, function: Callable, *arguments: object) -> None:
+        """Runs a function as a task whose failure does not end the router's task group.
+
+        When a call is cancelled, gRPC raises the cancellation in the task that awaits the call. A task that
+        ended with it would end the whole router, and so would any exception.
+        """
         try:
-            await work(*about)
+            await function(*arguments)
         except anyio.get_cancelled_exc_class():
             if self.tasks.cancel_scope.cancel_called:
                 raise
-        except Exception as fault:
-            self.log.write("fault", what=work.__name__, reason=repr(fault))
+        except Exception as error:
+            self.log.write("fault", what=function.__name__, reason=repr(error))
 
-    def channel(self, address: str) -> grpc.aio.Channel:
+    def create_channel(self, address: str) -> grpc.aio.Channel:
         options = [
             ("grpc.max_receive_message_length", self.settings["message_bytes"]),
             ("grpc.max_send_message_length", -1),
-            ("grpc.keepalive_time_ms", ALIVE),
-            ("grpc.keepalive_timeout_ms", ALIVE),
+            ("grpc.keepalive_time_ms", KEEPALIVE_MS),
+            ("grpc.keepalive_timeout_ms", KEEPALIVE_MS),
             ("grpc.http2.max_pings_without_data", 0),
-            ("grpc.enable_retries", 0),  # whether to ask again is the module's
-            ("grpc.use_local_subchannel_pool", 1),  # two channels to an engine are two connections
+            ("grpc.enable_retries", 0),  # retries are decided by the scheduler
+            ("grpc.use_local_subchannel_pool", 1),  # each channel to an engine has its own connection
         ]
         authority = self.settings.get("authority")
         if authority is None:
@@ -180,136 +203,151 @@
             credentials = grpc.ssl_channel_credentials(file.read())
         return grpc.aio.secure_channel(address, credentials, options=options)
 
-    async def live(self, link: Link, address: str) -> None:
-        """The life of a channel: comes up, beats while it is up, ends when it breaks or is hung up."""
-        why = "hung up"
-        with link.scope:
+    async def run_connection(self, connection: FlightConnection, address: str) -> None:
+        """Connects, reports the channel as alive while it is open, and reports when it is lost."""
+        end_reason = "closed by the router"
+        with connection.scope:
             try:
-                link.channel = self.channel(address)
-                with anyio.fail_after(self.wait / SECOND):
-                    await link.channel.channel_ready()
-            except (OSError, TimeoutError) as fault:
-                self.links.pop(link.number, None)
-                await self.close(link)
-                why = str(fault) or "time-out"
-                self.log.write("connect_failed", connection=link.number, address=address, reason=why)
-                self.handle(events.NotConnected(link.number, events.ConnectFault.UNREACHED))
+                connection.channel = self.create_channel(address)
+                with anyio.fail_after(self.connect_timeout / SECOND):
+                    await connection.channel.channel_ready()
+            except (OSError, TimeoutError) as error:
+                self.links.pop(connection.number, None)
+                await self.close_channel(connection)
+                end_reason = str(error) or "connect timed out"
+                self.log.write(
+                    "connect_failed", connection=connection.number, address=address, reason=end_reason
+                )
+                self.handle(events.NotConnected(connection.number, events.ConnectFault.UNREACHED))
                 return
-            link.up = True
-            self.handle(events.Connected(link.number))
-            why = await self.watch(link)
-        link.up = False
-        known = self.links.pop(link.number, None) is not None
-        for scope in list(link.runs.values()):
+            connection.is_open = True
+            self.handle(events.Connected(connection.number))
+            end_reason = await self.watch_channel(connection)
+        connection.is_open = False
+        known = self.links.pop(connection.number, None) is not None  # false after hang_up()
+        for scope in list(connection.run_scopes.values()):
             scope.cancel()
-        for stream in list(link.streams.values()):
+        for stream in list(connection.streams.values()):
             stream.close()
         with anyio.CancelScope(shield=True):
-            await self.close(link)
+            await self.close_channel(connection)
         if known:
-            self.handle(events.Lost(link.number, why))
+            self.handle(events.Lost(connection.number, end_reason))
+
+    async def close_channel(self, connection: FlightConnection) -> None:
+        if connection.channel is not None:
+            await connection.channel.close(None)
 
-    async def close(self, link: Link) -> None:
-        if link.channel is not None:
-            await link.channel.close(None)
+    async def watch_channel(self, connection: FlightConnection) -> str:
+        """Reports the channel as alive until it breaks; returns the reason.
 
-    async def watch(self, link: Link) -> str:
-        """Until the channel breaks. One that the engine ends in good order (GOAWAY) comes up again by itself;
-        calls that are open on it go on."""
+        If the engine closes the channel in an orderly way (GOAWAY), the channel reconnects by itself, and its
+        open calls continue.
+        """
         while True:
-            state = link.channel.get_state(try_to_connect=True)
+            state = connection.channel.get_state(try_to_connect=True)
             if state in (grpc.ChannelConnectivity.TRANSIENT_FAILURE, grpc.ChannelConnectivity.SHUTDOWN):
-                return "broken, or closed by the engine"
+                return "broken or closed by the engine"
             if state is grpc.ChannelConnectivity.READY:
-                link.heard()
-            with anyio.move_on_after(self.beat):
-                await link.channel.wait_for_state_change(state)
+                connection.report_alive()
+            with anyio.move_on_after(self.liveness_interval):
+                await connection.channel.wait_for_state_change(state)
 
     def hang_up(self, number: int) -> None:
-        link = self.links.pop(number, None)
-        if link is not None:
-            link.up = False
-            link.scope.cancel()
+        """Closes a connection; no event follows."""
+        connection = self.links.pop(number, None)
+        if connection is not None:
+            connection.is_open = False
+            connection.scope.cancel()
 
     # ---- commands ---------------------------------------------------------------------------------
 
     def send(self, number: int, commands: list[words.Command]) -> None:
-        link = self.links.get(number)
-        if link is None or not link.up:
+        """Starts a call for each command; does nothing if the connection is not open."""
+        connection = self.links.get(number)
+        if connection is None or not connection.is_open:
             return
         for command in commands:
             match command:
                 case words.Run():
-                    self.tasks.start_soon(self.alone, self.run, link, command)
+                    self.tasks.start_soon(self.alone, self.run, connection, command)
                 case words.GiveUp(id) | words.Unwanted(id):
-                    self.give_up(link, id)
+                    self.cancel(connection, id)
                 case words.Hurry(id, rank):
-                    self.tasks.start_soon(self.alone, self.act, link, "hillchute.hurry", f"{id} {rank}")
+                    self.tasks.start_soon(
+                        self.alone, self.do_action, connection, "hillchute.hurry", f"{id} {rank}"
+                    )
                 case words.Probe(tag):
-                    self.tasks.start_soon(self.alone, self.probe, link, tag)
+                    self.tasks.start_soon(self.alone, self.check_health, connection, tag)
 
-    def give_up(self, link: Link, id: str) -> None:
-        stream = link.streams.pop(id, None)
+    def cancel(self, connection: FlightConnection, id: str) -> None:
+        """Cancels a run and its stream."""
+        stream = connection.streams.pop(id, None)
         if stream is not None:
             stream.close()
-        scope = link.runs.pop(id, None)
+        scope = connection.run_scopes.pop(id, None)
         if scope is not None:
             scope.cancel()
 
     def metadata(self, run: words.Run | None = None) -> list[tuple[str, str]]:
-        known = []
+        """The headers of a call."""
+        headers = []
         if self.settings.get("token"):
-            known.append(("authorization", f"Bearer {self.settings['token']}"))
+            headers.append(("authorization", f"Bearer {self.settings['token']}"))
         if run is not None:
-            known += [("x-hillchute-id", run.id), ("x-hillchute-lane", run.group)]
-            known += [("x-hillchute-dedupe", run.token)] if run.token is not None else []
-            known += [("x-hillchute-rank", str(run.rank))] if run.rank is not None else []
-        return known
-
-    async def run(self, link: Link, run: words.Run) -> None:
-        scope = link.runs[run.id] = anyio.CancelScope()
+            headers += [("x-hillchute-id", run.id), ("x-hillchute-lane", run.group)]
+            headers += [("x-hillchute-dedupe", run.token)] if run.token is not None else []
+            headers += [("x-hillchute-rank", str(run.rank))] if run.rank is not None else []
+        return headers
+
+    async def run(self, connection: FlightConnection, run: words.Run) -> None:
+        """Runs a statement; one with an idempotency key is an update, any other a query."""
+        scope = connection.run_scopes[run.id] = anyio.CancelScope()
         with scope:
             try:
                 if run.token is not None:
-                    await self.put(link, run)
+                    await self.run_update(connection, run)
                 else:
-                    await self.get(link, run)
-            except grpc.aio.AioRpcError as fault:
-                self.told(link, run, ending(fault), fault.trailing_metadata())
+                    await self.run_query(connection, run)
+            except grpc.aio.AioRpcError as error:
+                self.end_run(connection, run, attempt_result(error), error.trailing_metadata())
             except grpc.aio.UsageError:
-                self.told(link, run, "severed", None)  # the channel was closed meanwhile
+                self.end_run(connection, run, "severed", None)  # the channel was closed meanwhile
             except anyio.get_cancelled_exc_class():
                 if scope.cancel_called or self.tasks.cancel_scope.cancel_called:
                     raise
-                # A call that was cancelled brings its cancel up in whoever waits for it; that ends it alone.
-                self.told(link, run, "severed", None)
-            except Exception as fault:
-                self.log.write("fault", what=f"run on connection {link.number}", reason=repr(fault))
-                self.told(link, run, "severed", None)
-            except arrow.Unreadable as fault:
-                self.log.write("result_unreadable", connection=link.number, reason=str(fault))
-                self.told(link, run, "severed", None)
-
-    def told(self, link: Link, run: words.Run, result: str, trailers) -> None:
-        if link.runs.pop(run.id, None) is not None:
-            work, report = figures(trailers)
-            link.say(words.Ended(run.id, result, work, report))
-
-    async def get(self, link: Link, run: words.Run) -> None:
-        """A query: its ticket, then its stream up to the first batch; whoever passes it on reads the rest."""
+                # gRPC raises the cancellation of a call in the task that awaits it: only this run ends.
+                self.end_run(connection, run, "severed", None)
+            except Exception as error:
+                self.log.write("fault", what=f"run on connection {connection.number}", reason=repr(error))
+                self.end_run(connection, run, "severed", None)
+            except arrow.Unreadable as error:
+                self.log.write("result_unreadable", connection=connection.number, reason=str(error))
+                self.end_run(connection, run, "severed", None)
+
+    def end_run(self, connection: FlightConnection, run: words.Run, result: str, trailers) -> None:
+        """Reports the end of a run without a result, unless the run was cancelled."""
+        if connection.run_scopes.pop(run.id, None) is not None:
+            work, report = parse_trailers(trailers)
+            connection.emit(words.Ended(run.id, result, work, report))
+
+    async def run_query(self, connection: FlightConnection, run: words.Run) -> None:
+        """Gets the ticket of a query, then its stream up to the first batch; the consumer reads the rest."""
         timeout = run.within / 1000
         query = arrow.command(sql.CommandStatementQuery(query=run.statement.decode()))
-        ask = link.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
+        get_info = connection.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
         try:
-            raw = await ask(query.SerializeToString(), timeout=timeout, metadata=self.metadata(run))
-        except grpc.aio.AioRpcError as fault:
-            self.told(link, run, ending(fault, ran=False), fault.trailing_metadata())
+            raw = await get_info(query.SerializeToString(), timeout=timeout, metadata=self.metadata(run))
+        except grpc.aio.AioRpcError as error:
+            self.end_run(
+                connection, run, attempt_result(error, may_have_run=False), error.trailing_metadata()
+            )
             return
         info = arrow.read(flight.FlightInfo, raw)
         if len(info.endpoint) != 1:
-            raise arrow.Unreadable(f"{len(info.endpoint)} endpoints; one is spoken here")
+            raise arrow.Unreadable(f"expected one endpoint in the FlightInfo, got {len(info.endpoint)}")
         ticket = info.endpoint[0].ticket.SerializeToString()
-        fetch = link.channel.unary_stream(f"{arrow.SERVICE}DoGet")
+        fetch = connection.channel.unary_stream(f"{arrow.SERVICE}DoGet")
         call = fetch(ticket, timeout=timeout, metadata=self.metadata(run))
         first = []
         while len(first) < 2:  # the schema and a batch
@@ -317,54 +355,55 @@
             if raw is grpc.aio.EOF:
                 break
             if not first and not arrow.read(flight.FlightData, raw).data_header:
-                raise arrow.Unreadable("a result without a schema")
+                raise arrow.Unreadable("the first message of a result has no schema")
             first.append(raw)
-            link.heard()
-        if run.id not in link.runs:
+            connection.report_alive()
+        if run.id not in connection.run_scopes:
             call.cancel()
             return
-        stream = Stream(link, run.id, call, first)
-        link.streams[run.id] = stream
-        link.say(words.Began(run.id, stream))
+        stream = Stream(connection, run.id, call, first)
+        connection.streams[run.id] = stream
+        connection.emit(words.Began(run.id, stream))
 
-    async def put(self, link: Link, run: words.Run) -> None:
-        """A statement for its effect: one put, one count."""
+    async def run_update(self, connection: FlightConnection, run: words.Run) -> None:
+        """Runs an update with DoPut; its result is the number of records changed."""
         update = arrow.command(sql.CommandStatementUpdate(query=run.statement.decode()))
         message = flight.FlightData(flight_descriptor=update).SerializeToString()
-        put = link.channel.stream_stream(f"{arrow.SERVICE}DoPut")
+        put = connection.channel.stream_stream(f"{arrow.SERVICE}DoPut")
         call = put(timeout=run.within / 1000, metadata=self.metadata(run))
         await call.write(message)
         await call.done_writing()
         raw = await call.read()
         if raw is grpc.aio.EOF:
             await call.code()
-            raise arrow.Unreadable("a put without a count")
+            raise arrow.Unreadable("DoPut ended without a record count")
         result = arrow.read(flight.PutResult, raw)
         count = arrow.read(sql.DoPutUpdateResult, result.app_metadata).record_count
         trailers = await call.trailing_metadata()
-        if link.runs.pop(run.id, None) is not None:
-            work, report = figures(trailers)
-            link.say(words.Whole(run.id, [[str(count).encode(), words.CHANGED, b""]], work, report))
+        if connection.run_scopes.pop(run.id, None) is not None:
+            work, report = parse_trailers(trailers)
+            connection.emit(words.Whole(run.id, [[str(count).encode(), words.CHANGED, b""]], work, report))
 
-    async def act(self, link: Link, kind: str, body: str) -> bytes | None:
-        """An action of the engines' own; None where it came to nothing."""
-        call = link.channel.unary_stream(f"{arrow.SERVICE}DoAction")
+    async def do_action(self, connection: FlightConnection, kind: str, body: str) -> bytes | None:
+        """Calls a custom action of the engines; returns the first result, or None if there is none."""
+        call = connection.channel.unary_stream(f"{arrow.SERVICE}DoAction")
         action = flight.Action(type=kind, body=body.encode()).SerializeToString()
         try:
-            async for raw in call(action, timeout=self.wait / SECOND, metadata=self.metadata()):
+            async for raw in call(action, timeout=self.connect_timeout / SECOND, metadata=self.metadata()):
                 return flight.Result.FromString(raw).body
         except (grpc.aio.AioRpcError, grpc.aio.UsageError):
             return None
         return None
 
-    async def probe(self, link: Link, tag: str) -> None:
-        body = await self.act(link, "hillchute.busy", tag)
+    async def check_health(self, connection: FlightConnection, tag: str) -> None:
+        """Requests a load report. If none comes, nothing is reported: the reducer has its own time limit."""
+        body = await self.do_action(connection, "hillchute.busy", tag)
         if body is None:
-            return  # an answer that does not come is told by the reducer's own clock
+            return
         try:
-            known = orjson.loads(body)
-            report = {str(n): f for n, v in known.items() if (f := figure(str(v))) is not None}
+            values = orjson.loads(body)
+            report = {str(n): f for n, v in values.items() if (f := parse_number(str(v))) is not None}
         except (orjson.JSONDecodeError, AttributeError):
-            link.say(words.Probed(tag, "errored"))
+            connection.emit(words.Probed(tag, "errored"))
             return
-        link.say(words.Probed(tag, "finished", report))
+        connection.emit(words.Probed(tag, "finished", report))
--- a/hillchute/engines/line/__init__.py
+++ b/hillchute/engines/line/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's line protocol: wire.py is the codec without I/O, links.py the connections on sockets."""
+"""The platform's line protocol: wire.py is the codec and does no I/O, links.py holds the connections."""
--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -1,9 +1,8 @@
-"""Connections to sql engines on the line protocol: commands out, answers in.
+"""Connections to SQL engines that speak the line protocol.
 
-Owns their sockets from the first try on, and the commands that an engine which does not read has not been
-written yet. Must never know what a command is for, nor judge an engine: what ended a connection is told with
-its reason, and the reducer draws the conclusion. How long a connection may take to come up is the
-reducer's too.
+Owns their sockets, from the start of the connect on, and queues commands for engines that do not read. Does
+not judge engines: the end of a connection is reported with its reason, and the reducer decides what follows.
+The reducer also limits how long a connect may take.
 """
 
 import contextlib
@@ -26,73 +25,79 @@
 from hillchute.net.poller import Poller
 from hillchute.net.system_calls import LOCAL_RESOURCE_ERRNOS
 
-READ = 65_536  # bytes read at once
-HELD = 262_144  # bytes waiting for an engine that does not read; then its connection is cut
+READ_SIZE = 65_536  # bytes per read
+MAX_UNSENT_SIZE = (
+    262_144  # bytes that may wait for an engine that does not read; beyond that, its connection is closed
+)
 MILLISECOND = 10  # tenths of a millisecond
 
 
-class Held(NamedTuple):
-    """A command that was not written yet, not even its first byte."""
+class QueuedCommand(NamedTuple):
+    """A command of which no byte was written yet."""
 
     command: words.Command
-    since: Time
+    queued_at: Time
 
 
 class Link:
-    """A connection to an engine, from the first try on."""
+    """A connection to an engine, from the start of the connect on."""
 
-    __slots__ = ("number", "sock", "pipe", "exchange", "held", "held_size", "served")
+    __slots__ = ("number", "sock", "pipe", "protocol", "queue", "queue_size", "served")
 
     def __init__(self, number: int, sock: socket.socket | None = None) -> None:
         self.number = number
-        self.sock = sock  # while it is coming up
-        self.pipe: BufferedSocket | None = None
-        self.exchange = Exchange()
-        self.held: deque[Held] = deque()
-        self.held_size = 0  # bytes of the statements among them
-        self.served = 0
-
-    def hold(self, command: words.Command, now: Time) -> None:
-        """Guards departed clients and deadlines: what is still here can be taken back, and is looked at again
-        before it is written; bytes in a buffer could not be."""
-        if isinstance(command, words.GiveUp | words.Unwanted) and self.take_back(command.id):
+        self.sock = sock  # until the connection is open
+        self.pipe: BufferedSocket | None = None  # once the connection is open
+        self.protocol = Exchange()
+        self.queue: deque[QueuedCommand] = deque()
+        self.queue_size = 0  # bytes of the statements in the queue
+        self.served = 0  # number of the event loop round in which it was last served
+
+    def enqueue(self, command: words.Command, now: Time) -> None:
+        """Queues a command; if it cancels a run that is still queued, removes that run instead.
+
+        Queued commands, unlike bytes in a send buffer, can be withdrawn: a run whose client has left or whose
+        deadline has passed while the engine did not read is never sent.
+        """
+        if isinstance(command, words.GiveUp | words.Unwanted) and self.remove_queued(command.id):
             return
-        self.held.append(Held(command, now))
-        self.held_size += size_of(command)
-
-    def take_back(self, id: str) -> bool:
-        """Whether the run of this id was still held; then nothing of it is written."""
-        before = len(self.held)
-        kept = [item for item in self.held if getattr(item.command, "id", None) != id]
-        if len(kept) == before or not any(is_run(item.command, id) for item in self.held):
+        self.queue.append(QueuedCommand(command, now))
+        self.queue_size += statement_size(command)
+
+    def remove_queued(self, id: str) -> bool:
+        """Removes the commands for a run from the queue; false if the run itself is not queued."""
+        before = len(self.queue)
+        kept = [item for item in self.queue if getattr(item.command, "id", None) != id]
+        if len(kept) == before or not any(is_run(item.command, id) for item in self.queue):
             return False
-        self.held = deque(kept)
-        self.held_size = sum(size_of(item.command) for item in kept)
+        self.queue = deque(kept)
+        self.queue_size = sum(statement_size(item.command) for item in kept)
         return True
 
-    def release(self, now: Time) -> words.Command:
-        """The first that is held; a run with what is left of its time, which may be nothing."""
-        command, since = self.held.popleft()
-        self.held_size -= size_of(command)
+    def dequeue(self, now: Time) -> words.Command:
+        """Takes the first queued command; the time limit of a run is reduced by its time in the queue and may
+        then be zero or negative."""
+        command, queued_at = self.queue.popleft()
+        self.queue_size -= statement_size(command)
         if not isinstance(command, words.Run):
             return command
-        return command._replace(within=command.within - -(-(now - since) // MILLISECOND))
+        return command._replace(within=command.within - -(-(now - queued_at) // MILLISECOND))
 
-    def unwritten(self) -> list[str]:
-        """Ids of the runs and tags of the probes that are held."""
-        return asked_among(item.command for item in self.held)
+    def queued_ids(self) -> list[str]:
+        """Ids of the runs and tags of the health checks in the queue."""
+        return request_ids(item.command for item in self.queue)
 
 
 def is_run(command: words.Command, id: str) -> bool:
     return isinstance(command, words.Run) and command.id == id
 
 
-def size_of(command: words.Command) -> int:
+def statement_size(command: words.Command) -> int:
     return len(command.statement) if isinstance(command, words.Run) else 0
 
 
 class Links:
-    """Links by number. `handle` takes what happens to them, as the reducer's events."""
+    """All connections to engines. `handle` receives their events."""
 
     def __init__(
         self,
@@ -100,175 +105,190 @@
         log: Log,
         handle: Callable[[events.Event], None],
         clock: Callable[[], Time],
-        wanted: Callable[[str], bool],
+        client_is_waiting: Callable[[str], bool],
     ) -> None:
-        """`wanted` tells, right before the first byte of a run is written, whether its client still waits."""
-        self.wanted = wanted
+        """`client_is_waiting` is called with the id of a run right before the run is written; if it returns
+        false, the run is not sent."""
+        self.client_is_waiting = client_is_waiting
         self.poller, self.log, self.handle, self.clock = poller, log, handle, clock
         self.system = poller.system
-        self.links: dict[int, Link] = {}
+        self.links: dict[int, Link] = {}  # by number
 
-    # ---- coming up ----------------------------------------------------------------------------------
+    # ---- connecting ---------------------------------------------------------------------------------
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins to connect. The reducer ends it with hang_up() where it takes too long."""
-        link = self.links[number] = Link(number)
+        """Starts to connect. There is no time limit here: the reducer calls hang_up() after its own."""
+        connection = self.links[number] = Link(number)
         try:
-            link.sock = self.system.open_stream(socket.AF_INET6 if ":" in host else socket.AF_INET)
-            self.system.prepare(link.sock)
-            if self.begin(link, (host, port)):
-                self.connected(link)
+            connection.sock = self.system.open_stream(socket.AF_INET6 if ":" in host else socket.AF_INET)
+            self.system.prepare(connection.sock)
+            if self.start_connect(connection, (host, port)):
+                self.on_connected(connection)
             else:
-                self.poller.add(link.sock, link, writing=True)
-        except OSError as fault:
-            self.not_connected(link, fault)
+                self.poller.add(connection.sock, connection, writing=True)
+        except OSError as error:
+            self.on_connect_failed(connection, error)
 
-    def begin(self, link: Link, address: tuple[str, int]) -> bool:
-        """Whether the connection is up at once."""
+    def start_connect(self, connection: Link, address: tuple[str, int]) -> bool:
+        """Returns whether the connection is open already; raises OSError if the connect has failed."""
         try:
-            self.system.connect(link.sock, address)
-        except OSError as fault:
-            # Interrupted, it goes on all the same: connect(2).
-            if fault.errno not in (errno.EINPROGRESS, errno.EINTR):
+            self.system.connect(connection.sock, address)
+        except OSError as error:
+            # An interrupted connect continues in the background: connect(2).
+            if error.errno not in (errno.EINPROGRESS, errno.EINTR):
                 raise
             return False
         return True
 
-    def came_up(self, link: Link) -> None:
-        """The kernel has decided on a connect in progress."""
+    def finish_connect(self, connection: Link) -> None:
+        """Handles the end of a pending connect."""
         try:
-            fault = self.system.connect_error(link.sock)
-            if fault:
-                raise OSError(fault, os.strerror(fault))
-            self.poller.remove(link.sock)
-            self.connected(link)
-        except OSError as fault:
-            self.not_connected(link, fault)
-
-    def connected(self, link: Link) -> None:
-        link.pipe = BufferedSocket(link.sock, self.poller, link, READ)
-        link.sock = None
-        self.handle(events.Connected(link.number))
-
-    def not_connected(self, link: Link, fault: OSError) -> None:
-        self.links.pop(link.number, None)
-        self.close_connecting(link)
-        self.log.write("connect_failed", connection=link.number, reason=str(fault))
-        self.handle(events.NotConnected(link.number, connect_fault(fault)))
-
-    def close_connecting(self, link: Link) -> None:
-        if link.sock is None:
+            number = self.system.connect_error(connection.sock)
+            if number:
+                raise OSError(number, os.strerror(number))
+            self.poller.remove(connection.sock)
+            self.on_connected(connection)
+        except OSError as error:
+            self.on_connect_failed(connection, error)
+
+    def on_connected(self, connection: Link) -> None:
+        connection.pipe = BufferedSocket(connection.sock, self.poller, connection, READ_SIZE)
+        connection.sock = None
+        self.handle(events.Connected(connection.number))
+
+    def on_connect_failed(self, connection: Link, error: OSError) -> None:
+        self.links.pop(connection.number, None)
+        self.close_connecting_socket(connection)
+        self.log.write("connect_failed", connection=connection.number, reason=str(error))
+        self.handle(events.NotConnected(connection.number, classify_connect_error(error)))
+
+    def close_connecting_socket(self, connection: Link) -> None:
+        if connection.sock is None:
             return
-        self.poller.remove(link.sock)
+        self.poller.remove(connection.sock)
         with contextlib.suppress(OSError):
-            self.system.close(link.sock)
-        link.sock = None
+            self.system.close(connection.sock)
+        connection.sock = None
 
     # ---- commands -----------------------------------------------------------------------------------
 
     def send(self, number: int, commands: list[words.Command]) -> None:
-        link = self.links.get(number)
-        if link is None or link.pipe is None:
+        """Writes commands in order, or queues them if the engine has not read the earlier ones.
+
+        Does nothing if the connection is not open. Closes the connection, and reports it as lost, if its
+        engine has closed it or does not read.
+        """
+        connection = self.links.get(number)
+        if connection is None or connection.pipe is None:
             return
-        if link.pipe.unsent:
+        if connection.pipe.unsent:
             now = self.clock()
             for command in commands:
-                link.hold(command, now)
-        elif not link.exchange.open and link.pipe.has_ended():
-            # Guards a command against the end of a connection that was idle: nothing of it has left.
-            self.lost(link, "closed by the engine while idle", asked_among(commands))
+                connection.enqueue(command, now)
+        elif not connection.protocol.open_runs and connection.pipe.has_ended():
+            # The engine has closed an idle connection. No byte of these commands is sent, so none of them can
+            # have run, and they may be sent on another connection.
+            self.lost(connection, "closed by the engine while idle", request_ids(commands))
             return
         else:
-            self.write(link, commands)
-        if len(link.pipe.unsent) + link.held_size > HELD:
-            self.lost(link, "not reading", link.unwritten())
-
-    def write(self, link: Link, commands: list[words.Command]) -> None:
-        """Commands of which the kernel took no byte are held, so that they can be taken back."""
-        commands = [command for command in commands if self.still_wanted(link, command)]
-        encoded = [link.exchange.encode(command) for command in commands]
-        taken = link.pipe.write(b"".join(encoded)) if encoded else 0
-        if link.pipe.broken:
-            # One call writes all or fails whole: no byte of these has left.
-            self.lost(link, "broken as it was written", [*asked_among(commands), *link.unwritten()])
+            self.write(connection, commands)
+        if len(connection.pipe.unsent) + connection.queue_size > MAX_UNSENT_SIZE:
+            self.lost(
+                connection, f"over {MAX_UNSENT_SIZE} bytes not read by the engine", connection.queued_ids()
+            )
+
+    def write(self, connection: Link, commands: list[words.Command]) -> None:
+        """Writes commands. Those of which the kernel accepts no byte are queued and can be withdrawn."""
+        commands = [command for command in commands if self.check_wanted(connection, command)]
+        encoded = [connection.protocol.encode(command) for command in commands]
+        accepted = connection.pipe.write(b"".join(encoded)) if encoded else 0
+        if connection.pipe.broken:
+            # The commands were passed to one send call, and one that fails has sent no byte of any of them.
+            self.lost(connection, "broken while writing", [*request_ids(commands), *connection.queued_ids()])
             return
-        if not link.pipe.unsent:
+        if not connection.pipe.unsent:
             return
         now, end = self.clock(), 0
         for command, data in zip(commands, encoded):
             begin, end = end, end + len(data)
-            if begin >= taken:
-                link.pipe.discard_unsent(len(data))
-                link.hold(command, now)
+            if begin >= accepted:
+                connection.pipe.discard_unsent(len(data))
+                connection.enqueue(command, now)
 
-    def still_wanted(self, link: Link, command: words.Command) -> bool:
-        if not isinstance(command, words.Run) or command.within > 0 and self.wanted(command.id):
+    def check_wanted(self, connection: Link, command: words.Command) -> bool:
+        """Returns false for a run whose time limit has passed or whose client has left, and reports it."""
+        if not isinstance(command, words.Run) or command.within > 0 and self.client_is_waiting(command.id):
             return True
-        self.handle(events.NotSent(link.number, command.id))
+        self.handle(events.NotSent(connection.number, command.id))
         return False
 
-    def release(self, link: Link) -> None:
-        """The engine reads again: what was held is written, as far as it is still wanted."""
-        while link.held and not link.pipe.unsent and link.number in self.links:
-            self.write(link, [link.release(self.clock())])
+    def write_queued(self, connection: Link) -> None:
+        """Writes queued commands until the engine stops reading again."""
+        while connection.queue and not connection.pipe.unsent and connection.number in self.links:
+            self.write(connection, [connection.dequeue(self.clock())])
 
     # ---- answers ------------------------------------------------------------------------------------
 
-    def ready(self, link: Link, readable: bool, writable: bool) -> None:
-        if link.pipe is None:
-            if link.sock is not None:  # else it was hung up earlier in this round, after the poll
-                self.came_up(link)
+    def ready(self, connection: Link, readable: bool, writable: bool) -> None:
+        """Handles a socket that the poller has reported."""
+        if connection.pipe is None:
+            if connection.sock is not None:  # None if the router has closed it since the poll
+                self.finish_connect(connection)
             return
-        if writable and not link.pipe.closed:
-            link.pipe.flush()
-            self.release(link)
-        if readable and not link.pipe.closed:
-            self.read(link)
-
-    def read(self, link: Link) -> None:
-        data = link.pipe.read()
+        if writable and not connection.pipe.closed:
+            connection.pipe.flush()
+            self.write_queued(connection)
+        if readable and not connection.pipe.closed:
+            self.read(connection)
+
+    def read(self, connection: Link) -> None:
+        data = connection.pipe.read()
         if data is None:
             return
         if not data:
-            self.lost(link, "closed by the engine, or broken", link.unwritten())
+            self.lost(connection, "closed by the engine or broken", connection.queued_ids())
             return
         try:
-            for said in link.exchange.feed(data):
-                self.handle(events.Said(link.number, said))
-            if link.exchange.owed and not link.pipe.closed:
-                link.pipe.write(link.exchange.owed)
-                link.exchange.owed = b""
-        except wire.Unreadable as fault:
-            self.lost(link, f"unreadable: {fault}", link.unwritten())
-
-    # ---- the end ------------------------------------------------------------------------------------
-
-    def lost(self, link: Link, why: str, never_left: Iterable[str] = ()) -> None:
-        """`never_left`: the runs and probes of which no byte can have reached the engine."""
-        if link.pipe is None:
-            self.close_connecting(link)
+            for message in connection.protocol.feed(data):
+                self.handle(events.Said(connection.number, message))
+            if connection.protocol.owed and not connection.pipe.closed:
+                connection.pipe.write(connection.protocol.owed)
+                connection.protocol.owed = b""
+        except wire.Unreadable as error:
+            self.lost(connection, f"unreadable: {error}", connection.queued_ids())
+
+    # ---- closing ------------------------------------------------------------------------------------
+
+    def lost(self, connection: Link, reason: str, never_sent: Iterable[str] = ()) -> None:
+        """Closes a connection and reports it as lost.
+
+        `never_sent`: ids of runs and tags of health checks of which no byte can have reached the engine.
+        """
+        if connection.pipe is None:
+            self.close_connecting_socket(connection)
         else:
-            link.pipe.close()
-        if self.links.pop(link.number, None) is not None:
-            self.handle(events.Lost(link.number, why, frozenset(never_left)))
+            connection.pipe.close()
+        if self.links.pop(connection.number, None) is not None:
+            self.handle(events.Lost(connection.number, reason, frozenset(never_sent)))
 
     def hang_up(self, number: int) -> None:
-        link = self.links.pop(number, None)
-        if link is None:
+        """Closes a connection; no event follows."""
+        connection = self.links.pop(number, None)
+        if connection is None:
             return
-        if link.pipe is None:
-            self.close_connecting(link)
+        if connection.pipe is None:
+            self.close_connecting_socket(connection)
         else:
-            link.pipe.close()
+            connection.pipe.close()
 
 
-def asked_among(commands: Iterable[words.Command]) -> list[str]:
-    """Ids of runs and tags of probes."""
+def request_ids(commands: Iterable[words.Command]) -> list[str]:
+    """Ids of the runs and tags of the health checks among the commands."""
     runs = [command.id for command in commands if isinstance(command, words.Run)]
     return runs + [command.tag for command in commands if isinstance(command, words.Probe)]
 
 
-def connect_fault(fault: OSError) -> ConnectFault:
-    if fault.errno == errno.ECONNREFUSED:
+def classify_connect_error(error: OSError) -> ConnectFault:
+    if error.errno == errno.ECONNREFUSED:
         return ConnectFault.REFUSED
-    return ConnectFault.LOCAL if fault.errno in LOCAL_RESOURCE_ERRNOS else ConnectFault.UNREACHED
+    return ConnectFault.LOCAL if error.errno in LOCAL_RESOURCE_ERRNOS else ConnectFault.UNREACHED
--- a/hillchute/engines/line/wire.py
+++ b/hillchute/engines/line/wire.py
@@ -1,54 +1,67 @@
-"""The sql engines' protocol: commands out, answers in, as lines of words with a counted body.
+"""Codec of the line protocol: commands to engines and answers from them, including load reports.
 
-Owns the spelling of commands and answers, and the form of load reports. Must never do I/O or know what a
-query is for; what can't be read is an Unreadable, after which the connection is of no more use.
+An answer is a line of four words and a body whose length the fourth word states; of the commands only `want`
+has a body. Performs no I/O. After Unreadable is raised, the connection can't be used any more.
 """
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
-LONGEST_LINE = 4_096  # bytes of an answer's words; the protocol's own are a few hundred at most
-LONGEST_BODY = 6_000  # bytes of a page, by the protocol
-MOST_PARTS = 64  # pages of a result: it holds 48,000 bytes at most, and a page whole rows
-LARGEST = 1e9  # of any figure: 11 days of work, or a thousand times the memory of any engine
+MAX_LINE_SIZE = 4_096  # bytes of an answer's line; the protocol needs a few hundred at most
+MAX_BODY_SIZE = 6_000  # bytes of a page, as the protocol defines
+MAX_PAGES = 64  # per result: a result has at most 48,000 bytes, and a page holds whole rows
+MAX_NUMBER = 1e9  # limit of all values: 11 days of CPU time, or a thousand times the memory of any engine
 
-ENDINGS = {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}
+ENDINGS = {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}  # values of AttemptResult
+# The second word of an answer's line.
 WORDS = {"ACK", "BLOCK", "EVENT", "READY", "AILING", *ENDINGS}
-TOPICS = {"advance": 1, "disk": 2, "stall": 3}  # as the module counts notes
+TOPICS = {"advance": 1, "disk": 2, "stall": 3}  # the topics of words.Noted
 
 
 class Unreadable(Exception):
-    """Bytes that are not what the protocol says."""
+    """Bytes from an engine that violate the protocol."""
 
 
 class Want(NamedTuple):
+    """Run a statement."""
+
     id: str
     group: str
-    ttl: int  # milliseconds
+    ttl: int  # time limit for the result, in milliseconds
     rank: int | None
     token: str | None
     statement: bytes
 
 
 class NeverMind(NamedTuple):
+    """Cancel a run."""
+
     id: str
 
 
 class Hurry(NamedTuple):
+    """Change the priority of a run."""
+
     id: str
     rank: int
 
 
 class Turn(NamedTuple):
+    """Request a page of a result; the first page has number 0."""
+
     id: str
     page: int
 
 
 class Shut(NamedTuple):
+    """Discard the rest of a result."""
+
     id: str
 
 
 class Busy(NamedTuple):
+    """Request a load report."""
+
     tag: str
 
 
@@ -56,51 +69,55 @@
 
 
 class Answer(NamedTuple):
-    """One answer, decoded and checked: what is not in it stands at its default."""
+    """A decoded and validated answer; fields that it lacks have their defaults."""
 
     id: str
     word: str
     body: bytes = b""
     parts: int = 1
     part: int = 0
-    topic: int = 0  # of a note; 0: none that the module knows
-    value: float = 0.0  # of a note
-    work: float | None = None  # milliseconds on one core
+    topic: int = 0  # of a progress report; 0 if unknown
+    value: float = 0.0  # of a progress report
+    work: float | None = None  # CPU time in milliseconds on one core
     report: dict[str, float] | None = None
 
 
-def whole(text: str, what: str, least: int, most: int) -> int:
-    if not text.isascii() or not text.isdigit() or len(text) > 9 or not least <= int(text) <= most:
-        raise Unreadable(f"{what}: {text[:40]} is not a whole number from {least} to {most}")
+def parse_integer(text: str, name: str, minimum: int, maximum: int) -> int:
+    """An integer within bounds; raises Unreadable for any other text."""
+    if not text.isascii() or not text.isdigit() or len(text) > 9 or not minimum <= int(text) <= maximum:
+        raise Unreadable(f"{name}: expected an integer from {minimum} to {maximum}, got {text[:40]}")
     return int(text)
 
 
-def figure(text: str, what: str) -> float:
+def parse_number(text: str, name: str) -> float:
+    """A number from 0 to MAX_NUMBER; raises Unreadable for any other text."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
-    if not 0 <= value <= LARGEST:  # also false where it is no number: nothing to reckon with
-        raise Unreadable(f"{what}: {text[:40]} is no figure in range")
+    if not 0 <= value <= MAX_NUMBER:  # also rejects NaN
+        raise Unreadable(f"{name}: expected a number from 0 to {MAX_NUMBER:g}, got {text[:40]}")
     return value
 
 
-def load_report(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     pairs = (pair.partition(":") for pair in text.split(";"))
-    return {name: figure(value, f"rep: {name}") for name, _, value in pairs}
+    return {name: parse_number(value, f"rep: {name}") for name, _, value in pairs}
 
 
-READERS = {
-    "parts": ("parts", lambda text: whole(text, "parts", 1, MOST_PARTS)),
-    "part_no": ("part", lambda text: whole(text, "part_no", 1, MOST_PARTS)),
+# By name on the wire: the field of Answer, and the parser of its value.
+FIELD_PARSERS = {
+    "parts": ("parts", lambda text: parse_integer(text, "parts", 1, MAX_PAGES)),
+    "part_no": ("part", lambda text: parse_integer(text, "part_no", 1, MAX_PAGES)),
     "why": ("topic", lambda text: TOPICS.get(text, 0)),
-    "value": ("value", lambda text: figure(text, "value")),
-    "work": ("work", lambda text: figure(text, "work")),
-    "rep": ("report", load_report),
+    "value": ("value", lambda text: parse_number(text, "value")),
+    "work": ("work", lambda text: parse_number(text, "work")),
+    "rep": ("report", parse_load_report),
 }
 
 
 def encode(command: Command) -> bytes:
+    """The bytes of a command."""
     match command:
         case Want(id, group, ttl, rank, token, statement):
             fields = f"lane={group},ttl={ttl}"
@@ -123,61 +140,61 @@
 
 
 class Decoder:
-    """Answers out of bytes that come in pieces."""
+    """Decodes answers from chunks of bytes."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Answer]:
-        """The answers that are whole now; those before one that can't be read are given first."""
-        self.rest += data
+        """Yields the answers that are complete; raises Unreadable after those before an invalid one."""
+        self.buffer += data
         at = 0
         try:
-            while (read := read_answer(self.rest, at)) is not None:
-                answer, at = read
+            while (parsed := parse_answer(self.buffer, at)) is not None:
+                answer, at = parsed
                 yield answer
         finally:
-            self.rest = self.rest[at:]
+            self.buffer = self.buffer[at:]
 
 
-def read_answer(data: bytes, at: int) -> tuple[Answer, int] | None:
-    """The answer that begins at this place and where the next one does; None if it has not come whole."""
-    end = data.find(b"\r\n", at, at + LONGEST_LINE)
+def parse_answer(data: bytes, at: int) -> tuple[Answer, int] | None:
+    """The answer that starts at offset `at`, and the offset after it; None if the answer is incomplete."""
+    end = data.find(b"\r\n", at, at + MAX_LINE_SIZE)
     if end < 0:
-        if len(data) - at >= LONGEST_LINE:
-            raise Unreadable("a line is too long")
+        if len(data) - at >= MAX_LINE_SIZE:
+            raise Unreadable(f"a line exceeds {MAX_LINE_SIZE} bytes")
         return None
     try:
         words = data[at:end].decode("ascii").split(" ")
     except UnicodeDecodeError:
         raise Unreadable("a line is not ASCII") from None
     if len(words) != 4 or words[1] not in WORDS:
-        raise Unreadable(f"not four words, or not an answer's: {' '.join(words)[:80]}")
-    id, word, listed, size = words
+        raise Unreadable(f"expected four words with a known kind of answer, got: {' '.join(words)[:80]}")
+    id, word, pairs, size = words
     start = end + 2
-    stop = start + whole(size, "length", 0, LONGEST_BODY)
+    stop = start + parse_integer(size, "length", 0, MAX_BODY_SIZE)
     if len(data) < stop + 2:
         return None
     if data[stop : stop + 2] != b"\r\n":
-        raise Unreadable(f"{word}: no line end after the body")
-    known = {}
-    for pair in listed.split(",") if listed != "-" else ():
+        raise Unreadable(f"{word}: the body does not end with CRLF after {stop - start} bytes")
+    fields = {}
+    for pair in pairs.split(",") if pairs != "-" else ():
         name, sign, text = pair.partition("=")
         if not sign:
             raise Unreadable(f"{word}: field {name[:40]} has no value")
-        if name in READERS:
-            key, read = READERS[name]
-            known[key] = read(text)
-    return Answer(id, word, data[start:stop], **known), stop + 2
+        if name in FIELD_PARSERS:
+            field, parse = FIELD_PARSERS[name]
+            fields[field] = parse(text)
+    return Answer(id, word, data[start:stop], **fields), stop + 2
 
 
 def rows(text: bytes) -> list[list[bytes]]:
-    """The rows of a whole result: three columns each."""
+    """The rows in the body of a page, with three columns each; raises Unreadable if it is malformed."""
     if not text:
         return []
     if not text.endswith(b"\n"):
-        raise Unreadable("the last row has no end")
-    found = [line.split(b"\t") for line in text[:-1].split(b"\n")]
-    if set(map(len, found)) != {3}:
-        raise Unreadable("a row has not three columns")
-    return found
+        raise Unreadable("the last row does not end with a line feed")
+    parsed = [line.split(b"\t") for line in text[:-1].split(b"\n")]
+    if set(map(len, parsed)) != {3}:
+        raise Unreadable("a row does not have three columns")
+    return parsed
--- a/hillchute/engines/words.py
+++ b/hillchute/engines/words.py
@@ -1,80 +1,80 @@
-"""What passes between the reducer and a link to an sql engine, whichever protocol the link speaks.
+"""Commands to SQL engines and messages from them, as plain values that are independent of the protocol.
 
-Owns the commands and what engines say, as plain values. Must never hold a protocol's spelling, nor decide.
-Times are milliseconds where a field says so, else whole tenths of a millisecond.
+They pass between the reducer and the connections to engines. Times are whole tenths of a millisecond unless a
+comment says otherwise.
 """
 
 from typing import NamedTuple, Protocol
 
-Rows = list[list[bytes]]  # three text columns, in order
-CHANGED = b"records changed"  # beside the count, in the one row that tells what an update did
+Rows = list[list[bytes]]  # each row holds the values of three text columns
+CHANGED = b"records changed"  # label of the row count in the one result row of an update
 
 # ---- commands -------------------------------------------------------------------------------------
 
 
 class Run(NamedTuple):
-    """Run a statement; an answer is waited for so many milliseconds."""
+    """Run the statement of a query."""
 
-    id: str
-    group: str
-    within: int
-    rank: int | None
-    token: str | None
+    id: str  # of the query
+    group: str  # the resource group
+    within: int  # time limit for the result, in milliseconds
+    rank: int | None  # priority
+    token: str | None  # idempotency key
     statement: bytes
 
 
 class GiveUp(NamedTuple):
-    """The submission is given up: no answer is wanted."""
+    """Cancel a run: its result is no longer needed."""
 
     id: str
 
 
 class Hurry(NamedTuple):
-    """A new priority."""
+    """Change the priority of a run."""
 
     id: str
     rank: int
 
 
 class Unwanted(NamedTuple):
-    """The run is over, what is left of its result is not wanted."""
+    """Discard the rest of a result: the run is over, and nobody reads its result."""
 
     id: str
 
 
 class Probe(NamedTuple):
-    """How loaded are you?"""
+    """Check the engine's health: ask for a load report."""
 
     tag: str
 
 
 Command = Run | GiveUp | Hurry | Unwanted | Probe
 
-# ---- what engines say -----------------------------------------------------------------------------
+# ---- messages from engines ------------------------------------------------------------------------
 
 
 class Stream(Protocol):
-    """A result that is still coming, as batches; whoever reads it slowly holds the engine back."""
+    """A streamed result, as record batches. Reading it slowly slows down the engine (backpressure)."""
 
-    broken: bool  # it ended before its end
+    broken: bool  # the stream ended before its last message
 
     async def read(self) -> bytes | None:
-        """The next message as the engine sent it, None after the last."""
+        """The next message, as the engine sent it; None after the last one."""
 
     def close(self) -> None:
-        """Nothing more is wanted of it."""
+        """Cancels the stream: no further messages are read."""
 
 
 class Over(NamedTuple):
-    """The run is over; its result is on its way."""
+    """A run has completed; its result follows."""
 
     id: str
-    work: float | None = None  # milliseconds on one core
-    report: dict[str, float] | None = None
+    work: float | None = None  # CPU time used, in milliseconds on one core
+    report: dict[str, float] | None = None  # load report
 
 
 class Whole(NamedTuple):
-    """The whole result has come."""
+    """The complete result of a run has been received."""
 
     id: str
     rows: Rows
@@ -83,15 +83,17 @@
 
 
 class Began(NamedTuple):
-    """The first of a result that comes as a stream."""
+    """The first messages of a streamed result have been received."""
 
     id: str
     stream: Stream
 
 
 class Ended(NamedTuple):
-    """A submission's ending without a result, or the end of its stream: finished, saturated, errored,
-    superseded or severed."""
+    """A run has ended without a result, or its streamed result has ended.
+
+    `result` is the value of an AttemptResult: finished, saturated, errored, superseded or severed.
+    """
 
     id: str
     result: str
@@ -100,7 +102,7 @@
 
 
 class Noted(NamedTuple):
-    """It is not over yet: topic 1 share done, 2 megabytes missing, 3 what it waits for."""
+    """Progress of an unfinished run. Topics: 1 fraction done, 2 megabytes missing, 3 what it waits for."""
 
     id: str
     topic: int
@@ -108,9 +110,11 @@
 
 
 class Probed(NamedTuple):
+    """The answer to a health check; `result` is the value of an AttemptResult."""
+
     tag: str
     result: str
     report: dict[str, float] | None = None
 
 
-Said = Over | Whole | Began | Ended | Noted | Probed | None  # None: something came that says nothing
+Said = Over | Whole | Began | Ended | Noted | Probed | None  # None: the engine is alive, nothing else
