--- a/hillchute/partners/__init__.py
+++ b/hillchute/partners/__init__.py
@@ -1,1 +1,1 @@
-"""Several operators over one pool of engines: agreements on shares, slot ownership, and forwarded queries."""
+"""Sharing of one engine pool by several operators: share agreements, slot ownership and forwarded queries."""
--- a/hillchute/partners/agreement_ledger.py
+++ b/hillchute/partners/agreement_ledger.py
@@ -1,12 +1,13 @@
-"""All that one router knows of offers, agreements and signatures, and which agreement is accepted by it.
+"""The offers, agreements and signatures that one router knows, and the agreements that it has accepted.
 
-Pure, and it sends nothing. What is known is a set that only grows, so every router comes to the same state
-from the same messages, in whatever order and however often they arrive. An agreement is accepted once every
-partner has signed it. So whatever is lost, repeated, late or crashes in between, either the old agreement
-holds or the new one: one that lacks a signature is none, and the old one stands to its end. That routers
-learn of a new agreement at different times is settled in slot_ownership.py.
+Performs no I/O and sends no messages. The entries form a set to which received ones are added, so all routers
+reach the same state from the same messages, whatever their order and however often they are repeated. An
+agreement is accepted once every partner has signed it. Lost, repeated or late messages and crashes therefore
+leave either the old agreement or the new one in force: an agreement that lacks a signature has no effect, and
+the old one stays in force until its end. slot_ownership.py handles routers that learn of a new agreement at
+different times.
 
-Times are tenths of a millisecond since the Unix epoch.
+Times are in tenths of a millisecond since the Unix epoch.
 """
 
 from collections.abc import Iterable
@@ -25,42 +26,46 @@
     signed_bytes,
 )
 
-# Bounds what a partner that signs without end can make others store: of each partner's signatures those with
-# the highest numbers are kept, and as many agreements that nobody signed.
+# Limits the memory that a partner can occupy at other routers by signing without end. Of each partner's
+# signatures, those with the highest agreement numbers are kept. The same limit applies to the number of
+# agreements without any signature.
 MAX_SIGNED_AGREEMENTS = 16
 
 
 class AgreementLedger:
-    """Offers, agreements, signatures, notices and proofs of equivocation, each verified before it is kept."""
+    """Offers, agreements, signatures, notices and equivocation proofs, each verified before it is stored."""
 
     def __init__(self, partners: Iterable[str], verify: Verify) -> None:
-        """`partners`: as the operator files name them; an agreement needs the signatures of all of them."""
+        """`partners`: the partners in the operator file. An agreement needs the signatures of all of them."""
         self.partners = frozenset(partners)
         self.verify = verify
-        self.offers: dict[str, SignedOffer] = {}  # the latest of each partner
+        self.offers: dict[str, SignedOffer] = {}  # by partner: the offer with the highest revision
         self.agreements: dict[bytes, Agreement] = {}  # by digest
         self.signatures: dict[bytes, dict[str, Signature]] = {}  # by digest, then by partner
         self.notices: dict[tuple[int, str], SignedNotice] = {}  # by agreement number and partner
         self.equivocations: dict[str, Equivocation] = {}  # by partner
         self.fully_signed: dict[
             int, Agreement
-        ] = {}  # by number: with the signatures of all that have a share
+        ] = {}  # by number: agreements signed by every partner that has a share in them
         self.accepted: dict[
             int, Agreement
-        ] = {}  # by number: those of them in which every partner has a share
+        ] = {}  # by number: fully signed agreements in which every partner has a share
 
     def set_partners(self, partners: Iterable[str], verify: Verify) -> None:
-        """The operator names other partners. What was accepted stays accepted."""
+        """Replace the partners after a change of the operator file. Accepted agreements stay accepted."""
         self.partners = frozenset(partners)
         self.verify = verify
 
-    # ---- what is received --------------------------------------------------------------------------
+    # ---- recording of received entries -------------------------------------------------------------
 
     def record_offer(self, offer: Offer, signature: Signature) -> bool:
-        """Whether the offer is genuine. Of two with one revision every router keeps the same."""
+        """Record an offer if it is genuine, and return whether it is.
+
+        Of two offers with the same revision, every router keeps the one with the higher digest.
+        """
         known = self.offers.get(offer.partner)
         if known == (offer, signature):
-            return True  # it comes again with each exchange
+            return True  # verified before; each exchange repeats it
         matches = (
             signature.partner == offer.partner
             and signature.digest == content_digest(offer)
@@ -77,7 +82,10 @@
         return True
 
     def record_agreement(self, agreement: Agreement) -> bool:
-        """Whether the agreement is valid. Of those that nobody signed, a bounded number is kept."""
+        """Record an agreement if it is valid and between known partners, and return whether it is.
+
+        At most MAX_SIGNED_AGREEMENTS agreements without a signature are kept; the oldest is dropped first.
+        """
         if invalid_agreement_field(agreement) or not agreement.shares.keys() <= self.partners:
             return False
         digest = content_digest(agreement)
@@ -89,7 +97,10 @@
         return True
 
     def record_signature(self, signature: Signature) -> bool:
-        """Whether the signature on an agreement is genuine. Of each partner a bounded number is kept."""
+        """Record a signature on an agreement if it is genuine, and return whether it is.
+
+        At most MAX_SIGNED_AGREEMENTS signatures of each partner are kept, those with the highest numbers.
+        """
         if signature.partner in self.signatures.get(signature.digest, {}):
             return True
         if not self.is_genuine(SignedKind.AGREEMENT, signature):
@@ -102,13 +113,16 @@
             lowest_number, lowest_digest = known[0]
             if signature.number <= lowest_number:
                 return True
-            self._forget_signature(lowest_digest, signature.partner)
+            self._remove_signature(lowest_digest, signature.partner)
         self.signatures.setdefault(signature.digest, {})[signature.partner] = signature
         self.accept_if_signed(signature.digest)
         return True
 
     def record_equivocation(self, one: Signature, other: Signature) -> bool:
-        """Whether two signatures prove an equivocation. Of several proofs every router keeps the lowest."""
+        """Record two signatures as a proof of equivocation if they are one, and return whether they are.
+
+        Of several proofs against one partner, every router keeps the first in the order of `_proof_order`.
+        """
         known = self.equivocations.get(one.partner)
         if known == (one, other):
             return True
@@ -121,7 +135,10 @@
         return True
 
     def record_notice(self, notice: TerminationNotice, signature: Signature) -> bool:
-        """Whether the notice is genuine. Of several to one agreement the earliest counts."""
+        """Record a termination notice if it is genuine, and return whether it is.
+
+        Of several notices of one partner to one agreement, the earliest is kept.
+        """
         key = (notice.agreement_number, notice.partner)
         known = self.notices.get(key)
         if known == (notice, signature):
@@ -138,19 +155,19 @@
         return True
 
     def is_genuine(self, kind: SignedKind, signature: Signature) -> bool:
-        """Whether a known partner made the signature, on content of this kind."""
+        """Return whether the signature was made by a known partner on content of this kind."""
         content = signed_bytes(kind, signature.number, signature.digest)
         return signature.partner in self.partners and self.verify(signature.partner, content, signature.value)
 
     def _signed_by(self, partner: str) -> list[tuple[int, bytes]]:
-        """Number and digest of what a partner signed, the lowest first."""
+        """Return number and digest of each agreement that a partner signed, in rising order."""
         return sorted(
             (signatures[partner].number, digest)
             for digest, signatures in self.signatures.items()
             if partner in signatures
         )
 
-    def _forget_signature(self, digest: bytes, partner: str) -> None:
+    def _remove_signature(self, digest: bytes, partner: str) -> None:
         self.signatures[digest].pop(partner)
         if not self.signatures[digest]:
             del self.signatures[digest]
@@ -159,8 +176,8 @@
     def accept_if_signed(self, digest: bytes) -> None:
         """Accept an agreement that every partner has signed under the agreement's own number.
 
-        One that only some partners share and signed is not accepted, but kept as what a later agreement may
-        have as its predecessor.
+        An agreement between some of the partners that all of them signed is not accepted, but a later
+        agreement may name it as its predecessor.
         """
         agreement = self.agreements.get(digest)
         if agreement is None:
@@ -173,22 +190,22 @@
         if agreement.shares.keys() >= self.partners:
             self.accepted[agreement.number] = agreement
 
-    # ---- what follows from it ----------------------------------------------------------------------
+    # ---- accepted agreements -----------------------------------------------------------------------
 
     def latest(self) -> Agreement | None:
-        """The accepted agreement with the highest number."""
+        """Return the accepted agreement with the highest number."""
         return self.accepted[max(self.accepted)] if self.accepted else None
 
     def in_force(self, now: Time) -> Agreement | None:
-        """Of the accepted agreements that have started the highest, unless it has ended."""
+        """Return the highest-numbered accepted agreement that has started; None if that one has ended."""
         started = [number for number, agreement in self.accepted.items() if agreement.starts_at <= now]
         agreement = self.accepted[max(started)] if started else None
         return agreement if agreement is not None and now < agreement.ends_at else None
 
     def departed(self, agreement: Agreement, now: Time) -> frozenset[str]:
-        """Partners without a part any more: whose notice has taken effect, and who equivocated.
+        """Return the partners that no longer take part: their notice has taken effect, or they equivocated.
 
-        An equivocation counts if it is of the agreement's number or of an earlier one.
+        An equivocation counts if its number is that of the agreement or a lower one.
         """
         left = {
             partner
@@ -201,7 +218,11 @@
         return frozenset(left | equivocated)
 
     def shares(self, now: Time) -> dict[str, int]:
-        """Shares by the agreement in force, 0 for who departed; only their proportions matter."""
+        """Return the shares by the agreement in force, with 0 for departed partners.
+
+        Only the proportions of shares matter. Empty if no agreement is in force or no remaining partner has a
+        share.
+        """
         agreement = self.in_force(now)
         if agreement is None:
             return {}
@@ -212,7 +233,7 @@
         return remaining if sum(remaining.values()) else {}
 
     def discard_before(self, number: int) -> None:
-        """Forget agreements with a lower number than the one that is followed, and what belongs to them."""
+        """Discard agreements with lower numbers than the followed one, with their signatures and notices."""
         for agreements in (self.accepted, self.fully_signed):
             for old in [known for known in agreements if known < number]:
                 del agreements[old]
--- a/hillchute/partners/agreement_signer.py
+++ b/hillchute/partners/agreement_signer.py
@@ -1,8 +1,9 @@
-"""The one place that signs for a partner: it signs what its operator offered, and nothing else.
+"""Signs offers, agreements and notices for one partner, and only terms that its operator offered.
 
-Pure but for the two functions that it is given: one signs bytes, the other makes durable what is signed. A
-partner signs at most one agreement for a number, in rising numbers, and records it before it gives the
-signature away: so no loss, delay or crash makes it sign two.
+Performs I/O only through the two functions that it is given: one signs bytes, the other stores durably what
+is signed. A partner signs at most one agreement for each number, in rising order of numbers, and stores the
+digest before it hands out the signature. So no lost or late message and no crash makes it sign two agreements
+of one number.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,30 +24,39 @@
 
 
 class AgreementSigner:
-    """Signs for one partner. `signed`: the digests of the agreements that it signed, by number."""
+    """Signs for one partner. `signed`: the digests of the agreements that it has signed, by number."""
 
     def __init__(
         self, partner: str, sign: Sign, record: Callable[[int, bytes], bool], signed: Mapping[int, bytes]
     ) -> None:
-        """`record` makes a number and a digest durable, if it can; `signed` is what it kept."""
+        """`record` stores a number and a digest durably and returns whether it did.
+
+        `signed` is what was stored before.
+        """
         self.partner = partner
         self.sign = sign
         self.record = record
         self.signed = dict(signed)
 
     def sign_agreement(self, agreement: Agreement, own_offer: Offer) -> Signature:
-        """Raises InvalidAgreementError for what the partner did not offer, or can't sign any more."""
+        """Return the signature on an agreement.
+
+        Raises InvalidAgreementError if the partner did not offer these terms, has signed this number or a
+        higher one before, or can't store the digest.
+        """
         if invalid := invalid_agreement_field(agreement):
-            raise InvalidAgreementError("can't be honoured by anybody", invalid)
+            raise InvalidAgreementError("value is out of bounds", invalid)
         self._require_as_offered(agreement, own_offer)
         digest = content_digest(agreement)
         highest = max(self.signed, default=0)
         if agreement.number < highest or self.signed.get(agreement.number, digest) != digest:
             raise InvalidAgreementError(
-                f"number {highest} is signed already; a new agreement needs a higher one", self.partner
+                f"number {highest} is already signed; a new agreement needs a higher number", self.partner
             )
         if not self.record(agreement.number, digest):
-            raise InvalidAgreementError("what is signed can't be kept, so it is not given", self.partner)
+            raise InvalidAgreementError(
+                "not signed: the digest can't be kept in the signature journal", self.partner
+            )
         self.signed[agreement.number] = digest
         return self._signature(SignedKind.AGREEMENT, agreement.number, digest)
 
@@ -55,18 +65,20 @@
         minimum = own_offer.minimum_share
         maximum = own_offer.maximum_share
         if own_offer.partner != self.partner or share is None or not minimum <= share <= maximum:
-            raise InvalidAgreementError(f"share {share}, {minimum} to {maximum} were offered", self.partner)
+            raise InvalidAgreementError(
+                f"share {share} is not within the offered {minimum} to {maximum}", self.partner
+            )
         same_capacity = agreement.capacities.get(self.partner) == own_offer.capacity
         within_times = agreement.starts_at >= own_offer.starts_at and agreement.ends_at <= own_offer.ends_at
         if not same_capacity or not within_times:
-            raise InvalidAgreementError("capacity or times are not as offered", self.partner)
+            raise InvalidAgreementError("capacity or times differ from the own offer", self.partner)
 
     def sign_offer(self, offer: Offer) -> SignedOffer:
-        """The partner's own offer, signed so that nobody else can make one in its name."""
+        """Return the partner's own offer with its signature, so that nobody else can make one in its name."""
         return SignedOffer(offer, self._signature(SignedKind.OFFER, offer.revision, content_digest(offer)))
 
     def give_notice(self, agreement: Agreement, now: Time) -> SignedNotice:
-        """The notice that ends the partner's part as early as the agreement allows."""
+        """Return a signed notice that ends the partner's participation as early as the agreement allows."""
         notice = TerminationNotice(self.partner, agreement.number, now + agreement.notice_period)
         return SignedNotice(
             notice, self._signature(SignedKind.NOTICE, agreement.number, content_digest(notice))
--- a/hillchute/partners/agreements.py
+++ b/hillchute/partners/agreements.py
@@ -1,8 +1,9 @@
-"""An agreement between partners: its terms, how it follows from offers, and the notice that ends a part.
+"""Agreements between partners: their terms, their derivation from offers, and termination notices.
 
-Pure. An agreement names the owner of every slot; they follow from the owners by its predecessor and from the
-shares. So a router that has this agreement alone knows as much as all others. Who signed it, and whether it
-is in force, is the ledger's (agreement_ledger.py). Times are tenths of a millisecond since the Unix epoch.
+Performs no I/O. An agreement names the owner of every slot, derived from its predecessor's owners and from
+the shares, so a router with this agreement needs no earlier one to know all owners. agreement_ledger.py
+records who signed an agreement and whether it is in force. Times are in tenths of a millisecond since the
+Unix epoch.
 """
 
 from collections.abc import Iterable
@@ -24,33 +25,33 @@
 )
 from hillchute.partners.slot_allocation import NO_OWNERS, SlotOwners, allocate_slots
 
-MAX_PARTNERS = 64  # of one agreement
+MAX_PARTNERS = 64  # in one agreement
 
 
 class Agreement(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The terms that hold for all partners from `starts_at` to `ends_at`, once every one of them signed.
+    """The terms that bind all partners from `starts_at` to `ends_at`, once every one of them has signed.
 
-    The order of the fields is that of the wire and of what is signed.
+    The order of the fields is part of the wire format and of the signed bytes.
     """
 
-    number: int  # of several agreements in force the highest number counts
-    shares: dict[str, int]  # by partner, in parts of SHARE_TOTAL, which they add up to
-    capacities: dict[str, int]  # cores, by partner
+    number: int  # the agreement with the highest number takes precedence
+    shares: dict[str, int]  # by partner; they add up to SHARE_TOTAL
+    capacities: dict[str, int]  # cores by partner
     starts_at: Time
     ends_at: Time
-    grace_period: Time  # a partner whose engines are missing for longer counts with what it still contributes
-    notice_period: Time  # how long before it leaves a partner is to say so
-    owners: bytes  # for each slot an index into the partners' names in order
-    predecessor: int = 0  # the number of the agreement whose owners this one starts from
+    grace_period: Time  # a partner whose engines are missing for longer than this has its share reduced
+    notice_period: Time  # from a partner's notice until its participation ends
+    owners: bytes  # for each slot, an index into the sorted names of the partners
+    predecessor: int = 0  # number of the agreement whose slot owners this one was derived from; 0: none
 
     def slot_owners(self) -> SlotOwners:
-        """The partner that owns each slot."""
+        """Return the partner that owns each slot."""
         names = sorted(self.shares)
         return tuple(names[index] for index in self.owners)
 
 
 class TerminationNotice(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A partner ends its part in an agreement at a time."""
+    """One partner's notice that it leaves an agreement at `effective_at`."""
 
     partner: str
     agreement_number: int
@@ -58,7 +59,7 @@
 
 
 def invalid_agreement_field(agreement: Agreement) -> str:
-    """The first field that no partner could honour; "" for a valid agreement."""
+    """Return the name of the first field that is out of bounds; "" for a valid agreement."""
     checks = (
         ("number", 0 < agreement.number < MAX_COUNTER),
         ("shares", _valid_shares(agreement)),
@@ -87,11 +88,12 @@
 
 
 def derive_agreement(offers: Iterable[Offer], number: int, predecessor: Agreement | None = None) -> Agreement:
-    """The one agreement that follows from all offers and the predecessor; every router derives the same.
+    """Return the agreement that follows from all offers and the predecessor.
 
-    Each partner has its desired share, or as near to it as the others' bounds allow; slots are allocated with
-    the fewest moves; of grace and notice periods the longest counts. Raises InvalidAgreementError with what
-    can't be met.
+    The result is deterministic, so every router derives the same agreement. Each partner gets its desired
+    share, or one as near to it as the bounds of the others allow. Slots are allocated with the fewest moves.
+    The longest of the offered grace periods applies, and the longest notice period. Raises
+    InvalidAgreementError, with the condition that can't be met, if the offers are incompatible.
     """
     offers = sorted(offers, key=lambda offer: offer.partner)
     require_compatible(offers)
@@ -117,7 +119,7 @@
 
 
 def same_terms(agreement: Agreement, other: Agreement) -> bool:
-    """Whether two agreements differ in nothing but number, predecessor and owners."""
+    """Return whether two agreements differ only in number, predecessor and owners."""
     renumbered = msgspec.structs.replace(
         agreement, number=other.number, predecessor=other.predecessor, owners=other.owners
     )
--- a/hillchute/partners/capacity_pool.py
+++ b/hillchute/partners/capacity_pool.py
@@ -1,28 +1,29 @@
 """Division of the engine pool's capacity among routers, by the shares of their partners.
 
-Pure. What is in use, lent or requested is the quota leases' business (coordination/quota_leases.py), whose
-limit `pool` takes its allocations from here.
+Performs no I/O. The limit `pool` of coordination/quota_leases.py takes its allocations from here; that module
+tracks what is in use, lent or requested.
 """
 
 from collections.abc import Iterable, Mapping
 
-# Every router may always use 1/16 of an equal part, whatever the agreement, also where it is cut off from all
-# others: small enough to leave shares almost as agreed, and large enough to keep a router working.
+# Every router may always use 1/16 of an equal part of the pool, under any agreement and also while it is
+# partitioned from all others: small enough to change the agreed shares little, and large enough to keep a
+# router serving.
 MINIMUM_DIVISOR = 16
 
 
 def minimum_allocation(total: int, router_count: int) -> int:
-    """Units that a router may use under every agreement, so that it needs no message to know them."""
+    """Return the units that a router may use under every agreement, without a message from other routers."""
     return total // (MINIMUM_DIVISOR * router_count)
 
 
 def router_allocations(
     total: int, shares: Mapping[str, int], routers: Mapping[str, Iterable[str]]
 ) -> dict[str, int]:
-    """Units of the pool for each router, never more than `total` together.
+    """Return the units of the pool for each router; their sum never exceeds `total`.
 
-    A partner's share is divided equally among its routers, and no router is below the minimum: for that the
-    others give up units in proportion to what they have above it.
+    A partner's share is divided equally among its routers. Routers below the minimum are raised to it; the
+    others give up units for that, in proportion to what they have above the minimum.
     """
     routers_of = {partner: sorted(names) for partner, names in routers.items()}
     minimum = minimum_allocation(total, max(1, sum(map(len, routers_of.values()))))
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -1,6 +1,6 @@
-"""Messages between partners' routers to bytes and back, each field bounded.
+"""Codec of the messages between partners' routers, with bounds on each field.
 
-No I/O. A receiver believes nothing that is out of its bounds: a router may send what it likes.
+Performs no I/O. Messages with a field out of bounds are rejected, because a partner's router is not trusted.
 """
 
 from hillchute.decision.interface import Time
@@ -22,19 +22,19 @@
 from hillchute.partners.signatures import DIGEST_BYTES, SIGNATURE_BYTES, Signature
 from hillchute.peers.messages import MessageCodec
 
-MAX_NUMBER = 1 << 62  # exclusive bound of numbers and incarnations: well inside 64 bits, signed
+MAX_NUMBER = 1 << 62  # exclusive bound of numbers, incarnations and times; fits in a signed 64-bit integer
 MAX_TIME_LEFT: Time = 864_000_000  # one day
-MAX_SIGNATURES = MAX_PARTNERS * MAX_SIGNED_AGREEMENTS  # also of agreements in one message
-MAX_NOTICES = MAX_PARTNERS * 4  # few agreements are known at one time, each with one notice a partner
+MAX_SIGNATURES = MAX_PARTNERS * MAX_SIGNED_AGREEMENTS  # in one message; the same limit applies to agreements
+MAX_NOTICES = MAX_PARTNERS * 4  # in one message: a partner has one for each of the few agreements kept
 
 
 def invalid_message_field(message: Message) -> str:
-    """The first field that is out of its bounds; "" for a valid message."""
+    """Return the name of the first field that is out of bounds; "" for a valid message."""
     match message:
         case KnowledgeDigest(digest):
             return "" if len(digest) == DIGEST_BYTES else "digest"
         case Knowledge():
-            return _invalid_knowledge_field(message)
+            return _invalid_entries_field(message)
         case ForwardQuery():
             return _invalid_query_field(message) or _invalid_number(message.number, message.incarnation)
         case ForwardResult():
@@ -64,29 +64,29 @@
     return "" if known_outcome and len(result.reason) <= 4 * MAX_TEXT else "outcome"
 
 
-def _invalid_knowledge_field(known: Knowledge) -> str:
+def _invalid_entries_field(message: Knowledge) -> str:
     sizes = (
-        (len(known.offers), MAX_PARTNERS),
-        (len(known.agreements), MAX_SIGNATURES),
-        (len(known.signatures), MAX_SIGNATURES),
-        (len(known.notices), MAX_NOTICES),
-        (len(known.equivocations), MAX_PARTNERS),
+        (len(message.offers), MAX_PARTNERS),
+        (len(message.agreements), MAX_SIGNATURES),
+        (len(message.signatures), MAX_SIGNATURES),
+        (len(message.notices), MAX_NOTICES),
+        (len(message.equivocations), MAX_PARTNERS),
     )
     if any(size > limit for size, limit in sizes):
         return "too many"
     signatures = [
-        *known.signatures,
-        *(signed.signature for signed in known.offers),
-        *(signed.signature for signed in known.notices),
-        *(signature for proof in known.equivocations for signature in proof),
+        *message.signatures,
+        *(signed.signature for signed in message.offers),
+        *(signed.signature for signed in message.notices),
+        *(signature for proof in message.equivocations for signature in proof),
     ]
     if not all(map(_is_valid_signature, signatures)):
         return "signatures"
-    if any(invalid_offer_field(signed.offer) for signed in known.offers):
+    if any(invalid_offer_field(signed.offer) for signed in message.offers):
         return "offers"
-    if any(invalid_agreement_field(agreement) for agreement in known.agreements):
+    if any(invalid_agreement_field(agreement) for agreement in message.agreements):
         return "agreements"
-    if not all(_is_valid_notice(signed.notice) for signed in known.notices):
+    if not all(_is_valid_notice(signed.notice) for signed in message.notices):
         return "notices"
     return ""
 
--- a/hillchute/partners/forwarding.py
+++ b/hillchute/partners/forwarding.py
@@ -1,15 +1,17 @@
-"""Queries that are forwarded, once, to a router of the partner that owns their slot: both ends of it.
+"""Forwarding of queries to a router of the partner that owns their slot: the sending and the receiving side.
 
-Pure: events and the time in, messages out. Keeps what is in flight until it is answered here, or its result
-has arrived there. Never runs a query, never asks the history, and never forwards what was forwarded to it.
+Performs no I/O: takes events and the time, and returns messages. Keeps an outgoing query until it is answered
+and the result of an incoming one until its arrival is acknowledged. Does not run queries, does not access the
+answer history, and does not forward a query that was forwarded to it.
 
-The forwarding router answers its client at the latest at the deadline. What was sent may have been accepted,
-so a query without a result has failed, unless nothing of it was ever sent. A query is for one incarnation of
-one router: a restarted router accepts nothing that was sent to its previous incarnation, and an incarnation
-that is over answers nothing, so its queries fail at once. Each message is sent again until the next step
-shows that it arrived; each is identified by the sender's incarnation and number, so a repeat starts nothing.
+The forwarding router answers its client no later than the deadline. A query that was sent may have been
+accepted and run, so without a result it counts as failed, not as rejected. A query is addressed to one
+incarnation of one router: a restarted router accepts no query sent to its previous incarnation, and an
+incarnation that has ended answers none, so queries to it fail at once. Each message is retransmitted until
+the next step of the exchange shows that it arrived. Messages are identified by the sender's incarnation and
+number, so a repeated message does not start a query again.
 
-Times are tenths of a millisecond on a clock of one router.
+Times are in tenths of a millisecond on the clock of one router.
 """
 
 from collections import Counter
@@ -32,15 +34,15 @@
 )
 from hillchute.peers.messages import MAX_MESSAGE_BYTES
 
-RETRANSMIT_AFTER: Time = 1_000  # 0.1 s without a response: several round trips
-MAX_DOUBLINGS = 4  # of that time, from one transmission to the next
+RETRANSMIT_AFTER: Time = 1_000  # 0.1 s, several round trips: the base of the retransmission interval
+MAX_DOUBLINGS = 4  # of the interval, which doubles with each transmission
 KEPT_AFTER_DEADLINE: Time = (
-    6_000_000  # ten minutes: so long an incoming query is known, so that a repeat is one
+    6_000_000  # ten minutes, in which a repeated message of an incoming query is recognised
 )
 RESULT_RETRIES_AFTER_DEADLINE: Time = (
-    20_000  # two seconds: by then the forwarding router has answered its client
+    20_000  # two seconds; by then the forwarding router has answered its client
 )
-MAX_RESULT_BYTES = MAX_MESSAGE_BYTES - 4096  # of a result that is sent: the message has other fields, too
+MAX_RESULT_BYTES = MAX_MESSAGE_BYTES - 4096  # of rows; the rest is for the other fields of the message
 MAX_REASON_LENGTH = 256  # characters
 
 
@@ -59,18 +61,18 @@
     """A query that was forwarded to this router."""
 
     sender: str
-    number: int  # this and the incarnation are the sender's
+    number: int  # assigned by the sender, like `incarnation`
     incarnation: int
     session: int
     deadline: Time
-    result: ForwardResult | None = None  # until its arrival is acknowledged
+    result: ForwardResult | None = None  # None again once its arrival is acknowledged
     sent_at: Time = 0
     transmissions: int = 0
-    over: bool = False  # its result has arrived, or nobody waits for it
+    closed: bool = False  # the result has arrived, or the sender no longer waits for it
 
 
 class Completion(NamedTuple):
-    """The end of a query that this router forwarded, by its number."""
+    """The outcome of a query that this router forwarded, by the query's number."""
 
     number: int
     outcome: ForwardOutcome
@@ -79,17 +81,17 @@
 
 
 class Arrival(NamedTuple):
-    """A query that was forwarded to this router and is to run, under a session of its own."""
+    """A query that was forwarded to this router and is to run here, under its own session number."""
 
     session: int
     query: ForwardQuery
 
 
 class QueryForwarder:
-    """Both ends of forwarding at one router.
+    """The outgoing and incoming forwarded queries of one router.
 
-    The caller takes what collects in `outbox` (messages with their receivers), `completions`, `arrivals` and
-    `abandoned` (sessions whose result nobody waits for any more), and empties them.
+    The caller takes and empties the lists `outbox` (messages with their receivers), `completions`, `arrivals`
+    and `abandoned` (sessions whose result the sender no longer waits for).
     """
 
     def __init__(
@@ -99,8 +101,11 @@
         live_routers: Callable[[], Mapping[str, int]],
         is_over: Callable[[str, int], bool],
     ) -> None:
-        """`live_routers`: all that are alive, with their incarnations. `is_over`: whether an incarnation of a
-        router is known to be over; one that is shutting down still answers."""
+        """`live_routers` returns the live routers with their incarnations.
+
+        `is_over` returns whether an incarnation of a router is known to have ended. A router that is shutting
+        down still answers, so its incarnation has not ended.
+        """
         self.router = router
         self.incarnation = incarnation
         self.live_routers = live_routers
@@ -119,14 +124,14 @@
     # ---- outgoing ------------------------------------------------------------------------------------
 
     def choose_target(self, routers: Iterable[str], customer: str, key: str) -> str | None:
-        """Of the owner's live routers the same one for all queries of a slot."""
+        """Return one of the owner's live routers, or None; the same one for all queries of a slot."""
         live = self.live_routers()
         slot = slot_of(customer, key)
         candidates = [name for name in routers if name in live and name != self.router]
         return max(candidates, key=lambda name: (weight(slot, name), name), default=None)
 
     def forward(self, now: Time, target: str, message: ForwardQuery, deadline: Time) -> int:
-        """Forward a query, whose number and incarnations are filled in here; returns its number."""
+        """Forward a query and return its number. The number and the incarnations are filled in here."""
         self.last_number += 1
         numbered = msgspec.structs.replace(
             message,
@@ -141,14 +146,14 @@
         return self.last_number
 
     def transmit_query(self, now: Time, query: OutgoingQuery) -> None:
-        """Send a query, for the first time or again, with the time that is left of it."""
+        """Send a query, for the first time or again, with the time left until its deadline."""
         query.sent_at = now
         query.transmissions += 1
         time_left = max(0, query.deadline - now)
         self.outbox.append((query.target, msgspec.structs.replace(query.message, time_left=time_left)))
 
     def cancel(self, number: int) -> None:
-        """The client has left."""
+        """Cancel an outgoing query whose client has left; unknown numbers are ignored."""
         query = self.outgoing.pop(number, None)
         if query is not None:
             self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
@@ -161,11 +166,11 @@
     # ---- incoming ------------------------------------------------------------------------------------
 
     def accept(self, now: Time, sender: str, message: ForwardQuery) -> None:
-        """Take a query that was forwarded to this incarnation, once, and confirm it each time it comes."""
+        """Accept a query that was sent to this incarnation once, and confirm it each time it arrives."""
         if message.target_incarnation != self.incarnation:
-            return  # what the previous incarnation did with it is not known here
-        name = (sender, message.incarnation, message.number)
-        query = self.incoming.get(name)
+            return  # the previous incarnation may have run it
+        key = (sender, message.incarnation, message.number)
+        query = self.incoming.get(key)
         if query is None:
             self.last_session += 1
             query = IncomingQuery(
@@ -175,19 +180,19 @@
                 session=self.last_session,
                 deadline=now + message.time_left,
             )
-            self.incoming[name] = query
+            self.incoming[key] = query
             self.by_session[query.session] = query
             self.arrivals.append(Arrival(query.session, message))
             self.counts["accepted"] += 1
-        if query.result is None and not query.over:
+        if query.result is None and not query.closed:
             self.outbox.append((sender, ForwardAccepted(message.number, message.incarnation)))
 
     def answer(
         self, now: Time, session: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None
     ) -> None:
-        """The one final answer of a query that was forwarded to this router; any further one is ignored."""
+        """Send the final answer of a query that was forwarded to this router; later answers are ignored."""
         query = self.by_session.get(session)
-        if query is None or query.result is not None or query.over:
+        if query is None or query.result is not None or query.closed:
             return
         if rows is not None and len(rows) > MAX_RESULT_BYTES:
             outcome = ForwardOutcome.FAILED
@@ -206,13 +211,13 @@
 
     @property
     def has_unacknowledged_results(self) -> bool:
-        """Whether a result is on its way that may not have arrived."""
+        """Whether a result was sent whose arrival is not acknowledged yet."""
         return any(query.result is not None for query in self.incoming.values())
 
     # ---- messages and time ---------------------------------------------------------------------------
 
     def receive(self, now: Time, sender: str, message: ForwardingMessage) -> None:
-        """Handle a message of another router."""
+        """Handle a message from another router."""
         match message:
             case ForwardQuery():
                 self.accept(now, sender, message)
@@ -241,23 +246,23 @@
 
     def _receive_cancel(self, sender: str, message: ForwardCancel) -> None:
         query = self.incoming.get((sender, message.incarnation, message.number))
-        if query is None or query.over:
+        if query is None or query.closed:
             return
-        query.over = True
+        query.closed = True
         if query.result is None:
             self.abandoned.append(query.session)
 
     @staticmethod
     def _close_incoming(query: IncomingQuery) -> None:
-        query.over = True
+        query.closed = True
         query.result = None
 
     def tick(self, now: Time) -> None:
-        """Send again what was not confirmed, and end what is past its time."""
+        """Retransmit unconfirmed messages, and end queries past their deadline or retention time."""
         for number, query in list(self.outgoing.items()):
             self._tick_outgoing(now, number, query)
-        for name, incoming in list(self.incoming.items()):
-            self._tick_incoming(now, name, incoming)
+        for key, incoming in list(self.incoming.items()):
+            self._tick_incoming(now, key, incoming)
 
     def _tick_outgoing(self, now: Time, number: int, query: OutgoingQuery) -> None:
         if self.is_over(query.target, query.message.target_incarnation):
@@ -267,14 +272,15 @@
             self.outbox.append((query.target, ForwardCancel(number, self.incarnation)))
             self.complete(number, ForwardOutcome.FAILED, "no answer from its owner's router; it may have run")
             return
-        # An accepted query is sent again, too, but seldom: that may have confirmed an earlier transmission.
+        # An accepted query is retransmitted too, at the longest interval: the confirmation may have been for
+        # an earlier transmission.
         doublings = MAX_DOUBLINGS if query.accepted else min(query.transmissions, MAX_DOUBLINGS)
         if now - query.sent_at >= RETRANSMIT_AFTER << doublings:
             self.transmit_query(now, query)
 
-    def _tick_incoming(self, now: Time, name: tuple[str, int, int], query: IncomingQuery) -> None:
+    def _tick_incoming(self, now: Time, key: tuple[str, int, int], query: IncomingQuery) -> None:
         if now - query.deadline > KEPT_AFTER_DEADLINE:
-            del self.incoming[name]
+            del self.incoming[key]
             del self.by_session[query.session]
             return
         if query.result is None:
--- a/hillchute/partners/messages.py
+++ b/hillchute/partners/messages.py
@@ -1,9 +1,8 @@
-"""The typed messages between partners' routers: what is known of agreements, and forwarded queries.
+"""The typed messages between partners' routers: exchange of agreements, and forwarded queries.
 
-Each class is one message; `tag` is its number on the wire and the order of fields that of the wire. No I/O
-and no clock. Durations are as of when the message was made: no clock is compared with another's. That a
-message is from the router it names is ensured by peers/datagrams.py; partners' signatures
-are in the messages.
+Performs no I/O. Each class is one message; its `tag` and the order of its fields are part of the wire format.
+Durations count from the time at which the message was made, so that no two routers' clocks are compared.
+peers/datagrams.py authenticates the sending router; the signatures of partners are part of the messages.
 """
 
 from enum import StrEnum
@@ -16,7 +15,7 @@
 
 
 class ForwardOutcome(StrEnum):
-    """How a forwarded query ended; the values are those of the wire."""
+    """How a forwarded query ended. The values are part of the wire format."""
 
     SERVED = "finished"
     REJECTED = "deferred"  # it did not run
@@ -26,17 +25,17 @@
 class PartnerMessage(
     msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, tag_field="type"
 ):
-    """Any of the messages."""
+    """Base class of the messages."""
 
 
 class KnowledgeDigest(PartnerMessage, frozen=True, tag=1):
-    """The digest of all that the sender knows; a receiver with another digest answers with Knowledge."""
+    """The digest of the sender's ledger; a receiver with another digest answers with Knowledge."""
 
     digest: bytes
 
 
 class Knowledge(PartnerMessage, frozen=True, tag=2):
-    """All that the sender knows of agreements. `reply_wanted`: it asks for what it lacks."""
+    """The content of the sender's ledger. `reply_wanted`: the sender asks for the receiver's in return."""
 
     offers: tuple[SignedOffer, ...]
     agreements: tuple[Agreement, ...]
@@ -49,7 +48,8 @@
 class ForwardQuery(PartnerMessage, frozen=True, tag=3):
     """A query for a router of its slot's owner.
 
-    `number` and `incarnation` are the sender's; `target_incarnation` is the receiver's, which alone takes it.
+    `number` and `incarnation` are the sender's. Only the receiver's incarnation `target_incarnation` accepts
+    the query.
     """
 
     number: int
@@ -63,18 +63,18 @@
     memory: float  # MB
     ordering_key: str | None
     customer: str
-    time_left: Time  # until the client must have its answer
+    time_left: Time  # until the client's deadline
 
 
 class ForwardAccepted(PartnerMessage, frozen=True, tag=4):
-    """The query arrived, and runs if it may."""
+    """Confirms that the query arrived; it runs if it is granted."""
 
     number: int
     incarnation: int
 
 
 class ForwardResult(PartnerMessage, frozen=True, tag=5):
-    """How the query ended; sent again until ForwardResultAck comes."""
+    """The result of the query, retransmitted until a ForwardResultAck arrives."""
 
     number: int
     incarnation: int
@@ -84,14 +84,14 @@
 
 
 class ForwardResultAck(PartnerMessage, frozen=True, tag=6):
-    """The result arrived."""
+    """Confirms that the result arrived."""
 
     number: int
     incarnation: int
 
 
 class ForwardCancel(PartnerMessage, frozen=True, tag=7):
-    """Nobody waits for the result any more."""
+    """Tells the receiver that the sender no longer waits for the result."""
 
     number: int
     incarnation: int
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -1,11 +1,11 @@
-"""The agreement protocol at one router: exchange of what is known, offers, proposals and signatures.
+"""The agreement protocol at one router: exchange of ledgers, offers, proposals and signatures.
 
-Pure: messages and the time in, messages out. Signs only what its partner offered (agreement_signer.py). Which
-agreement is followed, and who owns each slot by it, is slot_ownership.py's.
+Performs no I/O: takes messages and the time, and returns messages. Signs only what its partner offered
+(agreement_signer.py). slot_ownership.py decides which agreement is followed, and who owns each slot by it.
 
-All that is known is a set that only grows, merged whenever two routers exchange it: so no order, loss or
-repeat matters. At each interval one other router is sent a digest of it; who has another digest answers with
-all it knows.
+Routers merge the entries of their ledgers whenever they exchange them, so the order, loss or repetition of
+messages does not matter. At each interval a router sends the digest of its ledger to one other router; a
+router with another digest answers with its whole ledger.
 """
 
 from collections import Counter
@@ -26,30 +26,30 @@
 from hillchute.partners.signatures import Verify, tagged_digest
 from hillchute.partners.slot_ownership import SlotOwnership
 
-EXCHANGE_INTERVAL: Time = 10_000  # one second: a new agreement reaches 24 routers in some five intervals
-EAGER_TARGETS = 3  # routers that are sent the digest at once when anything changed here
-KNOWLEDGE_TAG = b"Know"  # under which all that is known is digested: the same in every version
+EXCHANGE_INTERVAL: Time = 10_000  # one second; a new agreement reaches 24 routers in about five intervals
+TARGETS_ON_CHANGE = 3  # routers that get the digest at once when this router's ledger has changed
+DIGEST_TAG = b"Know"  # prefix of the digested bytes; must be the same in all versions
 
 
 class PartnerMembership(NamedTuple):
-    """The partners as one router's operator file names them."""
+    """The partners and their routers, as one router's operator file names them."""
 
     router: str
-    partner: str  # whose router it is
-    routers: Mapping[str, Iterable[str]]  # of each partner
-    verify: Verify  # by the partners' public keys
+    partner: str  # the partner that operates this router
+    routers: Mapping[str, Iterable[str]]  # by partner
+    verify: Verify  # verifies signatures by the partners' public keys
 
 
 class AgreementProtocol:
-    """One router's part in the negotiation between partners.
+    """One router's side of the negotiation between partners.
 
-    The caller sends what collects in `outbox` (messages with their receivers) and empties it.
+    The caller sends the messages in `outbox`, each with its receiver, and empties the list.
     """
 
     def __init__(
         self, membership: PartnerMembership, seed: int, now: Time, signer: AgreementSigner | None = None
     ) -> None:
-        """`signer`: only at the router that has its partner's key. `seed`: of the choice of targets."""
+        """`signer`: only at the router that has its partner's key. `seed` of the selection of targets."""
         self.router = membership.router
         self.partner = membership.partner
         self.seed = seed
@@ -58,14 +58,12 @@
         self.ledger = AgreementLedger(membership.routers, membership.verify)
         self._set_routers(membership.routers)
         self.ownership = SlotOwnership(self.ledger, self.partner_of, self.counts)
-        self.own_offer: Offer | None = None  # as the operator file has it
+        self.own_offer: Offer | None = None  # the offer in the operator file
         self.outbox: list[tuple[str, AgreementMessage]] = []
-        self.proposal_error: InvalidAgreementError | None = None  # why no agreement follows from the offers
-        self.signing_errors: dict[
-            int, InvalidAgreementError
-        ] = {}  # by number: agreements that are not signed here
+        self.proposal_error: InvalidAgreementError | None = None  # why the offers allow no agreement
+        self.signing_errors: dict[int, InvalidAgreementError] = {}  # by number of the unsigned agreement
         self.last_exchange_at = now
-        self.draws = 0  # of targets so far
+        self.rounds = 0  # of target selection so far
         self.last_digest = b""
 
     def _set_routers(self, routers: Mapping[str, Iterable[str]]) -> None:
@@ -73,28 +71,33 @@
         self.partner_of = {router: partner for partner, names in self.routers.items() for router in names}
 
     def set_partners(self, routers: Mapping[str, Iterable[str]], verify: Verify) -> None:
-        """The operator names other partners, or other routers of them."""
+        """Replace the partners and their routers after a change of the operator file."""
         self._set_routers(routers)
         self.ledger.set_partners(routers, verify)
         self.ownership.set_partner_of(self.partner_of)
 
-    # ---- what the operator decides -----------------------------------------------------------------
+    # ---- offers and notices of the own partner -----------------------------------------------------
 
     def make_offer(self, now: Time, offer: Offer) -> None:
-        """This router's partner makes an offer. Raises InvalidAgreementError if its revision is not new."""
+        """Publish an offer of this router's partner.
+
+        Raises InvalidAgreementError if this router can't sign, or if it knows another offer with the same
+        revision or a higher one.
+        """
         if self.signer is None:
             raise InvalidAgreementError("this router has no key to sign with", "partners.offer")
         known = self.ledger.offers.get(offer.partner)
         if known is not None and offer != known.offer and offer.revision <= known.offer.revision:
             raise InvalidAgreementError(
-                f"turn {offer.revision}; {known.offer.revision} is known already", "partners.offer.turn"
+                f"turn {offer.revision}; {known.offer.revision} is already known, use a higher one",
+                "partners.offer.turn",
             )
         self.own_offer = offer
         self.ledger.record_offer(*self.signer.sign_offer(offer))
         self.update(now)
 
     def give_notice(self, now: Time) -> None:
-        """This router's partner gives notice to the agreement that is followed; once is enough."""
+        """Give notice to the followed agreement for this router's partner, unless it was given before."""
         agreement = self.ownership.agreement()
         if agreement is None or self.signer is None:
             return
@@ -102,33 +105,33 @@
             self.ledger.record_notice(*self.signer.give_notice(agreement, now))
             self.update(now)
 
-    # ---- exchange of what is known -----------------------------------------------------------------
+    # ---- exchange of ledgers -----------------------------------------------------------------------
 
     def receive(self, now: Time, sender: str, message: AgreementMessage) -> None:
-        """Handle a message of another router."""
+        """Handle a message from another router."""
         match message:
             case KnowledgeDigest(digest):
                 if digest != self.state_digest():
-                    self.outbox.append((sender, self.knowledge(reply_wanted=True)))
+                    self.outbox.append((sender, self.ledger_entries(reply_wanted=True)))
             case Knowledge():
                 self._merge(message)
                 if message.reply_wanted and self.state_digest() != _digest_of(message):
-                    self.outbox.append((sender, self.knowledge(reply_wanted=False)))
+                    self.outbox.append((sender, self.ledger_entries(reply_wanted=False)))
                 self.update(now)
 
-    def _merge(self, known: Knowledge) -> None:
+    def _merge(self, entries: Knowledge) -> None:
         ledger = self.ledger
         genuine = [
-            *(ledger.record_offer(offer, signature) for offer, signature in known.offers),
-            *(ledger.record_signature(signature) for signature in known.signatures),
-            *(ledger.record_agreement(agreement) for agreement in known.agreements),
-            *(ledger.record_notice(notice, signature) for notice, signature in known.notices),
-            *(ledger.record_equivocation(first, second) for first, second in known.equivocations),
+            *(ledger.record_offer(offer, signature) for offer, signature in entries.offers),
+            *(ledger.record_signature(signature) for signature in entries.signatures),
+            *(ledger.record_agreement(agreement) for agreement in entries.agreements),
+            *(ledger.record_notice(notice, signature) for notice, signature in entries.notices),
+            *(ledger.record_equivocation(first, second) for first, second in entries.equivocations),
         ]
         self.counts["entries_rejected"] += genuine.count(False)
 
-    def knowledge(self, *, reply_wanted: bool) -> Knowledge:
-        """All that this router knows, in one order."""
+    def ledger_entries(self, *, reply_wanted: bool) -> Knowledge:
+        """Return the content of this router's ledger as a message, with its entries in a canonical order."""
         ledger = self.ledger
         signatures = [each for signed in ledger.signatures.values() for each in signed.values()]
         signatures.sort(key=lambda each: (each.number, each.partner, each.digest), reverse=True)
@@ -146,43 +149,46 @@
         )
 
     def state_digest(self) -> bytes:
-        """The digest of all that this router knows."""
-        return _digest_of(self.knowledge(reply_wanted=False))
+        """Return the digest of this router's ledger."""
+        return _digest_of(self.ledger_entries(reply_wanted=False))
 
     def tick(self, now: Time, live_routers: Iterable[str]) -> None:
-        """Send the digest when its time has come, or at once when anything changed."""
+        """Send the digest of the ledger once an interval, or at once when the ledger has changed."""
         others = sorted(set(live_routers) & self.partner_of.keys() - {self.router})
         digest = self.state_digest()
         changed = digest != self.last_digest
         self.last_digest = digest
         if others and (changed or now - self.last_exchange_at >= EXCHANGE_INTERVAL):
             self.last_exchange_at = now
-            for name in self._draw_targets(others, EAGER_TARGETS if changed else 1):
+            for name in self._select_targets(others, TARGETS_ON_CHANGE if changed else 1):
                 self.outbox.append((name, KnowledgeDigest(digest)))
         if changed:
             self.update(now)
         self.ownership.update_owners(now)
 
-    def _draw_targets(self, routers: list[str], count: int) -> list[str]:
-        """Some of the routers, others each time, the same for one seed."""
-        self.draws += 1
-        return sorted(routers, key=lambda name: crc32(f"{self.seed}:{self.draws}:{name}".encode()))[:count]
+    def _select_targets(self, routers: list[str], count: int) -> list[str]:
+        """Return `count` of the routers, chosen pseudo-randomly by the seed, anew at each call."""
+        self.rounds += 1
+        return sorted(routers, key=lambda name: crc32(f"{self.seed}:{self.rounds}:{name}".encode()))[:count]
 
     # ---- proposals and signatures ------------------------------------------------------------------
 
     def update(self, now: Time) -> None:
-        """After anything new: propose and sign what is due, and derive the slots' owners."""
+        """After a change: propose and sign agreements where possible, and derive the owners of slots."""
         if self.signer is not None:
             self._propose(now, self.signer)
             self._sign_pending(self.signer)
         self.ownership.update_owners(now)
 
     def offers(self) -> list[Offer]:
-        """The latest offer of each partner that has made any."""
+        """Return the latest offer of each partner that has made one."""
         return [offer for offer, _ in self.ledger.offers.values()]
 
     def _propose(self, now: Time, signer: AgreementSigner) -> None:
-        """The first partner by name proposes what follows from all offers, if its terms are new."""
+        """Propose the agreement that follows from all offers, if its terms are new.
+
+        Only the first partner by name proposes.
+        """
         offers = self.offers()
         ledger = self.ledger
         all_offered = {offer.partner for offer in offers} == ledger.partners
@@ -197,18 +203,18 @@
         self.proposal_error = None
         signed = (ledger.agreements.get(digest) for digest in signer.signed.values())
         standing = [known for known in (latest, *signed) if known is not None]
-        if proposal.ends_at <= now or any(_is_stated_by(proposal, known, latest) for known in standing):
+        if proposal.ends_at <= now or any(_is_redundant(proposal, known, latest) for known in standing):
             return
         ledger.record_agreement(proposal)
 
     def _next_number(self, signer: AgreementSigner) -> int:
-        """One more than the number of anything that is known to be signed or accepted."""
+        """Return one more than the highest number that is known to be signed or accepted."""
         latest = self.ledger.latest()
         numbers = [each.number for signed in self.ledger.signatures.values() for each in signed.values()]
         return 1 + max([*numbers, *signer.signed, latest.number if latest is not None else 0])
 
     def _sign_pending(self, signer: AgreementSigner) -> None:
-        """Sign each agreement that is exactly what follows from the offers known here."""
+        """Sign each agreement that is equal to the one derived from the offers known here."""
         ledger = self.ledger
         latest_number = self._latest_number()
         self._adopt_own_signatures(signer)
@@ -231,30 +237,30 @@
         return latest.number if latest is not None else 0
 
     def _adopt_own_signatures(self, signer: AgreementSigner) -> None:
-        """Take over what others have of this partner's signatures, in case its journal is an old copy."""
+        """Take over this partner's signatures that other routers know, in case its journal is an old copy."""
         for signed in self.ledger.signatures.values():
             if self.partner in signed:
                 signature = signed[self.partner]
                 signer.signed.setdefault(signature.number, signature.digest)
 
     def _require_derived(self, agreement: Agreement, latest_number: int) -> None:
-        """Raise InvalidAgreementError unless the agreement follows from what is known here."""
+        """Raise InvalidAgreementError unless the agreement follows from what this router knows."""
         number = agreement.number
         predecessor = self.ledger.fully_signed.get(agreement.predecessor)
         unknown = agreement.predecessor != 0 and predecessor is None
         if agreement.predecessor < latest_number or unknown:
             raise InvalidAgreementError(
-                f"agreement {number} goes on from {agreement.predecessor}, not the last known here"
+                f"agreement {number} has predecessor {agreement.predecessor}, not the latest one known here"
             )
         if agreement != derive_agreement(self.offers(), number, predecessor):
-            raise InvalidAgreementError(f"agreement {number} is not what follows from the offers known here")
+            raise InvalidAgreementError(f"agreement {number} does not follow from the offers known here")
 
 
-def _digest_of(known: Knowledge) -> bytes:
-    return tagged_digest(KNOWLEDGE_TAG, msgspec.structs.replace(known, reply_wanted=False))
+def _digest_of(entries: Knowledge) -> bytes:
+    return tagged_digest(DIGEST_TAG, msgspec.structs.replace(entries, reply_wanted=False))
 
 
-def _is_stated_by(proposal: Agreement, known: Agreement, latest: Agreement | None) -> bool:
-    """Whether an agreement that is accepted, or on its way to be, states the proposal's terms already."""
+def _is_redundant(proposal: Agreement, known: Agreement, latest: Agreement | None) -> bool:
+    """Return whether `known`, an accepted or pending agreement, already has the terms of the proposal."""
     pending = latest is None or known.number > latest.number
     return same_terms(proposal, known) and (not pending or known.predecessor == proposal.predecessor)
--- a/hillchute/partners/offers.py
+++ b/hillchute/partners/offers.py
@@ -1,6 +1,6 @@
-"""What one partner offers to agree to, and how shares follow from all partners' offers.
+"""The offer of one partner, and the calculation of shares from the offers of all partners.
 
-Pure. Knows no slots, no signatures and no messages. Times are tenths of a millisecond since the Unix epoch.
+Performs no I/O. Times are in tenths of a millisecond since the Unix epoch.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,33 +11,33 @@
 from hillchute.decision.interface import Time
 from hillchute.errors import InvalidAgreementError
 
-SHARE_TOTAL = 10_000  # parts that the shares of an agreement add up to: hundredths of a percent
-MAX_NAME_LENGTH = 64  # characters of a partner's name
-MAX_COUNTER = 1 << 53  # exclusive bound of numbers that count up: the integers that a JSON reader keeps exact
-MAX_TIMESTAMP = 1 << 60  # exclusive bound of a point in time
-MAX_PERIOD = 1 << 50  # exclusive bound of a duration
+SHARE_TOTAL = 10_000  # sum of the shares of an agreement; a share is in hundredths of a percent
+MAX_NAME_LENGTH = 64  # characters in a partner's name
+MAX_COUNTER = 1 << 53  # exclusive bound of counters; JSON readers represent smaller integers exactly
+MAX_TIMESTAMP = 1 << 60  # exclusive bound of times
+MAX_PERIOD = 1 << 50  # exclusive bound of durations
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The terms that one partner would agree to; a counter-offer is one with a higher revision.
+    """The terms that one partner would agree to; a later offer of it has a higher revision.
 
-    The order of the fields is that of the wire and of what is signed.
+    The order of the fields is part of the wire format and of the signed bytes.
     """
 
     partner: str
     revision: int  # `turn` in the operator file
     capacity: int  # cores that the partner contributes
-    desired_share: int  # this and the two bounds in parts of SHARE_TOTAL
+    desired_share: int  # like its two bounds in parts of SHARE_TOTAL
     minimum_share: int
     maximum_share: int
     starts_at: Time
     ends_at: Time
-    grace_period: Time = 0  # how long it tolerates that a partner's engines are missing
-    notice_period: Time = 0  # how long before it leaves a partner is to say so
+    grace_period: Time = 0  # tolerated absence of a partner's engines before its share is reduced
+    notice_period: Time = 0  # from a partner's notice until its participation ends
 
 
 class ShareBounds(NamedTuple):
-    """A partner's desired share between the least and the most that it accepts."""
+    """A partner's desired share, with the lowest and the highest that it accepts."""
 
     minimum: int
     desired: int
@@ -45,7 +45,7 @@
 
 
 def invalid_offer_field(offer: Offer) -> str:
-    """The first field that is out of its bounds; "" for a valid offer."""
+    """Return the name of the first field that is out of bounds; "" for a valid offer."""
     if not 0 < len(offer.partner) <= MAX_NAME_LENGTH:
         return "partner"
     if not 0 <= offer.minimum_share <= offer.desired_share <= offer.maximum_share <= SHARE_TOTAL:
@@ -60,26 +60,27 @@
 
 
 def require_compatible(offers: Iterable[Offer]) -> None:
-    """Raise InvalidAgreementError, with what can't be met, unless some agreement satisfies all offers."""
+    """Raise InvalidAgreementError, with the conflicting terms, unless an agreement can satisfy all offers."""
     offers = list(offers)
     if not offers:
-        raise InvalidAgreementError("nobody offers anything")
+        raise InvalidAgreementError("no partner has made an offer")
     for offer in offers:
         if not 0 <= offer.minimum_share <= offer.desired_share <= offer.maximum_share <= SHARE_TOTAL:
             raise InvalidAgreementError("expected least <= want <= most", offer.partner)
     if sum(offer.minimum_share for offer in offers) > SHARE_TOTAL:
-        raise InvalidAgreementError("all want more at the least than there is", "least")
+        raise InvalidAgreementError(f"the minimum shares add up to more than {SHARE_TOTAL}", "least")
     if sum(offer.maximum_share for offer in offers) < SHARE_TOTAL:
-        raise InvalidAgreementError("all take less at the most than there is", "most")
+        raise InvalidAgreementError(f"the maximum shares add up to less than {SHARE_TOTAL}", "most")
     if max(offer.starts_at for offer in offers) >= min(offer.ends_at for offer in offers):
-        raise InvalidAgreementError("the times offered have none in common", "begins")
+        raise InvalidAgreementError("the offered times do not overlap", "begins")
 
 
 def fit_shares(bounds: Mapping[str, ShareBounds]) -> dict[str, int]:
-    """Shares that add up to SHARE_TOTAL, each within its bounds.
+    """Return shares that add up to SHARE_TOTAL, each within its bounds.
 
-    Each is moved from the desired share by the same fraction of the distance to its bound on that side;
-    rounding goes to the largest remainders, then by name. The bounds must allow SHARE_TOTAL.
+    Each share is moved from the desired one by the same fraction of the distance to the bound on that side.
+    Units left over by rounding go to the largest remainders, and among equal ones by name. The bounds must
+    allow SHARE_TOTAL.
     """
     shares = {name: bound.desired for name, bound in bounds.items()}
     missing = SHARE_TOTAL - sum(shares.values())
--- a/hillchute/partners/signature_journal.py
+++ b/hillchute/partners/signature_journal.py
@@ -1,7 +1,7 @@
-"""The durable file of what a partner has signed, and the file of its private key.
+"""The durable journal of the agreements that a partner has signed, and the file of its private key.
 
-The journal has one line for each signed agreement: its number and the digest that was signed, in hexadecimal.
-A line is on the disk before its signature is given away. Does not decide what is signed.
+The journal has one line for each signed agreement: its number, and the signed digest in hexadecimal. A line
+is synced to disk before its signature is handed out.
 """
 
 import os
@@ -9,25 +9,25 @@
 
 from hillchute.errors import SignatureJournalError
 
-PRIVATE_KEY_BYTES = 32  # of Ed25519
+PRIVATE_KEY_BYTES = 32  # Ed25519
 
 
 def read_private_key(path: str | Path) -> bytes:
-    """The private key in a file of 64 hexadecimal digits. Raises OSError or ValueError."""
+    """Return the private key from a file of 64 hexadecimal digits. Raises OSError or ValueError."""
     key = bytes.fromhex(Path(path).read_text(encoding="ascii").strip())
     if len(key) != PRIVATE_KEY_BYTES:
-        raise ValueError(f"expected {2 * PRIVATE_KEY_BYTES} hex digits")
+        raise ValueError(f"expected {2 * PRIVATE_KEY_BYTES} hex digits, got {2 * len(key)}")
     return key
 
 
 class SignatureJournal:
-    """Digests that one partner signed, by the agreement's number, kept over restarts.
+    """Digests that one partner signed, by the agreement's number; they survive restarts.
 
-    `signed` is what is durably written; `error` is the last failed write, None once a later one succeeded.
+    `signed` is what is durably written. `error` is the error of the last write, None if it succeeded.
     """
 
     def __init__(self, path: str | Path) -> None:
-        """Open or create the file. Raises SignatureJournalError if it can't be read, or was changed."""
+        """Open or create the file. Raises SignatureJournalError if it is unreadable or malformed."""
         self.path = Path(path)
         self.signed: dict[int, bytes] = {}
         self.error: SignatureJournalError | None = None
@@ -38,7 +38,7 @@
 
     def _load(self) -> None:
         data = self.path.read_bytes() if self.path.exists() else b""
-        # A last line without its end was torn by a crash: that signature was never given away.
+        # A crash can leave an incomplete last line, whose signature was never handed out.
         complete = data[: data.rfind(b"\n") + 1]
         for line in complete.decode("ascii").splitlines():
             number, digest = line.split(" ")
@@ -52,10 +52,10 @@
             sync_directory(self.path.parent)
 
     def save(self, number: int, digest: bytes) -> bool:
-        """Whether the digest is durably written.
+        """Write a digest durably, and return whether that succeeded.
 
-        After an error the whole file is rewritten: a line may be torn, and data that a failed sync dropped is
-        not written by a later one.
+        After an error the whole file is rewritten, because it may have an incomplete line, and because data
+        that a failed fsync dropped is not written by a later one.
         """
         signed = self.signed | {number: digest}
         try:
@@ -91,7 +91,7 @@
 
 
 def sync_directory(path: Path) -> None:
-    """Make a new name in a directory durable."""
+    """Make new and renamed entries of a directory durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/hillchute/partners/signatures.py
+++ b/hillchute/partners/signatures.py
@@ -1,7 +1,7 @@
-"""Signatures of partners on offers, agreements and notices: what exactly is signed, and Ed25519 itself.
+"""Signatures of partners on offers, agreements and notices: the signed bytes, and Ed25519 operations.
 
-Uses the library `cryptography`, so it is imported only where partners are configured. Decides neither what is
-signed (agreement_signer.py) nor what a signature is good for (agreement_ledger.py).
+Imported only where partners are configured, because it needs the library `cryptography`. agreement_signer.py
+decides what is signed, and agreement_ledger.py what follows from a signature.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,18 +16,18 @@
 from hillchute.partners.agreements import Agreement, TerminationNotice
 from hillchute.partners.offers import Offer
 
-DIGEST_BYTES = 32  # of BLAKE2b
-SIGNATURE_BYTES = 64  # of Ed25519
+DIGEST_BYTES = 32  # BLAKE2b
+SIGNATURE_BYTES = 64  # Ed25519
 
 Sign = Callable[[bytes], bytes]
-Verify = Callable[[str, bytes, bytes], bool]  # partner, signed bytes, signature
+Verify = Callable[[str, bytes, bytes], bool]  # arguments: partner, signed bytes, signature
 
 Signable = Offer | Agreement | TerminationNotice
 _encoder = msgspec.msgpack.Encoder(order="sorted")
 
 
 class SignedKind(Enum):
-    """What a signature is on. The values are part of what is signed: they never change."""
+    """The kind of content that is signed. The values are part of the signed bytes and must never change."""
 
     OFFER = b"Offer"
     AGREEMENT = b"Text"
@@ -37,7 +37,8 @@
 class Signature(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """One partner's signature on an agreement, on an offer, or on its notice.
 
-    `number` is the agreement's, or the offer's revision; `digest` that of the content; `value` the 64 bytes.
+    `number` is the number of the agreement, or the revision of the offer. `digest` is the digest of the
+    signed content, and `value` the signature's 64 bytes.
     """
 
     partner: str
@@ -61,14 +62,14 @@
 
 
 class Equivocation(NamedTuple):
-    """The proof that a partner signed two agreements of one number."""
+    """The proof that a partner signed two agreements with the same number."""
 
     first: Signature
     second: Signature
 
 
 def kind_of(content: Signable) -> SignedKind:
-    """The kind under which a value is signed."""
+    """Return the kind under which a value is signed."""
     match content:
         case Offer():
             return SignedKind.OFFER
@@ -79,31 +80,31 @@
 
 
 def content_digest(content: Signable) -> bytes:
-    """The digest of a value's kind and all its fields, the same at every router."""
+    """Return the digest of a value's kind and all its fields, the same at every router."""
     return tagged_digest(kind_of(content).value, content)
 
 
 def tagged_digest(tag: bytes, content: msgspec.Struct) -> bytes:
-    """The digest of a tag and of a value in one canonical encoding."""
+    """Return the digest of a tag followed by the canonical encoding of a value."""
     return blake2b(tag + _encoder.encode(content), digest_size=DIGEST_BYTES).digest()
 
 
 def signed_bytes(kind: SignedKind, number: int, digest: bytes) -> bytes:
-    """The bytes that are signed.
+    """Return the bytes that are signed.
 
-    They name the kind and the number, so that no signature can be shown as one of another kind or number, for
-    example as the proof of an equivocation.
+    They include the kind and the number, so that a signature can't be presented as one of another kind or
+    number, for example in a false proof of equivocation.
     """
     return b"%s %d " % (kind.value, number) + digest
 
 
 def ed25519_signer(private_key: bytes) -> Sign:
-    """A function that signs with the 32 bytes of a private key."""
+    """Return a function that signs with a private key of 32 bytes."""
     return Ed25519PrivateKey.from_private_bytes(private_key).sign
 
 
 def ed25519_verifier(public_keys: Mapping[str, bytes]) -> Verify:
-    """A function that verifies partners' signatures by the 32 bytes of each public key."""
+    """Return a function that verifies partners' signatures; `public_keys` has 32 bytes for each partner."""
     known = {partner: Ed25519PublicKey.from_public_bytes(key) for partner, key in public_keys.items()}
 
     def verify(partner: str, content: bytes, signature: bytes) -> bool:
--- a/hillchute/partners/slot_allocation.py
+++ b/hillchute/partners/slot_allocation.py
@@ -1,25 +1,26 @@
 """Allocation of slots to partners by their agreed shares, with the fewest moves from the present owners.
 
-Pure and deterministic: the same inputs give every router the same owners, in whatever order partners are
-named. Knows nothing of agreements, nor of when a slot may change hands.
+Performs no I/O and is deterministic: the same inputs give the same owners at every router, in whatever order
+the partners are named.
 """
 
 from collections.abc import Mapping, Sequence
 
 from hillchute.history.slot_placement import SLOTS, weight
 
-# Part of all load by which a partner may miss its share: half of the promised 0.02, as load is an estimate.
+# Fraction of the total load by which a partner may miss its share: half of the documented 0.02, because load
+# is an estimate.
 LOAD_TOLERANCE = 0.01
 
-SlotOwners = tuple[str | None, ...]  # the partner that owns each slot; None: nobody
+SlotOwners = tuple[str | None, ...]  # the partner that owns each slot, or None
 NO_OWNERS: SlotOwners = (None,) * SLOTS
 
 
 def target_slot_counts(current: Sequence[str | None], shares: Mapping[str, int]) -> dict[str, int]:
-    """How many slots each partner is to own, within one of its exact part.
+    """Return how many slots each partner should own, within one of its exact share.
 
-    Where rounding leaves a choice, a partner that already owns one more keeps it, so that no allocation needs
-    fewer moves.
+    Where rounding leaves a choice, the extra slot goes to a partner that already owns it, so that the number
+    of moves is minimal.
     """
     total = sum(shares.values())
     if not total:
@@ -36,9 +37,9 @@
 
 
 def allocate_slots(current: Sequence[str | None], shares: Mapping[str, int]) -> SlotOwners:
-    """The owners of all slots by shares, which are whole numbers of any sum.
+    """Return the owners of all slots by shares, which are integers of any sum.
 
-    A partner without a share, or that is no longer named, gives up all its slots.
+    A partner without a share, or not in `shares`, loses all its slots.
     """
     if not sum(shares.values()):
         return NO_OWNERS
@@ -62,10 +63,11 @@
 def allocate_slots_by_load(
     current: Sequence[str | None], shares: Mapping[str, int], load: Sequence[int]
 ) -> SlotOwners:
-    """The owners by shares of the load that was measured for each slot.
+    """Return the owners of all slots by shares of the load, given the load of each slot.
 
-    Each partner is within 0.02 of all load of its part, or within the heaviest slot, which can't be divided.
-    Heavy slots move first, so that few do. Without any load, slots are allocated by count.
+    Each partner's load differs from its share by at most 0.02 of the total load, or by the load of the
+    heaviest slot if that is more, because a slot can't be divided. Heavy slots are moved first, so that few
+    slots move. Without any load, slots are allocated by count.
     """
     total_share = sum(shares.values())
     total_load = sum(load)
@@ -96,7 +98,7 @@
 def _rebalance(
     owners: list[str | None], excess: dict[str, float], shares: Mapping[str, int], load: Sequence[int]
 ) -> None:
-    """Move one slot at a time from the most loaded partner to the least loaded, while that helps both."""
+    """Move slots from the partner furthest above its share to the one furthest below, while both improve."""
     tolerance = LOAD_TOLERANCE * sum(load)
     for _ in range(SLOTS):
         giver = max(excess, key=lambda name: (excess[name], name))
@@ -112,14 +114,14 @@
 
 
 def _furthest_below(excess: Mapping[str, float], shares: Mapping[str, int]) -> str:
-    """Of the partners with a share, the one that is furthest below it."""
+    """Return the partner that is furthest below its share; partners without a share do not count."""
     return min((name for name in excess if shares[name]), key=lambda name: (excess[name], name))
 
 
 def _best_slot_to_move(
     owners: Sequence[str | None], load: Sequence[int], giver: str, surplus: float, deficit: float
 ) -> int | None:
-    """The giver's slot whose move leaves the smaller of the worst errors; None if none makes it smaller."""
+    """Return the giver's slot whose move reduces the larger of both deviations most; None if no move does."""
     worst = max(surplus, deficit)
     best: tuple[float, int] | None = None
     for slot, owner in enumerate(owners):
@@ -132,5 +134,5 @@
 
 
 def count_moves(before: Sequence[str | None], after: Sequence[str | None]) -> int:
-    """The number of slots whose owner differs."""
+    """Return the number of slots whose owner differs."""
     return sum(old != new for old, new in zip(before, after, strict=True))
--- a/hillchute/partners/slot_ownership.py
+++ b/hillchute/partners/slot_ownership.py
@@ -1,15 +1,16 @@
-"""Which agreement one router follows, and which partner is to own each slot by it.
+"""The agreement that one router follows, and the partner that should own each slot by it.
 
-Pure. Answers what the history's replica asks before it grants queries and moves ownership leases; it moves
-none itself.
+Performs no I/O. The replica of the answer history consults it before it grants queries and replaces ownership
+leases.
 
-That routers learn of a new agreement at different times is settled by the lease requests of the history's
-views: the router that calls a view announces the agreement that holds by its own clock, and its view comes
-into force only with routers that do not follow a later one. A router follows the highest agreement that was
-announced to it and that it has; it never goes back. The end of an agreement, and of a notice, is by each
-router's own clock: a clock that is wrong makes its router wrong by as much.
+Routers learn of a new agreement at different times. They agree on the one to follow through the views of the
+history: the coordinator of a view announces the agreement that is in force by its own clock, and the view
+comes into force only with routers that do not follow a later one. A router follows the agreement with the
+highest number that was announced to it and that it has accepted, and never returns to a lower one. Each
+router decides by its own clock when an agreement or a notice period has ended, so a clock error shifts these
+times by as much.
 
-Times are tenths of a millisecond since the Unix epoch.
+Times are in tenths of a millisecond since the Unix epoch.
 """
 
 from collections import Counter
@@ -26,7 +27,7 @@
 
 
 class OwnersBasis(NamedTuple):
-    """What the owners of the slots were derived from."""
+    """The inputs from which the owners of the slots were derived."""
 
     agreement_number: int
     up_to_date: bool
@@ -34,41 +35,41 @@
 
 
 class SlotOwnership:
-    """The agreement that one router follows; `revision` changes whenever slots may have other owners."""
+    """The agreement that one router follows. `revision` changes whenever the owners of slots may change."""
 
     def __init__(self, ledger: AgreementLedger, partner_of: Mapping[str, str], counts: Counter[str]) -> None:
-        """`partner_of`: each router's partner. `counts`: the statistics to which this adds."""
+        """`partner_of`: the partner of each router. `counts`: statistics to which this object adds."""
         self.ledger = ledger
         self.partner_of = partner_of
         self.counts = counts
-        self.agreement_number = 0  # of the one that this router follows; 0: none yet
-        self.announced_number = 0  # as the last view's call has it
+        self.agreement_number = 0  # of the followed agreement; 0: none yet
+        self.announced_number = 0  # in the last view's announcement
         self.revision = 1
-        self.capacities: dict[str, int] = {}  # cores of each partner that are ready, where that is known
-        self.below_capacity_since: dict[str, Time] = {}  # partners that contribute less than agreed
+        self.capacities: dict[str, int] = {}  # ready cores by partner, where known
+        self.below_capacity_since: dict[str, Time] = {}  # by partner that contributes less than agreed
         self.slot_owners: SlotOwners = NO_OWNERS
         self.basis: OwnersBasis | None = None
 
     def set_partner_of(self, partner_of: Mapping[str, str]) -> None:
-        """The operator names other routers."""
+        """Replace the partners of routers after a change of the operator file."""
         self.partner_of = partner_of
         self.revision += 1
 
-    # ---- what the history's replica asks -----------------------------------------------------------
+    # ---- interface for the history's replica -------------------------------------------------------
 
     def number_to_announce(self, now: Time) -> int:
-        """The number of the agreement that this router would announce."""
+        """Return the number of the agreement that this router would announce."""
         started = [number for number, agreement in self.ledger.accepted.items() if agreement.starts_at <= now]
         return max([self.agreement_number, *started])
 
     def followed_number(self) -> int:
-        """The number of the agreement that this router follows."""
+        """Return the number of the agreement that this router follows."""
         return self.agreement_number
 
     def on_announcement(self, now: Time, number: int) -> None:
-        """A view's call announces an agreement.
+        """Handle the announcement of an agreement by the coordinator of a view.
 
-        One that nobody has leaves this router without any to follow, until the next valid announcement.
+        While this router lacks the announced agreement, it leaves all ownership leases unchanged.
         """
         self.announced_number = number
         if number > self.agreement_number and number in self.ledger.accepted:
@@ -78,42 +79,42 @@
         self.update_owners(now)
 
     def next_lease(self, now: Time, slot: int, lease: OwnershipLease | None) -> OwnershipLease | None:
-        """The lease that is to stand for a slot; the given one where nothing is to change."""
+        """Return the lease that a slot should have: the given one, or a new one if the owner changes."""
         owner = self.slot_owners[slot] if self.up_to_date() and self.is_in_force(now) else None
         return handover.next_lease(lease, owner or "", now)
 
     def grant_refusal(
         self, now: Time, router: str, lease: OwnershipLease | None, is_earlier_running: Callable[[], bool]
     ) -> tuple[ClaimDecision, str] | None:
-        """Why a router's query of a slot can't be granted; None where it can."""
+        """Return why a router's query of a slot is not granted; None if it may be granted."""
         partner = self.partner_of.get(router, "")
         return handover.grant_refusal(lease, partner, self.is_in_force(now), is_earlier_running)
 
-    # ---- the agreement that is followed ------------------------------------------------------------
+    # ---- the followed agreement --------------------------------------------------------------------
 
     def agreement(self) -> Agreement | None:
-        """The agreement that this router follows, in force or not."""
+        """Return the agreement that this router follows, whether or not it is in force."""
         return self.ledger.accepted.get(self.agreement_number)
 
     def up_to_date(self) -> bool:
-        """Whether this router has the agreement that was last announced."""
+        """Return whether this router has the last announced agreement or a later one."""
         return self.agreement_number >= self.announced_number
 
     def is_in_force(self, now: Time) -> bool:
-        """Whether the agreement that this router follows has not ended."""
+        """Return whether this router follows an agreement that has not ended."""
         agreement = self.agreement()
         return agreement is not None and now < agreement.ends_at
 
     def set_capacities(self, now: Time, capacities: Mapping[str, int]) -> None:
-        """Cores of each partner that the endpoint list has as ready now."""
+        """Set the ready cores of each partner by the endpoint list."""
         self.capacities = dict(capacities)
         self.update_owners(now)
 
     def effective_shares(self, now: Time) -> dict[str, int]:
-        """Shares as they count now; only their proportions matter.
+        """Return the shares that apply now; only their proportions matter.
 
-        0 for a partner that departed; of one whose engines are missing for longer than the grace period as
-        much less as it contributes less.
+        The share of a departed partner is 0. The share of a partner whose engines have been missing for
+        longer than the grace period is reduced in proportion to the missing capacity.
         """
         agreement = self.agreement()
         if agreement is None:
@@ -135,7 +136,7 @@
         return share * ready // agreed if now - since > agreement.grace_period else share
 
     def update_owners(self, now: Time) -> None:
-        """Derive the owners of all slots anew, if anything that they follow from has changed."""
+        """Recalculate the owners of all slots if an input has changed."""
         agreement = self.agreement()
         shares = self.effective_shares(now)
         basis = OwnersBasis(self.agreement_number, self.up_to_date(), shares)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Slots that change hands, and queries that are passed on, over a network that fails: simulated time."""
+"""Slot handover and query forwarding over a faulty network, in simulated time."""
 
 import msgspec
 import pytest
@@ -26,18 +26,18 @@
 from hillchute.partners.signatures import Signature
 from hillchute.partners.slot_ownership import SlotOwnership
 
-KEEPS = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
+POLICY = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
 
 
 def net_of(count=6, seed=1, copies=1, **faults) -> PartnersNet:
-    net = PartnersNet(seed, count, founded(copies=copies, default=KEEPS), **faults)
+    net = PartnersNet(seed, count, founded(copies=copies, default=POLICY), **faults)
     net.agree()
     assert net.settled() and net.agreed()
     return net
 
 
 def key_of(net, partner, avoid=()):
-    """A key whose slot is a partner's, first held by none of `avoid`."""
+    """Returns a key whose slot a partner owns, and whose first holder is none of `avoid`."""
     owners, view = net.owners(), next(iter(net.replicas.values())).views.view
     keys = (f"k{n}" for n in range(5000))
     for key in keys:
@@ -47,11 +47,11 @@
     raise AssertionError(partner)
 
 
-def clean(net):
+def assert_no_violations(net):
     assert not +net.rule and not net.unanswered()
 
 
-def test_owner_leads_and_others_pass_on_and_each_has_one_answer():
+def test_owner_runs_queries_and_others_forward_them_with_one_answer_each():
     net = net_of()
     key = key_of(net, "a")
     net.ask("n0", "t0", key)
@@ -62,28 +62,28 @@
     assert net.hops["forwarded"] == net.hops["arrived"] == 1 and net.said["RUN: new"] == 2
     assert net.said["answered finished"] == 2
     assert {partner for _, _, partner in net.led[key]} == {"a"}
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_first_of_a_key_that_is_lost_on_its_way_is_not_overtaken():
+def test_query_that_is_lost_in_transit_is_not_overtaken_by_the_next_of_its_key():
     net, lost = net_of(), []
     key, send = key_of(net, "a"), net.send
 
-    def losing(name, to, message):
+    def lose_first_query(sender, receiver, message):
         if isinstance(message, ForwardQuery) and not lost:
             lost.append(message.query_id)
         else:
-            send(name, to, message)
+            send(sender, receiver, message)
 
-    net.send = losing
+    net.send = lose_first_query
     net.ask("n1", "t0", key)
     net.ask("n1", "t1", key)
     net.advance(6)
     assert lost == ["t0"] and net.runs["t0"][0][1] <= net.runs["t1"][0][0]
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_resend_is_answered_wherever_it_arrives_without_being_passed_on():
+def test_resent_query_is_answered_at_any_router_without_being_forwarded():
     net = net_of()
     key = key_of(net, "a")
     net.ask("n0", "t0", key)
@@ -91,10 +91,10 @@
     net.ask("n2", "t0", key)
     net.advance(2)
     assert net.said["REPLAY: finished before"] == 1 and not net.hops["forwarded"]
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_mutating_query_is_led_by_its_table_groups_owner_and_listed_only_while_it_is_out():
+def test_mutating_query_runs_at_its_table_groups_owner_and_is_recorded_only_while_in_flight():
     net = net_of()
     for tables in range(9):
         net.change("n0", tables)
@@ -107,10 +107,10 @@
     assert not any(
         k.record.is_transient for replica in net.replicas.values() for k in replica.records.all_records()
     )
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_new_agreement_moves_titles_and_new_owner_waits_for_what_is_out():
+def test_new_agreement_moves_leases_and_new_owner_waits_for_queries_in_flight():
     net = net_of(copies=2)
     before = net.owners()
     net.offer("a", 8000)
@@ -118,24 +118,24 @@
     after = net.owners()
     moved = [slot for slot in range(1024) if before[slot] != after[slot]]
     assert moved and all(after[slot] == "a" for slot in moved)
-    # Back again, with a run of a's out in a slot that moves.
-    chance = net.chance
+    # Back to equal shares, with queries of a's routers in flight in a slot that moves.
+    rng = net.chance
     net.offer("a", 3333)
     key = next(key for n in range(9999) if slot_of("", key := f"k{n}") in moved)
     slot = slot_of("", key)
     while net.owners()[slot] == "a":
         for n in range(3):
-            net.ask(chance.choice(net.names), f"{net.now}{n}", key)
+            net.ask(rng.choice(net.names), f"{net.now}{n}", key)
         net.advance(0.3)
     for n in range(6):
-        net.ask(chance.choice(net.names), f"after{n}", key)
+        net.ask(rng.choice(net.names), f"after{n}", key)
         net.advance(1)
     assert {partner for _, _, partner in net.led[key]} >= {"a"} and len(net.led[key]) >= 3
     assert len({partner for _, _, partner in net.led[key]}) == 2
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_run_of_a_router_that_died_holds_its_slot_until_it_cannot_be_out():
+def test_query_of_a_dead_router_blocks_its_key_until_it_cannot_be_in_flight():
     net = net_of()
     net.offer("a", 8000)
     net.offer("b", 1000)
@@ -143,7 +143,7 @@
     assert net.agreed()
     before = net.owners()
     key = key_of(net, "a", avoid=("n0", "n3"))
-    claim = net.claim("n0", "t0", key, 4 * SECOND)  # granted, and then its router dies
+    claim = net.claim("n0", "t0", key, 4 * SECOND)  # is granted before its router dies
     net.post("n0")
     while not any(
         k.record.idempotency_key == "t0"
@@ -155,7 +155,7 @@
     net.kill("n0")
     assert claim not in net.open
     net.start("n0")
-    net.offers.clear()  # their turns begin again with this: nobody is to know an earlier one
+    net.offers.clear()  # revisions start again below, so all routers must forget the earlier offers
     net.offer("a", 500, 0, 600)
     for protocol in net.protocols.values():
         protocol.ledger.offers.clear()
@@ -176,10 +176,10 @@
     net.ask(other, "t2", key)
     net.advance(4)
     assert net.runs["t2"]
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_first_holder_that_dies_while_a_title_moves_leaves_one_title():
+def test_first_holder_that_dies_while_a_lease_moves_leaves_one_lease():
     net = net_of(copies=2)
     net.offer("a", 8000)
     while not any(replica.leases.transfers for replica in net.replicas.values()):
@@ -192,12 +192,12 @@
         net.advance(0.2)
     net.start(mover)
     assert net.settled() and net.agreed()
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_side_of_a_cut_without_a_view_leads_nothing():
+def test_minority_side_of_a_partition_runs_nothing():
     net = net_of()
-    net.cut(["n0", "n3"], ["n1", "n2", "n4", "n5"])  # all of a's
+    net.cut(["n0", "n3"], ["n1", "n2", "n4", "n5"])  # both routers of partner a
     net.advance(12)
     for n in range(5):
         net.ask("n0", f"t{n}", key := f"k{n}")
@@ -205,10 +205,10 @@
     net.advance(6)
     assert not net.runs and net.said["answered deferred"] == 10
     assert key
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_owners_routers_all_gone_queries_are_deferred_and_nothing_runs_elsewhere():
+def test_queries_are_rejected_and_run_nowhere_when_all_routers_of_the_owner_are_dead():
     net = net_of()
     key = key_of(net, "a", avoid=("n0", "n3"))
     net.kill("n0")
@@ -217,11 +217,11 @@
     net.ask("n1", "t0", key)
     net.advance(5)
     assert not net.runs and net.said["answered deferred"] == 1
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_paused_router_of_the_old_owner_sends_nothing_when_it_wakes():
-    """Its claim was granted and it stood still: by the time that it wakes its query is past its end."""
+def test_stalled_router_of_the_old_owner_sends_nothing_when_it_resumes():
+    """The router stalls after its claim was granted; when it resumes, the query is past its deadline."""
     net = net_of()
     key = key_of(net, "a", avoid=("n0",))
     net.ask("n0", "t0", key)
@@ -232,13 +232,13 @@
     net.advance(20)
     net.go_on("n0")
     net.advance(5)
-    assert not net.runs["t0"]  # the reducer finds it past its end; here the claim is
+    assert not net.runs["t0"]  # its claim is past the deadline; the reducer also checks that
     assert net.settled() and net.agreed()
-    clean(net)
+    assert_no_violations(net)
 
 
-def test_no_agreement_no_title_nothing_runs_until_partners_agree():
-    net = PartnersNet(1, 6, founded(copies=1, default=KEEPS))
+def test_without_an_agreement_no_query_runs():
+    net = PartnersNet(1, 6, founded(copies=1, default=POLICY))
     assert net.settled()
     net.ask("n0", "t0", "k0")
     net.advance(5)
@@ -248,75 +248,75 @@
     net.ask("n0", "t1", "k0")
     net.advance(4)
     assert net.runs["t1"]
-    clean(net)
+    assert_no_violations(net)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_storm_breaks_no_rule(seed):
+def test_random_faults_violate_no_rule(seed):
     net = net_of(seed=seed, loss=0.05, twice=0.05, never=0.05)
     assert storm(net, seed, 45)
     assert net.hops["forwarded"] and len(net.runs) > 10
-    clean(net)
+    assert_no_violations(net)
 
 
-# ---- passing on, by itself ----
+# ---- QueryForwarder ----
 
 
-def pair():
-    """Two ends; `dead` holds lives that are over."""
-    dead: set[tuple[str, int]] = set()
-    lives = {"r": 1, "s": 2}
-    over = lambda name, life: (name, life) in dead  # noqa: E731
-    return QueryForwarder("r", 1, lambda: lives, over), QueryForwarder("s", 2, lambda: lives, over), dead
+def forwarder_pair():
+    """Returns the forwarders of two routers, and the set of incarnations that have ended."""
+    ended: set[tuple[str, int]] = set()
+    live = {"r": 1, "s": 2}
+    is_over = lambda name, incarnation: (name, incarnation) in ended  # noqa: E731
+    return QueryForwarder("r", 1, lambda: live, is_over), QueryForwarder("s", 2, lambda: live, is_over), ended
 
 
 QUERY = ForwardQuery(0, 0, 0, "id", "g", b"s", "t", None, 0.0, "k", "", 0)
 
 
-def carry(sender, receiver, now=0, most=99):
-    out, sender.outbox = sender.outbox, []
-    for _, message in out[:most]:
+def deliver(sender, receiver, now=0, limit=99):
+    messages, sender.outbox = sender.outbox, []
+    for _, message in messages[:limit]:
         receiver.receive(now, sender.router, message)
 
 
-def test_query_goes_and_its_answer_comes_once_however_often_each_is_said():
-    r, s, _ = pair()
+def test_repeated_messages_give_one_arrival_and_one_completion():
+    r, s, _ = forwarder_pair()
     number = r.forward(0, "s", QUERY, 10 * SECOND)
     for _ in range(3):
         r.transmit_query(0, r.outgoing[number])
-    carry(r, s)
+    deliver(r, s)
     assert len(s.arrivals) == 1 and s.arrivals[0][1].time_left == 10 * SECOND
     session = s.arrivals[0][0]
     s.answer(0, session, ForwardOutcome.SERVED, "", b"rows")
     s.answer(0, session, ForwardOutcome.FAILED, "", None)
     for _ in range(3):
         s.transmit_result(0, s.by_session[session], s.by_session[session].result)
-    carry(s, r)
+    deliver(s, r)
     assert r.completions == [(number, ForwardOutcome.SERVED, "", b"rows")]
-    carry(r, s)
-    assert s.by_session[session].over and not s.outbox
+    deliver(r, s)
+    assert s.by_session[session].closed and not s.outbox
 
 
-def test_answer_that_is_lost_comes_again_and_a_late_repeat_starts_nothing():
-    r, s, _ = pair()
+def test_lost_result_is_retransmitted_and_a_late_query_message_starts_nothing():
+    r, s, _ = forwarder_pair()
     r.forward(0, "s", QUERY, 10 * SECOND)
-    again = r.outbox[0][1]
-    carry(r, s)
+    query_message = r.outbox[0][1]
+    deliver(r, s)
     s.answer(0, s.arrivals[0][0], ForwardOutcome.REJECTED, "full")
     s.outbox.clear()  # lost
     s.tick(8 * RETRANSMIT_AFTER)
-    carry(s, r)
-    assert [how for _, how, _, _ in r.completions] == ["deferred"]
-    s.receive(KEPT_AFTER_DEADLINE, "r", again)
+    deliver(s, r)
+    assert [outcome for _, outcome, _, _ in r.completions] == ["deferred"]
+    s.receive(KEPT_AFTER_DEADLINE, "r", query_message)
     assert len(s.arrivals) == 1
     s.tick(10 * SECOND + KEPT_AFTER_DEADLINE + 1)
     assert not s.incoming and not s.by_session
 
 
-def test_answer_that_nobody_hears_is_given_up():
-    r, s, _ = pair()
+def test_unacknowledged_result_is_eventually_dropped():
+    r, s, _ = forwarder_pair()
     r.forward(0, "s", QUERY, SECOND)
-    carry(r, s)
+    deliver(r, s)
     s.answer(0, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"rows")
     assert s.has_unacknowledged_results
     for now in range(0, 4 * SECOND, RETRANSMIT_AFTER):
@@ -327,133 +327,132 @@
     assert not s.outbox and s.incoming
 
 
-def test_query_for_a_life_that_is_over_is_not_taken_by_the_next():
-    r, s, dead = pair()
+def test_query_for_an_ended_incarnation_is_not_accepted_by_the_next():
+    r, s, ended = forwarder_pair()
     number = r.forward(0, "s", QUERY, 10 * SECOND)
-    anew = QueryForwarder("s", 3, s.live_routers, s.is_over)
-    carry(r, anew)
-    assert not anew.arrivals
-    dead.add(("s", 2))
+    restarted = QueryForwarder("s", 3, s.live_routers, s.is_over)
+    deliver(r, restarted)
+    assert not restarted.arrivals
+    ended.add(("s", 2))
     r.tick(RETRANSMIT_AFTER)
     assert r.completions == [(number, "killed", "its owner's router is gone; it may have run", None)]
 
 
-def test_query_without_an_answer_has_failed_when_it_is_due_and_is_dropped_there():
-    r, s, _ = pair()
+def test_query_without_a_result_fails_at_its_deadline_and_is_cancelled():
+    r, s, _ = forwarder_pair()
     number = r.forward(0, "s", QUERY, SECOND)
-    carry(r, s)
+    deliver(r, s)
     r.tick(SECOND)
-    assert [(n, how) for n, how, _, _ in r.completions] == [(number, "killed")]
+    assert [(n, outcome) for n, outcome, _, _ in r.completions] == [(number, "killed")]
     assert any(isinstance(message, ForwardCancel) for _, message in r.outbox)
-    carry(r, s)
+    deliver(r, s)
     assert s.abandoned == [s.arrivals[0][0]]
     s.answer(SECOND, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"")
     assert not any(isinstance(message, ForwardResult) for _, message in s.outbox)
 
 
-def test_client_that_leaves_takes_its_query_back():
-    r, s, _ = pair()
+def test_departed_client_cancels_its_query():
+    r, s, _ = forwarder_pair()
     number = r.forward(0, "s", QUERY, SECOND)
-    carry(r, s)
+    deliver(r, s)
     r.cancel(number)
-    carry(r, s)
+    deliver(r, s)
     assert s.abandoned and not r.outgoing
     r.receive(0, "s", ForwardResult(number, 1, ForwardOutcome.SERVED, "", b""))
     assert not r.completions and any(isinstance(message, ForwardResultAck) for _, message in r.outbox)
 
 
-def test_words_of_another_router_end_nothing():
-    r, s, _ = pair()
+def test_messages_of_a_third_router_are_ignored():
+    r, s, _ = forwarder_pair()
     number = r.forward(0, "s", QUERY, SECOND)
-    for word in (ForwardAccepted(number, 1), ForwardResult(number, 1, ForwardOutcome.SERVED, "", b"")):
-        r.receive(0, "x", word)
+    for message in (ForwardAccepted(number, 1), ForwardResult(number, 1, ForwardOutcome.SERVED, "", b"")):
+        r.receive(0, "x", message)
     assert not r.outgoing[number].accepted and not r.completions
-    carry(r, s)
+    deliver(r, s)
     s.receive(0, "x", ForwardCancel(number, 1))
     assert not s.abandoned
 
 
-def test_result_that_is_too_long_to_pass_fails_and_says_so():
-    r, s, _ = pair()
+def test_result_that_is_too_long_to_forward_fails_with_a_reason():
+    r, s, _ = forwarder_pair()
     r.forward(0, "s", QUERY, SECOND)
-    carry(r, s)
+    deliver(r, s)
     s.answer(0, s.arrivals[0][0], ForwardOutcome.SERVED, "", b"x" * (forwarding.MAX_RESULT_BYTES + 1))
-    carry(s, r)
-    (_, how, why, rows) = r.completions[0]
-    assert how == "killed" and "bytes" in why and rows is None
+    deliver(s, r)
+    (_, outcome, reason, rows) = r.completions[0]
+    assert outcome == "killed" and "bytes" in reason and rows is None
 
 
-# ---- planted faults are found ----
-
-
-def test_agreements_that_swing_under_load_break_no_rule():
+def test_alternating_agreements_under_load_violate_no_rule():
     net = net_of(loss=0.05, twice=0.05)
     assert rush(net, 1)
     assert net.hops["arrived"] > 200 and len(net.runs) > 200
-    clean(net)
+    assert_no_violations(net)
+
 
+# ---- planted faults ----
 
-LEADS, END = handover.grant_refusal, QueryForwarder.complete
+GRANT_REFUSAL, COMPLETE = handover.grant_refusal, QueryForwarder.complete
 
 
-def anybody_leads(lease, partner, holds, is_earlier_running):
-    found = LEADS(lease, partner, holds, is_earlier_running)
-    return None if found and found[0] is ClaimDecision.FORWARD else found
+def grant_to_any_partner(lease, partner, in_force, is_earlier_running):
+    refusal = GRANT_REFUSAL(lease, partner, in_force, is_earlier_running)
+    return None if refusal and refusal[0] is ClaimDecision.FORWARD else refusal
 
 
-def has_not_run(self, number, how, why, rows=None):
-    END(self, number, ForwardOutcome.REJECTED if how == "killed" else how, why, rows)
+def reject_failed(self, number, outcome, reason, rows=None):
+    COMPLETE(self, number, ForwardOutcome.REJECTED if outcome == "killed" else outcome, reason, rows)
 
 
-def is_no_answer(self, number, how, why, rows=None):
-    if how == "killed":
+def drop_failed(self, number, outcome, reason, rows=None):
+    if outcome == "killed":
         del self.outgoing[number]
     else:
-        END(self, number, how, why, rows)
+        COMPLETE(self, number, outcome, reason, rows)
 
 
 PLANTED = {
-    "nobody waits for what is out": (LeaseTransfers, "is_earlier_running", lambda self, *about: False),
-    "anybody leads": (handover, "grant_refusal", anybody_leads),
-    "what may have run is deferred": (QueryForwarder, "complete", has_not_run),
-    "what has no answer ends without one": (QueryForwarder, "complete", is_no_answer),
+    "queries in flight are not waited for": (LeaseTransfers, "is_earlier_running", lambda self, *args: False),
+    "any partner's queries are granted": (handover, "grant_refusal", grant_to_any_partner),
+    "failed queries are reported as rejected": (QueryForwarder, "complete", reject_failed),
+    "failed queries are not answered": (QueryForwarder, "complete", drop_failed),
     "leases are never moved": (
         handover,
         "next_lease",
-        lambda lease, wanted, now: lease or OwnershipLease(1, wanted),
+        lambda lease, owner, now: lease or OwnershipLease(1, owner),
     ),
-    "nothing is told on": (
+    "ledger entries are not sent": (
         AgreementProtocol,
-        "knowledge",
+        "ledger_entries",
         lambda self, reply_wanted: Knowledge((), (), (), (), (), reply_wanted),
     ),
-    "a call is not heeded": (SlotOwnership, "on_announcement", lambda self, now, number: None),
-    "a signature is for what it was not": (
+    "announcements are ignored": (SlotOwnership, "on_announcement", lambda self, now, number: None),
+    "signatures are on another digest": (
         AgreementSigner,
         "sign_agreement",
         lambda self, agreement, own: Signature(
             self.partner, agreement.number, bytes(32), self.sign(bytes(32))
         ),
     ),
-    "slots go to no one": (SlotOwnership, "update_owners", lambda self, now: None),
+    "slots get no owners": (SlotOwnership, "update_owners", lambda self, now: None),
 }
 
 
-@pytest.mark.parametrize("what", PLANTED)
-def test_fault_planted_in_the_code_is_found(what, monkeypatch):
-    owner, name, fault = PLANTED[what]
+@pytest.mark.parametrize("description", PLANTED)
+def test_planted_fault_is_detected(description, monkeypatch):
+    owner, name, fault = PLANTED[description]
     monkeypatch.setattr(owner, name, fault)
-    net = PartnersNet(1, 6, founded(copies=1, default=KEEPS), loss=0.05, twice=0.05)
+    net = PartnersNet(1, 6, founded(copies=1, default=POLICY), loss=0.05, twice=0.05)
     net.agree()
-    came_to_rest = net.settled() and net.agreed(20) and rush(net, 1, 3)
-    assert not came_to_rest or +net.rule or net.unanswered()
+    settled = net.settled() and net.agreed(20) and rush(net, 1, 3)
+    assert not settled or +net.rule or net.unanswered()
 
 
-def test_records_say_under_which_title_they_were_led():
+def test_records_have_the_number_of_their_lease():
     net = net_of()
     key = key_of(net, "b")
     net.ask("n1", "t0", key)
     net.play(0.3)
     leases = {k.slots.slots[slot_of("", key)].lease for k in net.replicas.values()} - {None}
-    led = {kept.record.lease_number for k in net.replicas.values() for kept in k.records.all_records()}
-    assert led == {lease.number for lease in leases} and len(led) == 1
+    recorded = {kept.record.lease_number for k in net.replicas.values() for kept in k.records.all_records()}
+    assert recorded == {lease.number for lease in leases} and len(recorded) == 1
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -1,4 +1,4 @@
-"""Partners: slots by agreed shares with the fewest moves; agreements that all of them have signed."""
+"""Partners: allocation of slots by shares with the fewest moves, and agreements signed by all partners."""
 
 import random
 
@@ -30,39 +30,39 @@
 seeds = st.integers(0, 10**6)
 
 
-def some_held(seed: int, names=(*NAMES, "gone", None)):
-    """Slots as they might be held, evenly or not."""
-    chance = random.Random(seed)
-    weights = [chance.random() ** 3 + 0.001 for _ in names]
-    return tuple(chance.choices(names, weights, k=SLOTS))
+def random_owners(seed: int, names=(*NAMES, "gone", None)):
+    """Return random owners of all slots, unevenly distributed."""
+    rng = random.Random(seed)
+    weights = [rng.random() ** 3 + 0.001 for _ in names]
+    return tuple(rng.choices(names, weights, k=SLOTS))
 
 
 @settings(max_examples=150, deadline=None)
 @given(seeds, shares.filter(lambda s: sum(s.values())))
-def test_split_is_within_one_slot_of_exact_with_the_fewest_moves(seed, shares):
-    held = some_held(seed)
-    owners = allocate_slots(held, shares)
+def test_allocation_is_within_one_slot_of_shares_with_fewest_moves(seed, shares):
+    current = random_owners(seed)
+    owners = allocate_slots(current, shares)
     total = sum(shares.values())
     for name, share in shares.items():
         assert abs(owners.count(name) - SLOTS * share / total) < 1
         assert share or not owners.count(name)
     assert set(owners) <= shares.keys()
-    assert count_moves(held, owners) == least_moves(held, shares)
+    assert count_moves(current, owners) == least_moves(current, shares)
     assert allocate_slots(owners, shares) == owners
 
 
 @settings(max_examples=60, deadline=None)
 @given(seeds, shares.filter(lambda s: sum(s.values())), st.randoms(use_true_random=False))
-def test_split_is_the_same_in_whatever_order_partners_are_named(seed, shares, chance):
-    held, names = some_held(seed), list(shares)
-    chance.shuffle(names)
-    again = {name: shares[name] for name in names}
-    work = [random.Random(seed).randrange(1000) for _ in range(SLOTS)]
-    assert allocate_slots(held, shares) == allocate_slots(held, again)
-    assert allocate_slots_by_load(held, shares, work) == allocate_slots_by_load(held, again, work)
+def test_allocation_does_not_depend_on_order_of_partners(seed, shares, rng):
+    current, names = random_owners(seed), list(shares)
+    rng.shuffle(names)
+    reordered = {name: shares[name] for name in names}
+    load = [random.Random(seed).randrange(1000) for _ in range(SLOTS)]
+    assert allocate_slots(current, shares) == allocate_slots(current, reordered)
+    assert allocate_slots_by_load(current, shares, load) == allocate_slots_by_load(current, reordered, load)
 
 
-def test_partner_that_comes_or_goes_moves_its_part_alone():
+def test_joining_or_leaving_partner_moves_only_its_own_slots():
     first = allocate_slots((None,) * SLOTS, {"a": 2, "b": 1})
     second = allocate_slots(first, {"a": 2, "b": 1, "c": 1})
     assert count_moves(first, second) == second.count("c") == SLOTS // 4
@@ -73,37 +73,37 @@
 
 @settings(max_examples=80, deadline=None)
 @given(seeds, shares.filter(lambda s: sum(s.values())))
-def test_split_by_work_is_within_two_hundredths_or_the_heaviest_slot(seed, shares):
-    held, chance = some_held(seed), random.Random(seed)
-    work = [int(1000 * chance.paretovariate(1.2)) for _ in range(SLOTS)]
-    owners = allocate_slots_by_load(held, shares, work)
-    total, all_work = sum(shares.values()), sum(work)
+def test_allocation_by_load_is_within_two_hundredths_or_the_heaviest_slot(seed, shares):
+    current, rng = random_owners(seed), random.Random(seed)
+    load = [int(1000 * rng.paretovariate(1.2)) for _ in range(SLOTS)]
+    owners = allocate_slots_by_load(current, shares, load)
+    total, total_load = sum(shares.values()), sum(load)
     for name, share in shares.items():
-        mine = sum(w for w, owner in zip(work, owners, strict=True) if owner == name)
-        assert abs(mine - all_work * share / total) <= max(0.02 * all_work, max(work))
+        own_load = sum(w for w, owner in zip(load, owners, strict=True) if owner == name)
+        assert abs(own_load - total_load * share / total) <= max(0.02 * total_load, max(load))
     assert all(shares[owner] for owner in owners)
 
 
-def test_split_by_work_moves_few_slots():
-    """From an even split by count, as work drifts apart: far fewer than dealing anew would."""
-    shares, chance = {"a": 3, "b": 2, "c": 1}, random.Random(5)
-    held = allocate_slots((None,) * SLOTS, shares)
-    work = [int(1000 * chance.paretovariate(1.5)) for _ in range(SLOTS)]
-    owners = allocate_slots_by_load(held, shares, work)
+def test_allocation_by_load_moves_few_slots():
+    """Starts from an even allocation by count. The bound is the total deficit in slots of mean load."""
+    shares, rng = {"a": 3, "b": 2, "c": 1}, random.Random(5)
+    current = allocate_slots((None,) * SLOTS, shares)
+    load = [int(1000 * rng.paretovariate(1.5)) for _ in range(SLOTS)]
+    owners = allocate_slots_by_load(current, shares, load)
     off = {
-        n: sum(work) * s / 6 - sum(w for w, o in zip(work, held, strict=True) if o == n)
+        n: sum(load) * s / 6 - sum(w for w, o in zip(load, current, strict=True) if o == n)
         for n, s in shares.items()
     }
     deficit = sum(max(0, gap) for gap in off.values())
-    mean = sum(work) / SLOTS
-    assert count_moves(held, owners) <= 2 + deficit / mean
-    assert allocate_slots_by_load(owners, shares, work) == owners
+    mean = sum(load) / SLOTS
+    assert count_moves(current, owners) <= 2 + deficit / mean
+    assert allocate_slots_by_load(owners, shares, load) == owners
 
 
-def test_work_that_nobody_measured_is_split_by_count():
-    held = some_held(3)
-    assert allocate_slots_by_load(held, {"a": 1, "b": 1}, [0] * SLOTS) == allocate_slots(
-        held, {"a": 1, "b": 1}
+def test_allocation_without_measured_load_is_by_count():
+    current = random_owners(3)
+    assert allocate_slots_by_load(current, {"a": 1, "b": 1}, [0] * SLOTS) == allocate_slots(
+        current, {"a": 1, "b": 1}
     )
 
 
@@ -112,7 +112,7 @@
 KEYS = {name: Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32) for n, name in enumerate("abc", 1)}
 PUBLIC = {name: key.public_key().public_bytes_raw() for name, key in KEYS.items()}
 DAY = 864_000_000
-CHECK = ed25519_verifier(PUBLIC)
+VERIFY = ed25519_verifier(PUBLIC)
 
 
 def offer(partner, want=3000, least=1000, most=8000, turn=1, begins=0, ends=DAY, capacity=100):
@@ -121,22 +121,22 @@
     )
 
 
-def signer_for(name, kept=None, save=True):
-    kept = {} if kept is None else kept
+def signer_for(name, journal=None, is_writable=True):
+    journal = {} if journal is None else journal
 
-    def keep(number, digest):
-        if save:
-            kept[number] = digest
-        return save
+    def record(number, digest):
+        if is_writable:
+            journal[number] = digest
+        return is_writable
 
-    return AgreementSigner(name, ed25519_signer(bytes([1 + "abc".index(name)]) * 32), keep, kept)
+    return AgreementSigner(name, ed25519_signer(bytes([1 + "abc".index(name)]) * 32), record, journal)
 
 
 def agreed(number=1, offers=None, ledger=None, **times):
-    """An agreement with the signatures of all, in a ledger."""
+    """Return an agreement and a ledger that has it with the signatures of all partners."""
     offers = offers or [offer(name, **times) for name in "abc"]
     agreement = derive_agreement(offers, number)
-    ledger = ledger or AgreementLedger("abc", CHECK)
+    ledger = ledger or AgreementLedger("abc", VERIFY)
     ledger.record_agreement(agreement)
     for one in offers:
         assert ledger.record_signature(signer_for(one.partner).sign_agreement(agreement, one))
@@ -154,7 +154,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(bounds)
-def test_shares_add_up_and_keep_everybodys_bounds(bounds):
+def test_shares_add_up_and_are_within_all_bounds(bounds):
     offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
     if not sum(b[0] for b in bounds) <= SHARE_TOTAL <= sum(b[2] for b in bounds):
         with pytest.raises(InvalidAgreementError):
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    ("offers", "where"),
+    ("offers", "location"),
     [
         ([], ""),
         ([offer("a", want=500)], "a"),
@@ -178,13 +178,13 @@
         ([offer("a", ends=10), offer("b", begins=10)], "begins"),
     ],
 )
-def test_offers_that_do_not_meet_say_where(offers, where):
-    with pytest.raises(InvalidAgreementError) as fault:
+def test_incompatible_offers_name_the_conflicting_term(offers, location):
+    with pytest.raises(InvalidAgreementError) as error:
         derive_agreement(offers, 1)
-    assert fault.value.location == where
+    assert error.value.location == location
 
 
-def test_agreement_is_in_force_with_every_signature_from_its_time_to_its_end():
+def test_fully_signed_agreement_is_in_force_from_start_to_end():
     agreement, ledger = agreed(begins=50)
     assert [ledger.in_force(now) for now in (49, 50, DAY - 1, DAY)] == [None, agreement, agreement, None]
     assert sum(ledger.shares(50).values()) == SHARE_TOTAL and ledger.shares(DAY) == {}
@@ -192,22 +192,25 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.randoms(use_true_random=False), st.sets(st.integers(0, 7)))
-def test_old_or_new_agreement_whatever_is_lost_repeated_or_late(chance, lost):
-    """Two routers hear the same in other orders, and not all of it: each has the old agreement or the new
-    one, the new one only with all signatures, and both the same once they have heard the same."""
+def test_old_or_new_agreement_is_in_force_under_loss_repeats_and_delay(rng, lost):
+    """Two routers get the same messages in different orders, and not all of them.
+
+    Each has either the old agreement in force or the new one, the new one only with all signatures. Both have
+    the same once they have received the same messages.
+    """
     old, _ = agreed()
-    ledgers = [agreed(ledger=AgreementLedger("abc", CHECK))[1] for _ in range(2)]
+    ledgers = [agreed(ledger=AgreementLedger("abc", VERIFY))[1] for _ in range(2)]
     offers = [offer(name, want=3000 + 500 * n, begins=100) for n, name in enumerate("abc")]
     new = derive_agreement(offers, 2)
     messages = [new, *(signer_for(o.partner).sign_agreement(new, o) for o in offers)]
-    heard = [set(), set()]
-    line = [(router, n) for router in (0, 1) for n in range(4) if router * 4 + n not in lost] * 2
-    chance.shuffle(line)
-    for router, n in line:
+    received = [set(), set()]
+    deliveries = [(router, n) for router in (0, 1) for n in range(4) if router * 4 + n not in lost] * 2
+    rng.shuffle(deliveries)
+    for router, n in deliveries:
         (ledgers[router].record_agreement if n == 0 else ledgers[router].record_signature)(messages[n])
-        heard[router].add(n)
-        want = new if heard[router] == {0, 1, 2, 3} else old
-        assert ledgers[router].in_force(200) == want
+        received[router].add(n)
+        expected = new if received[router] == {0, 1, 2, 3} else old
+        assert ledgers[router].in_force(200) == expected
         assert ledgers[router].in_force(99) == old
     for ledger in ledgers:
         ledger.record_agreement(new)
@@ -215,25 +218,25 @@
     assert [ledger.in_force(200) for ledger in ledgers] == [new, new]
 
 
-def test_partner_signs_one_agreement_for_a_number_also_after_a_crash():
-    kept, own = {}, offer("a")
+def test_partner_signs_one_agreement_per_number_also_after_a_crash():
+    journal, own = {}, offer("a")
     agreement, other = (derive_agreement([own, offer("b", want=w)], 3) for w in (3000, 5000))
-    first = signer_for("a", kept).sign_agreement(agreement, own)
-    again = signer_for("a", kept)  # it has crashed, and read what it kept
-    assert again.sign_agreement(agreement, own) == first
+    first = signer_for("a", journal).sign_agreement(agreement, own)
+    restarted = signer_for("a", journal)  # after a crash, with what the journal has
+    assert restarted.sign_agreement(agreement, own) == first
     with pytest.raises(InvalidAgreementError, match="number 3"):
-        again.sign_agreement(other, own)
+        restarted.sign_agreement(other, own)
     with pytest.raises(InvalidAgreementError, match="number 3"):
-        again.sign_agreement(derive_agreement([own, offer("b")], 2), own)
-    assert again.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
+        restarted.sign_agreement(derive_agreement([own, offer("b")], 2), own)
+    assert restarted.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
 
 
-def test_signature_that_cannot_be_kept_is_not_given():
+def test_signature_that_cannot_be_stored_is_not_handed_out():
     own = offer("a")
-    hand = signer_for("a", save=False)
+    signer = signer_for("a", is_writable=False)
     with pytest.raises(InvalidAgreementError, match="kept"):
-        hand.sign_agreement(derive_agreement([own, offer("b")], 1), own)
-    assert not hand.signed
+        signer.sign_agreement(derive_agreement([own, offer("b")], 1), own)
+    assert not signer.signed
 
 
 @pytest.mark.parametrize(
@@ -246,15 +249,15 @@
         offer("b"),
     ],
 )
-def test_partner_signs_nothing_that_it_did_not_offer(own):
+def test_partner_signs_only_what_it_offered(own):
     agreement = derive_agreement([offer("a"), offer("b", want=7000)], 1)
     with pytest.raises(InvalidAgreementError):
         signer_for("a").sign_agreement(agreement, own)
 
 
-def test_signatures_of_others_or_on_other_agreements_count_for_nothing():
+def test_signatures_of_others_or_on_other_agreements_are_rejected():
     agreement = derive_agreement([offer(name) for name in "abc"], 1)
-    ledger = AgreementLedger("abc", CHECK)
+    ledger = AgreementLedger("abc", VERIFY)
     ledger.record_agreement(agreement)
     good = signer_for("a").sign_agreement(agreement, offer("a"))
     assert not ledger.record_signature(msgspec.structs.replace(good, partner="b"))
@@ -268,21 +271,21 @@
     assert ledger.in_force(1) == agreement
 
 
-def test_partner_that_signs_two_agreements_has_no_part_any_more():
+def test_partner_that_signs_two_agreements_loses_its_share():
     agreement, ledger = agreed()
-    hand = ed25519_signer(bytes([1]) * 32)
+    sign = ed25519_signer(bytes([1]) * 32)
     other = derive_agreement([offer("a", want=8000, least=8000), offer("b"), offer("c")], 1)
     ledger.record_agreement(other)
     ledger.record_signature(
         Signature(
-            "a", 1, content_digest(other), hand(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other)))
+            "a", 1, content_digest(other), sign(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other)))
         )
     )
     assert ledger.in_force(1) == agreement
     assert ledger.shares(1)["a"] == 0 and ledger.shares(1)["b"] == agreement.shares["b"]
 
 
-def test_partner_that_withdraws_has_its_part_until_its_notice_has_run_out():
+def test_partner_that_gives_notice_keeps_its_share_until_the_notice_ends():
     agreement, ledger = agreed()
     notice, signature = signer_for("b").give_notice(agreement, 500)
     assert not ledger.record_notice(msgspec.structs.replace(notice, effective_at=0), signature)
@@ -294,7 +297,7 @@
     )
 
 
-def test_silent_partner_keeps_the_old_agreement_to_its_end():
+def test_without_one_signature_the_old_agreement_stays_in_force_to_its_end():
     old, ledger = agreed()
     offers = [offer(name, want=2000, begins=100) for name in "abc"]
     new = derive_agreement(offers, 2)
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -1,5 +1,7 @@
-"""One message between partners' routers changed at a time: nothing is broken by it, and faults planted in the
-code are found by it."""
+"""Mutation of single messages between partners' routers.
+
+No mutant may break a rule, and the mutants must detect faults that are planted in the code.
+"""
 
 import random
 
@@ -18,132 +20,148 @@
 
 
 @pytest.fixture(scope="module")
-def plain():
+def unchanged_run():
     net = Net(1).script()
     assert not net.raised and not +net.rule
     return net
 
 
-def test_no_mutant_breaks_anything_and_none_of_the_network_changes_the_end():
-    found = partners_mutants.play(1, 120)
-    assert found["broken"] == found["unlike"] == 0, found["first"]
-    assert found["mutants"] == 120 and found["unused"] < 60
+def test_no_mutant_breaks_a_rule_and_no_network_fault_changes_the_final_state():
+    results = partners_mutants.play(1, 120)
+    assert results["broken"] == results["unlike"] == 0, results["first"]
+    assert results["mutants"] == 120 and results["unused"] < 60
 
 
-def test_every_kind_of_message_and_what_stands_in_its_rows_is_changed(plain):
-    met = {type(plain.messages[at]) for at, _, _ in drawn(plain, 1, None, KINDS)}
-    assert met == set(KINDS)
-    known = next(m for m in plain.messages if isinstance(m, Knowledge) and m.offers and m.agreements)
-    names = {len(path) for path in paths(known)}
-    assert names == {1, 3, 4} or max(names) >= 4  # an offer's own fields, in a pair, in a row
+def test_every_message_type_and_its_nested_fields_are_mutated(unchanged_run):
+    mutated = {type(unchanged_run.messages[at]) for at, _, _ in drawn(unchanged_run, 1, None, KINDS)}
+    assert mutated == set(KINDS)
+    message = next(
+        m for m in unchanged_run.messages if isinstance(m, Knowledge) and m.offers and m.agreements
+    )
+    depths = {len(path) for path in paths(message)}
+    assert depths == {1, 3, 4} or max(depths) >= 4  # a field of an offer, in a pair, in a tuple
 
 
-def finds(plain, kind, changes, deep=0, most=8):
-    """Whether the plain run, or one of some mutants of a kind of message, shows that something is wrong."""
-    end = plain.end()
-    now = Net(1).script()
-    if now.raised or +now.rule or now.end() != end:
+def detects_fault(unchanged_run, message_type, changes, min_depth=0, limit=8):
+    """Returns whether the run without mutation, or one of some mutants of a message type, shows a fault."""
+    end = unchanged_run.end()
+    run = Net(1).script()
+    if run.raised or +run.rule or run.end() != end:
         return True
-    some = [
-        (at, how, path)
-        for at, how, path in drawn(plain, 1, None, (kind,))
-        if how in changes and (not path or len(path) >= deep)
+    candidates = [
+        (at, change, path)
+        for at, change, path in drawn(unchanged_run, 1, None, (message_type,))
+        if change in changes and (not path or len(path) >= min_depth)
     ]
-    for at, how, path in random.Random(2).sample(some, min(most, len(some))):
-        _, broken, unlike = mutant(Net, MAY_BE, 1, at, how, path, end)
-        if broken or unlike:
+    for at, change, path in random.Random(2).sample(candidates, min(limit, len(candidates))):
+        _, broken, differs = mutant(Net, MAY_BE, 1, at, change, path, end)
+        if broken or differs:
             return True
     return False
 
 
-def anybodys(self, kind, signature):
+def accept_any_signature(self, kind, signature):
     return signature.partner in self.partners
 
 
-def some_signatures(self, digest):
+def accept_unsigned(self, digest):
     agreement = self.agreements.get(digest)
     if agreement is not None:
         self.fully_signed[agreement.number] = self.accepted[agreement.number] = agreement
 
 
-def any_turn(self, offer, signature):
+def record_any_offer(self, offer, signature):
     if self.is_genuine(SignedKind.OFFER, signature):
         self.offers[offer.partner] = SignedOffer(offer, signature)
     return True
 
 
-def ends_again(self, number, how, why, rows=None):
-    self.completions.append(Completion(number, how, why, rows))
-    self.completions.append(Completion(number, how, why, rows))
+def complete_twice(self, number, outcome, reason, rows=None):
+    self.completions.append(Completion(number, outcome, reason, rows))
+    self.completions.append(Completion(number, outcome, reason, rows))
     self.outgoing.pop(number)
 
 
-def says_nothing(self, sender, word):
+def ignore_message(self, sender, message):
     return None
 
 
-NETWORK = ("left out", "twice", "late by 40", "again much later")
-LIES = ("another's", "zero", "one more", "most")
+NETWORK_FAULTS = ("left out", "twice", "late by 40", "again much later")
+FORGERIES = ("another's", "zero", "one more", "most")
 PLANTED = {
-    "a signature is not checked": (AgreementLedger, "is_genuine", anybodys, Knowledge, LIES, 3),
-    "some signatures are enough": (
+    "signatures are not verified": (
+        AgreementLedger,
+        "is_genuine",
+        accept_any_signature,
+        Knowledge,
+        FORGERIES,
+        3,
+    ),
+    "agreements are accepted without all signatures": (
         AgreementLedger,
         "accept_if_signed",
-        some_signatures,
+        accept_unsigned,
         Knowledge,
         ("left out", "none"),
         0,
     ),
-    "an offer is not held against its signature": (
+    "offers are not compared with their signatures": (
         AgreementLedger,
         "record_offer",
-        any_turn,
+        record_any_offer,
         Knowledge,
-        LIES,
+        FORGERIES,
         4,
     ),
-    "an answer is two": (QueryForwarder, "complete", ends_again, ForwardResult, NETWORK[:2], 0),
-    "a lease is not confirmed": (
+    "a query is completed twice": (
+        QueryForwarder,
+        "complete",
+        complete_twice,
+        ForwardResult,
+        NETWORK_FAULTS[:2],
+        0,
+    ),
+    "lease replies are ignored": (
         LeaseTransfers,
         "take_reply",
-        says_nothing,
+        ignore_message,
         history.LeaseReply,
-        NETWORK[:1],
+        NETWORK_FAULTS[:1],
         0,
     ),
-    "a lease is sent once": (
+    "lease updates are not answered": (
         LeaseTransfers,
         "answer_update",
-        says_nothing,
+        ignore_message,
         history.LeaseUpdate,
-        NETWORK[:1],
+        NETWORK_FAULTS[:1],
         0,
     ),
-    "who knows more is not asked": (
+    "state digests are always equal": (
         AgreementProtocol,
         "state_digest",
         lambda self: bytes(32),
         Knowledge,
-        NETWORK[:1],
+        NETWORK_FAULTS[:1],
         0,
     ),
 }
 
 
-@pytest.mark.parametrize("what", PLANTED)
-def test_fault_planted_in_the_code_is_found(what, monkeypatch, plain):
-    owner, name, fault, kind, changes, deep = PLANTED[what]
+@pytest.mark.parametrize("description", PLANTED)
+def test_planted_fault_is_detected(description, monkeypatch, unchanged_run):
+    owner, name, fault, message_type, changes, min_depth = PLANTED[description]
     monkeypatch.setattr(owner, name, fault)
-    assert finds(plain, kind, changes, deep)
+    assert detects_fault(unchanged_run, message_type, changes, min_depth)
 
 
-def test_code_as_it_stands_is_found_clean(plain):
-    assert not finds(plain, Knowledge, LIES, 3, most=4)
+def test_unchanged_code_is_reported_without_faults(unchanged_run):
+    assert not detects_fault(unchanged_run, Knowledge, FORGERIES, 3, limit=4)
 
 
-def test_signatures_of_others_are_checked_by_the_rig_itself(plain):
-    """The rig's own look at agreements: one without a signature is said."""
-    ledger = plain.protocols["n0"].ledger
+def test_accepted_agreements_have_all_signatures(unchanged_run):
+    """The unchanged run accepts an agreement only with a signature of every partner."""
+    ledger = unchanged_run.protocols["n0"].ledger
     (number, agreement) = next(iter(ledger.accepted.items()))
     signatures = ledger.signatures[content_digest(agreement)]
     assert {signature.partner for signature in signatures.values()} == set(agreement.shares)
