--- a/hillchute/operator/__init__.py
+++ b/hillchute/operator/__init__.py
@@ -1,2 +1,4 @@
-"""The operator file: records.py reads its grammar, schema.cue says what may stand in it, reading.py puts both
-together. Imported only where a file is named."""
+"""The operator file: its language (records.py), its schema (schema.cue) and its validation (reading.py).
+
+Imported only if an operator file is named.
+"""
--- a/hillchute/operator/records.py
+++ b/hillchute/operator/records.py
@@ -1,7 +1,7 @@
-"""CUE-like typed records: text to constraints, and values held against constraints.
+"""Typed records in a subset of CUE: parses text to constraints, and validates values against constraints.
 
-Owns the documented subset of CUE (definitions, types, bounds, defaults, disjunctions, lists, comments) and
-the words in which a fault is told: file, line, path, what was expected. Must never know a setting by name.
+The subset has definitions, types, bounds, defaults, disjunctions, lists and comments. An error names the
+file, the line, the path of the field, and what was expected. This module does not depend on any setting.
 """
 
 import re
@@ -16,12 +16,12 @@
 
 from hillchute.errors import OperatorFileError
 
-DEEPEST = 32  # records in records: a file that refers to itself ends here
+MAX_DEPTH = 32  # of nesting; ends the validation of a file that refers to itself
 
 
 @dataclass(frozen=True)
 class Value:
-    """A constraint that only one value meets."""
+    """A constraint that only one value satisfies."""
 
     value: object
     line: int = 0
@@ -29,28 +29,32 @@
 
 @dataclass(frozen=True)
 class Type:
+    """A basic type: `string`, `int`, `number` or `bool`."""
+
     name: str
     line: int = 0
 
 
 @dataclass(frozen=True)
 class Bound:
-    sign: str
+    """A comparison of the value with another one, or with a regular expression (`=~`)."""
+
+    comparison: str
     value: object
     line: int = 0
 
 
 @dataclass(frozen=True)
-class Meet:
-    """All of these at once."""
+class Conjunction:
+    """All of these constraints at once."""
 
     parts: tuple["Constraint", ...]
     line: int = 0
 
 
 @dataclass(frozen=True)
-class Choice:
-    """One of these; `default` is taken where nothing is said."""
+class Disjunction:
+    """One of these constraints; `default` applies where no value is given."""
 
     parts: tuple["Constraint", ...]
     default: Union["Constraint", None] = None
@@ -59,12 +63,16 @@
 
 @dataclass(frozen=True)
 class Reference:
+    """A definition, by its name with the leading `#`."""
+
     name: str
     line: int = 0
 
 
 @dataclass(frozen=True)
 class Field:
+    """A field of a record; `doc` is the comment above it."""
+
     name: str
     constraint: "Constraint"
     optional: bool
@@ -74,28 +82,34 @@
 
 @dataclass(frozen=True)
 class Struct:
+    """A record with the given fields."""
+
     fields: tuple[Field, ...]
     line: int = 0
 
 
 @dataclass(frozen=True)
 class ListOf:
+    """A list of any length whose items all satisfy one constraint."""
+
     item: "Constraint"
     line: int = 0
 
 
 @dataclass(frozen=True)
-class Items:
+class ListLiteral:
+    """A list with the given items."""
+
     items: tuple["Constraint", ...]
     line: int = 0
 
 
-Constraint = Value | Type | Bound | Meet | Choice | Reference | Struct | ListOf | Items
+Constraint = Value | Type | Bound | Conjunction | Disjunction | Reference | Struct | ListOf | ListLiteral
 
 
 @dataclass
 class Document:
-    """A file as read: its definitions, and its fields as one record."""
+    """A parsed file: its definitions, and its fields as one record."""
 
     name: str
     definitions: dict[str, Constraint] = field(default_factory=dict)
@@ -103,25 +117,26 @@
 
 
 @cache
-def grammar() -> Lark:
+def parser() -> Lark:
     text = files(__package__).joinpath("grammar.lark").read_text()
     return Lark(text, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
 
 def parse(text: str, name: str) -> Document:
-    """A document out of its text; raises OperatorFileError with the line and what could have stood there."""
+    """Return the document in a text. Raises OperatorFileError with the line of a syntax error."""
     try:
-        tree = grammar().parse(text)
-    except UnexpectedInput as fault:
-        seen = text[fault.pos_in_stream :].split("\n")[0][:30] if fault.pos_in_stream is not None else ""
-        raise OperatorFileError(f"{name}:{fault.line}: can't be read at {seen!r}") from fault
+        tree = parser().parse(text)
+    except UnexpectedInput as error:
+        rest = text[error.pos_in_stream :].split("\n")[0][:30] if error.pos_in_stream is not None else ""
+        raise OperatorFileError(f"{name}:{error.line}: syntax error at {rest!r}") from error
     try:
-        return document(tree, docs(text), name)
-    except OperatorFileError as fault:
-        raise OperatorFileError(f"{name}:{fault}") from fault
+        return build_document(tree, doc_comments(text), name)
+    except OperatorFileError as error:
+        raise OperatorFileError(f"{name}:{error}") from error
 
 
-def document(tree: Tree, comments: dict[int, str], name: str) -> Document:
+def build_document(tree: Tree, comments: dict[int, str], name: str) -> Document:
+    """Return the document of a syntax tree; `comments` are the doc comments by line."""
     document = Document(name)
     fields = []
     for node in tree.children:
@@ -130,15 +145,15 @@
         else:
             fields.append(build_field(node, comments))
     document.record = Struct(tuple(fields), 1)
-    twice = repeated(document.record)
-    if twice is not None:
-        raise OperatorFileError(f"{twice.line}: {twice.name}: stands twice")
+    duplicate = find_duplicate_field(document.record)
+    if duplicate is not None:
+        raise OperatorFileError(f"{duplicate.line}: {duplicate.name}: duplicate field")
     return document
 
 
-def docs(text: str) -> dict[int, str]:
-    """The comment lines right above a line, by that line's number."""
-    found: dict[int, str] = {}
+def doc_comments(text: str) -> dict[int, str]:
+    """Return the text of the comment lines directly above a line, by the number of that line."""
+    comments: dict[int, str] = {}
     above: list[str] = []
     for number, line in enumerate(text.split("\n"), 1):
         line = line.strip()
@@ -146,20 +161,21 @@
             above.append(line[2:].strip())
             continue
         if above and line:
-            found[number] = " ".join(above)
+            comments[number] = " ".join(above)
         above = []
-    return found
+    return comments
 
 
-def repeated(struct: Struct) -> Field | None:
+def find_duplicate_field(struct: Struct) -> Field | None:
+    """Return the first field with the name of an earlier one in the same record, or None."""
     names = set()
     for entry in struct.fields:
         if entry.name in names:
             return entry
         names.add(entry.name)
-        deeper = repeated(entry.constraint) if isinstance(entry.constraint, Struct) else None
-        if deeper is not None:
-            return deeper
+        nested = find_duplicate_field(entry.constraint) if isinstance(entry.constraint, Struct) else None
+        if nested is not None:
+            return nested
     return None
 
 
@@ -171,13 +187,15 @@
 
 
 def unquote(token: Token) -> str:
+    """Return the text of a quoted string, whose escapes are those of JSON."""
     try:
         return orjson.loads(str(token))
-    except orjson.JSONDecodeError as fault:
-        raise OperatorFileError(f"{token.line}: can't be read at {str(token)[:30]!r}") from fault
+    except orjson.JSONDecodeError as error:
+        raise OperatorFileError(f"{token.line}: syntax error at {str(token)[:30]!r}") from error
 
 
 def build(node: Tree, comments: dict[int, str]) -> Constraint:
+    """Return the constraint of a syntax tree. The cases are rule names and aliases in grammar.lark."""
     line = getattr(node.meta, "line", 0)
     parts = node.children
     match node.data:
@@ -194,35 +212,35 @@
             return Reference(str(parts[0]), line)
         case "bound":
             return Bound(str(parts[0]), build(parts[1], comments).value, line)
-        case "meet":
-            return Meet(tuple(build(part, comments) for part in parts), line)
+        case "conjunction":
+            return Conjunction(tuple(build(part, comments) for part in parts), line)
         case "default":
-            chosen = build(parts[0], comments)
-            return Choice((chosen,), chosen, line)
-        case "choice":
+            default = build(parts[0], comments)
+            return Disjunction((default,), default, line)
+        case "disjunction":
             built = [build(part, comments) for part in parts]
-            marked = [b.default for b in built if isinstance(b, Choice) and b.default is not None]
-            flat = tuple(p for b in built for p in (b.parts if isinstance(b, Choice) else (b,)))
-            return Choice(flat, marked[0] if marked else None, line)
+            defaults = [b.default for b in built if isinstance(b, Disjunction) and b.default is not None]
+            flat = tuple(p for b in built for p in (b.parts if isinstance(b, Disjunction) else (b,)))
+            return Disjunction(flat, defaults[0] if defaults else None, line)
         case "struct":
             entries = parts[0].children if parts else ()
             return Struct(tuple(build_field(entry, comments) for entry in entries), line)
         case "list_of":
             return ListOf(build(parts[0], comments), line)
         case "list":
-            return Items(tuple(build(part, comments) for part in parts), line)
+            return ListLiteral(tuple(build(part, comments) for part in parts), line)
     raise AssertionError(node.data)
 
 
-# ---- a value against a constraint -----------------------------------------------------------------
+# ---- validation -----------------------------------------------------------------------------------
 
-KINDS = {
+TYPE_CHECKS = {
     "string": lambda v: isinstance(v, str),
     "int": lambda v: isinstance(v, int) and not isinstance(v, bool),
     "number": lambda v: isinstance(v, int | float) and not isinstance(v, bool),
     "bool": lambda v: isinstance(v, bool),
 }
-SIGNS = {
+COMPARISONS = {
     ">=": lambda a, b: a >= b,
     "<=": lambda a, b: a <= b,
     ">": lambda a, b: a > b,
@@ -232,196 +250,213 @@
 }
 
 
-def told(constraint: Constraint) -> str:
-    """A constraint in the words of the file."""
+def format_constraint(constraint: Constraint) -> str:
+    """Return a constraint in the notation of the operator file."""
     match constraint:
         case Value(value):
-            return shown(value)
+            return format_value(value)
         case Type(name) | Reference(name):
             return name
-        case Bound(sign, value):
-            return f"{sign}{shown(value)}"
-        case Meet(parts):
-            return " & ".join(map(told, parts))
-        case Choice(parts):
-            return " | ".join(map(told, parts))
+        case Bound(comparison, value):
+            return f"{comparison}{format_value(value)}"
+        case Conjunction(parts):
+            return " & ".join(map(format_constraint, parts))
+        case Disjunction(parts):
+            return " | ".join(map(format_constraint, parts))
         case Struct():
             return "a record"
         case ListOf(item):
-            return f"[...{told(item)}]"
-        case Items(items):
-            return f"[{', '.join(map(told, items))}]"
+            return f"[...{format_constraint(item)}]"
+        case ListLiteral(items):
+            return f"[{', '.join(map(format_constraint, items))}]"
     raise AssertionError(constraint)
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     if isinstance(value, bool) or value is None:
         return {True: "true", False: "false", None: "null"}[value]
     return orjson.dumps(value).decode() if isinstance(value, str) else str(value)
 
 
-class Holding:
-    """Holds a document's record against a schema; collects all faults rather than stop at the first."""
+class Validator:
+    """Validates a document's record against a schema; collects all errors rather than stop at the first."""
 
     def __init__(self, schema: Document, document: Document) -> None:
         self.schema, self.document = schema, document
-        self.faults: list[str] = []
+        self.errors: list[str] = []
 
-    def fault(self, line: int, path: str, what: str) -> None:
-        self.faults.append(f"{self.document.name}:{line}: {path or 'the file'}: {what}")
+    def add_error(self, line: int, path: str, detail: str) -> None:
+        self.errors.append(f"{self.document.name}:{line}: {path or 'the file'}: {detail}")
 
-    def whole(self) -> dict[str, object]:
-        """The settings that hold after defaults; raises OperatorFileError."""
-        value = self.hold(self.schema.record, self.document.record, "", 0)
-        if self.faults:
-            raise OperatorFileError("\n".join(self.faults))
+    def validate(self) -> dict[str, object]:
+        """Return the settings with defaults filled in. Raises OperatorFileError with all errors."""
+        value = self.validate_value(self.schema.record, self.document.record, "", 0)
+        if self.errors:
+            raise OperatorFileError("\n".join(self.errors))
         return value
 
-    def hold(self, wanted: Constraint, given: Constraint, path: str, depth: int) -> object:
-        """The value that is given, if it is as wanted; None after a fault."""
-        if depth > DEEPEST:
-            self.fault(given.line, path, "refers to itself")
+    def validate_value(self, expected: Constraint, given: Constraint, path: str, depth: int) -> object:
+        """Return the given value if it satisfies the expected constraint; None after an error."""
+        if depth > MAX_DEPTH:
+            self.add_error(given.line, path, f"nested more than {MAX_DEPTH} levels deep, or refers to itself")
             return None
         given = self.resolve(given, path)
         if given is None:
             return None
-        match wanted:
+        match expected:
             case Reference(name):
-                return self.hold(self.schema.definitions[name], given, path, depth + 1)
+                return self.validate_value(self.schema.definitions[name], given, path, depth + 1)
             case Struct():
-                return self.hold_struct(wanted, given, path, depth)
+                return self.validate_struct(expected, given, path, depth)
             case ListOf(item):
-                if not isinstance(given, Items):
-                    self.fault(given.line, path, f"expected {told(wanted)}, got {told(given)}")
+                if not isinstance(given, ListLiteral):
+                    self.add_error(
+                        given.line,
+                        path,
+                        f"expected {format_constraint(expected)}, got {format_constraint(given)}",
+                    )
                     return None
                 at = f"{path}[{{}}]"
-                return [self.hold(item, g, at.format(n), depth + 1) for n, g in enumerate(given.items)]
-            case Choice(parts):
-                return self.hold_choice(parts, wanted, given, path, depth)
-        if not isinstance(given, Value) or not self.meets(wanted, given.value):
-            self.fault(given.line, path, f"expected {told(wanted)}, got {told(given)}")
+                return [
+                    self.validate_value(item, g, at.format(n), depth + 1) for n, g in enumerate(given.items)
+                ]
+            case Disjunction(parts):
+                return self.validate_disjunction(parts, expected, given, path, depth)
+        if not isinstance(given, Value) or not self.satisfies(expected, given.value):
+            self.add_error(
+                given.line, path, f"expected {format_constraint(expected)}, got {format_constraint(given)}"
+            )
             return None
         value = given.value
-        return float(value) if wanted == Type("number") and isinstance(value, int) else value
+        return float(value) if expected == Type("number") and isinstance(value, int) else value
 
     def resolve(self, given: Constraint, path: str) -> Constraint | None:
-        """A file may name its own definitions, and must come down to values."""
+        """Follow references to the file's definitions. Returns a concrete value, or None after an error."""
         seen: set[str] = set()
         while isinstance(given, Reference):
             if given.name in seen or given.name not in self.document.definitions:
-                self.fault(given.line, path, f"{given.name} is not defined here")
+                self.add_error(given.line, path, f"{given.name} is not defined here, or refers to itself")
                 return None
             seen.add(given.name)
             given = self.document.definitions[given.name]
-        if isinstance(given, Choice) and given.default is not None:
+        if isinstance(given, Disjunction) and given.default is not None:
             return self.resolve(given.default, path)
-        if not isinstance(given, Value | Struct | Items):
-            self.fault(given.line, path, f"expected a value, got {told(given)}")
+        if not isinstance(given, Value | Struct | ListLiteral):
+            self.add_error(given.line, path, f"expected a value, got {format_constraint(given)}")
             return None
         return given
 
-    def hold_choice(self, parts: tuple, wanted: Choice, given: Constraint, path: str, depth: int) -> object:
+    def validate_disjunction(
+        self, parts: tuple, expected: Disjunction, given: Constraint, path: str, depth: int
+    ) -> object:
         for part in parts:
-            trial = Holding(self.schema, self.document)
-            value = trial.hold(part, given, path, depth + 1)
-            if not trial.faults:
+            trial = Validator(self.schema, self.document)
+            value = trial.validate_value(part, given, path, depth + 1)
+            if not trial.errors:
                 return value
         if len(parts) == 1:
-            return self.hold(parts[0], given, path, depth + 1)
-        self.fault(given.line, path, f"expected {told(wanted)}, got {told(given)}")
+            return self.validate_value(parts[0], given, path, depth + 1)
+        self.add_error(
+            given.line, path, f"expected {format_constraint(expected)}, got {format_constraint(given)}"
+        )
         return None
 
-    def hold_struct(self, wanted: Struct, given: Constraint, path: str, depth: int) -> object:
+    def validate_struct(self, expected: Struct, given: Constraint, path: str, depth: int) -> object:
         if not isinstance(given, Struct):
-            self.fault(given.line, path, f"expected a record, got {told(given)}")
+            self.add_error(given.line, path, f"expected a record, got {format_constraint(given)}")
             return None
-        known = {entry.name: entry for entry in wanted.fields}
-        said = {entry.name: entry for entry in given.fields}
-        for name, entry in said.items():
-            if name not in known:
-                near = [n for n in known if n.startswith(name[:3])]
-                hint = f"; did you mean {near[0]}?" if near else ""
-                self.fault(entry.line, join(path, name), f"no such field{hint}")
-        found = {}
-        for name, entry in known.items():
-            here = join(path, name)
-            if name in said:
-                found[name] = self.hold(entry.constraint, said[name].constraint, here, depth + 1)
+        schema_fields = {entry.name: entry for entry in expected.fields}
+        given_fields = {entry.name: entry for entry in given.fields}
+        for name, entry in given_fields.items():
+            if name not in schema_fields:
+                similar = [n for n in schema_fields if n.startswith(name[:3])]
+                hint = f"; did you mean {similar[0]}?" if similar else ""
+                self.add_error(entry.line, join_path(path, name), f"no such field{hint}")
+        values = {}
+        for name, entry in schema_fields.items():
+            field_path = join_path(path, name)
+            if name in given_fields:
+                values[name] = self.validate_value(
+                    entry.constraint, given_fields[name].constraint, field_path, depth + 1
+                )
             elif not entry.optional:
-                default = self.default(entry.constraint, here, depth + 1)
+                default = self.default_value(entry.constraint, field_path, depth + 1)
                 if default is MISSING:
-                    self.fault(given.line, here, f"missing; expected {told(entry.constraint)}")
+                    self.add_error(
+                        given.line, field_path, f"missing; expected {format_constraint(entry.constraint)}"
+                    )
                 else:
-                    found[name] = default
-        return found
-
-    def default(self, wanted: Constraint, path: str, depth: int) -> object:
-        """What holds where nothing is said, or MISSING."""
-        match wanted:
-            case Choice(_, default) if default is not None:
-                return self.default(default, path, depth + 1)
+                    values[name] = default
+        return values
+
+    def default_value(self, expected: Constraint, path: str, depth: int) -> object:
+        """Return the value that applies where none is given, or MISSING if there is no default."""
+        match expected:
+            case Disjunction(_, default) if default is not None:
+                return self.default_value(default, path, depth + 1)
             case Value(value):
                 return value
-            case Items(items):
-                return [self.default(item, path, depth + 1) for item in items]
+            case ListLiteral(items):
+                return [self.default_value(item, path, depth + 1) for item in items]
             case ListOf():
                 return []
             case Reference(name):
-                return self.default(self.schema.definitions[name], path, depth + 1)
+                return self.default_value(self.schema.definitions[name], path, depth + 1)
             case Struct(fields):
-                found = {}
+                values = {}
                 for entry in fields:
                     if entry.optional:
                         continue
-                    value = self.default(entry.constraint, join(path, entry.name), depth + 1)
+                    value = self.default_value(entry.constraint, join_path(path, entry.name), depth + 1)
                     if value is MISSING:
                         return MISSING
-                    found[entry.name] = value
-                return found
+                    values[entry.name] = value
+                return values
         return MISSING
 
-    def meets(self, wanted: Constraint, value: object) -> bool:
-        match wanted:
+    def satisfies(self, expected: Constraint, value: object) -> bool:
+        """Return whether a value satisfies a constraint that is not a struct or list."""
+        match expected:
             case Value(other):
                 return type(value) is type(other) and value == other
             case Type(name):
-                return KINDS[name](value)
-            case Bound(sign, other):
+                return TYPE_CHECKS[name](value)
+            case Bound(comparison, other):
                 try:
-                    return SIGNS[sign](value, other)
+                    return COMPARISONS[comparison](value, other)
                 except TypeError:
                     return False
-            case Meet(parts):
-                return all(self.meets(part, value) for part in parts)
-            case Choice(parts):
-                return any(self.meets(part, value) for part in parts)
+            case Conjunction(parts):
+                return all(self.satisfies(part, value) for part in parts)
+            case Disjunction(parts):
+                return any(self.satisfies(part, value) for part in parts)
             case Reference(name):
-                return self.meets(self.schema.definitions[name], value)
+                return self.satisfies(self.schema.definitions[name], value)
         return False
 
 
 MISSING = object()
 
 
-def join(path: str, name: str) -> str:
+def join_path(path: str, name: str) -> str:
     return f"{path}.{name}" if path else name
 
 
-def explain(schema: Document) -> Iterator[tuple[str, str, str]]:
-    """Every field of a schema: its path, what it may be, and its doc text."""
+def describe_fields(schema: Document) -> Iterator[tuple[str, str, str]]:
+    """Yield the path of every field of a schema, its constraint and default as text, and its doc comment."""
 
     def walk(struct: Struct, path: str) -> Iterator[tuple[str, str, str]]:
         for entry in struct.fields:
-            here = join(path, entry.name) + ("?" if entry.optional else "")
+            field_path = join_path(path, entry.name) + ("?" if entry.optional else "")
             inner = entry.constraint
             while isinstance(inner, Reference):
                 inner = schema.definitions[inner.name]
             if isinstance(inner, Struct):
-                yield here, "a record", entry.doc
-                yield from walk(inner, here)
+                yield field_path, "a record", entry.doc
+                yield from walk(inner, field_path)
             else:
-                chosen = inner.default if isinstance(inner, Choice) else None
-                default = f", default {told(chosen)}" if chosen else ""
-                yield here, told(inner) + default, entry.doc
+                default = inner.default if isinstance(inner, Disjunction) else None
+                suffix = f", default {format_constraint(default)}" if default else ""
+                yield field_path, format_constraint(inner) + suffix, entry.doc
 
     yield from walk(schema.record, "")
--- a/hillchute/operator/schema.cue
+++ b/hillchute/operator/schema.cue
@@ -1,52 +1,52 @@
-// What an operator may set beside the platform's configuration. Everything here is off unless it is set.
+// Settings that an operator may add to the platform's configuration. Optional sections are off unless set.
 
-// Clients that speak Arrow Flight SQL.
+// The server for Arrow Flight SQL clients.
 flight?: #Flight
 
-// How sql engines are reached.
+// Connections to the sql engines.
 engines: #Engines
 
 // The log.
 log: #Log
 
-// The other routers of the fleet, with which this one shares what it sees.
+// The other routers of the fleet, with which this router shares its observations.
 peers?: #Peers
 
-// The keyed queries' answer history, kept by the routers together; needs `peers`.
+// The answer history of keyed queries, stored by all routers together; needs `peers`.
 history?: #History
 
-// Other operators with whom the pool of engines is shared; needs `history`.
+// Other operators that share the pool of engines; needs `history`.
 partners?: #Partners
 
 #Flight: {
-	// Where Flight SQL clients connect.
+	// Address for Flight SQL clients, as host:port.
 	listen: string & =~"^(\\[[0-9a-fA-F:]+\\]|[^:\\[\\]]+):[0-9]+$"
-	// Who may connect; with none, whoever can reach the port.
+	// Users that may connect; if there are none, anyone who can reach the port may.
 	users: [...#User]
-	// Keys of the server; without them the connection is plain.
+	// Certificate and key of the server; without them connections are not encrypted.
 	tls?: #Tls
-	// The resource group of a call that names none.
+	// Resource group of calls that name none.
 	default_route: string | *""
-	// How long a client that states no patience waits, in milliseconds.
+	// Client timeout of calls that state no `patience`, in milliseconds.
 	default_patience_ms: int & >=1 & <=86400000 | *5000
-	// Tickets that were handed out and not used yet.
+	// Maximum number of tickets that were issued and not used yet.
 	tickets: int & >=1 & <=1000000 | *10000
-	// How long a ticket may be used, in milliseconds.
+	// Time after which a ticket expires, in milliseconds.
 	ticket_ms: int & >=100 & <=3600000 | *60000
-	// Prepared statements that are open.
+	// Maximum number of open prepared statements.
 	prepared: int & >=1 & <=1000000 | *1000
-	// Bytes of one message, statements included.
+	// Maximum size of one message, including statements, in bytes.
 	message_bytes: int & >=65536 & <=268435456 | *16777216
-	// Streams to clients that are open at once.
+	// Maximum number of open streams to clients.
 	streams: int & >=1 & <=100000 | *256
 }
 
 #User: {
 	name: string & =~"^[^:\\s]+$"
-	// The password for basic authentication, or the file that holds it.
+	// Password for basic authentication, or the file that contains it.
 	password?:      string
 	password_file?: string
-	// The token for bearer authentication, or the file that holds it.
+	// Token for bearer authentication, or the file that contains it.
 	token?:      string
 	token_file?: string
 }
@@ -54,68 +54,68 @@
 #Tls: {
 	certificate: string
 	key:         string
-	// With it, clients must show a certificate that this authority signed.
+	// Certificate file of the authority that must have signed the clients' certificates; without it clients need none.
 	client_authority?: string
-	// How often the files are looked at for new keys, in milliseconds.
+	// Interval at which the files are checked for new keys, in milliseconds.
 	reload_ms: int & >=100 | *1000
 }
 
 #Peers: {
-	// This router's name among them.
+	// Name of this router among the peers.
 	name: string & =~"^[!-~]{1,64}$"
-	// Where the others reach it, by UDP and TCP.
+	// Address at which the other routers reach this one, by UDP and TCP, as host:port.
 	listen: string & =~"^(\\[[0-9a-fA-F:]+\\]|[^:\\[\\]]+):[0-9]+$"
-	// All others; the same names at all routers.
+	// All other routers; all routers must be given the same names.
 	others: [...#Peer]
 }
 
 #Peer: {
 	name: string & =~"^[!-~]{1,64}$"
 	address: string & =~"^(\\[[0-9a-fA-F:]+\\]|[^:\\[\\]]+):[0-9]+$"
-	// What only these two routers know, 16 characters or more, or the file that holds it.
+	// Secret shared by these two routers only, at least 16 characters, or the file that contains it.
 	key?: string
 	key_file?: string
 }
 
 #History: {
-	// The number of these policies: they hold where it is higher than what held before.
+	// Number of these policies; they replace policies with a lower number.
 	number: int & >=1 & <=1000000000
-	// Routers that hold a record beside the first.
+	// Routers that store a record in addition to its first holder.
 	copies: int & >=0 & <=8 | *2
-	// Within this what is forbidden is gone from every living holder, in milliseconds.
+	// Time within which data that must be erased is gone from every live holder, in milliseconds.
 	erase_ms: int & >=100 & <=3600000 | *2000
-	// When the history began, in Unix milliseconds: what nobody holds until a minute after, nobody has had.
+	// Start of the history, in Unix milliseconds; slots without records until a minute later count as empty, not lost.
 	founded_ms: int & >=0 & <=100000000000000 | *0
-	// The file that keeps records over a restart; without it they are in memory alone.
+	// File that keeps records over a restart; without it they are in memory only.
 	disk?: string
-	// The policy of all customers that have none of their own.
+	// Policy of all customers without their own.
 	default: #Keep
-	// Customers with a policy of their own: users of the Flight front by their names.
+	// Customers with their own policy, by their user names at the Flight server.
 	customers: [...#Customer]
-	// What is to be forgotten; leave it here as long as copies of it may come back.
+	// Records to erase; keep an entry as long as copies of its records may come back.
 	forget: [...#Forget]
 }
 
 #Keep: {
-	// Nothing is forgotten before, in milliseconds.
+	// Minimum time for which a record is kept, in milliseconds.
 	least_ms: int & >=1000 & <=31622400000 | *600000
-	// Nothing is answered or kept beyond, in milliseconds.
+	// Maximum time for which a record is kept and answers resent queries, in milliseconds.
 	most_ms: int & >=1000 & <=31622400000 | *3600000
-	// Queries of one key.
+	// Maximum number of queries of one key.
 	most: int & >=1 & <=1048576 | *256
-	// Bytes of one key, rows included.
+	// Maximum bytes of one key, including rows.
 	most_bytes: int & >=1 & <=1073741824 | *1048576
-	// Queries of the customer that one router holds.
+	// Maximum number of the customer's queries that one router holds.
 	most_records: int & >=1 & <=16777216 | *100000
-	// Whether the rows are kept with the ending.
+	// Whether result rows are kept with the outcome.
 	rows: bool | *false
-	// Whether a resend is answered from the history.
+	// Whether a resent query is answered from the history.
 	replay: bool | *true
-	// Whether nothing at all is forgotten.
+	// Whether all records are kept without a time limit, and erasure requests are ignored.
 	hold: bool | *false
-	// Whether a record is on the disk, too, before its first submission leaves.
+	// Whether a record must be on disk before its query is first submitted to an engine.
 	disk: bool | *false
-	// What a query gets whose record may be lost with all its holders.
+	// What is done with a query whose record may have been lost with all its holders.
 	lost: *"defer" | "run"
 }
 
@@ -125,70 +125,71 @@
 }
 
 #Forget: {
-	// All that was taken before, in Unix milliseconds.
+	// Erases the records of queries that were granted before this time, in Unix milliseconds.
 	before_ms: int & >=0 & <=100000000000000
-	// Of this customer; "" where the settings name none.
+	// Customer whose records are erased; "" if the settings name no customers.
 	customer: string | *""
-	// Of this key alone.
+	// Key whose records are erased; without it, all keys of the customer.
 	key?: string
 }
 
 #Partners: {
-	// Which of them runs this router.
+	// Name of the partner that operates this router.
 	own: string & =~"^[!-~]{1,64}$"
-	// All of them, the same at all routers; a text holds with the mark of every one.
+	// All partners, the same at all routers; an agreement needs the signature of every partner.
 	members: [...#Member]
-	// What the own partner would agree to; on the one router that marks for it.
+	// Terms that the own partner would agree to; only on the one router that signs for it.
 	offer?: #PartnerOffer
-	// The file that holds the own partner's Ed25519 key, 64 hex digits; on that router alone.
+	// File with the own partner's Ed25519 private key, 64 hex digits; only on the router that signs.
 	key_file?: string
-	// The file in which that router keeps what it has marked, over restarts.
+	// File in which the router that signs records what it has signed; it must survive restarts.
 	marks_file?: string
-	// Whether the own partner gives notice to the text that holds.
+	// Whether the own partner gives notice to the agreement that is in force.
 	leave: bool | *false
 }
 
 #Member: {
 	name: string & =~"^[!-~]{1,64}$"
-	// Its Ed25519 public key, 64 hex digits.
+	// Ed25519 public key of the partner, 64 hex digits.
 	key: string & =~"^[0-9a-f]{64}$"
-	// Its routers, by their names under `peers`.
+	// Routers of the partner, by their names under `peers`.
 	routers: [...string]
-	// Its engines: those of these zones and these kinds, by their names in the settings; none: of any.
+	// Engines of the partner: those in these zones and of these kinds, by their names in the settings; none means any.
 	zones: [...string]
 	kinds: [...string]
 }
 
 #PartnerOffer: {
-	// Which offer this is; a later one has a higher turn.
+	// Number of this offer; a later offer must have a higher one.
 	turn: int & >=1 & <=1000000000
-	// Cores that it brings.
+	// Cores that the partner contributes.
 	capacity: int & >=0 & <=100000000
-	// The share that it wants, and the bounds of what it would agree to, in parts of 10,000.
+	// Desired share, and the lowest and highest share that the partner would agree to, in parts of 10,000.
 	want: int & >=0 & <=10000
 	least: int & >=0 & <=10000
 	most: int & >=0 & <=10000
-	// From when until when, in Unix milliseconds.
+	// Start and end of the offered period, in Unix milliseconds.
 	begins_ms: int & >=0 & <=100000000000000
 	ends_ms: int & >=1 & <=100000000000000
-	// How long a partner's engines may be gone before it counts with those that are there, in milliseconds.
+	// Time for which a partner's engines may be missing before its share is reduced, in milliseconds.
 	grace_ms: int & >=0 & <=31622400000 | *60000
-	// How long before it leaves a partner must say so, in milliseconds.
+	// Time between a partner's notice and its leaving, in milliseconds.
 	notice_ms: int & >=0 & <=31622400000 | *3600000
 }
 
 #Engines: {
-	// The protocol that all sql engines speak.
+	// Protocol of all sql engines.
 	protocol: *"line" | "flight"
-	// Bytes of one message of a Flight engine.
+	// Maximum size of one message of a Flight engine, in bytes.
 	message_bytes: int & >=65536 & <=268435456 | *16777216
-	// With it, the engines' certificates are held against this authority; without, connections are plain.
+	// Certificate file of the authority that must have signed the engines' certificates; without it connections are
+	// not encrypted.
 	authority?: string
-	// The token that is shown to the engines.
+	// Token for authentication at the engines.
 	token?: string
 }
 
 #Log: {
-	// Lines of one event in a second; more are counted, not written.
+	// Maximum number of lines of one event per second; further lines are counted, not written.
 	alike: int & >=1 | *20
 }
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -11,7 +11,7 @@
 
 from hillchute.cli.commands import main
 from hillchute.operator import reading
-from hillchute.operator.records import OperatorFileError, parse, told
+from hillchute.operator.records import OperatorFileError, format_constraint, parse
 
 GOOD = """
 // Dashboards.
@@ -24,7 +24,7 @@
 """
 
 
-def test_file_holds_with_definitions_comments_and_defaults():
+def test_file_with_definitions_comments_and_defaults_is_read():
     settings = reading.hold(GOOD)
     assert settings["flight"]["users"] == [{"name": "bi", "token": "t"}, {"name": "etl", "password": "p"}]
     assert settings["flight"]["tickets"] == 5 and settings["flight"]["ticket_ms"] == 60_000
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ('engines: {protocol: "http"}', 'f.cue:1: engines.protocol: expected "line" | "flight", got "http"'),
         ("engines: {\n protocl: 1}", "f.cue:2: engines.protocl: no such field; did you mean protocol?"),
@@ -43,23 +43,23 @@
         ('flight: {listen: "a:1", users: {}}', "flight.users: expected [...#User], got a record"),
         ('flight: {listen: "a:1", users: [{name: "x y"}]}', "flight.users[0].name: expected string"),
         ('flight: {listen: "a:1", users: [{name: "x"}]}', "flight.users[0]: expected one of password"),
-        ("log: {alike: #No}", "f.cue:1: log.alike: #No is not defined here"),
-        ("#A: #A\nlog: {alike: #A}", "log.alike: #A is not defined here"),
+        ("log: {alike: #No}", "f.cue:1: log.alike: #No is not defined here, or refers to itself"),
+        ("#A: #A\nlog: {alike: #A}", "log.alike: #A is not defined here, or refers to itself"),
         ("log: {alike: int}", "log.alike: expected a value, got int"),
-        ("log: {alike: 1, alike: 2}", "f.cue:1: alike: stands twice"),
-        ("log: {\n alike: \n}", "f.cue:3: can't be read at '}'"),
+        ("log: {alike: 1, alike: 2}", "f.cue:1: alike: duplicate field"),
+        ("log: {\n alike: \n}", "f.cue:3: syntax error at '}'"),
     ],
 )
-def test_fault_names_file_line_path_and_what_was_expected(text, said):
-    with pytest.raises(OperatorFileError) as fault:
+def test_error_names_file_line_path_and_expected_value(text, expected):
+    with pytest.raises(OperatorFileError) as error:
         reading.hold(text, "f.cue")
-    assert said in str(fault.value)
+    assert expected in str(error.value)
 
 
-def test_all_faults_are_told_at_once():
-    with pytest.raises(OperatorFileError) as fault:
+def test_all_errors_are_reported_at_once():
+    with pytest.raises(OperatorFileError) as error:
         reading.hold('engines: {protocol: 1}\nlog: {alike: "x"}\nmore: 1')
-    assert len(str(fault.value).split("\n")) == 3
+    assert len(str(error.value).split("\n")) == 3
 
 
 values = st.recursive(
@@ -71,9 +71,9 @@
 )
 
 
-def written(value):
+def operator_file_text(value):
     if isinstance(value, list):
-        return f"[{', '.join(map(written, value))}]"
+        return f"[{', '.join(map(operator_file_text, value))}]"
     return orjson.dumps(value).decode()
 
 
@@ -81,21 +81,24 @@
 @given(values)
 def test_value_is_read_as_it_was_written(value):
     with cpu_limit():
-        (field,) = parse(f"x: {written(value)}", "f").record.fields
-        assert parse(f"x: {told(field.constraint)}", "f").record.fields[0].constraint == field.constraint
+        (field,) = parse(f"x: {operator_file_text(value)}", "f").record.fields
+        assert (
+            parse(f"x: {format_constraint(field.constraint)}", "f").record.fields[0].constraint
+            == field.constraint
+        )
 
 
 @settings(deadline=None)
 @given(st.text())
-def test_any_text_is_read_or_refused_with_its_line(text):
+def test_any_text_is_read_or_rejected_with_its_line(text):
     with cpu_limit():
         try:
             reading.hold(text, "f")
-        except OperatorFileError as fault:
-            assert str(fault).startswith("f:")
+        except OperatorFileError as error:
+            assert str(error).startswith("f:")
 
 
-def test_check_prints_what_holds_and_fails_with_two(tmp_path, capsysbinary):
+def test_check_prints_settings_and_exits_with_2_on_errors(tmp_path, capsysbinary):
     path = tmp_path / "o.cue"
     path.write_text(GOOD)
     assert main(["check", str(path), "--json"]) == 0
@@ -109,7 +112,7 @@
     assert main(["chekc"]) == 2
 
 
-def test_router_without_an_operator_file_imports_nothing_of_the_extras():
+def test_router_without_operator_file_imports_no_extras():
     extras = {"lark", "grpc", "pyarrow", "google", "cyclopts"}
     code = "import sys, hillchute.router.__main__; print(*{m.split('.')[0] for m in sys.modules})"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -172,7 +172,7 @@
         (
             f'own: "a", {MEMBERS.replace(chr(34) + "b" + chr(34), chr(34) + "a" + chr(34))}',
             {},
-            "stands twice",
+            "is listed twice",
         ),
         (f'own: "a", {OFFER}, {MEMBERS}', {}, "offer, key_file and marks_file together"),
         (f'own: "a", {MEMBERS.replace(KEYS["a"], "xyz")}', {}, "key"),
