--- a/hillchute/history/__init__.py
+++ b/hillchute/history/__init__.py
@@ -1,1 +1,1 @@
-"""The answer history: records of keyed queries, kept by the routers together as each policy wants."""
+"""The answer history: records of keyed queries, replicated among the routers as the policies require."""
--- a/hillchute/history/claims.py
+++ b/hillchute/history/claims.py
@@ -1,7 +1,6 @@
-"""Claims, of this router and of others, as the first holder of their slots decides on them.
+"""Handles claims of this and other routers as the first holder of their slots.
 
-Owns the claims that wait, and the record that a granted claim gets. What becomes of a claim is
-claim_decision.py's choice.
+Keeps the claims that wait and creates the records of granted claims. claim_decision.py contains the rules.
 """
 
 import msgspec
@@ -18,13 +17,14 @@
 from hillchute.history.slot_placement import slot_of
 from hillchute.history.slot_table import SlotTable
 
-MAX_WAITING_KEYS = 1024  # keys whose claims are decided on again at once; claims of more are repeated anyway
+# Keys whose waiting claims are decided again as soon as a run ends. Routers repeat the claims of other keys.
+MAX_WAITING_KEYS = 1024
 
-Key = tuple[str, str]  # a customer and an ordering key
+CustomerKey = tuple[str, str]  # customer, ordering key
 
 
 class Claims:
-    """One replica's part in claims as a first holder."""
+    """The claims that one replica handles as first holder."""
 
     def __init__(
         self,
@@ -39,25 +39,25 @@
         self._slots = slots
         self._authority = authority
         self._replication = replication
-        self.leases: LeaseTransfers | None = None  # where there are partners
-        self._waiting: dict[Key, dict[tuple[str, int], ClaimRequest]] = {}  # by router and its number
+        self.leases: LeaseTransfers | None = None  # None without partners
+        self._waiting: dict[CustomerKey, dict[tuple[str, int], ClaimRequest]] = {}  # by router and its number
 
     def receive(self, sender: str, message: ClaimRequest | Completion) -> None:
-        """A message about a claim came from the router that makes it."""
+        """Handles a message from the router that made a claim."""
         match message:
             case ClaimRequest():
                 self.take_claim(sender, message)
             case Completion():
-                self.take_completion(sender, message)
+                self.handle_completion(sender, message)
 
-    def view_adopted(self) -> None:
-        """Claims that waited are repeated to the first holders of the adopted view."""
+    def on_view_adopted(self) -> None:
+        """Drops the waiting claims: their routers repeat them to the first holders of the adopted view."""
         self._waiting.clear()
 
     # ---- claims ---------------------------------------------------------------------------------------
 
     def take_claim(self, sender: str, claim: ClaimRequest) -> None:
-        """Decides on a claim. A granted one is answered once all holders have its record."""
+        """Decides on a claim. A granted claim is answered once every holder has stored its record."""
         decided, known = self.decide(sender, claim)
         if decided.decision is ClaimDecision.RUN:
             self._grant(sender, claim, known)
@@ -71,13 +71,13 @@
         self._context.send(sender, reply)
 
     def decide(self, sender: str, claim: ClaimRequest) -> tuple[ReasonedDecision, RetainedRecord | None]:
-        """What becomes of a claim, and the record with its idempotency key, if that is known."""
+        """Returns the decision on a claim, and the record with its idempotency key if there is one."""
         context = self._context
         number = slot_of(claim.customer, claim.ordering_key)
-        if obstacle := self._authority.obstacle(number, claim.view):
-            return ReasonedDecision(ClaimDecision.REJECT, obstacle), None
+        if rejection_reason := self._authority.rejection_reason(number, claim.view):
+            return ReasonedDecision(ClaimDecision.REJECT, rejection_reason), None
         if context.living().get(sender) != claim.incarnation:
-            # Nobody would run it, nor say that it was not run.
+            # No router would run the query or report that it did not run.
             return ReasonedDecision(ClaimDecision.REJECT, "its router does not live"), None
         known = self._records.find(claim.customer, claim.ordering_key, claim.idempotency_key)
         facts = self._facts(sender, claim, known)
@@ -88,10 +88,10 @@
             )
 
         decided = decide(context.policies, facts, context.now, has_capacity)
-        may_object = decided.decision in (ClaimDecision.RUN, ClaimDecision.WAIT) and not facts.is_repeated
-        if self.leases is not None and may_object:
-            objection = self.leases.objection(sender, claim.customer, claim.ordering_key, number)
-            decided = objection or decided
+        needs_lease = decided.decision in (ClaimDecision.RUN, ClaimDecision.WAIT) and not facts.is_repeated
+        if self.leases is not None and needs_lease:
+            refusal = self.leases.refusal(sender, claim.customer, claim.ordering_key, number)
+            decided = refusal or decided
         return decided, known
 
     def _facts(self, sender: str, claim: ClaimRequest, known: RetainedRecord | None) -> ClaimFacts:
@@ -101,21 +101,21 @@
             customer=claim.customer,
             known=known,
             earlier_running=self._earlier_running(claim, known) if claim.ordered else None,
-            lost_for=self._lost_for(slot_of(claim.customer, claim.ordering_key)),
-            router_lives=record is not None and context.living().get(record.router) == record.incarnation,
+            time_since_loss=self._time_since_loss(slot_of(claim.customer, claim.ordering_key)),
+            is_router_live=record is not None and context.living().get(record.router) == record.incarnation,
             is_repeated=record is not None and record.claim_id == claim.claim_id(sender),
         )
 
     def _earlier_running(self, claim: ClaimRequest, known: RetainedRecord | None) -> RetainedRecord | None:
-        """A run of the same key, of another query, that may not be over."""
+        """Returns a run of another query of the same key that may not have ended."""
         for retained in self._records.records_of_key(claim.customer, claim.ordering_key):
             is_running = retained.record.state == RecordState.RUNNING
             if retained is not known and is_running and retained.may_be_running(self._context.now):
                 return retained
         return None
 
-    def _lost_for(self, number: int) -> Time | None:
-        """For how long records of a slot may have been lost; None if they are not, as far as is known."""
+    def _time_since_loss(self, number: int) -> Time | None:
+        """Returns the time since records of a slot may have been lost; None if no loss is known."""
         lost_at = self._slots.current(number).lost_at
         if lost_at is None or lost_at <= self._context.policies.founded:
             return None
@@ -124,7 +124,7 @@
     def _grant(self, sender: str, claim: ClaimRequest, known: RetainedRecord | None) -> None:
         context = self._context
         if known is not None and known.record.state == RecordState.RUNNING:
-            self._replication.replicate(known.record)  # granted before
+            self._replication.replicate(known.record)  # granted earlier; some holders may not have stored it
             return
         record = self._new_record(claim.claim_id(sender), claim, known)
         if self._records.put(record, context.now, 0, context.policies):
@@ -149,19 +149,19 @@
             lease_number=lease.number if lease is not None else 0,
         )
 
-    # ---- runs that have ended -------------------------------------------------------------------------
+    # ---- ended runs -----------------------------------------------------------------------------------
 
-    def take_completion(self, sender: str, completion: Completion) -> None:
-        """A router's run has ended: its outcome goes to all holders; what waited for it is decided on."""
+    def handle_completion(self, sender: str, completion: Completion) -> None:
+        """Replicates the outcome of a run that ended, then decides the claims that waited for it."""
         record = completion.record
         if record.router != sender:
             return
         context = self._context
         number = slot_of(record.customer, record.ordering_key)
-        if self._authority.obstacle(number, completion.view) not in ("", POLICIES_NOT_CURRENT):
-            return  # it is repeated, to whoever can take it
+        if self._authority.rejection_reason(number, completion.view) not in ("", POLICIES_NOT_CURRENT):
+            return  # the router repeats it, to the first holder of its adopted view
         known = self._records.find(*record.id)
-        if record.attempt == 0:  # it was given up before its claim was decided on
+        if record.attempt == 0:  # the query was abandoned before its claim was decided
             if known is None or known.record.claim_id != record.claim_id:
                 context.send(sender, CompletionReply(record.claim_number, record.incarnation))
                 return
@@ -172,19 +172,19 @@
         self._replication.replicate(record)
         self.decide_waiting((record.customer, record.ordering_key))
 
-    # ---- claims that wait -----------------------------------------------------------------------------
+    # ---- waiting claims -------------------------------------------------------------------------------
 
     def _add_waiting(self, sender: str, claim: ClaimRequest) -> None:
         key = (claim.customer, claim.ordering_key)
         if key in self._waiting or len(self._waiting) < MAX_WAITING_KEYS:
             self._waiting.setdefault(key, {})[sender, claim.number] = claim
 
-    def decide_waiting(self, key: Key) -> None:
-        """Decides again on the claims of a key that wait: the first may be granted, the others wait on."""
+    def decide_waiting(self, key: CustomerKey) -> None:
+        """Decides again on a key's waiting claims: the first may be granted, the others go on waiting."""
         for (sender, _), claim in self._waiting.pop(key, {}).items():
             self.take_claim(sender, claim)
 
     def decide_waiting_of_slot(self, number: int) -> None:
-        """The same for all keys of a slot."""
+        """Decides again on the waiting claims of all keys of a slot."""
         for key in [key for key in self._waiting if slot_of(*key) == number]:
             self.decide_waiting(key)
--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -1,7 +1,6 @@
-"""Messages about the history to bytes and back, each field bounded.
+"""Encodes and decodes the messages of the history and checks the bounds of every field.
 
-Owns the bounds. It does no I/O and believes nothing; the signature that says who sent a message is the peers'
-own (peers/datagrams.py).
+Performs no I/O. Senders are authenticated by peers/datagrams.py.
 """
 
 from collections.abc import Mapping
@@ -19,9 +18,9 @@
 MAX_ROUTER_NAME = 64  # characters
 MAX_MEMBERS = 4096
 MAX_INTEGER = 1 << 62
-MAX_DURATION: Time = 864_000_000  # a day
+MAX_DURATION: Time = 864_000_000  # one day
 MAX_COUNT = 1 << 40
-MAX_PARTS = 4096  # messages that a slot's records go in
+MAX_PARTS = 4096  # messages in which the records of one slot are sent
 BOUNDS = {
     "slot": SLOTS - 1,
     "time_left": MAX_DURATION,
@@ -30,12 +29,14 @@
     "sequence": MAX_COUNT,
     "decision": max(decision.value for decision in ClaimDecision),
     "state": max(RecordState),
-}  # by field name, of whichever message; other integers are bounded by MAX_INTEGER
+}  # by field name, in any message; other integers are bounded by MAX_INTEGER
 
 
 def first_out_of_bounds(message: object) -> str:
-    """The name of a message's first field that is out of its bounds; "" for a sound message. Guards against
-    a peer that may sign whatever it likes."""
+    """Returns the name of a message's first field that is out of bounds; "" for a valid message.
+
+    A peer with a valid key may still send arbitrary values.
+    """
     if not isinstance(message, TaggedMessage):
         return "type"
     if field := _first_field_out_of_bounds(message):
@@ -48,7 +49,7 @@
 
 
 def first_record_field_out_of_bounds(record: Record) -> str:
-    """The same of a record alone, as it is read from a stored file."""
+    """Returns the same for a single record, as read from a stored file."""
     return _first_field_out_of_bounds(record)
 
 
@@ -58,10 +59,10 @@
 
 
 def _check_field(name: str, value: object) -> str:
-    """The name of the field, or of one inside its value, that is out of its bounds."""
+    """Returns the name of the field, or of one nested in its value, that is out of bounds; "" if none is."""
     match value:
         case bool() | None | bytes():
-            fits = True  # rows are bounded by the length of the whole message
+            fits = True  # the length of rows is bounded by that of the whole message
         case int():
             fits = 0 <= value <= BOUNDS.get(name, MAX_INTEGER)
         case str():
@@ -74,15 +75,15 @@
             return first_invalid_field(value)
         case tuple():
             return next(filter(None, (_check_field(name, each) for each in value)), "")
-        case msgspec.Struct():  # a record, a view, a promise, a grant, a lease
+        case msgspec.Struct():  # a record, view, promise, grant or lease
             return _first_field_out_of_bounds(value)
         case _:
-            raise TypeError(f"no message has a {type(value).__name__}")
+            raise TypeError(f"unsupported field type {type(value).__name__}")
     return "" if fits else name
 
 
 def _are_members_in_bounds(members: Mapping[str, int]) -> bool:
-    """Of a mapping of routers to incarnations."""
+    """Whether a mapping of routers to incarnations is within its bounds."""
     if len(members) > MAX_MEMBERS:
         return False
     return all(
--- a/hillchute/history/durability.py
+++ b/hillchute/history/durability.py
@@ -1,7 +1,6 @@
-"""Which records are on the disk, and which may be relied on.
+"""Writes changed records to the durable store and restores them after a restart.
 
-Owns when changed records are written, and what is read back after a restart. The disk itself is
-sqlite_store.py's.
+sqlite_store.py implements the store.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,15 +13,18 @@
 
 
 class DurableStore(Protocol):
-    """Keeps records over a restart."""
+    """Storage in which records survive a restart."""
 
     def write(self, changes: Mapping[RecordId, Record | None], since: Mapping[RecordId, Time]) -> bool:
-        """Writes all changes or none, None standing for a removal; whether they are there. `since`: when each
-        record that is not removed was granted, by this holder's clock."""
+        """Writes all changes or none, and returns whether they are durable.
+
+        A value of None removes the record. `since`: when each record that is not removed was granted, by this
+        holder's clock.
+        """
 
 
 class Durability:
-    """Brings one replica's records to its durable store, if it has one."""
+    """Writes one replica's records to its durable store, if it has one."""
 
     def __init__(
         self, context: ReplicaContext, records: RecordStore, durable_store: DurableStore | None
@@ -32,13 +34,12 @@
         self.durable_store = durable_store
 
     def save(self, record: Record) -> bool:
-        """Writes what has changed; whether this record may be relied on: its policy does not want the disk,
-        or it is there."""
+        """Writes pending changes; returns whether this record is as durable as its policy requires."""
         self.save_changes()
         return record.id not in self._records.unsaved
 
     def save_changes(self) -> None:
-        """Writes what has changed where policies want the disk. What can't be written stays to be written."""
+        """Writes the pending changes that policies require on the disk; failed writes stay pending."""
         policies = self._context.policies
         wanted = {
             record_id: record
@@ -55,21 +56,23 @@
         found = {record_id: self._records.find(*record_id) for record_id in ids}
         return {record_id: retained.since for record_id, retained in found.items() if retained is not None}
 
-    def mark_for_disk(self) -> None:
-        """After policies changed whether they want the disk: all records are written, or removed there."""
+    def mark_all_unsaved(self) -> None:
+        """Marks all records for writing, or for removal from the store, as the changed policies require."""
         policies = self._context.policies
         for retained in self._records.all_records():
             record = retained.record
             on_disk = policies.policy_for(record.customer).disk
             self._records.unsaved[record.id] = record if on_disk else None
 
-    def recall(self, records: Iterable[tuple[Record, Time]]) -> None:
-        """What a disk has kept over a restart, with the Unix time since when. It is known of, and answered
-        from; that it is all, a disk can't say, so no slot is complete by it."""
+    def restore(self, records: Iterable[tuple[Record, Time]]) -> None:
+        """Takes in the stored records, each with the Unix time when it was granted.
+
+        They answer retries but make no slot complete, as the file may lack later records.
+        """
         context = self._context
         for record, since in records:
             age = max(0, context.now - since)
             self._records.put(record, context.now, age, context.policies)
             if self._records.find(*record.id) is None:
-                self._records.unsaved[record.id] = None  # it had to be erased while this router was down
+                self._records.unsaved[record.id] = None  # its erasure fell due while this router was down
         self.save_changes()
--- a/hillchute/history/lease_transfer.py
+++ b/hillchute/history/lease_transfer.py
@@ -1,7 +1,7 @@
-"""How a slot's ownership lease moves from one partner to another.
+"""Moves a slot's ownership lease from one partner to another.
 
-Owns the transfers that are under way at the slot's first holder, and what the other holders store. While a
-lease moves nothing of its slot is granted; it stands once every holder has it.
+The first holder sends the new lease to the other holders; it takes effect once all of them have stored it.
+During the transfer no new claim of the slot is granted.
 """
 
 from collections import deque
@@ -24,7 +24,7 @@
 
 
 class LeaseTransfer(msgspec.Struct):
-    """A lease on its way to the other holders."""
+    """A lease that is being sent to the other holders."""
 
     lease: OwnershipLease
     pending: set[str]  # holders that have not stored it
@@ -33,7 +33,7 @@
 
 
 class LeaseTransfers:
-    """One replica's part in the ownership of slots; only where there are partners."""
+    """One replica's part in the transfer of ownership leases; exists only with partners."""
 
     def __init__(
         self,
@@ -48,30 +48,28 @@
         self._slots = slots
         self._authority = authority
         self._agreement = agreement
-        self.lease_moved: Callable[[int], None]  # set by the facade: called with a slot whose lease has moved
+        self.on_lease_moved: Callable[[int], None]  # set by Replica; called with the slot
         self.transfers: dict[int, LeaseTransfer] = {}  # by slot
         self._unchecked: deque[int] = deque()  # slots to be compared with the agreement
         self._checked_revision = 0  # of the agreement
 
     def receive(self, sender: str, message: LeaseUpdate | LeaseReply) -> None:
-        """A message about a slot's lease came."""
+        """Handles a message about a slot's lease."""
         match message:
             case LeaseUpdate():
                 self.answer_update(sender, message)
             case LeaseReply():
                 self.take_reply(sender, message)
 
-    def view_adopted(self) -> None:
-        """Transfers of the view before are begun again by the first holders of this one."""
+    def on_view_adopted(self) -> None:
+        """Drops the transfers of the previous view: the first holders in the new view start them again."""
         self.transfers.clear()
         self._unchecked = deque(range(SLOTS))
 
-    # ---- what claims ask ------------------------------------------------------------------------------
+    # ---- checks for claims ----------------------------------------------------------------------------
 
-    def objection(
-        self, sender: str, customer: str, ordering_key: str, number: int
-    ) -> ReasonedDecision | None:
-        """Why a router's query of a slot can't be granted; None if it can."""
+    def refusal(self, sender: str, customer: str, ordering_key: str, number: int) -> ReasonedDecision | None:
+        """Returns why a router's query of a slot cannot be granted; None if it can."""
         if number in self.transfers:
             return ReasonedDecision(ClaimDecision.WAIT, "its slot changes hands")
         lease = self._slots.slots[number].lease
@@ -83,7 +81,7 @@
         return ReasonedDecision(*found) if found is not None else None
 
     def is_earlier_running(self, customer: str, ordering_key: str, lease: OwnershipLease) -> bool:
-        """Whether a run of the key that was granted under an earlier lease may not be over."""
+        """Whether a run of the key that was granted under an earlier lease may not have ended."""
         return any(
             retained.record.state == RecordState.RUNNING and retained.may_be_running(self._context.now)
             for retained in self._records.records_of_key(customer, ordering_key)
@@ -93,7 +91,7 @@
     # ---- as the first holder --------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Begins the transfers that the agreement wants, and sends again what was not answered."""
+        """Starts the transfers that the agreement calls for, and repeats unanswered lease updates."""
         if self._agreement.revision != self._checked_revision:
             self._checked_revision = self._agreement.revision
             self._unchecked = deque(range(SLOTS))
@@ -107,7 +105,7 @@
         context = self._context
         if self._authority.holders_of(number)[:1] != (context.name,):
             return
-        if self._authority.obstacle(number, context.views.view.id) or number in self.transfers:
+        if self._authority.rejection_reason(number, context.views.view.id) or number in self.transfers:
             self._unchecked.append(number)
             return
         slot = self._slots.current(number)
@@ -125,14 +123,14 @@
             self.complete(number, transfer)
 
     def complete(self, number: int, transfer: LeaseTransfer) -> None:
-        """All holders have the lease: it stands."""
+        """Puts the lease into effect: all holders have stored it."""
         del self.transfers[number]
         self._slots.slots[number].lease = transfer.lease
         self._context.counters["leases moved"] += 1
-        self.lease_moved(number)
+        self.on_lease_moved(number)
 
     def take_reply(self, sender: str, reply: LeaseReply) -> None:
-        """Another holder has stored a lease."""
+        """Notes that another holder has stored a lease."""
         transfer = self.transfers.get(reply.slot)
         if transfer is None or reply.view != self._context.views.view.id:
             return
@@ -142,10 +140,10 @@
         if not transfer.pending:
             self.complete(reply.slot, transfer)
 
-    # ---- as another holder ----------------------------------------------------------------------------
+    # ---- as one of the other holders ------------------------------------------------------------------
 
     def answer_update(self, sender: str, update: LeaseUpdate) -> None:
-        """The first holder sends a lease to be stored."""
+        """Stores a lease sent by the first holder."""
         if self._authority.may_copy_from(sender, update.slot, update.view):
             self._slots.slots[update.slot].lease = update.lease
             self._context.send(sender, LeaseReply(update.view, update.slot, update.lease.number))
--- a/hillchute/history/messages.py
+++ b/hillchute/history/messages.py
@@ -1,8 +1,8 @@
 """The messages that routers exchange about the history, as typed values.
 
-Owns what each message says. The order of the fields and the tags are those of the wire; codec.py bounds the
-fields and makes bytes of them. Times are whole tenths of a millisecond. Ages are durations, as of when the
-message was made: no clock is compared with another router's.
+The order of the fields and the tags are part of the wire format; codec.py encodes messages and checks bounds.
+Times are whole tenths of a millisecond. Ages are durations as of when the message was created, so that clocks
+of different routers are never compared.
 """
 
 from typing import get_args
@@ -19,11 +19,11 @@
 class TaggedMessage(
     msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, tag_field="type"
 ):
-    """What all messages have in common: a row on the wire, its tag first."""
+    """Base of all messages: encoded as an array that begins with the tag."""
 
 
 class PromiseRequest(TaggedMessage, frozen=True, tag=1):
-    """Asks for a promise, to propose a new view. `adopted`: the one that the sender adopted last."""
+    """Asks for a promise, so that a new view can be proposed. `adopted`: the sender's last adopted view."""
 
     view: ViewId
     adopted: ViewId
@@ -36,19 +36,19 @@
 
 
 class Heartbeat(TaggedMessage, frozen=True, tag=3):
-    """The coordinator asks for the renewal of its view's lease, and says how long the view is in force.
+    """The coordinator asks for a renewal of its view's lease, and states how long the view stays in force.
 
-    `lease_remaining` was left when this was made, for a router whose last grant was made at `echo` by that
-    router's own clock. Grants that name higher numbers than these count once the coordinator has what they
-    name.
+    `lease_remaining` is the lease time left when the message was created. `echo` is the receiver's last
+    `granted_at` known to the coordinator, by the receiver's clock. A grant that names a higher policies or
+    agreement number than these counts only once the coordinator has those policies or that agreement.
     """
 
     view: ViewId
     sent_at: Time
-    echo: Time  # 0: no grant of the receiver has come yet
+    echo: Time  # 0: no grant from the receiver has arrived yet
     lease_remaining: Time
     policies_number: int  # of the retention policies that the coordinator has applied
-    agreement_number: int = 0  # of the partners' agreement that holds
+    agreement_number: int = 0  # of the partners' agreement in force
 
 
 class HeartbeatReply(TaggedMessage, frozen=True, tag=4):
@@ -58,13 +58,13 @@
 
 
 class ViewAnnouncement(TaggedMessage, frozen=True, tag=5):
-    """A whole view."""
+    """A complete view."""
 
     view: View
 
 
 class ViewUpdate(TaggedMessage, frozen=True, tag=17):
-    """A view, for a router that adopted the view `base` last, from which this one takes over."""
+    """A view as the changes to its predecessor `base`, for a router that adopted `base` last."""
 
     view: ViewId
     base: ViewId
@@ -74,7 +74,7 @@
 
 
 class PoliciesRequest(TaggedMessage, frozen=True, tag=6):
-    """Asks for retention policies of a higher number."""
+    """Asks for retention policies with a number higher than `above`."""
 
     above: int
 
@@ -89,22 +89,22 @@
     """The sender asks whether it may run a query."""
 
     view: ViewId
-    number: int  # the sender's own
+    number: int  # of the claim, assigned by the sender
     incarnation: int  # of the sender
     customer: str
     ordering_key: str
     idempotency_key: str
-    time_left: Time  # an attempt may still be sent for so long
-    ordered: bool  # runs of its key follow one another
-    is_transient: bool = False  # it has no idempotency key of its own: it is listed only while it runs
+    time_left: Time  # how long attempts may still be sent
+    ordered: bool  # queries of its key run one after another
+    is_transient: bool = False  # without an idempotency key of its own: recorded only while it runs
 
     def claim_id(self, sender: str) -> ClaimId:
-        """What identifies it among the claims of all routers."""
+        """Returns its identity among the claims of all routers."""
         return ClaimId(sender, self.incarnation, self.number)
 
 
 class ClaimReply(TaggedMessage, frozen=True, tag=9):
-    """What becomes of a claim. With RUN the record as granted, with REPLAY the one that answers."""
+    """The decision on a claim. `record`: with RUN the granted record, with REPLAY the one with the result."""
 
     number: int
     incarnation: int
@@ -114,25 +114,27 @@
 
 
 class Completion(TaggedMessage, frozen=True, tag=10):
-    """The sender's run has ended, as the record says: NOT_RUN if it never began. Repeated until a
-    CompletionReply comes."""
+    """The sender's run has ended with the record's state: NOT_RUN if it never started.
+
+    Repeated until a CompletionReply arrives.
+    """
 
     view: ViewId
     record: Record
 
 
 class CompletionReply(TaggedMessage, frozen=True, tag=11):
-    """All holders have the outcome of a claim's run."""
+    """All holders have stored the outcome of a claim's run."""
 
     number: int
     incarnation: int
 
 
 class ReplicateRequest(TaggedMessage, frozen=True, tag=12):
-    """From a slot's first holder to the others: a record to be stored."""
+    """Sent by a slot's first holder to the others: a record to store."""
 
     view: ViewId
-    number: int  # the first holder's own, of the replication round
+    number: int  # of the replication round, assigned by the first holder
     record: Record
     age: Time
 
@@ -146,7 +148,7 @@
 
 
 class SlotRequest(TaggedMessage, frozen=True, tag=14):
-    """The sender holds a slot in this view and wants its records as of the end of the view `epoch`."""
+    """The sender holds a slot in `view` and requests its records as of the end of the view `epoch`."""
 
     view: ViewId
     slot: int
@@ -154,7 +156,7 @@
 
 
 class SlotPart(TaggedMessage, frozen=True, tag=15):
-    """One part of a slot's records, of `parts`."""
+    """One of the `parts` messages that carry a slot's records."""
 
     view: ViewId
     slot: int
@@ -162,13 +164,15 @@
     parts: int
     records: tuple[Record, ...]
     ages: tuple[Time, ...]
-    lost: Time | None  # how long ago records of the slot may have been lost, if ever
+    lost: Time | None  # time since records of the slot may have been lost; None: no known loss
     lease: OwnershipLease | None = None
 
 
 class SlotRedirect(TaggedMessage, frozen=True, tag=16):
-    """The sender has not got the slot itself yet: whom it asks, and for which epoch. Without sources: it
-    never will."""
+    """The sender does not have the slot: it fetches the records of `epoch` from `sources` itself.
+
+    Without sources it will never have them.
+    """
 
     view: ViewId
     slot: int
@@ -177,7 +181,7 @@
 
 
 class LeaseUpdate(TaggedMessage, frozen=True, tag=18):
-    """From a slot's first holder to the others: the slot's ownership lease from now on."""
+    """Sent by a slot's first holder to the others: the slot's new ownership lease."""
 
     view: ViewId
     slot: int
@@ -185,11 +189,11 @@
 
 
 class LeaseReply(TaggedMessage, frozen=True, tag=19):
-    """Answers a LeaseUpdate, which was stored."""
+    """Answers a LeaseUpdate once the lease is stored."""
 
     view: ViewId
     slot: int
-    number: int  # the lease's
+    number: int  # of the lease
 
 
 Message = (
--- a/hillchute/history/own_claims.py
+++ b/hillchute/history/own_claims.py
@@ -1,6 +1,7 @@
-"""The claims of this router's own queries, until their runs have ended and all holders know that.
+"""Makes the claims for this router's queries and reports how their runs ended to the first holders.
 
-Owns the claims and the order of those of one key. The first holders decide on them (claims.py).
+A claim is kept until every holder has stored the outcome of its run. For ordered queries of one key, claims
+are made one at a time. The first holders decide on claims (claims.py).
 """
 
 from collections import deque
@@ -16,14 +17,14 @@
 from hillchute.history.replica_context import RETRY_INTERVAL, ReplicaContext
 from hillchute.history.slot_authority import SlotAuthority
 
-MAX_CLAIM_BACKOFF = 2  # doublings of the time to the next try: a client waits behind a claim
-MAX_COMPLETION_BACKOFF = 5  # and of a completion's
-MAX_ROWS_SIZE = 4 << 20  # bytes of rows that are kept, half a message; of more the outcome alone
-ABANDON_TIME: Time = 600_000  # a claim that was given up is reported to the holders for so long
+MAX_CLAIM_BACKOFF = 2  # doublings of the retry interval; low, as a client waits for the claim
+MAX_COMPLETION_BACKOFF = 5  # doublings of the retry interval of completions
+MAX_ROWS_SIZE = 4 << 20  # bytes, half of a message; with more rows only the outcome is kept
+ABANDONED_CLAIM_TIME: Time = 600_000  # one minute; how long past its deadline an abandoned claim is reported
 
 
 class Decided(NamedTuple):
-    """What became of one of this router's claims."""
+    """The decision on one of this router's claims."""
 
     number: int
     decision: ClaimDecision
@@ -32,40 +33,40 @@
 
 
 class KeyedQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """A query that the history is asked about."""
+    """A query for which a claim is made."""
 
     customer: str = ""
     ordering_key: str
     idempotency_key: str
-    deadline: Time  # without a decision by then its claim is given up
-    ordered: bool = False  # runs of its key follow one another
-    is_transient: bool = False  # it has no idempotency key of its own: it is listed only while it runs
+    deadline: Time  # its claim is abandoned if undecided by then
+    ordered: bool = False  # queries of its key run one after another
+    is_transient: bool = False  # without an idempotency key of its own: recorded only while it runs
 
     @property
     def key(self) -> tuple[str, str]:
-        """Ordered queries of one key are claimed one after another."""
+        """Claims for ordered queries with the same key are made one at a time."""
         return self.customer, self.ordering_key
 
 
 class OwnClaim(msgspec.Struct):
-    """A claim of this router's own."""
+    """A claim for one of this router's queries."""
 
     number: int
     query: KeyedQuery
     granted: Record | None = None
-    outcome: Record | None = None  # how its run ended, until all holders have that
+    outcome: Record | None = None  # how its run ended; not yet stored by all holders
     sent_at: Time = 0
-    tries: int = 0
-    is_forwarded: bool = False  # another partner's router runs it; other claims of its key wait for it
+    send_count: int = 0
+    is_forwarded: bool = False  # a router of another partner runs it; later claims of its key wait
 
     @property
     def is_decided(self) -> bool:
-        """Whether a decision on it changes nothing any more."""
+        """Whether a further decision on it has no effect."""
         return self.granted is not None or self.outcome is not None or self.is_forwarded
 
 
 class OwnClaims:
-    """One replica's part in claims as the router that makes them."""
+    """The claims that one router makes."""
 
     def __init__(
         self, context: ReplicaContext, authority: SlotAuthority, policies: PolicyDistribution
@@ -74,47 +75,49 @@
         self._authority = authority
         self._policies = policies
         self.claims: dict[int, OwnClaim] = {}
-        self.decided: list[Decided] = []  # for the router to take
-        self._queues: dict[tuple[str, str], deque[int]] = {}  # by key: ordered claims that are not granted
+        self.decided: list[Decided] = []  # not yet fetched by the router
+        self._queues: dict[tuple[str, str], deque[int]] = {}  # by key: ordered claims not yet granted
 
     def receive(self, message: ClaimReply | CompletionReply) -> None:
-        """A message about one of this router's claims came from a first holder."""
+        """Handles a message from a first holder about one of this router's claims."""
         match message:
             case ClaimReply():
-                self.take_claim_reply(message)
+                self.handle_claim_reply(message)
             case CompletionReply():
-                self.take_completion_reply(message)
+                self.handle_completion_reply(message)
 
-    # ---- the router's side ----------------------------------------------------------------------------
+    # ---- calls from the router ------------------------------------------------------------------------
 
     def add(self, query: KeyedQuery) -> int:
-        """Makes a claim; returns its number, under which what becomes of it is said by the deadline."""
+        """Makes a claim and returns its number. The decision follows in `decided` by the deadline."""
         claim = OwnClaim(self._context.next_number(), query)
         self.claims[claim.number] = claim
         if query.ordered:
             self._queues.setdefault(query.key, deque()).append(claim.number)
-        if self._has_turn(claim):
+        if self._is_next_of_key(claim):
             self._send_claim(claim)
         return claim.number
 
     def end(self, number: int, state: int, rows: bytes | None = None) -> None:
-        """The query of a claim is over, granted or not: NOT_RUN if no attempt of it can have had an effect.
-        Unknown claims are ignored."""
+        """Ends the claim of a finished query, granted or not; unknown claims are ignored.
+
+        `state`: NOT_RUN if no attempt can have had an effect.
+        """
         claim = self.claims.get(number)
         if claim is not None and claim.outcome is None:
             self._end(claim, state, rows)
 
     def _end(self, claim: OwnClaim, state: int, rows: bytes | None = None) -> None:
         self._leave_queue(claim)
-        if rows is not None and not self._keeps_rows(claim, rows):
+        if rows is not None and not self._may_keep_rows(claim, rows):
             rows = None
-        claim.tries = 0
+        claim.send_count = 0
         claim.outcome = msgspec.structs.replace(
-            claim.granted or self._never_granted(claim), state=state, rows=rows
+            claim.granted or self._ungranted_record(claim), state=state, rows=rows
         )
         self._send_completion(claim)
 
-    def _keeps_rows(self, claim: OwnClaim, rows: bytes) -> bool:
+    def _may_keep_rows(self, claim: OwnClaim, rows: bytes) -> bool:
         policy = self._context.policies.policy_for(claim.query.customer)
         return (
             policy.rows
@@ -122,8 +125,8 @@
             and len(rows) <= min(MAX_ROWS_SIZE, policy.most_bytes)
         )
 
-    def _never_granted(self, claim: OwnClaim) -> Record:
-        """The record of a claim that was given up before it was decided on: its attempt is 0."""
+    def _ungranted_record(self, claim: OwnClaim) -> Record:
+        """Returns the record of a claim that was abandoned before it was decided; its attempt is 0."""
         return Record(
             customer=claim.query.customer,
             ordering_key=claim.query.ordering_key,
@@ -137,10 +140,10 @@
             timeout=0,
         )
 
-    # ---- the order of one key -------------------------------------------------------------------------
+    # ---- order within a key ---------------------------------------------------------------------------
 
-    def _has_turn(self, claim: OwnClaim) -> bool:
-        """Of one key, claims are made one at a time, in the order in which their queries came."""
+    def _is_next_of_key(self, claim: OwnClaim) -> bool:
+        """Whether a claim may be sent: ordered claims of a key go one at a time, in order of arrival."""
         return not claim.query.ordered or self._queues[claim.query.key][0] == claim.number
 
     def _leave_queue(self, claim: OwnClaim) -> None:
@@ -159,7 +162,7 @@
     def _send_claim(self, claim: OwnClaim) -> None:
         context = self._context
         claim.sent_at = context.now
-        claim.tries += 1
+        claim.send_count += 1
         holder = self._authority.first_holder(claim.query.customer, claim.query.ordering_key)
         if holder is None:
             return
@@ -178,20 +181,20 @@
 
     def _send_completion(self, claim: OwnClaim) -> None:
         claim.sent_at = self._context.now
-        claim.tries += 1
+        claim.send_count += 1
         holder = self._authority.first_holder(claim.query.customer, claim.query.ordering_key)
         if holder is not None and claim.outcome is not None:
             self._context.send(holder, Completion(self._context.views.view.id, claim.outcome))
 
-    def take_completion_reply(self, reply: CompletionReply) -> None:
-        """All holders know how a run ended: its claim is over."""
+    def handle_completion_reply(self, reply: CompletionReply) -> None:
+        """Deletes a claim once all holders have stored its outcome."""
         claim = self.claims.get(reply.number)
-        is_ours = reply.incarnation == self._context.incarnation
-        if is_ours and claim is not None and claim.outcome is not None:
+        is_current = reply.incarnation == self._context.incarnation
+        if is_current and claim is not None and claim.outcome is not None:
             del self.claims[reply.number]
 
-    def take_claim_reply(self, reply: ClaimReply) -> None:
-        """A first holder has decided on a claim."""
+    def handle_claim_reply(self, reply: ClaimReply) -> None:
+        """Handles a first holder's decision on a claim."""
         if reply.incarnation != self._context.incarnation:
             return
         decision = ClaimDecision(reply.decision)
@@ -205,30 +208,30 @@
         if decision is ClaimDecision.REPLAY and not self._may_replay(reply.record):
             return
         if decision in (ClaimDecision.WAIT, ClaimDecision.REJECT):
-            claim.sent_at = self._context.now  # it is repeated until its deadline
+            claim.sent_at = self._context.now  # the claim is repeated until its deadline
             return
-        self._settle(claim, decision, reply)
+        self._apply_decision(claim, decision, reply)
 
-    def _settle(self, claim: OwnClaim, decision: ClaimDecision, reply: ClaimReply) -> None:
+    def _apply_decision(self, claim: OwnClaim, decision: ClaimDecision, reply: ClaimReply) -> None:
         rows: bytes | None = None
         if decision is ClaimDecision.RUN:
             if reply.record is None or self._context.now >= claim.query.deadline:
-                return  # it is given up at its deadline
+                return  # the claim is abandoned at its deadline
             claim.granted = reply.record
             self._leave_queue(claim)
         elif decision is ClaimDecision.FORWARD:
-            # It stays in its queue until its end is known: what came after it must not overtake it.
+            # Stays in its queue until it has ended, so that later queries of its key do not overtake it.
             claim.is_forwarded = True
         else:
             rows = reply.record.rows if reply.record is not None else None
-            if decision is ClaimDecision.REPLAY and rows is None:  # no holder says so
+            if decision is ClaimDecision.REPLAY and rows is None:  # holders never send this
                 decision = ClaimDecision.FAIL
             self._leave_queue(claim)
             del self.claims[claim.number]
         self.decided.append(Decided(claim.number, decision, reply.reason, rows))
 
     def _release(self, number: int, granted: Record) -> None:
-        """Ends a claim that was granted when it was over here: nobody else would."""
+        """Ends a claim that was granted after this router had dropped it; no other router would end it."""
         record = msgspec.structs.replace(granted, state=RecordState.NOT_RUN)
         query = KeyedQuery(
             customer=record.customer,
@@ -242,19 +245,22 @@
         self._send_completion(claim)
 
     def _may_replay(self, record: Record | None) -> bool:
-        """Guards against an answer that waited in a paused process until it was forbidden."""
+        """Whether a recorded result may still be returned.
+
+        Guards against a reply that was delayed in a paused process until after its erasure.
+        """
         context = self._context
         if record is None or not context.views.in_force(context.now) or not self._policies.are_current:
             return False
-        about = (record.customer, record.ordering_key, record.granted_at)
-        return not context.policies.is_erasure_requested(*about)
+        identity = (record.customer, record.ordering_key, record.granted_at)
+        return not context.policies.is_erasure_requested(*identity)
 
-    # ---- time -----------------------------------------------------------------------------------------
+    # ---- timers ---------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Repeats what was not answered, and gives up what is past its deadline."""
+        """Repeats unanswered messages and abandons claims past their deadline."""
         for claim in list(self.claims.values()):
-            if claim.number in self.claims:  # the end of one may bring the decision on the next
+            if claim.number in self.claims:  # checking one claim may decide and remove another
                 self._check(claim)
 
     def _check(self, claim: OwnClaim) -> None:
@@ -262,19 +268,19 @@
         if claim.outcome is not None:
             if self._is_due(claim, MAX_COMPLETION_BACKOFF):
                 self._send_completion(claim)
-            if claim.granted is None and now - claim.query.deadline > ABANDON_TIME:
-                self.claims.pop(claim.number, None)  # by now the holders take its run, if any, for over
+            if claim.granted is None and now - claim.query.deadline > ABANDONED_CLAIM_TIME:
+                self.claims.pop(claim.number, None)  # holders consider any run of it ended by now
         elif claim.is_forwarded:
-            if now - claim.query.deadline > ABANDON_TIME:
+            if now - claim.query.deadline > ABANDONED_CLAIM_TIME:
                 self._end(claim, RecordState.NOT_RUN)
         elif claim.granted is not None:
             return
         elif now >= claim.query.deadline:
             self.decided.append(Decided(claim.number, ClaimDecision.REJECT, "no verdict in time", None))
             self._end(claim, RecordState.NOT_RUN)
-        elif self._is_due(claim, MAX_CLAIM_BACKOFF) and self._has_turn(claim):
+        elif self._is_due(claim, MAX_CLAIM_BACKOFF) and self._is_next_of_key(claim):
             self._send_claim(claim)
 
     def _is_due(self, claim: OwnClaim, max_backoff: int) -> bool:
-        interval = RETRY_INTERVAL << min(claim.tries, max_backoff)
+        interval = RETRY_INTERVAL << min(claim.send_count, max_backoff)
         return self._context.now - claim.sent_at >= interval
--- a/hillchute/history/ownership_leases.py
+++ b/hillchute/history/ownership_leases.py
@@ -1,8 +1,8 @@
-"""Whose queries a slot is for: an ownership lease, moved by the slot's first holder and kept by all holders.
+"""Ownership leases: which partner's routers run the queries of a slot.
 
-Owns the lease, and what the history asks whoever knows the partners' agreement. It does not know why a lease
-moves: whoever has partners (hillchute/partners/) says that. Without partners slots have no leases, and every
-router's queries are alike.
+The slot's first holder moves its lease, and all holders store it. hillchute/partners/ implements
+PartnerAgreement and decides when a lease moves. Without partners slots have no leases, and queries of all
+routers are treated alike.
 """
 
 from collections.abc import Callable
@@ -17,26 +17,26 @@
 class OwnershipLease(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """One partner's ownership of a slot."""
 
-    number: int  # only rises; each belongs to another owner than the one before
+    number: int  # increases with each change of owner
     owner: str  # the partner whose routers run the slot's queries
 
 
 class PartnerAgreement(Protocol):
-    """What this router knows of its partners' agreement."""
+    """This router's knowledge of the agreement between partners."""
 
-    revision: int  # changes whenever slots may be due to others
+    revision: int  # changes whenever the owners of slots may change
 
     def number_to_announce(self, now: Time) -> int:
-        """The number of the agreement that holds, as this router announces it if it coordinates."""
+        """Returns the number of the agreement in force, which this router announces as coordinator."""
 
     def followed_number(self) -> int:
-        """The number of the agreement that this router follows."""
+        """Returns the number of the agreement that this router follows."""
 
     def on_announcement(self, now: Time, number: int) -> None:
-        """The coordinator announces which agreement holds."""
+        """Notes the number of the agreement in force, as announced by the coordinator."""
 
     def next_lease(self, now: Time, slot: int, lease: OwnershipLease | None) -> OwnershipLease | None:
-        """The lease that is to stand; the same one where nothing is to move."""
+        """Returns the lease that the slot should have; `lease` itself if it should not move."""
 
     def grant_refusal(
         self,
@@ -45,7 +45,7 @@
         lease: OwnershipLease | None,
         is_earlier_running: Callable[[], bool],
     ) -> tuple[ClaimDecision, str] | None:
-        """Why a router's query of the slot can't be granted; None if it can.
+        """Returns why a router's query of the slot cannot be granted; None if it can.
 
-        `is_earlier_running`: whether a run of its key, granted under an earlier lease, may not be over.
+        `is_earlier_running`: whether a run of its key, granted under an earlier lease, may not have ended.
         """
--- a/hillchute/history/policy_distribution.py
+++ b/hillchute/history/policy_distribution.py
@@ -1,7 +1,7 @@
-"""How a new set of retention policies reaches every router.
+"""Distributes a new set of retention policies to every router.
 
-Owns which number was announced, and when other routers are asked for their policies. A set with a higher
-number replaces a lower one, from wherever it comes.
+A set with a higher number replaces one with a lower number, whichever router it comes from. The coordinator
+announces its number in heartbeats; in addition each router regularly asks the others.
 """
 
 from hillchute.decision.interface import Time
@@ -22,12 +22,12 @@
         self._records = records
         self._durability = durability
         self.announced_number = context.policies.number
-        self._announced_by: tuple[ViewId, Time] = (NO_VIEW_ID, 0)  # the heartbeat's view and time
-        self._asked_at = context.now
-        self._asked_routers = 0
+        self._announced_by: tuple[ViewId, Time] = (NO_VIEW_ID, 0)  # view and time of the heartbeat
+        self._requested_at = context.now
+        self._request_count = 0
 
     def receive(self, sender: str, message: PoliciesRequest | PoliciesUpdate) -> None:
-        """A message about policies came."""
+        """Handles a message about policies."""
         match message:
             case PoliciesRequest():
                 self.answer_request(sender, message)
@@ -36,12 +36,15 @@
 
     @property
     def are_current(self) -> bool:
-        """Whether this replica has applied what the last heartbeat announced."""
+        """Whether this replica has applied the policies announced in the last heartbeat."""
         return self._context.policies.number >= self.announced_number
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> bool:
-        """The announcement of a heartbeat counts if it is the coordinator's last, be the number higher or
-        not: one that was wrong once is right again. Whether it counts."""
+        """Takes the announced policies number from a heartbeat; returns whether it was accepted.
+
+        The coordinator's latest heartbeat is accepted even if its number is lower, so that a wrong number is
+        corrected by the next heartbeat.
+        """
         announced_by = (heartbeat.view, heartbeat.sent_at)
         if heartbeat.view < self._context.views.highest or announced_by < self._announced_by:
             return False
@@ -50,22 +53,24 @@
         return True
 
     def request_if_outdated(self, router: str) -> None:
-        """Asks a router for what was announced, if that is not here."""
+        """Asks a router for its policies if the announced ones have not been applied."""
         if not self.are_current:
             self.request_from(router)
 
     def request_from(self, router: str) -> None:
-        """Asks a router for its policies, if they are later."""
+        """Asks a router for its policies if they are later than the applied ones."""
         self._context.send(router, PoliciesRequest(self._context.policies.number))
 
     def answer_request(self, sender: str, request: PoliciesRequest) -> None:
-        """Another router asks for later policies than its own."""
+        """Sends this router's policies if they are later than the requesting router's."""
         if self._context.policies.number > request.above:
             self._context.send(sender, PoliciesUpdate(self._context.policies))
 
     def apply(self, policies: RetentionPolicies) -> bool:
-        """A set with a higher number holds from now: what it forbids is answered no more, and soon erased.
-        False for any other."""
+        """Applies a set with a higher number at once; returns False for any other set.
+
+        Records that it forbids are no longer replayed and are erased within `erase_ms`.
+        """
         old = self._context.policies
         if policies.number <= old.number:
             return False
@@ -73,25 +78,29 @@
         self._context.policies = policies
         self._records.full_until.clear()
         if any(before.disk != after.disk for before, after in changes):
-            self._durability.mark_for_disk()
+            self._durability.mark_all_unsaved()
         self._durability.save_changes()
         return True
 
     def tick(self) -> None:
         """Asks the other routers in turn for later policies.
 
-        Guards what must be erased where fewer than half of the routers reach each other: no view is proposed
-        there, and so no heartbeat announces the last policies."""
-        if self._context.now - self._asked_at < HEARTBEAT_INTERVAL:
+        Erasure must also reach routers that are cut off from the majority. There no view is proposed, so no
+        heartbeat announces the latest policies.
+        """
+        if self._context.now - self._requested_at < HEARTBEAT_INTERVAL:
             return
-        self._asked_at = self._context.now
+        self._requested_at = self._context.now
         others = sorted(self._context.living().keys() - {self._context.name})
         if others:
-            self._asked_routers += 1
-            self.request_from(others[self._asked_routers % len(others)])
+            self._request_count += 1
+            self.request_from(others[self._request_count % len(others)])
 
     def outdated_routers(self) -> list[StalePoliciesError]:
-        """As far as this router knows, if it coordinates: who has not applied the last policies."""
+        """Returns an error for each live router known not to have applied the latest policies.
+
+        Only the coordinator knows of any.
+        """
         views = self._context.views
         if not views.proposed:
             return []
@@ -102,7 +111,7 @@
             if name != self._context.name
         }
         return [
-            StalePoliciesError(f"policies {number}, not {last}", name)
+            StalePoliciesError(f"has applied policies {number}, latest are {last}", name)
             for name, number in numbers.items()
             if number < last
         ]
--- a/hillchute/history/record_store.py
+++ b/hillchute/history/record_store.py
@@ -1,7 +1,7 @@
-"""The records that one holder has: by slot, key and idempotency key, within each customer's bounds.
+"""The in-memory records of one holder, by slot, key and idempotency key, within each customer's limits.
 
-Owns the records in memory, which of two versions stands, and which may be evicted. Pure: the time comes in.
-It does not decide what happens to a query, and talks to no other holder.
+Decides which version of a record is current, and which records are evicted where capacity is short. Performs
+no I/O and reads no clock.
 """
 
 from collections import Counter
@@ -20,8 +20,8 @@
 from hillchute.history.retention import MS, RetentionPolicies
 from hillchute.history.slot_placement import SLOTS, slot_of
 
-EVICTION_RETRY: Time = 10_000  # between two searches for what a customer's history could do without
-EVICTION_PART = 64  # one search evicts at the most this part of what the customer may have
+EVICTION_RETRY: Time = 10_000  # one second between two searches for evictable records of a customer
+EVICTION_DIVISOR = 64  # one search evicts at most `most_records` divided by this
 
 RecordsOfKey = dict[str, RetainedRecord]  # by idempotency key
 
@@ -33,48 +33,51 @@
         self.slots: list[dict[tuple[str, str], RecordsOfKey]] = [{} for _ in range(SLOTS)]
         self.count_by_customer: Counter[str] = Counter()
         self.size_bytes = 0
-        self.full_until: dict[str, Time] = {}  # by customer: no record can be evicted before
-        self.unsaved: dict[RecordId, Record | None] = {}  # what changed since it was written; None: removed
+        self.full_until: dict[str, Time] = {}  # by customer: the time before which no record can be evicted
+        self.unsaved: dict[RecordId, Record | None] = {}  # not yet in the durable store; None: a removal
 
-    # ---- reading --------------------------------------------------------------------------------------
+    # ---- queries --------------------------------------------------------------------------------------
 
     def find(self, customer: str, ordering_key: str, idempotency_key: str) -> RetainedRecord | None:
-        """The record with this id, if it is here."""
-        of_key = self.slots[slot_of(customer, ordering_key)].get((customer, ordering_key), {})
-        return of_key.get(idempotency_key)
+        """Returns the record with this id, or None."""
+        key_records = self.slots[slot_of(customer, ordering_key)].get((customer, ordering_key), {})
+        return key_records.get(idempotency_key)
 
     def records_of_key(self, customer: str, ordering_key: str) -> list[RetainedRecord]:
-        """All records of one key, in the order in which they came here."""
+        """Returns all records of one key, in order of arrival."""
         return list(self.slots[slot_of(customer, ordering_key)].get((customer, ordering_key), {}).values())
 
     def next_sequence(self, customer: str, ordering_key: str) -> int:
-        """The next position in the order of a key."""
+        """Returns the next position in the order of a key."""
         sequences = (each.record.sequence for each in self.records_of_key(customer, ordering_key))
         return 1 + max(sequences, default=0)
 
     def records_of_slot(self, slot: int) -> Iterator[RetainedRecord]:
-        """All records of one slot."""
-        for of_key in self.slots[slot].values():
-            yield from of_key.values()
+        """Yields all records of one slot."""
+        for key_records in self.slots[slot].values():
+            yield from key_records.values()
 
     def all_records(self) -> Iterator[RetainedRecord]:
-        """All records, slot by slot."""
+        """Yields all records, slot by slot."""
         for slot in range(SLOTS):
             yield from self.records_of_slot(slot)
 
     # ---- adding and removing --------------------------------------------------------------------------
 
     def put(self, record: Record, now: Time, age: Time, policies: RetentionPolicies) -> bool:
-        """Takes in a version; whether it is the one that stands now. What had to be erased does not come back
-        with a late copy. A record that is running stays until its run ends, whatever the policies say."""
+        """Stores a version of a record; returns whether it is now the current one.
+
+        A record that must be erased is not stored, so that a late copy does not bring it back. The record of
+        a run in progress is stored whatever the policies say, and stays until the run ends.
+        """
         if self._is_erased(record, age, policies):
             older = self.find(*record.id)
             if older is not None and older.record.version < record.version:
                 self.remove(older.record)
             return False
         key = (record.customer, record.ordering_key)
-        of_key = self.slots[slot_of(*key)].setdefault(key, {})
-        old = of_key.get(record.idempotency_key)
+        key_records = self.slots[slot_of(*key)].setdefault(key, {})
+        old = key_records.get(record.idempotency_key)
         if old is not None and old.record.version >= record.version:
             return old.record.version == record.version
         if record.rows is not None and not policies.policy_for(record.customer).rows:
@@ -85,9 +88,9 @@
             self.size_bytes -= old.record.size
         since = now - age
         if old is not None and old.record.attempt == record.attempt:
-            # Of two ages of one attempt the higher: the time that a copy travels makes it look younger.
+            # Of two ages of one attempt the higher is right: a copy does not age while it is being sent.
             since = min(since, old.since)
-        of_key[record.idempotency_key] = RetainedRecord(record, since)
+        key_records[record.idempotency_key] = RetainedRecord(record, since)
         self.size_bytes += record.size
         self.unsaved[record.id] = record
         return True
@@ -99,12 +102,12 @@
         return policies.must_be_erased(record.customer, record.ordering_key, record.granted_at, age)
 
     def remove(self, record: Record) -> None:
-        """Removes the record with this one's id, which must be here."""
+        """Removes the record with the same id, which must be present."""
         key = (record.customer, record.ordering_key)
         slot = self.slots[slot_of(*key)]
-        of_key = slot[key]
-        del of_key[record.idempotency_key]
-        if not of_key:
+        key_records = slot[key]
+        del key_records[record.idempotency_key]
+        if not key_records:
             del slot[key]
         self.count_by_customer[record.customer] -= 1
         self.size_bytes -= record.size
@@ -116,8 +119,8 @@
             self.remove(retained.record)
 
     def erase_due(self, now: Time, policies: RetentionPolicies, slots: Iterable[int] = range(SLOTS)) -> int:
-        """Removes what the policies do not allow to be kept, in these slots, and the rows of records whose
-        outcome alone is kept; how many records changed."""
+        """Removes the records in these slots that the policies no longer allow, and rows where only outcomes
+        may be kept; returns the number of changed records."""
         changed = 0
         for retained in [each for slot in slots for each in self.records_of_slot(slot)]:
             if self._erase_if_due(retained, now, policies):
@@ -129,10 +132,10 @@
         may_be_running = retained.may_be_running(now)
         if record.state == RecordState.RUNNING and may_be_running:
             return False
-        is_over = record.is_transient and not may_be_running  # no copy of it is under way any more
+        is_expired = record.is_transient and not may_be_running  # no copy is still in transit by then
         age = now - retained.since
-        about = (record.customer, record.ordering_key, record.granted_at)
-        if is_over or policies.must_be_erased(*about, age):
+        identity = (record.customer, record.ordering_key, record.granted_at)
+        if is_expired or policies.must_be_erased(*identity, age):
             self.remove(record)
             return True
         if record.rows is not None and not policies.policy_for(record.customer).rows:
@@ -145,16 +148,21 @@
     # ---- capacity -------------------------------------------------------------------------------------
 
     def fit_rows(self, record: Record, now: Time, policies: RetentionPolicies) -> Record:
-        """The record with its rows if the key's bytes leave capacity for them, else with its outcome alone.
-        Evicts what may go to make room."""
+        """Returns the record with its rows if they fit within the key's bytes, else without them.
+
+        Evicts older records of the key to make room.
+        """
         if record.rows is None:
             return record
         fits = self._make_room_for_key(record.id, record.size, now, policies)
         return record if fits else msgspec.structs.replace(record, rows=None)
 
     def has_capacity(self, customer: str, ordering_key: str, now: Time, policies: RetentionPolicies) -> bool:
-        """Whether one more record may be taken in. What is past its least time is evicted for it, the oldest
-        first; records within it never are: no policy's least time gives way to new work."""
+        """Whether one more record may be stored.
+
+        Evicts records past their least retention time to make room, oldest first. Records within it are never
+        evicted, even if a new query has to be rejected.
+        """
         policy = policies.policy_for(customer)
         new = RecordId(customer, ordering_key, "")
         if not self._make_room_for_key(new, RECORD_OVERHEAD, now, policies):
@@ -170,11 +178,13 @@
         return False
 
     def _evict_of_customer(self, customer: str, now: Time, policies: RetentionPolicies) -> RetainedRecord:
-        """Evicts some of a customer's records; returns the oldest that there was. The search costs, so that
-        some go at once."""
-        of_customer = (each for each in self.all_records() if each.record.customer == customer)
-        by_age = sorted(of_customer, key=lambda each: each.since)
-        count = max(1, policies.policy_for(customer).most_records // EVICTION_PART)
+        """Evicts some of a customer's records; returns the oldest record before that.
+
+        The search reads all records, so several are evicted at once.
+        """
+        customer_records = (each for each in self.all_records() if each.record.customer == customer)
+        by_age = sorted(customer_records, key=lambda each: each.since)
+        count = max(1, policies.policy_for(customer).most_records // EVICTION_DIVISOR)
         for retained in [each for each in by_age if self.may_evict(each, now, policies)][:count]:
             self.remove(retained.record)
         return by_age[0]
@@ -182,8 +192,7 @@
     def _make_room_for_key(
         self, new: RecordId, new_size: int, now: Time, policies: RetentionPolicies
     ) -> bool:
-        """Whether the key has capacity for a record of this size, once what may go has been evicted, the
-        oldest first."""
+        """Evicts records of a key, oldest first, until one of this size fits; returns whether it fits."""
         policy = policies.policy_for(new.customer)
         others = [
             each
@@ -203,7 +212,7 @@
 
     @staticmethod
     def may_evict(retained: RetainedRecord, now: Time, policies: RetentionPolicies) -> bool:
-        """Whether a record may go where capacity is short."""
+        """Whether a record may be evicted where capacity is short."""
         if retained.record.state == RecordState.RUNNING:
             return False
         return policies.may_evict(retained.record.customer, now - retained.since)
--- a/hillchute/history/records.py
+++ b/hillchute/history/records.py
@@ -1,7 +1,4 @@
-"""Records of queries by idempotency key: what was granted to run, and how it ended.
-
-Owns the record and how two versions of one compare. Pure. It does not decide what happens to a query.
-"""
+"""Records of keyed queries: which router was granted a run, and how the run ended."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -10,22 +7,22 @@
 
 from hillchute.decision.interface import Time
 
-# By then no attempt of a query past its timeout can be out: longer than any closing time.
+# 30 s after its timeout no attempt of a query is still running: longer than any router takes to close.
 COMPLETION_GRACE: Time = 300_000
-RECORD_OVERHEAD = 540  # bytes that a record takes beside its rows, as the history's own measurement shows
+RECORD_OVERHEAD = 540  # bytes of memory of a record without its rows, as measured by lab/history.py
 
 
 class RecordState(IntEnum):
-    """How far the run of a query has come. The numbers go over the wire and into stored files."""
+    """The state of a query's run. The values are sent between routers and written to stored files."""
 
     RUNNING = 0
-    NOT_RUN = 1  # released: no attempt of it can have had an effect
+    NOT_RUN = 1  # released: no attempt can have had an effect
     SERVED = 2
     FAILED = 3  # it may have had an effect, and there is no result
 
 
 class RecordId(NamedTuple):
-    """What identifies a record."""
+    """Identifies a record."""
 
     customer: str
     ordering_key: str
@@ -33,7 +30,7 @@
 
 
 class ClaimId(NamedTuple):
-    """What identifies one router's claim to run a query."""
+    """Identifies a router's claim to run a query."""
 
     router: str
     incarnation: int
@@ -41,54 +38,54 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One keyed query. Its fields' order is that of the wire and of stored files."""
+    """The record of one keyed query. The order of the fields is part of the wire and file formats."""
 
     customer: str
     ordering_key: str
     idempotency_key: str
-    granted_at: Time  # Unix, by the clock of the holder that granted it
-    sequence: int  # its position in the order of its key; 0 for a transient record, see `is_transient`
-    attempt: int  # claims granted for its idempotency key so far: what the last one's router says counts
-    router: str  # that runs it
+    granted_at: Time  # Unix time, by the clock of the holder that granted the claim
+    sequence: int  # position in the order of its key; 0 for a transient record
+    attempt: int  # claims granted for its idempotency key so far; the highest one decides
+    router: str  # that runs the query
     incarnation: int  # of that router
-    claim_number: int  # that router's number for it
-    timeout: Time  # an attempt may still be sent for so long after `granted_at`
+    claim_number: int  # assigned by that router
+    timeout: Time  # how long after `granted_at` attempts may still be sent
     state: int = RecordState.RUNNING
     rows: bytes | None = None
-    lease_number: int = 0  # of the ownership lease of its slot when it was granted
+    lease_number: int = 0  # of the slot's ownership lease when the claim was granted
 
     @property
     def id(self) -> RecordId:
-        """What identifies it among records."""
+        """Its identity among records."""
         return RecordId(self.customer, self.ordering_key, self.idempotency_key)
 
     @property
     def claim_id(self) -> ClaimId:
-        """The claim that it was granted for."""
+        """The claim for which it was granted."""
         return ClaimId(self.router, self.incarnation, self.claim_number)
 
     @property
     def is_transient(self) -> bool:
-        """Whether it is listed only while it runs: its query has no idempotency key of its own."""
+        """Whether it is kept only while the query runs, as the query has no idempotency key of its own."""
         return self.sequence == 0
 
     @property
     def version(self) -> tuple[int, bool, int]:
-        """Versions arrive in any order and any number of times: the highest stays."""
+        """Orders versions, which arrive in any order and repeatedly: the highest replaces all others."""
         return self.attempt, self.state != RecordState.RUNNING, self.state
 
     @property
     def size(self) -> int:
-        """Bytes of memory that it takes."""
+        """Its memory in bytes."""
         return RECORD_OVERHEAD + len(self.rows or b"")
 
 
 class RetainedRecord(msgspec.Struct):
-    """A record with its age at one holder."""
+    """A record at one holder, with the time since when its age is counted."""
 
     record: Record
-    since: Time  # when it was granted, by this holder's clock
+    since: Time  # when the claim was granted, by this holder's clock
 
     def may_be_running(self, now: Time) -> bool:
-        """Whether its run may still be out, though its router never said how it ended."""
+        """Whether its run may still be in progress, if its router has not reported an end."""
         return now - self.since <= self.record.timeout + COMPLETION_GRACE
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -1,15 +1,17 @@
-"""One router's replica of the history: messages, the router's own queries and the time in, messages out.
+"""One router's replica of the history: combines its parts and dispatches messages, calls and timers to them.
 
-Owns the parts of the replica and which of them takes a message. It does no I/O, looks at no clock, and takes
-no decision itself.
+Performs no I/O and reads no clock: times are passed in, and outgoing messages are fetched by the caller.
 
-What is relied on: a claim is granted only once every holder of its slot, in one view that all of them have
-adopted, has the record. A holder in a new view that was none before answers for a slot only once it has all
-records that a holder of the view before had, which takes part in that view no more from then on. Where no
-such holder is left the slot is empty, and counts as lost from then.
+The view determines the holders of each slot; the first of them decides on claims and sends records to the
+others.
 
-Where there are partners a slot has an ownership lease, too, which is kept and moves like a record: it stands
-once every holder has it, and while it moves nothing of the slot is granted.
+Invariants: a claim is granted only once every holder of its slot has stored the record, all in the same
+adopted view. A router that becomes a holder in a new view decides for the slot only once it has fetched all
+records from a holder of the previous view, which then no longer takes part in that view. If no such holder is
+left, the slot starts empty and its earlier records count as lost from then on.
+
+With partners a slot also has an ownership lease, which is stored and moved like a record: it takes effect
+once every holder has stored it, and during its transfer no new claim of the slot is granted.
 """
 
 from collections import Counter
@@ -61,7 +63,7 @@
 
 
 class Replica:
-    """One router's replica. All times are the caller's clock, whole tenths of a millisecond."""
+    """One router's replica. All times are by the caller's clock, in whole tenths of a millisecond."""
 
     def __init__(
         self,
@@ -71,8 +73,8 @@
         durable_store: DurableStore | None = None,
         agreement: PartnerAgreement | None = None,
     ) -> None:
-        """`durable_store`: where there is a disk; `agreement`: where there are partners."""
-        views = ViewProtocol(membership.name, membership.incarnation, membership.named, now)
+        """`durable_store`: None without a disk; `agreement`: None without partners."""
+        views = ViewProtocol(membership.name, membership.incarnation, membership.configured, now)
         self.context = context = ReplicaContext(membership, now, policies, views)
         context.deliver_to_self = self._deliver_to_self
         self.records = RecordStore()
@@ -87,21 +89,21 @@
         self.leases: LeaseTransfers | None = None
         if agreement is not None:
             self.leases = LeaseTransfers(context, self.records, self.slots, self.authority, agreement)
-            self.leases.lease_moved = self.claims.decide_waiting_of_slot
+            self.leases.on_lease_moved = self.claims.decide_waiting_of_slot
             self.claims.leases = self.leases
-        self.view_change = ViewChange(context, self.policy_distribution, agreement, self._view_adopted)
+        self.view_change = ViewChange(context, self.policy_distribution, agreement, self._on_view_adopted)
         self.sweep = RetentionSweep(context, self.records, self.slots, self.replication, self.durability)
 
-    def _view_adopted(self, view: View) -> None:
-        self.slot_transfer.view_adopted()
-        self.authority.view_adopted()
-        self.claims.view_adopted()
-        self.replication.view_adopted()
+    def _on_view_adopted(self, view: View) -> None:
+        self.slot_transfer.on_view_adopted()
+        self.authority.on_view_adopted()
+        self.claims.on_view_adopted()
+        self.replication.on_view_adopted()
         if self.leases is not None:
-            self.leases.view_adopted()
+            self.leases.on_view_adopted()
         self.slots.add_view(view)
 
-    # ---- what is read of it ---------------------------------------------------------------------------
+    # ---- state and output -----------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
@@ -110,17 +112,17 @@
 
     @property
     def policies(self) -> RetentionPolicies:
-        """The policies that it has applied."""
+        """The applied policies."""
         return self.context.policies
 
     @property
     def views(self) -> ViewProtocol:
-        """The view that it adopted, and whether that is in force."""
+        """The state of the view protocol: the adopted view, and whether it is in force."""
         return self.context.views
 
     @property
     def counters(self) -> Counter[str]:
-        """What happened since the start, for the log."""
+        """Counts of events since the start, for the log."""
         return self.context.counters
 
     @property
@@ -129,38 +131,45 @@
         return bool(self.context.outbox)
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """The messages to be sent, with the routers they go to; they wait no more."""
+        """Returns the messages to send, each with its receiver, and clears them."""
         messages = self.context.outbox
         self.context.outbox = []
         return messages
 
     def take_decided(self) -> list[Decided]:
-        """What became of this router's own claims since the last call."""
+        """Returns the decisions on this router's claims since the last call."""
         decided = self.own_claims.decided
         self.own_claims.decided = []
         return decided
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether no router needs this one's records any more: its own claims are over, and other routers
-        have fetched all slots that have records."""
+        """Whether no other router needs this one's records any more.
+
+        Its own claims have ended, and other routers have fetched all its slots that have records.
+        """
         needed = [
             number
             for number, slot in enumerate(self.slots.slots)
             if slot.released_at is None and self.records.slots[number]
         ]
-        return not self.own_claims.claims and self.slot_transfer.given.issuperset(needed)
+        return not self.own_claims.claims and self.slot_transfer.handed_over.issuperset(needed)
 
-    # ---- this router's own queries --------------------------------------------------------------------
+    # ---- this router's queries ------------------------------------------------------------------------
 
     def claim(self, now: Time, query: KeyedQuery) -> int:
-        """Asks whether a query may run; what becomes of it comes with `take_decided`, under the number that
-        is returned, by its deadline."""
+        """Makes a claim for a query and returns its number.
+
+        `take_decided` returns the decision under that number, by the query's deadline.
+        """
         self.context.now = now
         return self.own_claims.add(query)
 
     def end_claim(self, now: Time, number: int, state: int, rows: bytes | None = None) -> None:
-        """The query of a claim is over, granted or not: NOT_RUN if no attempt can have had an effect."""
+        """Ends the claim of a finished query, granted or not.
+
+        `state`: NOT_RUN if no attempt can have had an effect.
+        """
         self.context.now = now
         self.own_claims.end(number, state, rows)
 
@@ -170,7 +179,7 @@
         self.receive(self.context.now, self.context.name, message)
 
     def receive(self, now: Time, sender: str, message: Message) -> None:
-        """A message came from a router whose signature was checked, or from this one."""
+        """Handles a message from an authenticated router or from this one."""
         self.context.now = now
         match message:
             case (
@@ -198,10 +207,10 @@
             case _:
                 assert_never(message)
 
-    # ---- time -----------------------------------------------------------------------------------------
+    # ---- timers ---------------------------------------------------------------------------------------
 
     def tick(self, now: Time) -> None:
-        """Called every RETRY_INTERVAL or so."""
+        """Runs the periodic work of all parts; to be called about every RETRY_INTERVAL."""
         self.context.now = now
         self.view_change.tick()
         self.slot_transfer.tick()
@@ -212,33 +221,39 @@
         self.policy_distribution.tick()
         self.sweep.tick()
 
-    # ---- what the operator wants ----------------------------------------------------------------------
+    # ---- operator settings and shutdown ---------------------------------------------------------------
 
     def apply_policies(self, now: Time, policies: RetentionPolicies) -> bool:
-        """Policies with a higher number hold from now; False for others, which change nothing."""
+        """Applies policies with a higher number at once; returns False for others, which change nothing."""
         self.context.now = now
         return self.policy_distribution.apply(policies)
 
     def outdated_routers(self) -> list[StalePoliciesError]:
-        """As far as this router knows, if it coordinates: who has not applied the last policies."""
+        """Returns an error for each live router known not to have applied the latest policies.
+
+        Only the coordinator knows of any.
+        """
         return self.policy_distribution.outdated_routers()
 
-    def name_routers(self, named: Iterable[str], now: Time) -> None:
-        """The operator names other routers. Guards against two halves that share no router: as after a
-        restart, nothing is granted for a while, and no view takes over from one that had other names."""
+    def name_routers(self, configured: Iterable[str], now: Time) -> None:
+        """Replaces the set of configured routers.
+
+        Majorities of the old and of the new set may share no router. Therefore, as after a restart, nothing
+        is granted for a while, and no later view takes over from a view of the old set.
+        """
         old = self.context.views
-        if old.named == frozenset(named) | {self.name}:
+        if old.configured == frozenset(configured) | {self.name}:
             return
-        new = ViewProtocol(self.name, self.context.incarnation, named, now)
+        new = ViewProtocol(self.name, self.context.incarnation, configured, now)
         new.view = old.view
         new.highest = old.highest
         self.context.views = new
 
     def recall(self, now: Time, records: Iterable[tuple[Record, Time]]) -> None:
-        """Takes in what the durable store has kept over a restart, with the Unix time since when."""
+        """Takes in the records of the durable store, each with the Unix time when it was granted."""
         self.context.now = now
-        self.durability.recall(records)
+        self.durability.restore(records)
 
     def prepare_to_leave(self) -> None:
-        """This router shuts down: it gives what it has, and proposes no view any more."""
+        """Prepares for shutdown: this router still hands over its slots but proposes no more views."""
         self.view_change.is_leaving = True
--- a/hillchute/history/replica_context.py
+++ b/hillchute/history/replica_context.py
@@ -1,8 +1,4 @@
-"""What the parts of one router's replica share.
-
-Owns who the replica is, the instant, the policies that it has applied, its view, and what it sends. It takes
-no decision.
-"""
+"""The state shared by the parts of one router's replica: identity, time, policies, view and messages."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Mapping
@@ -13,20 +9,20 @@
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.view_protocol import ViewProtocol
 
-RETRY_INTERVAL: Time = 1_000  # a message without an answer goes again after 0.1 s: some network round trips
+RETRY_INTERVAL: Time = 1_000  # 0.1 s, several network round trips; unanswered messages are then sent again
 
 
 class Membership(NamedTuple):
-    """Which router a replica is, and which other routers there are."""
+    """The identity of a replica's router, and the other routers."""
 
     name: str
-    incarnation: int  # its start: a router that restarts has a higher one
-    named: Collection[str]  # the routers that the operator named, among whom a majority is counted
-    living: Callable[[], Mapping[str, int]]  # routers that live, this one among them, with their incarnations
+    incarnation: int  # rises with each restart of the router
+    configured: Collection[str]  # the routers in the operator file, of which a majority is counted
+    live_routers: Callable[[], Mapping[str, int]]  # incarnations by router, this one included
 
 
 class ReplicaContext:
-    """The shared state of one replica. `now` is set by the facade with each event."""
+    """The shared state of one replica. Replica sets `now` at each event."""
 
     def __init__(
         self,
@@ -37,23 +33,23 @@
     ) -> None:
         self.name = membership.name
         self.incarnation = membership.incarnation
-        self.living = membership.living
+        self.living = membership.live_routers
         self.now = now
         self.policies = policies
         self.views = views
         self.outbox: list[tuple[str, Message]] = []
         self.counters: Counter[str] = Counter()
-        self.deliver_to_self: Callable[[Message], None]  # set by the facade
+        self.deliver_to_self: Callable[[Message], None]  # set by Replica
         self._last_number = 0
 
     def send(self, to: str, message: Message) -> None:
-        """A message to this router itself is delivered at once."""
+        """Queues a message; one to this router itself is delivered at once."""
         if to == self.name:
             self.deliver_to_self(message)
         else:
             self.outbox.append((to, message))
 
     def next_number(self) -> int:
-        """A number for a claim or a replication round of this router, never used before."""
+        """Returns an unused number for a claim or a replication round of this router."""
         self._last_number += 1
         return self._last_number
--- a/hillchute/history/replication.py
+++ b/hillchute/history/replication.py
@@ -1,7 +1,6 @@
-"""How a record reaches all holders of its slot before anybody relies on it.
+"""Replicates records from a slot's first holder to its other holders.
 
-Owns the replication rounds of the first holder, and what the other holders answer. The router that runs a
-record's query is answered once all holders have it.
+The router that runs a record's query gets its reply only once every holder has stored the record.
 """
 
 import msgspec
@@ -19,7 +18,7 @@
 
 
 class ReplicationRound(msgspec.Struct):
-    """A record on its way to the other holders."""
+    """The replication of one version of a record to the other holders."""
 
     number: int
     record: Record
@@ -46,22 +45,22 @@
         self._last_rounds: dict[RecordId, ReplicationRound] = {}
 
     def receive(self, sender: str, message: ReplicateRequest | ReplicateReply) -> None:
-        """A message about a record's replication came."""
+        """Handles a message about a record's replication."""
         match message:
             case ReplicateRequest():
                 self.answer_request(sender, message)
             case ReplicateReply():
-                self.take_reply(sender, message)
+                self.handle_reply(sender, message)
 
-    def view_adopted(self) -> None:
-        """What is not stored by all holders of the view before is replicated anew when it is asked again."""
+    def on_view_adopted(self) -> None:
+        """Drops the rounds of the previous view: routers repeat their messages, which starts new rounds."""
         self._rounds.clear()
         self._last_rounds.clear()
 
     # ---- as the first holder --------------------------------------------------------------------------
 
     def replicate(self, record: Record) -> None:
-        """Sends a record to the other holders, in place of what was on its way of the same id."""
+        """Sends a record to the other holders, replacing a round for an earlier version of it."""
         current = self._last_rounds.get(record.id)
         if current is None or current.record != record:
             if not self._durability.save(record):
@@ -96,7 +95,7 @@
             self.complete(current)
 
     def complete(self, completed: ReplicationRound) -> None:
-        """All holders have the record: its router may rely on that."""
+        """Replies to the record's router once all holders have stored the record."""
         self._drop(completed)
         record = completed.record
         if record.state == RecordState.RUNNING:
@@ -106,8 +105,8 @@
         else:
             self._context.send(record.router, CompletionReply(record.claim_number, record.incarnation))
 
-    def take_reply(self, sender: str, reply: ReplicateReply) -> None:
-        """Another holder has stored a record, or has not."""
+    def handle_reply(self, sender: str, reply: ReplicateReply) -> None:
+        """Notes whether another holder has stored a record."""
         current = self._rounds.get(reply.number)
         if current is None or reply.view != self._context.views.view.id or not reply.stored:
             return
@@ -116,24 +115,25 @@
             self.complete(current)
 
     def announce_running(self, number: int) -> None:
-        """Reports runs in a slot that are not over to their routers again. A router without such a claim
-        ends the record.
+        """Replicates again the records of a slot's unfinished runs, so that their routers get another reply.
 
-        Guards against a round that a new view or a lost message broke off after its claim was given up."""
+        A router without that claim ends the record. Guards against a round that a new view or a lost message
+        interrupted after its claim had been abandoned.
+        """
         context = self._context
         has_records = bool(self._records.slots[number])
-        if not has_records or self._authority.obstacle(number, context.views.view.id):
+        if not has_records or self._authority.rejection_reason(number, context.views.view.id):
             return
-        living = context.living()
+        live_routers = context.living()
         for retained in list(self._records.records_of_slot(number)):
             record = retained.record
             if record.state != RecordState.RUNNING or context.now - retained.since <= LEASE:
                 continue
-            if retained.may_be_running(context.now) and living.get(record.router) == record.incarnation:
+            if retained.may_be_running(context.now) and live_routers.get(record.router) == record.incarnation:
                 self.replicate(record)
 
     def tick(self) -> None:
-        """Sends again what was not answered, and gives up what was not answered for a lease."""
+        """Repeats unanswered requests, and drops rounds that are not complete after LEASE."""
         now = self._context.now
         for current in list(self._rounds.values()):
             if now - current.began_at > LEASE:
@@ -141,10 +141,10 @@
             elif now - current.sent_at >= RETRY_INTERVAL:
                 self._send(current)
 
-    # ---- as another holder ----------------------------------------------------------------------------
+    # ---- as one of the other holders ------------------------------------------------------------------
 
     def answer_request(self, sender: str, request: ReplicateRequest) -> None:
-        """The first holder sends a record to be stored."""
+        """Stores a record sent by the first holder, and replies whether it is stored."""
         context = self._context
         record = request.record
         number = slot_of(record.customer, record.ordering_key)
--- a/hillchute/history/retention.py
+++ b/hillchute/history/retention.py
@@ -1,11 +1,9 @@
-"""What each customer wants of the history: how long, how much, and whether a retry is answered from it.
+"""Retention policies per customer: how long and how much is kept, and whether retries are answered from it.
 
-Owns the policies, the numbered set of all of them, and what they allow at an instant. Pure: the time comes
-in. It holds no record, does not decide what a router does with a query, and reads no file.
+Performs no I/O and reads no clock.
 
-Times are whole tenths of a millisecond. `granted_at` is Unix time as the holder that granted the query saw
-it, and is what an erasure request compares with; how long something is kept is counted in durations, which no
-clock's offset changes.
+Times are whole tenths of a millisecond. `granted_at` is Unix time by the clock of the holder that granted the
+query; erasure requests compare with it. Retention is counted in durations, so clock offsets do not affect it.
 """
 
 from collections.abc import Mapping
@@ -15,8 +13,8 @@
 from hillchute.decision.interface import Time
 
 MS = 10  # units of Time in a millisecond
-MAX_ENTRIES = 1024  # customers with a policy of their own, and erasure requests, in one set of policies
-MAX_TEXT = 128  # characters of a customer's name or of a key
+MAX_ENTRIES = 1024  # in one set: customers with their own policy, and also erasure requests
+MAX_TEXT = 128  # characters of a customer's name or a key
 MAX_NUMBER = 1_000_000_000
 MAX_COPIES = 8
 MIN_ERASE_MS = 100
@@ -28,57 +26,57 @@
 
 
 class RetentionPolicy(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One customer's policy. Field names and defaults are those of the operator file."""
+    """One customer's policy. Field names and defaults are the operator file's."""
 
-    least_ms: int = 600_000  # nothing is forgotten earlier, while a holder lives
-    most_ms: int = 3_600_000  # nothing is answered, or kept, for longer
-    most: int = 256  # queries of one key
-    most_bytes: int = 1_048_576  # of one key, rows included
-    most_records: int = 100_000  # of the customer, at one holder
-    rows: bool = False  # the result's rows are kept with the outcome
-    replay: bool = True  # a retry is answered from the history
-    hold: bool = False  # nothing is forgotten
-    disk: bool = False  # a record is on the disk, too, before its first attempt leaves
-    lost: str = "defer"  # or "run": what a query gets whose record may have been lost with all its holders
+    least_ms: int = 600_000  # least retention time, as long as one holder of the record is live
+    most_ms: int = 3_600_000  # longest time for which records are kept and replayed
+    most: int = 256  # records of one key
+    most_bytes: int = 1_048_576  # of the records of one key, rows included
+    most_records: int = 100_000  # of the customer at one holder
+    rows: bool = False  # keep the rows of results besides the outcomes
+    replay: bool = True  # answer retries from the history
+    hold: bool = False  # erase and evict nothing
+    disk: bool = False  # also write a record to the disk before its first attempt is sent
+    lost: str = "defer"  # or "run": what happens to a query whose record all holders may have lost
 
 
 class ErasureRequest(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Names all that was granted before a time, of a customer or of one of its keys."""
+    """Requests erasure of what was granted before a time, for a customer or one of its keys."""
 
     before: Time
     customer: str = ""
     ordering_key: str | None = None  # None: all of the customer's keys
 
     def covers(self, customer: str, ordering_key: str, granted_at: Time) -> bool:
-        """Whether a record falls under this request."""
+        """Whether a record is covered by this request."""
         if granted_at >= self.before or self.customer != customer:
             return False
         return self.ordering_key in (None, ordering_key)
 
 
 class RetentionPolicies(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """All policies under one number; of two sets the higher number holds."""
+    """A numbered set of all policies; of two sets the one with the higher number applies."""
 
     number: int = 0
-    copies: int = 2  # holders of a record beside the first
-    erase_ms: int = 2000  # within this what must be erased is gone from every living holder
-    founded: Time = 0  # until a minute after, records that nobody holds are taken for never having been
+    copies: int = 2  # holders of a record in addition to the first
+    erase_ms: int = 2000  # time limit for erasure from every live holder
+    founded: Time = 0  # Unix; a loss until FOUNDING_GRACE later lost no records
     default: RetentionPolicy = RetentionPolicy()
     customers: dict[str, RetentionPolicy] = {}
     erasure_requests: tuple[ErasureRequest, ...] = ()
 
     def policy_for(self, customer: str) -> RetentionPolicy:
-        """The customer's own policy, or the default."""
+        """Returns the customer's own policy, or the default."""
         return self.customers.get(customer, self.default)
 
     def is_erasure_requested(self, customer: str, ordering_key: str, granted_at: Time) -> bool:
-        """Whether the operator asked for the erasure of a record, and no hold stands before that."""
+        """Whether the operator requested the erasure of a record; a hold overrides requests."""
         if self.policy_for(customer).hold:
             return False
         return any(each.covers(customer, ordering_key, granted_at) for each in self.erasure_requests)
 
     def must_be_erased(self, customer: str, ordering_key: str, granted_at: Time, age: Time) -> bool:
-        """Whether a record of this age must be gone."""
+        """Whether a record of this age must be erased."""
         policy = self.policy_for(customer)
         if policy.hold:
             return False
@@ -87,25 +85,27 @@
         return self.is_erasure_requested(customer, ordering_key, granted_at)
 
     def may_replay(self, customer: str, ordering_key: str, granted_at: Time, age: Time) -> bool:
-        """Whether a retry may be answered from a record. A hold keeps what is too old, but does not answer
-        from it."""
+        """Whether a retry may be answered from a record.
+
+        A hold preserves records beyond their longest time, but they are not replayed.
+        """
         policy = self.policy_for(customer)
         if not policy.replay or age > policy.most_ms * MS:
             return False
         return not self.is_erasure_requested(customer, ordering_key, granted_at)
 
     def may_evict(self, customer: str, age: Time) -> bool:
-        """Whether the least time is over: then a record may go where capacity is short."""
+        """Whether a record is past its least time, and so may be evicted where capacity is short."""
         policy = self.policy_for(customer)
         return age > policy.least_ms * MS and not policy.hold
 
     def was_empty_at(self, lost_at: Time, grace: Time) -> bool:
-        """Whether a loss at that Unix time lost nothing: the operator says that there was no record yet."""
+        """Whether a loss at that Unix time lost no records, as none existed yet according to `founded`."""
         return self.founded > 0 and lost_at <= self.founded + grace
 
 
 def first_invalid_field(policies: RetentionPolicies) -> str:
-    """The first field, by the operator file's name, that no holder could honour; "" for sound policies."""
+    """Returns the first invalid field, by its name in the operator file; "" for valid policies."""
     if not 0 <= policies.number <= MAX_NUMBER or not 0 <= policies.founded < MAX_UNIX_TIME:
         return "number"
     if not 0 <= policies.copies <= MAX_COPIES:
@@ -148,7 +148,7 @@
 def changed_policies(
     old: RetentionPolicies, new: RetentionPolicies
 ) -> Mapping[str, tuple[RetentionPolicy, RetentionPolicy]]:
-    """By customer, in the order of their names: the old and the new policy, where they differ."""
+    """Returns the old and the new policy of each customer whose policy differs, ordered by name."""
     names = sorted({"", *old.customers, *new.customers})
     pairs = {name: (old.policy_for(name), new.policy_for(name)) for name in names}
     return {name: pair for name, pair in pairs.items() if pair[0] != pair[1]}
--- a/hillchute/history/retention_sweep.py
+++ b/hillchute/history/retention_sweep.py
@@ -1,6 +1,6 @@
-"""What must be erased is found in time: all slots are looked through, some with each tick.
+"""Erases records in time: sweeps all slots in turn, some of them at each tick.
 
-Owns which slots are looked through when. What must be erased the policies say (retention.py).
+retention.py defines which records must be erased.
 """
 
 from hillchute.decision.interface import Time
@@ -12,12 +12,12 @@
 from hillchute.history.slot_placement import SLOTS
 from hillchute.history.slot_table import SlotTable
 
-SWEEPS = 2  # times within the time for erasing that each slot is looked through
-RELEASED_SLOT_TIME: Time = 600_000  # a slot that others hold now is kept so long for them to fetch
+SWEEPS_PER_ERASE_TIME = 2  # sweeps of each slot within `erase_ms`
+RELEASED_SLOT_RETENTION: Time = 600_000  # one minute for the new holders of a slot to fetch its records
 
 
 class RetentionSweep:
-    """One replica's search for what must be erased."""
+    """One replica's sweep for records that must be erased."""
 
     def __init__(
         self,
@@ -36,13 +36,12 @@
         self._next_slot = 0
 
     def tick(self) -> None:
-        """Looks through some slots: so many that all are through well within the time for erasing, and no
-        tick takes long."""
+        """Sweeps as many slots as the elapsed time requires to cover all slots well within `erase_ms`."""
         context = self._context
         numbers = self._due_slots()
-        filled = [number for number in numbers if self._records.slots[number]]
-        context.counters["erased"] += self._records.erase_due(context.now, context.policies, filled)
-        for number in filled:
+        non_empty = [number for number in numbers if self._records.slots[number]]
+        context.counters["erased"] += self._records.erase_due(context.now, context.policies, non_empty)
+        for number in non_empty:
             self._replication.announce_running(number)
         for number in numbers:
             self._remove_if_released(number)
@@ -52,8 +51,8 @@
     def _due_slots(self) -> list[int]:
         elapsed = self._context.now - self._swept_at
         self._swept_at = self._context.now
-        time_for_all = self._context.policies.erase_ms * MS
-        count = min(SLOTS, -(-SLOTS * elapsed * SWEEPS // time_for_all))  # rounded up
+        erase_time = self._context.policies.erase_ms * MS
+        count = min(SLOTS, -(-SLOTS * elapsed * SWEEPS_PER_ERASE_TIME // erase_time))  # rounded up
         numbers = [(self._next_slot + offset) % SLOTS for offset in range(count)]
         self._next_slot = (self._next_slot + len(numbers)) % SLOTS
         return numbers
@@ -61,7 +60,7 @@
     def _remove_if_released(self, number: int) -> None:
         now = self._context.now
         slot = self._slots.slots[number]
-        if slot.released_at is not None and now - slot.released_at > RELEASED_SLOT_TIME:
+        if slot.released_at is not None and now - slot.released_at > RELEASED_SLOT_RETENTION:
             self._records.remove_slot(number)
             slot.complete_in = None
             slot.released_at = now
--- a/hillchute/history/slot_transfer.py
+++ b/hillchute/history/slot_transfer.py
@@ -1,7 +1,4 @@
-"""How the records of a slot come from its earlier holders to those of the adopted view.
-
-Owns the requests for slots and their answers, and which slots this replica has given to others.
-"""
+"""Transfers the records of slots from their earlier holders to the holders in the adopted view."""
 
 from hillchute.decision.interface import Time
 from hillchute.history.durability import Durability
@@ -14,11 +11,12 @@
 from hillchute.history.slot_table import SlotState, SlotTable
 from hillchute.history.views import LEASE
 
-# Brought to the last view, or requested: about a quarter of a second of a loaded loop's messages.
+# Slots updated to the last view, and slots requested, in one tick. A busy event loop handles the messages of
+# one tick in about a quarter of a second.
 SLOTS_PER_TICK = 64
-SOURCE_TIMEOUT: Time = 600_000  # for a source that lives: it may have much to send, or a slow network
+SOURCE_TIMEOUT: Time = 600_000  # one minute for a live source: it may have much to send or a slow network
 REQUEST_INTERVAL: Time = 4 * RETRY_INTERVAL
-PART_SIZE = 1 << 20  # bytes of a slot's records that go in one message
+PART_SIZE = 1 << 20  # bytes of records in one message
 
 
 class SlotTransfer:
@@ -37,25 +35,25 @@
         self._slots = slots
         self._authority = authority
         self._durability = durability
-        self.given: set[int] = set()  # slots that another router has fetched in the adopted view
+        self.handed_over: set[int] = set()  # slots sent to another router in the adopted view
         self._requested_at = context.now - RETRY_INTERVAL
 
     def receive(self, sender: str, message: SlotRequest | SlotPart | SlotRedirect) -> None:
-        """A message about a slot's transfer came."""
+        """Handles a message about a slot's transfer."""
         match message:
             case SlotRequest():
                 self.answer_request(sender, message)
             case SlotPart():
-                self.take_part(sender, message)
+                self.handle_part(sender, message)
             case SlotRedirect():
-                self.take_redirect(sender, message)
+                self.handle_redirect(sender, message)
 
-    def view_adopted(self) -> None:
-        """What was given in the view before does not count in this one."""
-        self.given.clear()
+    def on_view_adopted(self) -> None:
+        """Forgets the slots that were handed over in the previous view."""
+        self.handed_over.clear()
 
     def tick(self) -> None:
-        """Brings some slots to the last view, and requests those that are wanted."""
+        """Applies the last view to some slots, and requests those that are to be fetched."""
         outdated = self._slots.outdated
         for _ in range(min(SLOTS_PER_TICK, len(outdated))):
             self._slots.current(outdated.popleft())
@@ -67,36 +65,36 @@
     def _request(self, number: int) -> None:
         context = self._context
         slot = self._slots.current(number)
-        if slot.wanted_epoch is None or slot.released_at is not None:
+        if slot.fetch_epoch is None or slot.released_at is not None:
             self._slots.wanted.pop(number, None)
             return
-        sources = slot.open_sources()
-        living = context.living()
-        a_source_lives = any(living.get(name) == incarnation for name, incarnation in sources.items())
-        timeout = SOURCE_TIMEOUT if a_source_lives else LEASE
-        if not sources or context.now - slot.wanted_since > timeout:
+        sources = slot.remaining_sources()
+        live_routers = context.living()
+        is_source_live = any(live_routers.get(name) == incarnation for name, incarnation in sources.items())
+        timeout = SOURCE_TIMEOUT if is_source_live else LEASE
+        if not sources or context.now - slot.fetch_started_at > timeout:
             self._slots.declare_lost(number, slot, context.views.view)
             return
         if context.now - slot.requested_at < REQUEST_INTERVAL:
             return
         slot.requested_at = context.now
         for name in sources:
-            context.send(name, SlotRequest(context.views.view.id, number, slot.wanted_epoch))
+            context.send(name, SlotRequest(context.views.view.id, number, slot.fetch_epoch))
 
     def answer_request(self, sender: str, request: SlotRequest) -> None:
-        """Another router holds a slot now and wants its records."""
+        """Answers a router that holds a slot now and requests its records."""
         context = self._context
         if request.view < self._authority.lowest_accepted_view:
             return
-        if not context.views.is_believable(context.now, request.view):
+        if not context.views.is_plausible(context.now, request.view):
             return
-        self._authority.accept_from(request.view)
+        self._authority.raise_lowest_accepted(request.view)
         slot = self._slots.current(request.slot)
         if slot.complete_in in (request.epoch, request.view):
             self._send_slot(sender, request, slot)
-        elif slot.wanted_epoch is not None and slot.held_in in (request.epoch, request.view):
-            sources = slot.open_sources()
-            context.send(sender, SlotRedirect(request.view, request.slot, slot.wanted_epoch, sources))
+        elif slot.fetch_epoch is not None and slot.held_in in (request.epoch, request.view):
+            sources = slot.remaining_sources()
+            context.send(sender, SlotRedirect(request.view, request.slot, slot.fetch_epoch, sources))
         else:
             context.send(sender, SlotRedirect(request.view, request.slot, request.epoch, {}))
 
@@ -115,10 +113,10 @@
                 lease=slot.lease,
             )
             self._context.send(to, message)
-        self.given.add(request.slot)
+        self.handed_over.add(request.slot)
 
     def _parts_of(self, number: int) -> list[list[RetainedRecord]]:
-        """A slot's records, as many at a time as go in one message; at least one part."""
+        """Returns a slot's records split by message size; at least one part, which may be empty."""
         parts: list[list[RetainedRecord]] = [[]]
         size = 0
         for retained in self._records.records_of_slot(number):
@@ -129,11 +127,11 @@
             size += retained.record.size
         return parts
 
-    def take_part(self, sender: str, part: SlotPart) -> None:
-        """A part of a slot has come; the slot is complete with its last part."""
+    def handle_part(self, sender: str, part: SlotPart) -> None:
+        """Stores a part of a slot; the slot is complete once all parts have arrived."""
         context = self._context
         slot = self._slots.current(part.slot)
-        if part.view != context.views.view.id or slot.wanted_epoch is None or sender not in slot.sources:
+        if part.view != context.views.view.id or slot.fetch_epoch is None or sender not in slot.sources:
             return
         for record, age in zip(part.records, part.ages, strict=True):
             if slot_of(record.customer, record.ordering_key) == part.slot:
@@ -149,16 +147,16 @@
         context.counters["slots fetched"] += 1
         self._durability.save_changes()
 
-    def take_redirect(self, sender: str, redirect: SlotRedirect) -> None:
-        """A source has not got a slot, and says who may have it."""
+    def handle_redirect(self, sender: str, redirect: SlotRedirect) -> None:
+        """Handles the reply of a source that does not have a slot and names routers that may."""
         slot = self._slots.current(redirect.slot)
-        is_ours = redirect.view == self._context.views.view.id
-        if not is_ours or slot.wanted_epoch is None or sender not in slot.sources:
+        is_current_view = redirect.view == self._context.views.view.id
+        if not is_current_view or slot.fetch_epoch is None or sender not in slot.sources:
             return
-        if redirect.epoch == slot.wanted_epoch:
+        if redirect.epoch == slot.fetch_epoch:
             slot.refusals |= {sender}
         elif redirect.epoch == slot.complete_in:
             self._slots.mark_complete(redirect.slot, slot)
         else:
-            # It was fetching the slot itself, so nothing was granted there: its sources are ours.
-            self._slots.want(redirect.slot, slot, redirect.epoch, redirect.sources)
+            # The source is fetching the slot itself, so it granted nothing: use its sources instead.
+            self._slots.start_fetch(redirect.slot, slot, redirect.epoch, redirect.sources)
--- a/hillchute/history/sqlite_store.py
+++ b/hillchute/history/sqlite_store.py
@@ -1,8 +1,7 @@
-"""Records on a disk that lasts, in sqlite3: written before they are relied on, erased so that their bytes go.
+"""The durable store of records in a sqlite3 file; erased records are overwritten in the file.
 
-Owns the file, its layout, and what a fault of the disk does. It does not decide what is kept, and makes no
-slot complete: what a disk holds is known, but whether it is all that there was, no disk can say. Therefore an
-old copy of the file is no danger: it knows less, and what it does not know is not run because of it.
+The file shows which records existed, not that there were no others. Therefore restored records make no slot
+complete, and an old copy of the file is safe: no query is run because the file lacks its record.
 """
 
 import sqlite3
@@ -17,14 +16,14 @@
 from hillchute.history.codec import first_record_field_out_of_bounds
 from hillchute.history.records import Record, RecordId
 
-LAYOUT = 1  # the file's; of others nothing is read
-LOCK_TIMEOUT = 1.0  # seconds that another process may hold the file before a write is given up
-MAX_LOG_SIZE = 4 << 20  # bytes of the write-ahead log that stay after a checkpoint
+LAYOUT_VERSION = 1  # of the file; files with any other version are refused
+LOCK_TIMEOUT = 1.0  # seconds to wait for a lock held by another process before a write fails
+MAX_WAL_SIZE = 4 << 20  # bytes of the write-ahead log that remain after a checkpoint, at most
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Record)
 
-# The columns' names are those of stored files.
+# The column names are part of the file format.
 CREATE_TABLE = (
     "CREATE TABLE IF NOT EXISTS records (customer TEXT, key TEXT, token TEXT, since INTEGER,"
     " body BLOB, PRIMARY KEY (customer, key, token)) WITHOUT ROWID"
@@ -38,8 +37,10 @@
     """The durable store of one replica's records."""
 
     def __init__(self, path: str | Path) -> None:
-        """Opens the file, or creates it. Raises HistoryStorageError for one that is damaged, read-only, or
-        can't be opened."""
+        """Opens or creates the file.
+
+        Raises HistoryStorageError for a file that is damaged, read-only or cannot be opened.
+        """
         self.path = Path(path)
         self.counters: Counter[str] = Counter()
         self._reported_faults = 0
@@ -53,21 +54,24 @@
     def _prepare(self) -> None:
         execute = self.connection.execute
         execute("PRAGMA journal_mode = WAL")
-        execute("PRAGMA synchronous = FULL")  # it is there before anybody relies on it
-        execute("PRAGMA secure_delete = ON")  # what is erased is overwritten
-        execute(f"PRAGMA journal_size_limit = {MAX_LOG_SIZE}")
+        execute("PRAGMA synchronous = FULL")  # a write is on the disk before it is acknowledged
+        execute("PRAGMA secure_delete = ON")  # erased content is overwritten
+        execute(f"PRAGMA journal_size_limit = {MAX_WAL_SIZE}")
         (check,) = execute("PRAGMA quick_check(1)").fetchone()
         if check != "ok":
             raise sqlite3.DatabaseError(check)
         (layout,) = execute("PRAGMA user_version").fetchone()
-        if layout not in (0, LAYOUT):
-            raise sqlite3.DatabaseError(f"layout {layout}, {LAYOUT} is known")
+        if layout not in (0, LAYOUT_VERSION):
+            raise sqlite3.DatabaseError(f"unsupported file layout {layout}, expected {LAYOUT_VERSION}")
         execute(CREATE_TABLE)
-        execute(f"PRAGMA user_version = {LAYOUT}")
+        execute(f"PRAGMA user_version = {LAYOUT_VERSION}")
 
     def read(self) -> Iterator[tuple[Record, Time]]:
-        """All records that are there, with the Unix time since when each is kept. What can't be read is
-        removed: a record less is a query that is not answered, never one that runs twice."""
+        """Yields all records, each with the Unix time when it was granted.
+
+        Unreadable rows are removed. A missing record only means that a retry is not answered from it, never
+        that a query runs twice, as this file alone makes no slot complete.
+        """
         try:
             rows = self.connection.execute(SELECT_ALL).fetchall()
         except sqlite3.Error as error:
@@ -77,7 +81,7 @@
         for customer, ordering_key, idempotency_key, body, since in rows:
             record = _decoded(body)
             if record is None or not isinstance(since, int):
-                # Nobody could tell when it has to be erased.
+                # It would be unknown when such a record must be erased.
                 unreadable[RecordId(customer, ordering_key, idempotency_key)] = None
                 self.counters["unreadable"] += 1
             else:
@@ -86,7 +90,10 @@
             self.write(unreadable, {})
 
     def write(self, changes: Mapping[RecordId, Record | None], since: Mapping[RecordId, Time]) -> bool:
-        """Writes all changes or none; whether they are there. None is a removal, of the bytes, too."""
+        """Writes all changes or none; returns whether they are durable.
+
+        A value of None removes the record and overwrites its bytes.
+        """
         try:
             self._write_transaction(changes, since)
             if None in changes.values():
@@ -115,7 +122,7 @@
             raise
 
     def _scrub(self) -> None:
-        """Overwrites in the file what was erased; until then it stands in the write-ahead log."""
+        """Checkpoints and truncates the write-ahead log, which until then still contains erased records."""
         busy, *_ = self.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()
         self.counters["scrub put off"] += bool(busy)
 
@@ -124,12 +131,14 @@
         self._last_fault = str(error)
 
     def faults(self) -> list[HistoryStorageError]:
-        """What has gone wrong since the last call, as one error."""
+        """Returns the errors since the last call, summarized as one; empty if there were none."""
         new = self.counters["faults"] - self._reported_faults
         if new == 0:
             return []
         self._reported_faults = self.counters["faults"]
-        return [HistoryStorageError(f"{self._last_fault}, {new} times", str(self.path))]
+        return [
+            HistoryStorageError(f"{self._last_fault} (errors since the last report: {new})", str(self.path))
+        ]
 
     def close(self) -> None:
         """Closes the file."""
@@ -137,7 +146,7 @@
 
 
 def _decoded(body: object) -> Record | None:
-    """A record from a file; None if it can't be read or has a field out of its bounds."""
+    """Returns the record in a row's body; None if it cannot be decoded or a field is out of bounds."""
     if not isinstance(body, bytes):
         return None
     try:
--- a/hillchute/history/view_change.py
+++ b/hillchute/history/view_change.py
@@ -1,7 +1,6 @@
-"""The messages by which routers agree on views and keep them in force.
+"""Sends and handles the messages by which routers agree on views and renew their leases.
 
-Owns when promises are requested and heartbeats sent, and what a message changes in the protocol's state
-(view_protocol.py decides).
+view_protocol.py contains the protocol's state and decisions.
 """
 
 from collections.abc import Callable
@@ -32,8 +31,10 @@
 
 
 def announcement_of(view: View, adopted: ViewId | None) -> ViewAnnouncement | ViewUpdate:
-    """A view for a router that adopted the view `adopted` last: what changed, where it takes over from that,
-    else the whole view."""
+    """Returns the message with a view for a router whose last adopted view is `adopted`.
+
+    It has only the changes if `adopted` is the view's predecessor, else the complete view.
+    """
     if adopted is None or adopted != view.predecessor:
         return ViewAnnouncement(view)
     delta = delta_of(view)
@@ -48,14 +49,14 @@
         context: ReplicaContext,
         policies: PolicyDistribution,
         agreement: PartnerAgreement | None,
-        view_adopted: Callable[[View], None],
+        on_view_adopted: Callable[[View], None],
     ) -> None:
-        """`view_adopted` is called whenever another view becomes this router's own."""
+        """`on_view_adopted` is called with each view that this router adopts."""
         self._context = context
         self._policies = policies
         self._agreement = agreement
-        self._view_adopted = view_adopted
-        self.is_leaving = False  # it shuts down: it gives what it has, and proposes no view
+        self._on_view_adopted = on_view_adopted
+        self.is_leaving = False  # during shutdown no view is proposed and no heartbeat sent
         self._next_heartbeat_at = context.now
 
     def receive(
@@ -63,32 +64,32 @@
         sender: str,
         message: PromiseRequest | PromiseReply | Heartbeat | HeartbeatReply | ViewAnnouncement | ViewUpdate,
     ) -> None:
-        """A message about views came."""
+        """Handles a message about views."""
         match message:
             case PromiseRequest():
                 self.answer_promise_request(sender, message)
             case PromiseReply():
-                self.take_promise(sender, message)
+                self.handle_promise(sender, message)
             case Heartbeat():
                 self.answer_heartbeat(sender, message)
             case HeartbeatReply():
-                self.take_heartbeat_reply(sender, message)
+                self.handle_heartbeat_reply(sender, message)
             case ViewAnnouncement():
-                self.take_announcement(sender, message)
+                self.handle_announcement(sender, message)
             case ViewUpdate():
-                self.take_update(sender, message)
+                self.handle_update(sender, message)
 
     # ---- as a router that promises and grants ---------------------------------------------------------
 
     def answer_promise_request(self, sender: str, request: PromiseRequest) -> None:
-        """A router wants to propose a view."""
+        """Answers a router that wants to propose a view."""
         if sender == request.view.coordinator:
             context = self._context
             promise = context.views.answer_request(context.now, request.view, request.adopted)
             context.send(sender, PromiseReply(promise))
 
     def answer_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        """A coordinator wants its view's lease renewed."""
+        """Answers a coordinator's heartbeat, and extends the adopted view's lease accordingly."""
         if sender != heartbeat.view.coordinator:
             return
         context = self._context
@@ -108,13 +109,13 @@
         context.send(sender, HeartbeatReply(grant))
         self._policies.request_if_outdated(sender)
 
-    def take_announcement(self, sender: str, message: ViewAnnouncement) -> None:
-        """A whole view has come."""
+    def handle_announcement(self, sender: str, message: ViewAnnouncement) -> None:
+        """Adopts a complete view."""
         if sender == message.view.coordinator:
             self._adopt(message.view)
 
-    def take_update(self, sender: str, message: ViewUpdate) -> None:
-        """A view has come as what it changes in the one before."""
+    def handle_update(self, sender: str, message: ViewUpdate) -> None:
+        """Adopts a view that was sent as the changes to the adopted one."""
         adopted = self._context.views.view
         if sender == message.view.coordinator and message.base == adopted.id:
             delta = ViewDelta(message.copies, message.removed, message.added)
@@ -123,14 +124,14 @@
     def _adopt(self, view: View) -> None:
         if self._context.views.adopt(self._context.now, view):
             self._context.counters["views"] += 1
-            self._view_adopted(view)
+            self._on_view_adopted(view)
 
     # ---- as a proposer and coordinator ----------------------------------------------------------------
 
-    def take_promise(self, sender: str, reply: PromiseReply) -> None:
-        """A router has answered a request; the view is proposed once enough have promised."""
+    def handle_promise(self, sender: str, reply: PromiseReply) -> None:
+        """Handles an answer to a promise request; announces the view once enough routers have promised."""
         context = self._context
-        view = context.views.take_promise(
+        view = context.views.handle_promise(
             context.now, sender, reply.promise, context.living(), context.policies.copies
         )
         if view is None:
@@ -162,19 +163,19 @@
             )
             context.send(name, heartbeat)
 
-    def take_heartbeat_reply(self, sender: str, reply: HeartbeatReply) -> None:
-        """A router has granted this one's view, or says why it does not."""
+    def handle_heartbeat_reply(self, sender: str, reply: HeartbeatReply) -> None:
+        """Handles a router's answer to a heartbeat: a grant, or why there is none."""
         context = self._context
         grant = reply.grant
         if grant.policies_number > context.policies.number:
-            # It counts once what it knows is known here, and so announced to all with the next heartbeat.
+            # The grant counts only once this router has those policies, and so announces them in heartbeats.
             self._policies.request_from(sender)
             grant = msgspec.structs.replace(grant, given=False)
         agreement = self._agreement
         if agreement is not None and grant.agreement_number > agreement.number_to_announce(context.now):
-            # The same of the partners' agreement, which they send each other on their own way.
+            # Likewise for the partners' agreement, which is distributed separately.
             grant = msgspec.structs.replace(grant, given=False)
-        context.views.take_grant(context.now, sender, grant)
+        context.views.handle_grant(context.now, sender, grant)
         self._send_missing_view(sender, grant)
 
     def _send_missing_view(self, router: str, grant: Grant) -> None:
@@ -183,7 +184,7 @@
             self._context.send(router, announcement_of(view, grant.adopted))
 
     def tick(self) -> None:
-        """Requests promises or sends heartbeats, if it falls to this router and is due."""
+        """Requests promises or sends heartbeats, if this router is to do so and it is due."""
         context = self._context
         if self.is_leaving:
             return
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -1,4 +1,4 @@
-"""One message of the history changed at a time; faults planted in the code are found."""
+"""Mutation tests of the history: one message changed at a time, and faults planted in the code."""
 
 import msgspec
 import pytest
@@ -17,7 +17,7 @@
 from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
 
 
-def test_no_mutant_breaks_anything_and_none_of_the_network_changes_the_end():
+def test_mutants_violate_no_invariant_and_network_faults_do_not_change_the_result():
     found = play(1, 250)
     assert found["broken"] == found["unlike"] == 0, found["first"]
     assert found["messages"] > 3_000 and found["kinds"] > 100 and found["unused"] < found["mutants"] / 2
@@ -28,73 +28,79 @@
     assert runs[0].messages == runs[1].messages and runs[0].end() == runs[1].end()
 
 
-def test_every_kind_of_message_meets_every_kind_of_change():
-    plain = Net(1).script()
-    met = {(type(plain.messages[at]).__name__, change) for at, change, _ in drawn(plain, 1, None)}
-    absent = {SlotRedirect, LeaseUpdate, LeaseReply}  # nobody lacks what is asked, nor has partners
+def test_every_message_type_is_mutated_in_every_way():
+    unchanged = Net(1).script()
+    mutated = {(type(unchanged.messages[at]).__name__, change) for at, change, _ in drawn(unchanged, 1, None)}
+    # The script has no redirected slot request and no partners.
+    absent = {SlotRedirect, LeaseUpdate, LeaseReply}
     kinds = {kind.__name__ for kind in MESSAGE_TYPES if kind not in absent}
-    assert met >= {(kind, change) for kind in kinds for change in (*NETWORK, *LIES)}
+    assert mutated >= {(kind, change) for kind in kinds for change in (*NETWORK, *LIES)}
 
 
 # ---- planted faults ----
 
 
-def without_copies(self, record):
+def complete_without_replication(self, record):
     self.complete(ReplicationRound(0, record, set(), self._context.now, self._context.now))
 
 
-def unfetched(self, number, slot, view):
-    ENTER(self, number, slot, view)
+def complete_without_fetch(self, number, slot, view):
+    APPLY_VIEW(self, number, slot, view)
     self.mark_complete(number, slot)
 
 
-def lost_unsaid(self, number, slot, view):
-    LOSE(self, number, slot, view)
+def loss_not_recorded(self, number, slot, view):
+    DECLARE_LOST(self, number, slot, view)
     slot.lost_at = None
 
 
-def dead_runs_again(self, sender, claim):
-    decided, known = DECIDE(self, sender, claim)
+def run_again_after_router_loss(self, sender, claim):
+    decided, known = DECIDE_CLAIM(self, sender, claim)
     if (
         known is not None
         and known.record.state == RecordState.RUNNING
         and known.record.router not in self._context.living()
     ):
         self._records.remove(known.record)
-        return DECIDE(self, sender, claim)
+        return DECIDE_CLAIM(self, sender, claim)
     return decided, known
 
 
-def unordered(policies, facts, now, has_capacity):
-    return CHOOSE(policies, msgspec.structs.replace(facts, earlier_running=None), now, has_capacity)
+def decide_without_order(policies, facts, now, has_capacity):
+    return DECIDE(policies, msgspec.structs.replace(facts, earlier_running=None), now, has_capacity)
 
 
-def unkept(self, sender, request):
+def acknowledge_without_storing(self, sender, request):
     self._context.send(sender, ReplicateReply(request.view, request.number, True))
 
 
-ENTER, LOSE, DECIDE, CHOOSE = SlotTable.enter, SlotTable.declare_lost, Claims.decide, claims.decide
+APPLY_VIEW, DECLARE_LOST, DECIDE_CLAIM, DECIDE = (
+    SlotTable.apply_view,
+    SlotTable.declare_lost,
+    Claims.decide,
+    claims.decide,
+)
 
 
 @pytest.mark.parametrize(
     ("owner", "name", "fault", "rule"),
     [
-        (Replication, "replicate", without_copies, "ran twice"),
-        (Replication, "answer_request", unkept, "ran twice"),
-        (SlotTable, "enter", unfetched, "ran twice"),
-        (SlotTable, "declare_lost", lost_unsaid, "ran twice"),
-        (Claims, "decide", dead_runs_again, "ran twice"),
-        (claims, "decide", unordered, "out of order"),
+        (Replication, "replicate", complete_without_replication, "ran twice"),
+        (Replication, "answer_request", acknowledge_without_storing, "ran twice"),
+        (SlotTable, "apply_view", complete_without_fetch, "ran twice"),
+        (SlotTable, "declare_lost", loss_not_recorded, "ran twice"),
+        (Claims, "decide", run_again_after_router_loss, "ran twice"),
+        (claims, "decide", decide_without_order, "out of order"),
         (RetentionPolicies, "is_erasure_requested", lambda self, *about: False, "kept too long"),
     ],
 )
-def test_fault_planted_in_the_code_shows_in_the_script(monkeypatch, owner, name, fault, rule):
+def test_planted_fault_is_found_by_the_scripted_run(monkeypatch, owner, name, fault, rule):
     assert not Net(1).script().rule
     monkeypatch.setattr(owner, name, fault)
     assert Net(1).script().rule[rule]
 
 
-def test_version_that_is_not_compared_shows_in_the_end(monkeypatch):
+def test_planted_fault_in_record_versions_changes_the_result(monkeypatch):
     end = Net(1).script().end()
     monkeypatch.setattr(
         Record, "version", property(lambda self: (self.attempt, self.state == RecordState.RUNNING))
@@ -102,34 +108,38 @@
     assert Net(1).script().end() != end
 
 
-# ---- faults in what a view rests on ----
+# ---- planted faults in the view protocol ----
 
 
-def never_restarted(self, now):
+def always_may_grant(self, now):
     return True
 
 
-def remembering(self, now, sender, promise, *about):
-    return PROMISED(self, now, sender, msgspec.structs.replace(promise, remembers=True), *about)
+def always_has_granted(self, now, sender, promise, *about):
+    return HANDLE_PROMISE(self, now, sender, msgspec.structs.replace(promise, remembers=True), *about)
 
 
-def unpromised(self, now, id):
-    before = self.highest
-    promise = ASK(self, now, id)
-    self.highest = before
+def promise_not_kept(self, now, view_id):
+    highest = self.highest
+    promise = ANSWER_REQUEST(self, now, view_id)
+    self.highest = highest
     return promise
 
 
-def any_granted(self, now, view_id, sent_at, policies_number):
-    grant = CALLED(self, now, view_id, sent_at, policies_number)
+def always_grants(self, now, view_id, sent_at, policies_number):
+    grant = ANSWER_HEARTBEAT(self, now, view_id, sent_at, policies_number)
     return msgspec.structs.replace(grant, given=True)
 
 
-def for_ever(self, now):
+def lease_never_expires(self, now):
     return self.lease_until > 0
 
 
-PROMISED, ASK, CALLED = ViewProtocol.take_promise, ViewProtocol.answer_request, ViewProtocol.answer_heartbeat
+HANDLE_PROMISE, ANSWER_REQUEST, ANSWER_HEARTBEAT = (
+    ViewProtocol.handle_promise,
+    ViewProtocol.answer_request,
+    ViewProtocol.answer_heartbeat,
+)
 
 
 @pytest.mark.parametrize(
@@ -137,31 +147,35 @@
     [
         (
             "may_grant",
-            never_restarted,
-            tests.test_router_that_restarted_grants_nothing_for_two_leases,
+            always_may_grant,
+            tests.test_restarted_router_grants_nothing_for_two_leases,
+        ),
+        (
+            "handle_promise",
+            always_has_granted,
+            tests.test_view_takes_over_from_its_predecessor_only_if_a_majority_has_granted,
         ),
-        ("take_promise", remembering, tests.test_view_goes_on_from_the_last_only_where_most_remember),
         (
             "answer_request",
-            unpromised,
-            tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one,
+            promise_not_kept,
+            tests.test_router_grants_no_view_below_one_that_it_promised,
         ),
         (
             "answer_heartbeat",
-            any_granted,
-            tests.test_what_was_promised_to_a_later_view_is_granted_to_no_earlier_one,
+            always_grants,
+            tests.test_router_grants_no_view_below_one_that_it_promised,
         ),
-        ("in_force", for_ever, tests.test_lease_is_counted_from_before_it_was_granted),
-        ("in_force", for_ever, tests.test_side_of_a_cut_with_fewer_than_half_neither_answers_nor_runs),
-        ("is_believable", lambda *about: True, tests.test_number_far_ahead_of_the_clock_ends_no_views),
+        ("in_force", lease_never_expires, tests.test_lease_counts_from_the_grant_and_is_limited),
+        ("in_force", lease_never_expires, tests.test_minority_side_of_a_partition_neither_replays_nor_runs),
+        ("is_plausible", lambda *about: True, tests.test_view_number_far_ahead_of_the_clock_is_refused),
         (
             "lease_remaining",
             lambda self, now: LEASE,
-            tests.test_view_that_was_not_in_force_for_a_lease_is_dropped,
+            tests.test_proposed_view_not_in_force_for_a_lease_is_dropped,
         ),
     ],
 )
-def test_fault_planted_in_the_views_is_found(monkeypatch, name, fault, found_by):
+def test_planted_fault_in_views_is_found_by_a_test(monkeypatch, name, fault, found_by):
     found_by()
     monkeypatch.setattr(ViewProtocol, name, fault)
     with pytest.raises(AssertionError):
@@ -171,17 +185,17 @@
 @pytest.mark.parametrize(
     ("fault", "found_by"),
     [
-        (lambda self: None, tests.test_late_copy_does_not_bring_back_what_was_forgotten),
-        (None, tests.test_flood_of_one_customer_pushes_out_nothing_within_a_least_time),
+        (lambda self: None, tests.test_late_copy_does_not_restore_an_erased_record),
+        (None, tests.test_flood_of_one_customer_evicts_no_record_within_its_least_time),
     ],
 )
-def test_fault_planted_in_the_records_is_found(monkeypatch, fault, found_by):
+def test_planted_fault_in_records_is_found_by_a_test(monkeypatch, fault, found_by):
     found_by()
     if fault is None:
         monkeypatch.setattr(RecordStore, "may_evict", staticmethod(lambda *about: True))
     else:
         monkeypatch.setattr(
-            RetentionPolicies, "must_be_erased", lambda self, customer, key, taken, age: False
+            RetentionPolicies, "must_be_erased", lambda self, customer, key, granted_at, age: False
         )
     with pytest.raises(AssertionError):
         found_by()
