--- a/tests/test_lasting_folders.py
+++ b/tests/test_lasting_folders.py
@@ -1,4 +1,4 @@
-"""Files that must last: full, failing and half-written disks; what was acknowledged is still there."""
+"""Durability of stored files: what was acknowledged survives full and failing disks and torn writes."""
 
 import errno
 import os
@@ -13,11 +13,11 @@
 from hillchute.partners import signature_journal
 from hillchute.partners.signature_journal import SignatureJournal
 
-CALLS = ("open", "write", "fsync", "replace", "folder")
+SAVE_STEPS = ("open", "write", "fsync", "replace", "sync_directory")
 
 
-class Failing:
-    """Makes one step of saving a mark fail, after it wrote `torn` bytes where it is a write."""
+class FailingSave:
+    """Makes one step of SignatureJournal.save fail; a failing write first writes `torn` bytes."""
 
     def __init__(self, monkeypatch, step, error, torn=0):
         self.step, self.error, self.torn = step, error, torn
@@ -29,7 +29,7 @@
         monkeypatch.setattr(type(signature_journal.Path()), "open", lambda path, mode: self.open(path, mode))
         monkeypatch.setattr(signature_journal.os, "fsync", self.fsync)
         monkeypatch.setattr(signature_journal.os, "replace", self.replace)
-        monkeypatch.setattr(signature_journal, "sync_directory", self.folder)
+        monkeypatch.setattr(signature_journal, "sync_directory", self.sync_directory)
 
     def fail(self, step):
         if step == self.step:
@@ -39,7 +39,7 @@
         self.fail("open")
         file = self.real_open(path, mode)
         if self.step == "write" and mode != "rb+":
-            return Torn(file, self)
+            return TornFile(file, self)
         return file
 
     def fsync(self, number):
@@ -50,12 +50,12 @@
         self.fail("replace")
         self.real_replace(old, new)
 
-    def folder(self, path):
-        self.fail("folder")
+    def sync_directory(self, path):
+        self.fail("sync_directory")
 
 
-class Torn:
-    """A file of which a write takes some bytes, then fails."""
+class TornFile:
+    """A file whose write stores some bytes, then fails."""
 
     def __init__(self, file, failing):
         self.file, self.failing = file, failing
@@ -75,49 +75,50 @@
         self.file.close()
 
 
-def mark(number):
+def digest(number):
     return bytes([number]) * 4
 
 
 @pytest.fixture
 def path(tmp_path):
-    return tmp_path / "marks"
+    return tmp_path / "signatures"
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
 @pytest.mark.parametrize(
-    ("step", "torn"), [(step, 0) for step in CALLS if step != "write"] + [("write", n) for n in range(12)]
+    ("step", "torn"),
+    [(step, 0) for step in SAVE_STEPS if step != "write"] + [("write", n) for n in range(12)],
 )
-@pytest.mark.parametrize("killed", [False, True], ids=["goes on", "killed"])
-def test_mark_is_there_if_and_only_if_it_was_acknowledged(path, step, torn, error, killed):
-    """One save fails, twice in a row; then the disk is sound again. The program may be killed in between."""
+@pytest.mark.parametrize("killed", [False, True], ids=["continues", "killed"])
+def test_acknowledged_signature_survives_a_failing_disk(path, step, torn, error, killed):
+    """One step fails in two saves, then the disk works again. The process may be killed after each save."""
     file = SignatureJournal(path)
-    assert file.save(1, mark(1))
+    assert file.save(1, digest(1))
     for _ in range(2):
-        with pytest.MonkeyPatch.context() as patch:
-            Failing(patch, step, error, torn)
-            acknowledged = file.save(2, mark(2))
+        with pytest.MonkeyPatch.context() as patched:
+            FailingSave(patched, step, error, torn)
+            acknowledged = file.save(2, digest(2))
         assert acknowledged or isinstance(file.error, SignatureJournalError)
         if killed:
             file = SignatureJournal(path)
-            assert file.signed[1] == mark(1)
-            assert not acknowledged or file.signed[2] == mark(2)
-    assert file.save(3, mark(3)) and file.error is None  # no restart was needed
-    known = SignatureJournal(path).signed
-    assert known[1] == mark(1) and known[3] == mark(3)
-    assert set(known) <= {1, 2, 3}
+            assert file.signed[1] == digest(1)
+            assert not acknowledged or file.signed[2] == digest(2)
+    assert file.save(3, digest(3)) and file.error is None  # without a restart
+    stored = SignatureJournal(path).signed
+    assert stored[1] == digest(1) and stored[3] == digest(3)
+    assert set(stored) <= {1, 2, 3}
 
 
-def test_sync_that_failed_is_not_made_good_by_the_next(path, monkeypatch):
-    """The lines before are written again: what the kernel dropped after a failed sync is not on the disk."""
+def test_failed_sync_is_followed_by_a_complete_rewrite(path, monkeypatch):
+    """After a failed sync the kernel may have dropped earlier pages, so all lines are written again."""
     file = SignatureJournal(path)
-    file.save(1, mark(1))
-    with pytest.MonkeyPatch.context() as patch:
-        Failing(patch, "fsync", errno.EIO)
-        assert not file.save(2, mark(2))
-    path.write_bytes(b"\0" * 40)  # the page was lost
-    assert file.save(2, mark(2))
-    assert SignatureJournal(path).signed == {1: mark(1), 2: mark(2)}
+    file.save(1, digest(1))
+    with pytest.MonkeyPatch.context() as patched:
+        FailingSave(patched, "fsync", errno.EIO)
+        assert not file.save(2, digest(2))
+    path.write_bytes(b"\0" * 40)  # stands for a lost page
+    assert file.save(2, digest(2))
+    assert SignatureJournal(path).signed == {1: digest(1), 2: digest(2)}
 
 
 @pytest.fixture
@@ -128,17 +129,17 @@
     return record
 
 
-class Faulty:
-    """A connection to sqlite of which the n-th statement fails."""
+class FaultyConnection:
+    """A sqlite connection whose statement with this number fails."""
 
     def __init__(self, db, number, error):
         self.db, self.number, self.error, self.count = db, number, error, 0
 
-    def execute(self, *about):
+    def execute(self, *arguments):
         self.count += 1
         if self.count == self.number:
             raise self.error
-        return self.db.execute(*about)
+        return self.db.execute(*arguments)
 
     @property
     def in_transaction(self):
@@ -156,52 +157,52 @@
 
 
 @pytest.mark.parametrize("error", ERRORS, ids=str)
-def test_record_that_was_acknowledged_is_read_again_whichever_statement_failed(tmp_path, error, some_record):
+def test_acknowledged_record_is_read_back_whichever_statement_failed(tmp_path, error, some_record):
     number = 0
     while True:
         number += 1
         path = tmp_path / f"{number}.db"
-        disk = SqliteStore(path)
+        store = SqliteStore(path)
         first, second, third = (some_record(n) for n in range(3))
-        assert disk.write({first.id: first}, {first.id: EPOCH})
-        sound, disk.connection = disk.connection, Faulty(disk.connection, number, error)
-        moved = {first.id: None, second.id: second}
-        acknowledged = disk.write(moved, {second.id: EPOCH})
-        reached = disk.connection.count >= number
-        disk.connection = sound
-        assert acknowledged != (reached and bool(disk.faults()))
-        assert disk.write({third.id: third}, {third.id: EPOCH})  # it goes on without a restart
-        known = {record.id for record, _ in SqliteStore(path).read()}
-        assert third.id in known
+        assert store.write({first.id: first}, {first.id: EPOCH})
+        connection, store.connection = store.connection, FaultyConnection(store.connection, number, error)
+        changes = {first.id: None, second.id: second}
+        acknowledged = store.write(changes, {second.id: EPOCH})
+        statement_reached = store.connection.count >= number
+        store.connection = connection
+        assert acknowledged != (statement_reached and bool(store.faults()))
+        assert store.write({third.id: third}, {third.id: EPOCH})  # without a restart
+        stored = {record.id for record, _ in SqliteStore(path).read()}
+        assert third.id in stored
         if acknowledged:
-            assert second.id in known and first.id not in known
+            assert second.id in stored and first.id not in stored
         else:
-            assert (first.id in known) != (second.id in known)  # whole or not at all
-        if not reached:
+            assert (first.id in stored) != (second.id in stored)  # the transaction is atomic
+        if not statement_reached:
             break
     assert number > 4
 
 
-def test_disk_that_is_full_is_no_acknowledgement_and_serves_again_with_room(tmp_path, some_record):
-    disk = SqliteStore(tmp_path / "h.db")
-    one = some_record(1)
-    assert disk.write({one.id: one}, {one.id: EPOCH})
-    (pages,) = disk.connection.execute("PRAGMA page_count").fetchone()
-    disk.connection.execute(f"PRAGMA max_page_count = {pages}")
-    many = [some_record(n) for n in range(2, 400)]
-    assert not disk.write({r.id: r for r in many}, {r.id: EPOCH for r in many})
-    assert disk.faults()[0].remedy
-    disk.connection.execute("PRAGMA max_page_count = 1000000")
-    assert disk.write({r.id: r for r in many}, {r.id: EPOCH for r in many})
+def test_write_to_a_full_disk_is_not_acknowledged_and_succeeds_once_there_is_space(tmp_path, some_record):
+    store = SqliteStore(tmp_path / "h.db")
+    single = some_record(1)
+    assert store.write({single.id: single}, {single.id: EPOCH})
+    (pages,) = store.connection.execute("PRAGMA page_count").fetchone()
+    store.connection.execute(f"PRAGMA max_page_count = {pages}")
+    records = [some_record(n) for n in range(2, 400)]
+    assert not store.write({r.id: r for r in records}, {r.id: EPOCH for r in records})
+    assert store.faults()[0].remedy
+    store.connection.execute("PRAGMA max_page_count = 1000000")
+    assert store.write({r.id: r for r in records}, {r.id: EPOCH for r in records})
     assert len(list(SqliteStore(tmp_path / "h.db").read())) == 399
 
 
-def test_file_that_another_process_holds_is_no_acknowledgement(tmp_path, some_record, monkeypatch):
+def test_write_to_a_locked_file_is_not_acknowledged(tmp_path, some_record, monkeypatch):
     monkeypatch.setattr("hillchute.history.sqlite_store.LOCK_TIMEOUT", 0.01)
-    disk = SqliteStore(tmp_path / "h.db")
+    store = SqliteStore(tmp_path / "h.db")
     other = sqlite3.connect(tmp_path / "h.db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
-    one = some_record(1)
-    assert not disk.write({one.id: one}, {one.id: EPOCH})
+    single = some_record(1)
+    assert not store.write({single.id: single}, {single.id: EPOCH})
     other.execute("ROLLBACK")
-    assert disk.write({one.id: one}, {one.id: EPOCH})
+    assert store.write({single.id: single}, {single.id: EPOCH})
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -1,7 +1,7 @@
-"""Files that an earlier version left on a disk, read and gone on with by this one.
+"""Compatibility with stored files that an earlier version has written.
 
-data/history-v1.sqlite and data/signatures-v1.txt were written once, by `write_files` below, with the code as
-it stood before it was renamed. They are what an upgraded router finds, and are never written anew.
+data/history-v1.sqlite and data/signatures-v1.txt were written once by `write_files` below, in an earlier
+version. They stand for the files that an upgraded router finds, and must not be regenerated.
 """
 
 import json
@@ -21,7 +21,7 @@
 HISTORY, SIGNATURES = "history-v1.sqlite", "signatures-v1.txt"
 
 
-def record(key: str, token: str, number: int, state: int, rows: bytes | None, title: int) -> Record:
+def record(key: str, token: str, number: int, state: int, rows: bytes | None, lease_number: int) -> Record:
     return Record(
         customer="customer-\u00e4",
         ordering_key=key,
@@ -35,11 +35,11 @@
         timeout=number + 4,
         state=state,
         rows=rows,
-        lease_number=title,
+        lease_number=lease_number,
     )
 
 
-# By customer, key and token: the record, and the Unix time since when it is kept.
+# By customer, key and token: the record, and the Unix time when it was granted.
 RECORDS = {
     ("customer-\u00e4", "key-1", "token-1"): (
         record("key-1", "token-1", 10, RecordState.RUNNING, None, 0),
@@ -62,7 +62,7 @@
         17_000_000_000_105,
     ),
 }
-# By an agreement's number, the digest that was signed. That of 613 is the digest of a whole agreement.
+# Signed digests by number of the agreement. That of 613 is the digest of a complete agreement.
 AGREEMENT = "partners/signed-digest of agreement"
 SIGNED = {
     612: bytes(range(32)),
@@ -72,11 +72,11 @@
 
 
 def write_files(folder: Path) -> None:
-    """How the files were made; nothing runs this but `python tests/test_stored_files.py FOLDER`."""
-    disk = SqliteStore(folder / HISTORY)
-    for name, (written, since) in RECORDS.items():
-        assert disk.write({name: written}, {name: since})
-    disk.close()
+    """Writes files like those under data/; run only as `python tests/test_stored_files.py FOLDER`."""
+    store = SqliteStore(folder / HISTORY)
+    for name, (stored, since) in RECORDS.items():
+        assert store.write({name: stored}, {name: since})
+    store.close()
     signatures = SignatureJournal(folder / SIGNATURES)
     for number, digest in SIGNED.items():
         assert signatures.save(number, digest)
@@ -99,42 +99,42 @@
     return found
 
 
-def test_stored_history_is_whole_in_one_file():
+def test_stored_history_is_a_single_file():
     assert sorted(path.name for path in DATA.glob(HISTORY + "*")) == [HISTORY]
     assert (DATA / HISTORY).stat().st_size <= 16_384
 
 
 def test_stored_history_is_read(history):
-    disk = SqliteStore(history)
-    found = {written.id: (written, since) for written, since in disk.read()}
+    store = SqliteStore(history)
+    found = {stored.id: (stored, since) for stored, since in store.read()}
     assert found == RECORDS
-    assert disk.counters["unreadable"] == 0 and not disk.faults()
-    disk.close()
+    assert store.counters["unreadable"] == 0 and not store.faults()
+    store.close()
 
 
-def test_stored_history_is_gone_on_with(history):
-    disk = SqliteStore(history)
+def test_stored_history_can_be_updated(history):
+    store = SqliteStore(history)
     first, second, *others = RECORDS
     changed = msgspec.structs.replace(RECORDS[first][0], state=RecordState.FAILED)
-    assert disk.write({first: changed, second: None}, {first: 17_000_000_000_999})
-    disk.close()
-    disk = SqliteStore(history)
-    found = {written.id: (written, since) for written, since in disk.read()}
+    assert store.write({first: changed, second: None}, {first: 17_000_000_000_999})
+    store.close()
+    store = SqliteStore(history)
+    found = {stored.id: (stored, since) for stored, since in store.read()}
     assert found == {
         first: (changed, 17_000_000_000_999),
         **{name: RECORDS[name] for name in others},
     }
-    disk.close()
+    store.close()
 
 
-def test_history_is_written_as_it_was(tmp_path, history):
-    """A router of the earlier version reads what this one writes, after a downgrade."""
-    disk = SqliteStore(tmp_path / "new.sqlite")
-    assert disk.write(
-        {name: written for name, (written, _) in RECORDS.items()},
+def test_history_is_written_in_the_stored_format(tmp_path, history):
+    """After a downgrade, a router of the earlier version must be able to read the file."""
+    store = SqliteStore(tmp_path / "new.sqlite")
+    assert store.write(
+        {name: stored for name, (stored, _) in RECORDS.items()},
         {name: since for name, (_, since) in RECORDS.items()},
     )
-    disk.close()
+    store.close()
     assert rows(tmp_path / "new.sqlite") == rows(history)
     schemas = []
     for path in (tmp_path / "new.sqlite", history):
@@ -152,21 +152,21 @@
     assert signatures.read_bytes() == before
 
 
-def test_stored_signatures_are_gone_on_with(signatures):
+def test_stored_signatures_can_be_extended(signatures):
     before = signatures.read_bytes()
     assert SignatureJournal(signatures).save(614, b"\xab" * 32)
     assert signatures.read_bytes() == before + b"614 " + b"ab" * 32 + b"\n"
     assert SignatureJournal(signatures).signed == {**SIGNED, 614: b"\xab" * 32}
 
 
-def test_stored_signatures_with_a_torn_last_line_are_read_without_it(signatures):
+def test_torn_last_line_of_stored_signatures_is_ignored(signatures):
     before = signatures.read_bytes()
     signatures.write_bytes(before + b"614 abab")
     assert SignatureJournal(signatures).signed == SIGNED
     assert signatures.read_bytes() == before
 
 
-def test_signatures_are_written_as_they_were(tmp_path, signatures):
+def test_signatures_are_written_in_the_stored_format(tmp_path, signatures):
     file = SignatureJournal(tmp_path / "new")
     for number, digest in SIGNED.items():
         assert file.save(number, digest)
