--- a/hillchute/router/__init__.py
+++ b/hillchute/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router on sockets: docs/architecture.md tells how its files fit together."""
+"""The router process. docs/architecture.md describes how its modules work together."""
--- a/hillchute/router/__main__.py
+++ b/hillchute/router/__main__.py
@@ -1,6 +1,6 @@
-"""Starts one router: python -m hillchute.router, configured by EDGE_NAME, EDGE_LISTEN, EDGE_CONFIG.
+"""Starts one router: python -m hillchute.router, configured by EDGE_NAME, EDGE_LISTEN and EDGE_CONFIG.
 
-HILLCHUTE_OPERATOR may name an operator file, without which nothing beyond the platform's protocol is on.
+HILLCHUTE_OPERATOR may name an operator file; without one, only the platform's protocol is enabled.
 """
 
 import os
@@ -17,11 +17,11 @@
 from hillchute.router.service import Service
 from hillchute.router.signal_handling import SIGNALS
 
-EXIT_CANNOT_START = 2  # exit status: the configuration, an address or keys can't be used
+EXIT_CANNOT_START = 2  # exit status: the configuration, an address or a key can't be used
 
 
 async def serve(configuration: config.RouterConfiguration, operator_file: OperatorFile) -> None:
-    """Runs one router until a signal ends it; raises what Service and its run() raise."""
+    """Runs one router until a signal stops it; raises what Service and its run() raise."""
     log_settings = operator_file.settings.get("log", {})
     log = Log(configuration.name, max_lines_per_event=log_settings.get("alike", MAX_LINES_PER_EVENT))
     await Service(configuration, log, operator_file=operator_file).run()
@@ -30,21 +30,21 @@
 
 def read_operator_file(path: str) -> OperatorFile:
     """Reads the operator file; raises ValueError if it can't be used."""
-    from hillchute.operator import reading  # the grammar's library is an extra
+    from hillchute.operator import reading  # its parser library is an optional dependency
 
     read = partial(reading.read, path)
     return OperatorFile(read(), read)
 
 
 def print_error(error: Exception) -> None:
-    """Prints an error, with its remedy if it has one, on standard error."""
+    """Prints an error to standard error, with its remedy if it has one."""
     remedy = f"; {error.remedy}" if isinstance(error, HillchuteError) else ""
     print(f"hillchute: {error}{remedy}", file=sys.stderr)
 
 
 def main(operator_path: str | None = None) -> int:
-    """Runs the program; returns its exit status. `operator_path` goes before HILLCHUTE_OPERATOR."""
-    # A signal that comes during the start waits until there is somebody to heed it.
+    """Runs the program; returns its exit status. `operator_path` takes precedence over HILLCHUTE_OPERATOR."""
+    # Signals stay blocked during startup, until SignalReceiver.listen() can handle them.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     operator_path = operator_path or os.environ.get("HILLCHUTE_OPERATOR")
     try:
@@ -56,7 +56,7 @@
     start_errors: list[Exception] = []
     try:
         anyio.run(serve, configuration, operator_file, backend_options={"use_uvloop": True})
-    except* (OSError, HillchuteError) as group:  # an address that is taken, keys that can't be read
+    except* (OSError, HillchuteError) as group:  # for example an address in use or an unreadable key
         start_errors.extend(group.exceptions)
     for start_error in start_errors:
         print_error(start_error)
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -1,4 +1,4 @@
-"""The log's lines on answers: one a second that counts them all, and one for each that is worth a look."""
+"""Log lines about answers: a summary once a second, and one line per query neither served nor rejected."""
 
 from hillchute.decision.interface import MILLISECOND, SECOND, Reason, Time
 from hillchute.discovery import event_bus
@@ -7,13 +7,13 @@
 from hillchute.router.query_state import QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
 
-LOG_INTERVAL: Time = SECOND  # between two lines that count the answers
+LOG_INTERVAL: Time = SECOND  # minimum interval between two summary lines
 
 
 def outcome_text(outcome: QueryOutcome, reason: str) -> str:
-    """An outcome as the counts have it, with the check that brought it about, if any.
+    """Returns the outcome as it is counted, followed by the reason for it if there is one.
 
-    A Reason goes by its name: its value is the text that clients and the simulations' figures have.
+    A Reason is written by its member name: its value is the text for clients and simulation results.
     """
     if not reason:
         return outcome
@@ -21,17 +21,17 @@
 
 
 class AnswerLog:
-    """Counts answers by resource group and outcome; the log is read by people, so one line a second."""
+    """Counts answers by resource group and outcome, and logs the counts at most once a second."""
 
     def __init__(self, context: ReducerContext, pool: ConnectionPool, loop_lag: LoopLag) -> None:
         self.context = context
         self.pool = pool
         self.loop_lag = loop_lag
-        self.counts: dict[tuple[str, str], list[float]] = {}  # number and milliseconds since the last line
+        self.counts: dict[tuple[str, str], list[float]] = {}  # count and total ms since the last summary
         self.logged_at: Time = 0
 
     def count(self, group: str, outcome: str, elapsed: Time, open_queries: int) -> None:
-        """An answer was given, so long after its query came."""
+        """Counts an answer that was given `elapsed` after its query was received."""
         count = self.counts.setdefault((group, outcome), [0, 0.0])
         count[0] += 1
         count[1] += elapsed / MILLISECOND
@@ -39,7 +39,7 @@
             self.log_counts(open_queries)
 
     def log_counts(self, open_queries: int) -> None:
-        """Writes the counts, and what is believed of the engines that are active."""
+        """Logs the counts, and the state of the active engines as this router knows it."""
         answers = {
             f"{group} {outcome}": [number, round(milliseconds / number, 1)]
             for (group, outcome), (number, milliseconds) in self.counts.items()
@@ -49,10 +49,10 @@
             "answers",
             count_and_mean_ms=answers,
             open_queries=open_queries,
-            loop_lag_ms=self.loop_lag.worst / MILLISECOND,
+            loop_lag_ms=self.loop_lag.peak_lag / MILLISECOND,
             standing_delay_ms=self.loop_lag.standing_delay / MILLISECOND,
         )
-        # Hundreds of engines in each line would cost more than queries do: only those that are active.
+        # Only active engines: writing hundreds of engines in each line would cost more than serving queries.
         endpoints = self.pool.endpoints
         active = [
             endpoints[engine] for engine in endpoints if self.pool.is_active(engine, now - LOG_INTERVAL)
@@ -63,7 +63,7 @@
         self.logged_at = now
 
     def log_query(self, query: QueryState, outcome: str) -> None:
-        """Writes a line on one query and its attempts; times in milliseconds since it came."""
+        """Logs one query and its attempts; times are in milliseconds since the query was received."""
         received_at = query.received_at
         attempts = [
             (event_bus.engine_name(attempt.engine), (attempt.started_at - received_at) / MILLISECOND)
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts to run queries on engines: each from its submission to its end.
+"""Attempts to run queries on engines, from submission to end.
 
-Reports every end to the scheduler and gives the results of attempts to their query's owner. Does not
-decide which engine gets an attempt, when, or for how long: that is the scheduler's. Times are whole
+Reports the end of each attempt to the scheduler, and passes results to the owner of the query. The
+scheduler decides which engine gets an attempt, when, and with which time limit. Times are integers in
 tenths of a millisecond.
 """
 
@@ -26,18 +26,18 @@
 
 
 class QueryOwner(Protocol):
-    """Whoever holds the queries and gives their answers."""
+    """Holds the open queries and answers them."""
 
-    def find_query(self, query: QueryId, number: int) -> QueryState | None:
-        """The query with this id and number, if it is not over."""
+    def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
+        """Returns the query with this id and number, or None if it has ended."""
 
     def answer(
         self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
     ) -> None:
-        """Gives a query its one answer."""
+        """Answers a query; each query is answered once."""
 
     def forget(self, query: QueryState) -> None:
-        """Drops a query that is answered and whose attempts have all ended."""
+        """Removes a query once it is answered and all its attempts have ended."""
 
 
 class Attempts:
@@ -51,10 +51,10 @@
         self.rules = rules
         self.owner = owner
 
-    # ---- what the scheduler asks for --------------------------------------------------------
+    # ---- decisions of the scheduler ---------------------------------------------------------
 
     def submit(self, pool: ConnectionPool, query: QueryState, engine: EngineId, time_limit: Time) -> None:
-        """Starts an attempt on an engine: on an open connection, or on one that is being opened."""
+        """Starts an attempt on an engine, on a connection that is open or being opened."""
         now = self.context.now
         attempt = Attempt(query, len(query.attempts), engine, now, now + time_limit)
         query.attempts.append(attempt)
@@ -62,7 +62,7 @@
             attempt.deadline, self.on_timeout, query.request.id, query.number, attempt.number
         )
         connection = pool.connection_for(pool.endpoints[engine], query)
-        if connection is None:  # the lack of connections is this router's, not the engine's
+        if connection is None:  # this router has no free connection; the engine is not at fault
             self.end(attempt, AttemptResult.NOT_SENT)
         elif connection.is_open:
             self.send(attempt, connection, pool.endpoints[engine])
@@ -71,7 +71,7 @@
             connection.waiting.append(attempt)
 
     def send(self, attempt: Attempt, connection: EngineConnection, endpoint: Endpoint | None) -> None:
-        """Sends an attempt, unless it has become pointless since it was decided."""
+        """Sends an attempt, unless the query, the engine or the time limit rules it out by now."""
         query = attempt.query
         now = self.context.now
         if query.answered or endpoint is None or not endpoint.ready or now >= attempt.deadline:
@@ -88,23 +88,23 @@
         self.context.emit(SendCommand(connection.number, run))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Gives an attempt up."""
+        """Cancels an attempt."""
         self.end(attempt, AttemptResult.CANCELLED, cancel_run=True)
 
     def set_priority(self, query: QueryState, priority: int) -> None:
-        """Tells the engines on which a query runs or waits its new priority."""
+        """Sends a new priority to the engines on which the query runs or is queued."""
         query.priority = priority
         for attempt in query.attempts:
             if attempt.connection is None or not attempt.sent:
                 continue
-            if not attempt.ended and attempt.run_over is None:
+            if not attempt.ended and attempt.completion is None:
                 hurry = words.Hurry(query.request.id, priority)
                 self.context.emit(SendCommand(attempt.connection.number, hurry))
 
-    # ---- the ends of attempts ---------------------------------------------------------------------
+    # ---- ends of attempts -------------------------------------------------------------------------
 
     def on_timeout(self, query_id: QueryId, query_number: int, number: int) -> None:
-        """The time limit of an attempt has passed."""
+        """Handles the time limit of an attempt."""
         query = self.owner.find_query(query_id, query_number)
         if query is None or query.attempts[number].ended:
             return
@@ -114,26 +114,26 @@
         else:
             self.end(attempt, AttemptResult.NOT_SENT)
 
-    def on_not_sent(self, connection: EngineConnection, query: QueryId) -> None:
-        """A command was not written, since nobody waits any more: no byte of the attempt has left."""
-        attempt = connection.attempts.get(query)
+    def on_not_sent(self, connection: EngineConnection, query_id: QueryId) -> None:
+        """Ends an attempt whose command was not written because its client had left or its time was up."""
+        attempt = connection.attempts.get(query_id)
         if attempt is not None:
             self.end(attempt, AttemptResult.NOT_SENT)
 
-    def end_open(self, query: QueryState) -> None:
-        """Ends what nobody reads once the query is answered; other attempts may run to their end."""
+    def end_unneeded(self, query: QueryState) -> None:
+        """Ends attempts whose result is no longer needed once the query is answered; others may run on."""
         for attempt in query.attempts:
             if attempt.ended:
                 continue
             if attempt.stream is not None:
                 self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
-            elif attempt.run_over is not None and attempt.connection is not None:
+            elif attempt.completion is not None and attempt.connection is not None:
                 unwanted = words.Unwanted(query.request.id)
                 self.context.emit(SendCommand(attempt.connection.number, unwanted))
                 self.end(attempt, AttemptResult.SERVED)
 
     def end_streams(self, query: QueryState) -> None:
-        """Ends the attempts whose stream can't be read."""
+        """Ends the attempts of a query that have started a stream, because the stream can't be read."""
         for attempt in query.attempts:
             if attempt.stream is not None and not attempt.ended:
                 self.end(attempt, AttemptResult.CONNECTION_LOST, cancel_run=True)
@@ -147,40 +147,40 @@
         final: bool = False,
         message: words.Over | words.Whole | words.Ended | None = None,
     ) -> None:
-        """An attempt has ended; the scheduler is notified, once.
+        """Ends an attempt and notifies the scheduler; does nothing if the attempt has already ended.
 
-        `cancel_run`: the engine is asked to give the run up; `final`: the client has its answer with this;
-        `message`: what the engine sent with the end.
+        `cancel_run`: the engine is asked to cancel the run; `final`: the client is answered with this result;
+        `message`: the engine's message that ended the attempt.
         """
         if attempt.ended:
             return
         attempt.ended = True
         attempt.result = result
         query = attempt.query
-        self._leave_connection(attempt, cancel_run)
+        self._detach_from_connection(attempt, cancel_run)
         self.context.scheduler_notified = True
         streaming = attempt.stream is not None
-        self._report(attempt, result, final or streaming or query.answered, message or attempt.run_over)
+        self._report(attempt, result, final or streaming or query.answered, message or attempt.completion)
         if result not in (AttemptResult.SERVED, AttemptResult.TIMED_OUT):
             name = event_bus.engine_name(attempt.engine)
             self.context.log("attempt_ended", query=query.request.id, engine=name, result=result.name.lower())
-        attempt.run_over = None
+        attempt.completion = None
         if attempt.stream is not None and result != AttemptResult.SERVED:
-            # No retry: the client may have seen some of the result.
+            # No retry: the client may have received part of the result.
             attempt.stream.close()
             abort = AbortStream(query.session, f"the result broke off: {result}")
             self.owner.answer(query, abort, QueryOutcome.ABORTED)
         self.owner.forget(query)
 
-    def _leave_connection(self, attempt: Attempt, cancel_run: bool) -> None:
+    def _detach_from_connection(self, attempt: Attempt, cancel_run: bool) -> None:
         connection = attempt.connection
         if connection is None:
             return
-        query = attempt.query.request.id
+        query_id = attempt.query.request.id
         if attempt.sent:
-            connection.attempts.pop(query, None)
+            connection.attempts.pop(query_id, None)
             if cancel_run:
-                self.context.emit(SendCommand(connection.number, words.GiveUp(query)))
+                self.context.emit(SendCommand(connection.number, words.GiveUp(query_id)))
         elif attempt in connection.waiting:
             connection.waiting.remove(attempt)
 
@@ -198,14 +198,14 @@
             report = message.report
         now = self.context.now
         elapsed = now - attempt.started_at
-        query = attempt.query.request.id
-        ended = AttemptEnded(query, attempt.number, result, final, elapsed, cost, report)
+        query_id = attempt.query.request.id
+        ended = AttemptEnded(query_id, attempt.number, result, final, elapsed, cost, report)
         self.scheduler.on_attempt_ended(now, ended)
 
-    # ---- what engines send ------------------------------------------------------------------------
+    # ---- messages of engines ----------------------------------------------------------------------
 
     def on_message(self, connection: EngineConnection, message: words.Said) -> None:
-        """A message of an engine on an attempt; on one that was given up it is ignored."""
+        """Handles an engine's message on an attempt; messages on attempts that have ended are ignored."""
         if message is None or isinstance(message, words.Probed):
             return
         attempt = connection.attempts.get(message.id)
@@ -214,15 +214,15 @@
         match message:
             case words.Whole():
                 self._on_result(attempt, message)
-            case words.Over(query):
-                attempt.run_over = message
+            case words.Over(query_id):
+                attempt.completion = message
                 if attempt.query.answered:
-                    self.context.emit(SendCommand(connection.number, words.Unwanted(query)))
+                    self.context.emit(SendCommand(connection.number, words.Unwanted(query_id)))
                     self.end(attempt, AttemptResult.SERVED)
             case words.Began(_, stream):
                 self._on_stream_started(attempt, stream)
-            case words.Noted(query, topic, value):
-                self.scheduler.on_progress(self.context.now, query, attempt.number, topic, value)
+            case words.Noted(query_id, topic, value):
+                self.scheduler.on_progress(self.context.now, query_id, attempt.number, topic, value)
             case words.Ended(_, result):
                 self.end(attempt, AttemptResult(result), message=message)
 
@@ -234,7 +234,7 @@
         self.owner.answer(query, SendResult(query.session, message.rows), QueryOutcome.SERVED)
 
     def _on_stream_started(self, attempt: Attempt, stream: words.Stream) -> None:
-        """The first of a stream has come: from here on there is no retry."""
+        """Starts passing a stream on to the client; from here on the query is not retried."""
         query = attempt.query
         attempt.stream = stream
         if query.answered:
@@ -245,7 +245,7 @@
         self.context.emit(StartStream(query.session, stream))
 
     def on_stream_timeout(self, query_id: QueryId, query_number: int) -> None:
-        """The deadline of a query whose client has not read all of its stream."""
+        """Aborts the stream of a query whose client has not read all of it by the deadline."""
         query = self.owner.find_query(query_id, query_number)
         if query is None or query.answered:
             return
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -1,7 +1,7 @@
-"""Queries that need the answer history's word before they run, from the question to its end.
+"""Claims: queries that the answer history must clear before they run, from the request to the query's end.
 
-The history (or, where it names another partner as the owner of the query's slot, the router that the query is
-forwarded to) decides; this module carries that out and notifies the history how the query ended.
+The history decides, or the router that the query is forwarded to where another partner owns the query's
+slot. This module carries the decision out and notifies the history how the query ended.
 """
 
 from typing import Protocol
@@ -26,24 +26,24 @@
 
 
 class QueryOwner(Protocol):
-    """Whoever holds the queries and gives their answers."""
+    """Holds the open queries and answers them."""
 
     def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
-        """The query with this id and number, if it is not over."""
+        """Returns the query with this id and number, or None if it has ended."""
 
     def answer(
         self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
     ) -> None:
-        """Gives a query its one answer."""
+        """Answers a query; each query is answered once."""
 
     def schedule(self, query: QueryState) -> None:
-        """Hands a query to the scheduler."""
+        """Passes a query to the scheduler."""
 
 
 class Claims:
     """The claims of all queries of a router.
 
-    `order_pause`: the next query of a key waits so long after one that may still run.
+    `order_pause`: how long the next query of a key waits after one that may still be running.
     """
 
     def __init__(self, context: ReducerContext, owner: QueryOwner, order_pause: Time) -> None:
@@ -52,7 +52,10 @@
         self.order_pause = order_pause
 
     def claim(self, query: QueryState, *, ordered: bool = False, once: bool = False) -> None:
-        """Asks the answer history whether a query may run."""
+        """Asks the answer history whether a query may run.
+
+        `ordered`: the query's group keeps the order of a key; `once`: the query has no idempotency key.
+        """
         query.claim = ClaimState.ASKED
         time_left = max(0, query.deadline - self.context.now)
         customer, key, token = history_key(query.request)
@@ -61,7 +64,7 @@
         )
 
     def on_decided(self, decided: ClaimDecided) -> None:
-        """The answer history, or the router that a query was forwarded to, has decided on it."""
+        """Handles the decision of the answer history, or of the router that the query was forwarded to."""
         query = self.owner.find_query(decided.query, decided.number)
         if query is None or query.answered:
             return
@@ -86,7 +89,7 @@
             case ClaimVerdict.FORWARD:
                 self._forward(query, decided.reason)
             case ClaimVerdict.REPLAY:
-                result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # it has rows
+                result = SendResult(query.session, decided.rows)  # type: ignore[arg-type]  # REPLAY has rows
                 self.owner.answer(query, result, QueryOutcome.SERVED, reason)
             case ClaimVerdict.FAIL:
                 failure = FailQuery(query.session, decided.reason)
@@ -95,13 +98,13 @@
                 self.owner.answer(query, RejectQuery(query.session, 0), QueryOutcome.REJECTED, reason)
 
     def _forward(self, query: QueryState, owner: str) -> None:
-        """Sends a query to a router of the partner that owns its slot."""
+        """Forwards a query to a router of the partner that owns its slot."""
         query.claim = ClaimState.FORWARDED
         time_left = max(0, query.deadline - self.context.now)
         self.context.emit(ForwardQuery(query.request.id, query.number, owner, query.request, time_left))
 
     def end(self, query: QueryState) -> None:
-        """Tells the answer history how a query that it was asked for ended."""
+        """Notifies the answer history how a claimed query ended."""
         if query.claim is ClaimState.NONE:
             return
         if query.claim is ClaimState.FORWARDED:
@@ -116,7 +119,7 @@
             outcome = ClaimOutcome.FAILED
         end = EndClaim(query.request.id, query.number, outcome, query.rows)
         if outcome is ClaimOutcome.FAILED and not results.isdisjoint(MAY_STILL_RUN):
-            # The next of its key must not overtake what may still run.
+            # The next query of the key must not overtake an attempt that may still be running.
             self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
         else:
             self.context.emit(end)
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -1,8 +1,8 @@
-"""The engines of the endpoint list, the connections to them, and the health checks on these.
+"""The engines of the endpoint list, the connections to them, and the health checks on these connections.
 
-Decides which connection can take one more attempt and which are of no more use. Does not judge an engine:
-that is the scheduler's. What becomes of an attempt whose connection ends is the reducer's, which is
-called back. Times are whole tenths of a millisecond.
+Chooses the connection for an attempt, and closes connections that are idle or silent. The scheduler judges
+engines; the reducer is called back for attempts whose connection ends. Times are integers in tenths of a
+millisecond.
 """
 
 from collections import deque
@@ -38,37 +38,37 @@
     is_open: bool = False
     last_received_at: Time = 0
     last_used_at: Time = 0
-    waiting: deque[Attempt] = field(default_factory=deque)  # attempts, until it is open
-    health_checks: dict[str, Time] = field(default_factory=dict)  # tags: when they began
-    attempts: dict[str, Attempt] = field(default_factory=dict)  # that were sent, by query
+    waiting: deque[Attempt] = field(default_factory=deque)  # attempts to send once it is open
+    health_checks: dict[str, Time] = field(default_factory=dict)  # start time by tag
+    attempts: dict[str, Attempt] = field(default_factory=dict)  # sent attempts by query id
 
     @property
     def in_use(self) -> bool:
-        """Whether anything is open on it or waits for it."""
+        """Whether any attempt or health check is open on it or waits for it."""
         return bool(self.attempts or self.waiting or self.health_checks)
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One engine, as the endpoint list describes it."""
+    """One engine of the endpoint list."""
 
     engine: EngineId
     host: str
     port: int
     ready: bool
-    started: Time = 0  # when its process started, on this router's clock
+    started: Time = 0  # start time of its process, on this router's clock
     connections: dict[int, EngineConnection] = field(default_factory=dict)
 
 
 class ConnectionCallbacks(NamedTuple):
-    """What a pool of connections tells of the attempts on them."""
+    """Calls by which the connection pool reports on attempts."""
 
-    on_open: Callable[[Attempt, EngineConnection], None]  # the connection is open for the attempt
-    on_attempt_ended: Callable[[Attempt, AttemptResult], None]  # with its connection
+    on_open: Callable[[Attempt, EngineConnection], None]  # the connection that the attempt waited for is open
+    on_attempt_ended: Callable[[Attempt, AttemptResult], None]  # its connection was lost or did not open
 
 
 class ConnectionPool:
-    """All connections of a router to its engines, at most `max_connections` of them."""
+    """All connections of a router to its engines, at most `max_connections`."""
 
     def __init__(
         self,
@@ -86,20 +86,20 @@
         self.connect_timeout: Time = settings.connections.connect_timeout
         self.keepalive: Time = settings.connections.keepalive
         self.progress_interval: Time = settings.connections.progress_interval
-        # Engines report progress as often as the settings say; the rest is the round trip.
+        # Engines report progress at this interval; the rest allows for the round trip.
         self.silence_limit: Time = self.progress_interval + 2 * self.connect_timeout
         self.subset = Subset(settings.router, settings.routers)
-        self.list_offset = 0  # offset of the last watch event that was taken in
+        self.list_offset = 0  # offset of the last watch event that was applied
         self.endpoints: dict[int, Endpoint] = {}
         self.connections: dict[int, EngineConnection] = {}
 
     # ---- connections ------------------------------------------------------------------------------
 
     def connection_for(self, endpoint: Endpoint, query: QueryState | None) -> EngineConnection | None:
-        """A connection that can take one more attempt: an open one, one that is being opened, or a new one.
+        """Returns a connection for one more attempt: an open one, one being opened, or a new one.
 
-        Never one on which an earlier attempt of the same query was sent, so that no answer is taken for
-        another's; never a silent one, since nothing would come of it. None if the pool is full.
+        Skips connections on which an earlier attempt of the same query was sent, so that answers are not
+        confused, and silent connections, which may be dead. Returns None if the pool is full.
         """
         opening = None
         for connection in endpoint.connections.values():
@@ -113,23 +113,25 @@
 
     @staticmethod
     def _was_used(connection: EngineConnection, query: QueryState | None) -> bool:
-        """Whether an attempt of this query was sent on the connection."""
+        """Whether an attempt of this query was assigned to the connection."""
         return query is not None and any(attempt.connection is connection for attempt in query.attempts)
 
     def is_silent(self, connection: EngineConnection) -> bool:
-        """Whether something is open on it and nothing has come for longer than progress and answers take."""
+        """Whether something is open on it and nothing was received within the silence limit."""
         now = self.context.now
         if now - connection.last_received_at <= self.silence_limit:
             return False
-        # A stream is silent while its client does not read: its own deadline bounds it.
+        # A stream may be silent while its client does not read; the query's deadline bounds it.
         attempts = connection.attempts.values() if self.progress_interval else ()
         started = [attempt.started_at for attempt in attempts if attempt.stream is None]
         open_since = min([*connection.health_checks.values(), *started], default=None)
         return open_since is not None and now - open_since > self.silence_limit
 
     def _check_silence(self, number: int) -> None:
-        """Closes a connection that stays open and says nothing any more: its machine may have vanished, or an
-        answer stopped short, and it is of no use to any attempt on it."""
+        """Closes a silent connection, or schedules the next check.
+
+        The engine's machine may have failed, or an answer may have been cut short.
+        """
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -140,8 +142,8 @@
             self.context.call_at(self.context.now + self.silence_limit // 4, self._check_silence, number)
 
     def _open(self, endpoint: Endpoint) -> EngineConnection | None:
-        """Opens a connection; None if the pool is full and every connection in use."""
-        if len(self.connections) >= self.max_connections and not self._close_idlest():
+        """Opens a connection; returns None if the pool is full and every connection is in use."""
+        if len(self.connections) >= self.max_connections and not self._close_longest_idle():
             name = event_bus.engine_name(endpoint.engine)
             self.context.log("connections_exhausted", engine=name, connections=len(self.connections))
             return None
@@ -154,9 +156,11 @@
         self.context.call_at(now + self.connect_timeout, self._on_connect_timeout, number)
         return connection
 
-    def _close_idlest(self) -> bool:
-        """Closes the connection that was idle longest, for a fleet with more engines than connections; False
-        if every connection is in use."""
+    def _close_longest_idle(self) -> bool:
+        """Closes the longest idle connection, to make room in a fleet with more engines than connections.
+
+        Returns False if every connection is in use.
+        """
         idle = (connection for connection in self.connections.values() if not connection.in_use)
         connection = min(idle, key=lambda connection: connection.last_used_at, default=None)
         if connection is None:
@@ -165,7 +169,7 @@
         return True
 
     def on_connected(self, number: int) -> None:
-        """A connection is open: what waits for it is sent."""
+        """Handles an opened connection: sends the health checks and attempts that wait for it."""
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -181,7 +185,7 @@
             self.context.call_at(now + self.keepalive // 2, self._close_if_idle, connection)
 
     def _close_if_idle(self, connection: EngineConnection) -> None:
-        """Closes an idle connection before the engine does, so that no request crosses a close."""
+        """Closes an idle connection before the engine does, so that no request is sent on a closing one."""
         if connection.number not in self.connections:
             return
         now = self.context.now
@@ -192,19 +196,22 @@
             self.context.call_at(next_check, self._close_if_idle, connection)
 
     def _close(self, connection: EngineConnection) -> None:
-        """Closes a connection on which nothing is open."""
+        """Closes a connection that has no open attempts."""
         self._forget(connection)
         self.context.emit(CloseConnection(connection.number))
 
     def _on_connect_timeout(self, number: int) -> None:
-        """A connection that is not open in time is given up."""
+        """Closes a connection that did not open in time."""
         connection = self.connections.get(number)
         if connection is not None and not connection.is_open:
             self.context.emit(CloseConnection(number))
             self.on_not_connected(number, ConnectFault.UNREACHED)
 
     def on_not_connected(self, number: int, fault: ConnectFault) -> None:
-        """A connection could not be opened; an engine is not blamed for what this machine lacks."""
+        """Handles a connection that could not be opened.
+
+        `fault` distinguishes a lack of local resources, which says nothing about the engine.
+        """
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -218,7 +225,7 @@
             self.on_attempt_ended(connection.waiting.popleft(), result)
 
     def on_lost(self, number: int, reason: str, never_sent: Container[str] = ()) -> None:
-        """A connection has ended; `never_sent` holds queries and health checks that no byte has left for."""
+        """Handles a lost connection; of the queries and health checks in `never_sent`, no byte was sent."""
         connection = self.connections.get(number)
         if connection is None:
             return
@@ -240,7 +247,7 @@
     # ---- health checks ----------------------------------------------------------------------------
 
     def start_health_check(self, engine: EngineId) -> None:
-        """Asks an engine for its load."""
+        """Sends a health check, which asks an engine for its load."""
         now = self.context.now
         connection = self.connection_for(self.endpoints[engine], None)
         if connection is None:
@@ -254,7 +261,7 @@
             self.context.emit(SendCommand(connection.number, words.Probe(tag)))
 
     def on_health_check_answer(self, connection: EngineConnection, answer: words.Probed) -> None:
-        """An engine has answered; what comes after the time limit was reported as timed out."""
+        """Reports the answer to a health check; one that comes late was already reported as timed out."""
         started_at = connection.health_checks.pop(answer.tag, None)
         if started_at is None:
             return
@@ -265,16 +272,16 @@
             self.scheduler.on_health_check(now, connection.engine, result, answer.report)
 
     def _on_health_check_timeout(self, connection: EngineConnection, tag: str) -> None:
-        """No answer in time. The tag stays known: a silent connection is recognised by it."""
+        """Reports a health check without a timely answer; its tag is kept, to detect a silent connection."""
         if tag in connection.health_checks and connection.number in self.connections:
             self.scheduler.on_health_check(self.context.now, connection.engine, AttemptResult.TIMED_OUT, None)
 
     # ---- the endpoint list ------------------------------------------------------------------------
 
     def on_endpoints_changed(self, update: event_bus.WatchEvent) -> None:
-        """Takes in the endpoint list, or a change of it.
+        """Applies the endpoint list or a change of it.
 
-        An event bus may write an event again: one that is not newer than the last is ignored.
+        The event bus may repeat an event: events that are not newer than the last one are ignored.
         """
         if update.kind == event_bus.WatchEventKind.KEEPALIVE or update.offset <= self.list_offset:
             return
@@ -303,7 +310,7 @@
             )
             return
         endpoint.ready = ready
-        # An engine that has restarted knows nothing of the connections to the process before.
+        # Connections to the previous process of a restarted engine are useless.
         restarted = listing.started > endpoint.started
         if restarted or (endpoint.host, endpoint.port) != (entry.host, entry.port):
             endpoint.host = entry.host
@@ -312,7 +319,7 @@
             self._replace_connections(endpoint)
 
     def _replace_connections(self, endpoint: Endpoint) -> None:
-        """The engine is another process now: what waits for a connection to the old one was never sent."""
+        """Drops the connections to an engine's old process or address; attempts that wait were never sent."""
         for connection in list(endpoint.connections.values()):
             if not connection.is_open:
                 waiting = list(connection.waiting)
@@ -321,11 +328,11 @@
                     self.on_attempt_ended(attempt, AttemptResult.NOT_SENT)
             if not connection.attempts:
                 self._close(connection)
-            else:  # its attempts may still be answered; it takes no new one
+            else:  # open attempts may still be answered; no new ones are assigned to it
                 endpoint.connections.pop(connection.number)
 
     def _forget_endpoints(self) -> None:
-        """Drops engines that the scheduler has forgotten: they are gone, with nothing open."""
+        """Removes engines that the scheduler has removed: they are gone and have no open attempts."""
         if len(self.endpoints) == len(self.scheduler.engines):
             return
         for engine, endpoint in list(self.endpoints.items()):
@@ -334,16 +341,16 @@
                     self._close(connection)
                 del self.endpoints[engine]
 
-    # ---- for the log ------------------------------------------------------------------------------
+    # ---- logging ----------------------------------------------------------------------------------
 
     def is_active(self, engine: EngineId, since: Time) -> bool:
-        """Whether an engine has an open attempt, has reported its load since then, or is ejected."""
+        """Whether an engine has an open attempt, has reported its load since `since`, or is ejected."""
         state = self.scheduler.engines[engine]
         ejected = state.ejected_until > self.context.now
         return bool(state.open_attempts) or state.reported_at >= since or ejected
 
     def describe(self, endpoint: Endpoint) -> dict[str, object]:
-        """What is believed of an engine, and what is open on the connections to it, as the log names it."""
+        """Returns the log fields of an engine: its state as this router knows it, and its connections."""
         state = self.scheduler.engines[endpoint.engine]
         now = self.context.now
         connections = endpoint.connections.values()
@@ -362,5 +369,5 @@
 
 
 def lost_result(never_sent: bool) -> AttemptResult:
-    """How what was open on a lost connection ended."""
+    """Returns the result of an attempt or health check on a lost connection."""
     return AttemptResult.NOT_SENT if never_sent else AttemptResult.CONNECTION_LOST
--- a/hillchute/router/effect_executor.py
+++ b/hillchute/router/effect_executor.py
@@ -1,6 +1,6 @@
-"""Events in, effects out: gives events to the reducer one by one and carries out what follows from each.
+"""Passes events to the reducer one by one and carries out the resulting effects.
 
-Decides nothing and keeps no state of queries. Protocols are known by the frontends and engine links alone.
+Makes no decisions and keeps no query state. Only the frontends and engine links know protocols.
 """
 
 from collections import deque
@@ -50,14 +50,14 @@
 class EffectExecutor:
     """Carries out the effects of the reducer, in order.
 
-    An event that comes while an earlier one is carried out waits until all effects of that one are out. A
-    fault in one effect is logged and keeps none of the others from being carried out.
+    An event that arrives while another is being handled is queued until all effects of that one are carried
+    out. An exception in one effect is logged and does not prevent the others from being carried out.
     """
 
     reducer: Reducer
     door: Door
-    flight: FlightFrontend | None  # None: no client speaks Flight SQL
-    extension: RouterExtension | None  # None: no other router is known
+    flight: FlightFrontend | None  # None if the Flight SQL frontend is not enabled
+    extension: RouterExtension | None  # None if no peers are configured
     links: EngineLinks
     alarm: Alarm
     trace: EventTrace
@@ -65,22 +65,22 @@
     log: Log
     clock: Clock
     tasks: anyio.abc.TaskGroup = field(init=False)
-    """Where streams and connections to engines run; to be set before the first event."""
+    """The task group of streams and connections to engines; must be set before the first event."""
     busy: bool = field(init=False, default=False)
-    """Events wait: one is being carried out, or they are held."""
+    """Whether new events only queue, because one is being handled or events are held."""
     queue: deque[Event] = field(init=False, default_factory=deque)
 
     # ---- events -----------------------------------------------------------------------------------
 
     def handle(self, event: Event) -> None:
-        """Takes in an event, and carries out what follows unless events wait."""
+        """Queues an event; handles it at once unless another is being handled or events are held."""
         self.queue.append(event)
         if not self.busy:
             self._handle_queued()
 
     @contextmanager
     def events_held(self) -> Iterator[None]:
-        """Within this context events only queue; they are handled at its end, if none was held before."""
+        """Queues events within this context; the end of the outermost such context handles them."""
         was_busy = self.busy
         self.busy = True
         try:
@@ -99,7 +99,7 @@
             self.busy = False
 
     def _handle_one(self, event: Event) -> None:
-        """Reduces one event. Its commands to an engine go out together, after all other effects."""
+        """Reduces one event. Commands for an engine connection are sent together, after all other effects."""
         now = self.clock()
         self.trace.record(now, describe(event))
         commands: dict[int, list[words.Command]] = {}
@@ -109,20 +109,20 @@
                 continue
             try:
                 self.carry_out(effect)
-            except Exception as error:  # noqa: BLE001 - a fault in one effect ends that one alone
+            except Exception as error:  # noqa: BLE001 - an exception in one effect must not affect others
                 self.faults.write("carry_out", error)
         for connection, batch in commands.items():
             try:
                 self.links.send(connection, batch)
-            except Exception as error:  # noqa: BLE001 - a fault in one effect ends that one alone
+            except Exception as error:  # noqa: BLE001 - an exception in one effect must not affect others
                 self.faults.write("send", error)
 
     # ---- effects ----------------------------------------------------------------------------------
 
     def carry_out(self, effect: Effect) -> None:
-        """Carries out any effect but SendCommand. Raises whatever fault the part that it is for has."""
+        """Carries out any effect but SendCommand. Raises whatever the component that it calls raises."""
         match effect:
-            case SetAlarm(due_at):  # the frequent ones come first
+            case SetAlarm(due_at):  # the most frequent effects are matched first
                 self.alarm.set(due_at)
             case SendResult(session, rows):
                 self.frontend_of(session).finish(session, rows)
@@ -140,10 +140,10 @@
                 self._carry_out_in_extension(effect)
 
     def frontend_of(self, session: int) -> Frontend:
-        """Who answers the client of a session.
+        """Returns the frontend that answers the client of a session.
 
-        MySQL's session numbers are the lowest; above them are calls of the Flight SQL frontend, and highest
-        are queries that other routers forwarded.
+        MySQL sessions have the lowest numbers; calls of the Flight SQL frontend start at FIRST_CALL, and
+        queries forwarded by other routers at FIRST_GUEST.
         """
         if session < FIRST_CALL:
             return self.door
@@ -153,7 +153,7 @@
 
     def _forwarding_frontend(self) -> ForwardingFrontend:
         if self.extension is None or self.extension.forwarded_queries is None:
-            raise LookupError("no query is forwarded to this router")
+            raise LookupError("this router accepts no forwarded queries")
         return self.extension.forwarded_queries
 
     def _answer_without_result(self, effect: AbortStream | RejectQuery | FailQuery) -> None:
@@ -168,7 +168,7 @@
 
     def _carry_out_in_extension(self, effect: ExtensionEffect) -> None:
         if self.extension is None:
-            raise LookupError(f"no extension is there for {type(effect).__name__}")
+            raise LookupError(f"no router extension is enabled to carry out {type(effect).__name__}")
         self.extension.carry_out(effect)
 
     def _write_log(self, event: str, fields: dict[str, object]) -> None:
@@ -184,12 +184,12 @@
         elif session >= FIRST_GUEST:
             self._forwarding_frontend().begin(session, stream)
         elif self.flight is None:
-            raise LookupError("no client speaks Flight SQL")
+            raise LookupError("the Flight SQL frontend is not enabled")
         else:
             self.flight.begin(session, stream)
 
     async def _deliver_stream(self, session: int, stream: words.Stream) -> None:
-        """Passes a stream on to a MySQL client. A fault in one stream ends that one alone."""
+        """Passes a stream on to a MySQL client. An exception ends only this stream."""
         try:
             await self.door.pass_on(session, stream)
         except BaseException as error:
--- a/hillchute/router/effects.py
+++ b/hillchute/router/effects.py
@@ -1,7 +1,7 @@
-"""What the reducer asks for, as plain values that name no protocol.
+"""Effects: what the reducer asks for, as plain values that are independent of protocols.
 
-Times are whole tenths of a millisecond. A query is named by its id and by the number that the reducer gave
-it, since a client may use the id of a query that is over for its next one.
+Times are integers in tenths of a millisecond. A query is identified by its id and the number that the reducer
+gave it, since a client may reuse the id of a query that has ended.
 """
 
 from enum import StrEnum
@@ -15,35 +15,35 @@
 
 
 class SendResult(NamedTuple):
-    """The complete result goes to the client."""
+    """Send the complete result to the client."""
 
     session: int
     rows: words.Rows
 
 
 class StartStream(NamedTuple):
-    """The result begins; it is passed on as fast as the client reads, and its end comes back as an event."""
+    """Start passing a streamed result on, as fast as the client reads; its end is reported as an event."""
 
     session: int
     stream: words.Stream
 
 
 class AbortStream(NamedTuple):
-    """A stream that was begun stops before its end, in a way that the client can tell."""
+    """Stop a started stream before its end, so that the client can tell that it is incomplete."""
 
     session: int
     reason: str
 
 
 class RejectQuery(NamedTuple):
-    """The client is notified that nothing ran and that trying again is harmless."""
+    """Tell the client that the query did not run and that a retry is harmless."""
 
     session: int
-    retry_after: Time  # 0: no wait is named
+    retry_after: Time  # 0: no wait is stated
 
 
 class FailQuery(NamedTuple):
-    """The client is notified that the query failed; it may have run."""
+    """Tell the client that the query failed; it may have run."""
 
     session: int
     reason: str
@@ -53,14 +53,14 @@
 
 
 class SendCommand(NamedTuple):
-    """A command goes to the engine at the end of a connection."""
+    """Send a command to the engine on a connection."""
 
     connection: int
     command: words.Command
 
 
 class OpenConnection(NamedTuple):
-    """A connection to an engine is opened."""
+    """Open a connection to an engine."""
 
     connection: int
     host: str
@@ -68,7 +68,7 @@
 
 
 class CloseConnection(NamedTuple):
-    """A connection is closed."""
+    """Close a connection to an engine."""
 
     connection: int
 
@@ -77,7 +77,7 @@
 
 
 class ClaimQuery(NamedTuple):
-    """The answer history is asked whether a query may run; a ClaimDecided comes within `time_left`."""
+    """Ask the answer history whether a query may run; a ClaimDecided follows within `time_left`."""
 
     query: QueryId
     number: int
@@ -86,19 +86,19 @@
     token: str
     time_left: Time
     ordered: bool
-    once: bool = False  # it has no idempotency key: it is listed only while it runs
+    once: bool = False  # no idempotency key: the history lists the query only while it runs
 
 
 class ClaimOutcome(StrEnum):
-    """How a query ended for the answer history."""
+    """How a claimed query ended, as the answer history records it."""
 
-    NOT_RUN = "not_run"  # nothing of it can have run
+    NOT_RUN = "not_run"  # it can't have run
     SERVED = "served"
     FAILED = "failed"  # it may have run
 
 
 class EndClaim(NamedTuple):
-    """A claimed query is over."""
+    """Notify the answer history that a claimed query has ended."""
 
     query: QueryId
     number: int
@@ -107,7 +107,7 @@
 
 
 class ForwardQuery(NamedTuple):
-    """A query goes to a router of another partner; a ClaimDecided comes within `time_left`."""
+    """Forward a query to a router of another partner; a ClaimDecided follows within `time_left`."""
 
     query: QueryId
     number: int
@@ -117,7 +117,7 @@
 
 
 class CancelForward(NamedTuple):
-    """Nobody waits any more for a query that was forwarded."""
+    """Cancel a forwarded query whose client no longer waits."""
 
     query: QueryId
     number: int
@@ -127,13 +127,13 @@
 
 
 class SetAlarm(NamedTuple):
-    """An AlarmDue is wanted at this time, in place of the time that was named before."""
+    """Raise an AlarmDue at this time; replaces the previous alarm."""
 
     at: Time
 
 
 class WriteLog(NamedTuple):
-    """A line of the log."""
+    """Write a line to the log."""
 
     event: str
     fields: dict[str, object]
--- a/hillchute/router/endpoint_updates.py
+++ b/hillchute/router/endpoint_updates.py
@@ -1,7 +1,7 @@
-"""Watch events of the endpoint list, made fit for the reducer.
+"""Converts watch events of the endpoint list into events for the reducer.
 
-Translates engines' start times to the router's clock, and withdraws engines that the settings can't describe.
-Keeps no endpoint list: that is the connection pool's.
+Translates the start times of engines to the router's clock, and marks engines of a kind that the settings do
+not name as draining. The connection pool keeps the endpoint list.
 """
 
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 
 
 class EndpointUpdates:
-    """Turns watch events into events for the reducer, given to `handle`.
+    """Converts watch events and passes the resulting events to `handle`.
 
-    `machine_kinds`: an engine's kind is a number below this.
+    `machine_kinds`: the number of machine kinds that the settings name; valid kinds are below it.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.handle = handle
 
     def on_watch_event(self, update: event_bus.WatchEvent) -> None:
-        """Takes in the endpoint list, or a change of it."""
+        """Handles the endpoint list or a change of it."""
         endpoints = tuple(self._translate(endpoint) for endpoint in update.endpoints)
         self.handle(EndpointsChanged(update._replace(endpoints=endpoints)))
 
@@ -39,11 +39,11 @@
         return endpoint._replace(listing=self._usable(listing._replace(started=started)))
 
     def _usable(self, listing: Listing) -> Listing:
-        """An engine of a kind that the settings do not name gets no query: it counts as draining."""
+        """Marks an engine of a kind that the settings do not name as draining, so that it gets no queries."""
         if listing.kind < self.machine_kinds:
             return listing
         name = event_bus.engine_name(listing.engine)
-        error = UnknownEngineKindError(f"kind {listing.kind} of {self.machine_kinds}", name)
+        error = UnknownEngineKindError(f"kind {listing.kind}, settings.kinds has {self.machine_kinds}", name)
         self.log.write("endpoint_unusable", **error.log_fields)
         gone = listing.state == EndpointState.GONE
         return listing._replace(kind=0, state=EndpointState.GONE if gone else EndpointState.DRAINING)
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -1,8 +1,8 @@
-"""The event loop: rounds over all sockets that are ready, the alarm, and the sweep of slow sessions.
+"""The event loop: rounds over all ready sockets, the alarm, and the sweep of slow sessions.
 
-A round is plain code without a wait in it, so that it can be driven under a clock and sockets that are not
-real; its order and bounds are those of round_schedule.py. Decides nothing and keeps no state of queries.
-Times are whole tenths of a millisecond where nothing else is said.
+A round is synchronous code that never waits, so that tests can run it with simulated clocks and sockets. Its
+order and bounds are defined in round_schedule.py. Makes no decisions and keeps no query state. Times are
+integers in tenths of a millisecond unless stated otherwise.
 """
 
 from collections.abc import Callable
@@ -26,30 +26,30 @@
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.round_schedule import ENGINE_READ_BUDGET, QUERY_BUDGET, RoundSchedule
 
-SWEEP_INTERVAL = 0.1  # seconds between two looks for sessions too long in one step, whose limit is 2 s
-CLIENTS_PER_ALARM_CHECK = 32  # clients read between two looks at the alarm: about 2 ms
-PAUSE_THRESHOLD: Time = 500  # 50 ms without a poll: clients are then read before the alarm is acted on
-LOGGED_ALARM_LAG: Time = 500  # 50 ms: an alarm that is acted on later than that is logged
+SWEEP_INTERVAL = 0.1  # seconds between two checks for sessions that exceed the limit of 2 s for one step
+CLIENTS_PER_ALARM_CHECK = 32  # clients read between two checks of the alarm: about 2 ms
+PAUSE_THRESHOLD: Time = 500  # 50 ms without a poll: clients are then read before the alarm is handled
+LOGGED_ALARM_LAG: Time = 500  # 50 ms: alarms handled later than this are logged
 
 
 class ReadySockets(NamedTuple):
-    """What one poll has found, by owner, in the kernel's order."""
+    """The ready sockets of one poll, by owner, in the kernel's order."""
 
     clients: dict[Client, ReadySocket]
     links: dict[Link, ReadySocket]
-    listener: bool  # the kernel holds new connections
+    listener: bool  # new connections are in the backlog
 
 
 @dataclass(eq=False, kw_only=True)
 class EventLoop:
-    """Makes rounds: round() makes one, run() one after another.
+    """Runs rounds: round() runs one, run() one after another.
 
-    A fault in one session or connection is logged and ends that one alone.
+    An exception in one session or connection is logged and ends only that session or connection.
     """
 
     poller: Poller
     door: Door
-    line_links: Links | None  # None: engines speak another protocol, on sockets that the poller does not have
+    line_links: Links | None  # None if engines speak another protocol, whose sockets are not in the poller
     rounds: RoundSchedule
     loop_lag: LoopLag
     alarm: Alarm
@@ -58,7 +58,7 @@
     log: Log
     clock: Clock
     handle: Callable[[Event], None]  # Service.handle
-    polled_at: Time = field(init=False)  # when the poller was last asked
+    polled_at: Time = field(init=False)  # time of the last poll
 
     def __post_init__(self) -> None:
         self.polled_at = self.clock()
@@ -66,7 +66,7 @@
     # ---- tasks ------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Rounds without end. Between two of them signals, timers and the event bus have their turn."""
+        """Runs rounds forever; signals, timers and the event bus are served between two rounds."""
         while True:
             if self.rounds.idle:
                 await self.poller.wait_until_ready()
@@ -75,15 +75,15 @@
             self.round()
 
     async def run_alarm(self) -> None:
-        """Acts on the alarm where no socket is ready, without end."""
+        """Handles the alarm also while no socket is ready, forever."""
         while True:
             await self.alarm.wait()
             if self.alarm.due_at is not None and self.clock() >= self.alarm.due_at:
-                self.round()  # not the alarm alone: clients that have left are noticed first
+                self.round()  # a whole round, so that disconnected clients are dropped first
             self.log.flush()
 
     async def run_sweep(self) -> None:
-        """Ends sessions that are too long in one step of their protocol, without end."""
+        """Ends sessions that exceed the time limit of one protocol step, forever."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL)
             self.door.sweep()
@@ -91,13 +91,13 @@
     # ---- rounds -----------------------------------------------------------------------------------
 
     def round(self) -> None:
-        """One turn through all that is ready, in the order and within the bounds of round_schedule.py."""
+        """Serves all ready sockets once, in the order and within the bounds of round_schedule.py."""
         self.rounds.begin()
         began = self.clock()
         paused = began - self.polled_at > PAUSE_THRESHOLD
         clients, links, listener_ready = self._poll()
-        self._drop_departed(clients)
-        if paused:  # who gave up meanwhile is noticed before timers start anything
+        self._drop_disconnected(clients)
+        if paused:  # clients that left during the pause are dropped before timers start work for them
             self._read_clients(clients)
             clients = {}
             if listener_ready:
@@ -106,12 +106,12 @@
         self.check_alarm(began)
         self._read_engines(links, began)
         self._read_clients(clients)
-        self.rounds.sockets_read(began, listener_ready or self.door.paused)
+        self.rounds.record_sockets_read(began, listener_ready or self.door.paused)
         self._take_queries()
         if listener_ready:
             before = self.clock()
             backlog_empty = self.door.accept(self.rounds.accept_limit)
-            self.rounds.connections_accepted(before, backlog_empty=backlog_empty)
+            self.rounds.record_connections_accepted(before, backlog_empty=backlog_empty)
         ended = self.clock()
         if ended - began > ENGINE_READ_BUDGET + QUERY_BUDGET:
             self.loop_lag.record_lag(ended, ended - began)
@@ -131,23 +131,25 @@
                 listener = True
         return ReadySockets(clients, links, listener)
 
-    def notice_departures(self) -> None:
-        """Drops clients that have closed their connections; all else waits for its turn in the round."""
-        self._drop_departed(self._poll().clients)
+    def drop_disconnected_clients(self) -> None:
+        """Drops clients that have closed their connections; other input is left for the next round."""
+        self._drop_disconnected(self._poll().clients)
 
-    def _drop_departed(self, clients: dict[Client, ReadySocket]) -> None:
-        """All that have left are dropped before anything follows from it: the place of one must not go to a
-        query of another."""
-        departed = [client for client, ready in clients.items() if ready.ended]
-        if not departed:
+    def _drop_disconnected(self, clients: dict[Client, ReadySocket]) -> None:
+        """Drops all disconnected clients before handling the resulting events.
+
+        Otherwise the capacity that one frees could go to a query of another disconnected client.
+        """
+        disconnected = [client for client, ready in clients.items() if ready.ended]
+        if not disconnected:
             return
         with self.executor.events_held():
-            for client in departed:
+            for client in disconnected:
                 if client.pipe.closed:
                     continue
                 try:
                     self.door.ended(client)
-                except Exception as error:  # noqa: BLE001 - a fault in one session ends that one alone
+                except Exception as error:  # noqa: BLE001 - an exception ends only this session
                     self._end_faulty_session(client, error)
 
     def _read_clients(self, clients: dict[Client, ReadySocket]) -> None:
@@ -158,7 +160,7 @@
                 continue
             try:
                 self.door.ready(client, ready.readable, ready.writable, ready.ended)
-            except Exception as error:  # noqa: BLE001 - a fault in one session ends that one alone
+            except Exception as error:  # noqa: BLE001 - an exception ends only this session
                 self._end_faulty_session(client, error)
 
     def _end_faulty_session(self, client: Client, error: Exception) -> None:
@@ -166,7 +168,7 @@
         self.door.drop(client)
 
     def _read_engines(self, links: dict[Link, ReadySocket], began: Time) -> None:
-        """Reads engines, the least recently served first, until the budget since `began` is used up."""
+        """Reads engine connections, least recently served first, until the budget since `began` is spent."""
         if self.line_links is None:
             return
         for count, link in enumerate(self.rounds.least_recently_served(links)):
@@ -177,12 +179,12 @@
             ready = links[link]
             try:
                 self.line_links.ready(link, ready.readable, ready.writable)
-            except Exception as error:  # noqa: BLE001 - a fault in one connection ends that one alone
+            except Exception as error:  # noqa: BLE001 - an exception ends only this connection
                 self.faults.write(type(link).__name__, error)
-                self.line_links.lost(link, "a fault of ours")
+                self.line_links.lost(link, "internal error")
 
     def _take_queries(self) -> None:
-        """Takes the queries whose turn it is, one at least, until the budget is used up."""
+        """Takes due queries, at least one if there are any, until the time budget is spent."""
         began = self.clock()
         for count, query in enumerate(self.rounds.take_queries(began)):
             now = self.clock()
@@ -192,7 +194,7 @@
                 break
 
     def check_alarm(self, now: Time) -> None:
-        """Acts on the alarm if it is due."""
+        """Handles the alarm if it is due."""
         due_at = self.alarm.due_at
         if due_at is None or now < due_at:
             return
--- a/hillchute/router/event_trace.py
+++ b/hillchute/router/event_trace.py
@@ -1,6 +1,6 @@
-"""The last events with their times: what happened just before something went wrong.
+"""A ring buffer of the most recent events and their times, for diagnosing faults.
 
-A ring buffer of fixed length. Nothing is formatted or written while things go well: an event costs one tuple.
+Recording an event costs one tuple; events are formatted only when the trace is written.
 """
 
 from collections import deque
@@ -9,12 +9,12 @@
 
 from hillchute.decision.interface import MILLISECOND, Time
 
-CAPACITY = 2_000  # events: about a second of a busy router, 300 kB
-EVENTS_PER_BATCH = 100  # in one line of the log, so that the whole trace stays within its lines a second
+CAPACITY = 2_000  # events: about one second of a busy router, 300 kB
+EVENTS_PER_BATCH = 100  # per log line, so that the whole trace stays within the limit of lines a second
 
 
 class TracedEvent(NamedTuple):
-    """When something happened, in whole tenths of a millisecond; its name and what identifies its subject."""
+    """An event's time in tenths of a millisecond, its name and the identifiers of its subject."""
 
     time: Time
     details: tuple[object, ...]
@@ -27,13 +27,13 @@
         self.events: deque[TracedEvent] = deque(maxlen=capacity)
 
     def record(self, time: Time, details: tuple[object, ...]) -> None:
-        """Adds an event; the oldest one gives way."""
+        """Adds an event; the oldest one is dropped if the buffer is full."""
         self.events.append(TracedEvent(time, details))
 
     def batches(self, last: int = CAPACITY) -> Iterator[list[list[object]]]:
-        """The `last` events, oldest first, a line of the log at a time.
+        """Yields the `last` events, oldest first, in batches for one log line each.
 
-        Their times are milliseconds relative to the newest event.
+        Times are in milliseconds relative to the newest event.
         """
         events = list(self.events)[-last:]
         if not events:
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -1,6 +1,6 @@
-"""What can happen to a router, as plain values that name no protocol.
+"""The events that a router handles, as plain values that are independent of protocols.
 
-Events of clients and of connections to engines are defined by the packages that raise them. Times are whole
+Events of clients and of engine connections are defined in the packages that raise them. Times are integers in
 tenths of a millisecond.
 """
 
@@ -15,31 +15,31 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The endpoint list, or a change of it, has come."""
+    """The endpoint list, or a change of it, was received."""
 
     update: event_bus.WatchEvent
 
 
 class PeersChanged(NamedTuple):
-    """Other routers passed on load reports, with their ages, or what they lend or who lives has changed."""
+    """Load reports came from other routers, each with its age, or the live routers or their loans changed."""
 
     reports: list[tuple[EngineId, Report, Time]]
 
 
 class ClaimVerdict(StrEnum):
-    """What becomes of a query that the answer history was asked about; the values are the trace's words."""
+    """Decision on a claimed query; the values are written to the trace."""
 
     RUN = "RUN"
-    REPLAY = "REPLAY"  # it has run: its client gets the rows
+    REPLAY = "REPLAY"  # it has already run: its client gets the recorded rows
     REJECT = "REJECT"
     FAIL = "FAIL"
-    FORWARD = "FORWARD"  # its slot has another owner
+    FORWARD = "FORWARD"  # another partner owns its slot
 
 
 class ClaimDecided(NamedTuple):
-    """The answer history's verdict on a query; `reason` names the owner where it is to be forwarded.
+    """The answer history's decision on a claimed query; for FORWARD, `reason` names the owner.
 
-    Of a query that was forwarded: how it ended, as REPLAY, REJECT or FAIL.
+    For a forwarded query, the verdict is its outcome: REPLAY, REJECT or FAIL.
     """
 
     query: QueryId
@@ -50,11 +50,11 @@
 
 
 class AlarmDue(NamedTuple):
-    """The time of the last SetAlarm has come."""
+    """The time of the last SetAlarm has been reached."""
 
 
 class ShutdownStarted(NamedTuple):
-    """The router ends: every query must be answered by then."""
+    """The router shuts down; every query must be answered by `answer_by`."""
 
     answer_by: Time
 
@@ -78,7 +78,7 @@
 
 
 def describe(event: Event) -> tuple[object, ...]:
-    """An event as the trace keeps it: its name, and what identifies its subject."""
+    """Returns the trace entry of an event: its name and the identifiers of its subject."""
     match event:
         case Asked(session, request, since):
             return "Asked", request.id, session, since
--- a/hillchute/router/graceful_shutdown.py
+++ b/hillchute/router/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """The graceful shutdown: carries out the steps that shutdown.py schedules.
 
-Runs between rounds of the event loop, until all clients have their answers and their connections are closed.
+Runs between rounds of the event loop until all clients are answered and their connections are closed.
 """
 
 import signal
@@ -24,9 +24,9 @@
 
 @dataclass(eq=False, kw_only=True)
 class GracefulShutdown:
-    """One shutdown: begin(), then advance() again and again until it returns EXIT."""
+    """One shutdown: call begin(), then advance() repeatedly until it returns EXIT."""
 
-    longest_timeout: Time  # of a client, as far as the shutdown waits for it
+    longest_timeout: Time  # of a client; the shutdown waits no longer than this
     event_loop: EventLoop
     executor: EffectExecutor
     reducer: Reducer
@@ -38,12 +38,12 @@
     log: Log
     clock: Clock
     handle: Callable[[Event], None]  # Service.handle
-    schedule: ShutdownSchedule | None = field(init=False, default=None)  # None: not begun
+    schedule: ShutdownSchedule | None = field(init=False, default=None)  # None before begin()
 
     def begin(self) -> None:
-        """Sets the schedule, counted from the arrival of SIGTERM, and notifies reducer and other routers."""
+        """Sets the schedule, counted from the arrival of SIGTERM; notifies the reducer and other routers."""
         signalled_at = self.signals.arrivals.get(signal.SIGTERM, self.clock())
-        schedule = ShutdownSchedule(signalled_at, self.longest_timeout, self.reducer.loop_lag.worst)
+        schedule = ShutdownSchedule(signalled_at, self.longest_timeout, self.reducer.loop_lag.peak_lag)
         self.schedule = schedule
         signalled_ms_ago = (self.clock() - signalled_at) / MILLISECOND
         exit_in_ms = (schedule.exit_by - self.clock()) / MILLISECOND
@@ -53,16 +53,16 @@
             self.extension.begin_shutdown()
 
     def advance(self) -> ShutdownStep:
-        """Makes a round and takes the step that is due after it. Only a round shows what the kernel holds.
+        """Runs a round and takes the step that is due after it; the round reads what the kernel has buffered.
 
         Raises RuntimeError before begin().
         """
         if self.schedule is None:
-            raise RuntimeError("the shutdown has not begun")
+            raise RuntimeError("advance() called before begin()")
         self.event_loop.round()
         activity = self._client_activity()
         if self.schedule.sessions_closed_at is None and self.schedule.may_close_sessions(activity):
-            # What the kernel holds at this moment is taken in and, if need be, waited for.
+            # Connections in the backlog are accepted and read; if they have queries, closing is put off.
             self.door.accept(LISTEN_BACKLOG)
             self.event_loop.round()
             activity = self._client_activity()
@@ -71,16 +71,16 @@
             self._reject_unhandled()
             self.door.close()
         if step is ShutdownStep.CLOSE_SESSIONS:
-            self.door.hang_up()  # also those whose last bytes have gone out meanwhile
+            self.door.hang_up()  # again each time, for sessions whose last bytes have been sent since
         return step
 
     def _client_activity(self) -> ClientActivity:
-        """What is known of the clients as of the last round."""
+        """Returns the activity of clients as of the last round."""
         open_queries = len(self.reducer.unanswered) + len(self.rounds.pending)
         return ClientActivity(self.clock(), self.rounds.last_client_activity, open_queries, self.door.owed())
 
     def _reject_unhandled(self) -> None:
-        """Rejects queries that were read and not taken: their order within a key was not known in time."""
+        """Rejects queries that were read but not taken: their order within a key was not known in time."""
         for session in list(self.rounds.pending):
             self.rounds.discard(session)
             self.executor.frontend_of(session).defer(session, 0)
--- a/hillchute/router/interfaces.py
+++ b/hillchute/router/interfaces.py
@@ -1,6 +1,6 @@
-"""Interfaces of the parts that the operator file chooses: engine links and the Flight SQL frontend.
+"""Interfaces of the components that the operator file selects: engine links and the Flight SQL frontend.
 
-The router's extension, which it chooses as well, has its interface in integrations/interface.py.
+The interface of the router extension, which it also selects, is in integrations/interface.py.
 """
 
 from collections.abc import Mapping
@@ -13,29 +13,29 @@
 
 
 class EngineLinks(Protocol):
-    """Connections to engines by number, whichever protocol the engines speak.
+    """Connections to engines by number, independent of the engines' protocol.
 
-    What happens on them comes back as events. None of the methods raises for a fault of the network.
+    Connections report through events. No method raises for a network error.
     """
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins to connect; a Connected or NotConnected follows unless the connection is closed first."""
+        """Starts to connect; Connected or NotConnected follows unless the connection is closed first."""
 
     def send(self, number: int, commands: list[words.Command]) -> None:
-        """Sends commands, in order; a connection that is not there any more gets none."""
+        """Sends commands in order; they are dropped if the connection no longer exists."""
 
     def hang_up(self, number: int) -> None:
-        """Closes a connection; no event follows."""
+        """Closes a connection without an event."""
 
 
 class FlightFrontend(ForwardingFrontend, Protocol):
-    """Clients that speak Arrow Flight SQL; their sessions are calls."""
+    """Serves clients over Arrow Flight SQL; each call is a session."""
 
     async def open(self) -> None:
-        """Serves from here on; raises OSError if the address is taken, ValueError if keys can't be used."""
+        """Starts serving; raises OSError if the address is in use, ValueError if a key can't be used."""
 
     async def close(self, grace: float) -> None:
-        """Takes no more calls, and ends those that are open after `grace` seconds."""
+        """Stops accepting calls, and ends calls that are still open after `grace` seconds."""
 
     def renew(self, settings: Mapping[str, Any]) -> list[str]:
-        """Takes settings read again; returns the names of those that need a restart."""
+        """Applies reloaded settings; returns the names of those that need a restart."""
--- a/hillchute/router/lifecycle.py
+++ b/hillchute/router/lifecycle.py
@@ -1,6 +1,6 @@
-"""The phases of the router's process from start to exit: a state machine with one transition table.
+"""The phases of the router process from start to exit, as a state machine.
 
-Knows which phase may follow which; the work of a phase is the service's.
+Defines which phase may follow which; the service does the work of each phase.
 """
 
 from enum import Enum
@@ -11,13 +11,13 @@
 
 
 class Phase(Enum):
-    """A phase; the values are the log's words."""
+    """A phase of the process; the values are written to the log."""
 
-    STARTING = "starting"  # reads its configuration; accepts no client
+    STARTING = "starting"  # reading the configuration; accepts no clients
     SERVING = "serving"  # accepts sessions and queries
-    RELOADING = "reloading"  # reads its configuration again; all else goes on as it was
-    CLOSING = "closing"  # shuts down: still accepts what comes, and answers all of it by a stated time
-    FLUSHING = "flushing"  # accepts nothing new; the last answers are written
+    RELOADING = "reloading"  # reading the configuration again; otherwise as in SERVING
+    CLOSING = "closing"  # shutting down: still accepts queries, and answers all of them by a deadline
+    FLUSHING = "flushing"  # accepts nothing new; the last answers are being written
     STOPPED = "stopped"
 
 
@@ -32,7 +32,7 @@
 
 
 class Lifecycle:
-    """The present phase, its log lines, and waits for a later one."""
+    """The current phase; logs each change and lets tasks wait for a phase."""
 
     def __init__(self, log: Log) -> None:
         self.phase = Phase.STARTING
@@ -40,7 +40,7 @@
         self.phase_changed = anyio.Event()
 
     def enter(self, phase: Phase) -> bool:
-        """Enters a phase; False where it can't follow the present one (at a second signal, for example)."""
+        """Enters a phase; returns False if it can't follow the current one, as with a second signal."""
         if phase not in TRANSITIONS[self.phase]:
             return False
         self.log.write("phase", phase=phase.value, previous=self.phase.value)
@@ -50,6 +50,6 @@
         return True
 
     async def wait_for(self, phase: Phase) -> None:
-        """Waits until a phase is entered."""
+        """Waits until the router is in a phase."""
         while self.phase is not phase:
             await self.phase_changed.wait()
--- a/hillchute/router/loop_lag.py
+++ b/hillchute/router/loop_lag.py
@@ -1,43 +1,43 @@
-"""How late the event loop is: its worst lag of late, and the delay that every query meets.
+"""Measures how late the event loop runs: its recent peak lag, and the standing delay of queries.
 
-The callers record what they measure; this module never reads a clock and decides nothing. From its figures
-follow the margin that answers are given before a client's timeout, and, in the scheduler, which
-queries are rejected. Times are whole tenths of a millisecond.
+Callers record their measurements; this module reads no clock. The peak lag determines how long before a
+client's timeout answers are due, and the scheduler rejects queries by the standing delay. Times are integers
+in tenths of a millisecond.
 """
 
 from hillchute.decision.interface import Time
 
-# 0.4 s: with CONNECT_DELAY, a first pause of 0.6 s on a full core leaves time for every answer.
+# 0.4 s: with CONNECT_DELAY, this leaves time for every answer if a saturated core first pauses for 0.6 s.
 MINIMUM_LAG: Time = 4_000
-# A quarter of a second: a client that found no free session has waited that long already, its timeout running
-# since before it connected; 118 ms in five plays of disco+crowd with a connect timeout of 250 ms.
+# 0.25 s: a client's timeout starts before it connects, and one that found no free session has already waited
+# this long. Five runs of the scenario disco+crowd with a connect timeout of 250 ms gave 118 ms.
 CONNECT_DELAY: Time = 2_500
-DECAY_DIVISOR = 100  # the worst lag shrinks by a hundredth of the time that passes
-WINDOW: Time = 1_000  # 0.1 s in which no query is taken at once is more than a burst or a pause
+DECAY_DIVISOR = 100  # the peak lag decays by a hundredth of the elapsed time
+WINDOW: Time = 1_000  # 0.1 s; if no query in it is taken at once, this is more than a burst or a pause
 
 
 class LoopLag:
-    """The worst recent lag of the loop, and its standing delay."""
+    """The recent peak lag of the event loop, and its standing delay."""
 
     def __init__(self) -> None:
-        self.worst: Time = MINIMUM_LAG
+        self.peak_lag: Time = MINIMUM_LAG
         self.decayed_at: Time = 0
         self.window_start: Time = 0
-        self.window_minimum: Time | None = None  # the shortest delay of a query in this window
-        self.previous_minimum: Time = 0  # the same of the window before
+        self.window_minimum: Time | None = None  # the shortest query delay in this window
+        self.previous_minimum: Time = 0  # the shortest query delay in the previous window
 
     def record_lag(self, now: Time, lag: Time) -> None:
-        """A timer, a read or the end of a round came `lag` later than it should have."""
+        """Records that a timer, a read or the end of a round was `lag` late."""
         decay = max(0, now - self.decayed_at) // DECAY_DIVISOR
-        self.decayed_at += decay * DECAY_DIVISOR  # the remainder of the time counts at the next call
-        self.worst = max(lag, MINIMUM_LAG, self.worst - decay)
+        self.decayed_at += decay * DECAY_DIVISOR  # the remainder counts at the next call
+        self.peak_lag = max(lag, MINIMUM_LAG, self.peak_lag - decay)
 
     def answer_margin(self, client_timeout: Time) -> Time:
-        """How long before a client's timeout its answer must be on its way: at most half of the timeout."""
-        return min(self.worst + CONNECT_DELAY, client_timeout // 2)
+        """Returns how long before a client's timeout its answer must be sent, at most half of the timeout."""
+        return min(self.peak_lag + CONNECT_DELAY, client_timeout // 2)
 
     def record_query_delay(self, now: Time, delay: Time) -> None:
-        """A query was taken `delay` after it could have been."""
+        """Records that a query was taken `delay` after it was ready."""
         delay = max(0, delay)
         if now - self.window_start >= WINDOW:
             self._begin_window(now)
@@ -45,7 +45,7 @@
             self.window_minimum = delay
         else:
             self.window_minimum = min(delay, self.window_minimum)
-        if delay > self.worst:
+        if delay > self.peak_lag:
             self.record_lag(now, delay)
 
     def _begin_window(self, now: Time) -> None:
@@ -56,9 +56,9 @@
 
     @property
     def standing_delay(self) -> Time:
-        """The delay that even the luckiest query of two windows met.
+        """The shortest delay of any query in the last two windows.
 
-        It is the sign of a full core, not of a burst or of a pause that is over: RFC 8289 tells a standing
-        queue from a good one in this way.
+        It is above zero on a saturated core, but not after a burst or a pause that is over. RFC 8289 (CoDel)
+        distinguishes a standing queue from a harmless one in the same way.
         """
         return min(self.previous_minimum, self.window_minimum or 0)
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -1,6 +1,6 @@
-"""The state of one query and of its attempts, from the query's admission to the end of its last attempt.
+"""The state of a query and its attempts, from the query's admission to the end of its last attempt.
 
-Plain data: the reducer and its parts change it. Times are whole tenths of a millisecond.
+Plain data, changed by the reducer and its components. Times are integers in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 
 class ClaimState(Enum):
-    """How a query stands with the answer history."""
+    """The state of a query in its dealings with the answer history."""
 
-    NONE = "none"  # it does not need the history, or the history is done with it
-    ASKED = "asked"  # it waits for the history's decision
+    NONE = "none"  # it needs no claim, or its claim has ended
+    ASKED = "asked"  # waiting for the history's decision
     GRANTED = "granted"  # it may run
-    FORWARDED = "forwarded"  # it is at a router of another partner
-    RETURNED = "returned"  # it was to be forwarded and is answered here: the history must be notified
+    FORWARDED = "forwarded"  # sent to a router of another partner
+    RETURNED = "returned"  # no longer to be forwarded, answered here; the history must be notified
 
 
 class QueryOutcome(StrEnum):
-    """How a query ended for its client; the values are the log's words."""
+    """How a query ended for its client; the values are written to the log."""
 
     SERVED = "served"
     REJECTED = "rejected"
     FAILED = "failed"
     CLIENT_LEFT = "client_left"
-    ABORTED = "aborted"  # within a stream that had begun
-    UNANSWERED = "unanswered"  # no decision came in time, and it was failed
+    ABORTED = "aborted"  # after its stream had started
+    UNANSWERED = "unanswered"  # failed because no decision was made in time
 
 
 @dataclass(slots=True, eq=False)
@@ -43,29 +43,29 @@
     """One attempt to run a query on an engine."""
 
     query: QueryState
-    number: int  # among the query's attempts, from 0
+    number: int  # index among the query's attempts, from 0
     engine: EngineId
     started_at: Time
     deadline: Time
     connection: EngineConnection | None = None
-    sent: bool = False  # the command was handed to the connection
+    sent: bool = False  # the command was passed to the connection
     ended: bool = False
     result: AttemptResult | None = None  # how it ended
-    run_over: words.Over | None = None  # the engine has run it, its result is on its way
-    stream: words.Stream | None = None  # the streamed result that has begun
+    completion: words.Over | None = None  # set once the engine has finished the run; its result follows
+    stream: words.Stream | None = None  # the streamed result, once it has started
 
 
 @dataclass(slots=True, eq=False)
 class QueryState:
-    """One query, until it is answered and its last attempt has ended."""
+    """A query, until it is answered and its last attempt has ended."""
 
     request: Request
     session: int
     received_at: Time
     deadline: Time
-    number: int = 0  # tells it from another query of the same id
+    number: int = 0  # distinguishes it from other queries with the same id
     priority: int | None = None
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
-    rows: words.Rows | None = None  # for the answer history, if the query was claimed
+    rows: words.Rows | None = None  # kept for the answer history if the query was claimed
     claim: ClaimState = ClaimState.NONE
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -1,9 +1,9 @@
-"""The state of one router's queries, and the only place that changes it: (event, now) -> effects.
+"""The reducer: holds the state of a router's queries and turns (event, now) into effects.
 
-Pure: reads no clock, does no I/O, knows no protocol. Owns the open queries and gives each its one answer;
-attempts.py holds their attempts, connection_pool.py the connections to engines, and the scheduler
+Performs no I/O, reads no clock and is independent of protocols. Owns the open queries and answers each of
+them once; attempts.py manages their attempts and connection_pool.py the connections to engines. The scheduler
 decides what runs where and when, what is rejected or failed, and how long an attempt may take. Times are
-whole tenths of a millisecond.
+integers in tenths of a millisecond.
 """
 
 from hillchute.decision.interface import (
@@ -42,18 +42,18 @@
 from hillchute.router.loop_lag import LoopLag
 from hillchute.router.query_state import Attempt, ClaimState, QueryOutcome, QueryState
 from hillchute.router.reducer_context import ReducerContext
-from hillchute.router.request_rules import SHOWN, RequestRules
+from hillchute.router.request_rules import MAX_SHOWN_CHARACTERS, RequestRules
 from hillchute.settings import Settings
 from hillchute.statements.request import Request
 
-LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout a query is answered, whatever happens
+LAST_ANSWER_MARGIN: Time = 500  # 50 ms before the client's timeout, a query is answered in any case
 
 
 class Reducer:
     """The queries of a router.
 
-    `claims_idempotent`: queries with an idempotency key wait for the answer history; `claims_non_idempotent`:
-    so do the others that change data, since only the owner of their slot may run them (partners).
+    `claims_idempotent`: queries with an idempotency key wait for the answer history. `claims_non_idempotent`:
+    so do other queries that change data; with partners, only the owner of their slot may run them.
     """
 
     def __init__(self, scheduler: Scheduler, settings: Settings, max_connections: int) -> None:
@@ -73,25 +73,25 @@
         self.unanswered: dict[int, QueryState] = {}  # by session
 
     def reduce(self, event: Event, now: Time) -> list[Effect]:
-        """Takes in one event; gives the effects that follow from it, in order."""
+        """Handles one event; returns the resulting effects in order."""
         context = self.context
-        # A message of an engine has nothing for the scheduler to decide by, unless an attempt ends with it.
+        # An engine's message gives the scheduler nothing to decide unless it ends an attempt.
         context.begin_event(now, scheduler_notified=not isinstance(event, Said))
         if context.timers and context.timers[0].due <= now:
-            # Whatever event comes first after a pause finds the timers late, not only the one of the alarm.
+            # After a pause, any event may be the first to find the timers late, not only the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
         try:
             self.handle(event)
-        except Exception:  # noqa: BLE001 - a fault in one event must not end the router
+        except Exception:  # noqa: BLE001 - an exception in one event must not stop the router
             context.log_exception(type(event).__name__)
         context.run_due_timers()
         if context.scheduler_notified:
-            self.take_decisions()
+            self.carry_out_decisions()
         context.update_alarm()
         return context.effects
 
     def handle(self, event: Event) -> None:
-        """Gives an event to the part that it concerns."""
+        """Dispatches an event to its handler."""
         match event:
             case Said(number, message):  # by far the most frequent
                 self.on_engine_message(number, message)
@@ -110,14 +110,14 @@
             case ShutdownStarted(answer_by):
                 self.on_shutdown(answer_by)
             case AlarmDue():
-                pass  # timers that are due run with every event
+                pass  # due timers run with every event
             case _:
                 self.handle_engine_event(event)
 
     def handle_engine_event(
         self, event: Connected | NotConnected | NotSent | Lost | EndpointsChanged
     ) -> None:
-        """Gives an event of the endpoint list or an engine's connection to the part that it concerns."""
+        """Dispatches an event of the endpoint list or of an engine connection to its handler."""
         match event:
             case Connected(number):
                 self.pool.on_connected(number)
@@ -134,12 +134,12 @@
 
     # ---- decisions --------------------------------------------------------------------------------
 
-    def take_decisions(self) -> None:
-        """Carries out the scheduler's decisions until there is none."""
+    def carry_out_decisions(self) -> None:
+        """Carries out the scheduler's decisions until there are none left."""
         try:
             while (decision := self.scheduler.next_decision(self.context.now)) is not None:
                 self.carry_out(decision)
-        except Exception:  # noqa: BLE001 - a fault of the scheduler must not end the router
+        except Exception:  # noqa: BLE001 - an exception in the scheduler must not stop the router
             self.context.log_exception("decision")
 
     def carry_out(self, decision: Decision) -> None:
@@ -163,14 +163,14 @@
             case Wake(time, name):
                 self.context.call_at(time, self.on_scheduler_timer, name)
             case WatchEndpoints():
-                pass  # the event bus is always followed
+                pass  # the event bus is always watched
 
     def on_scheduler_timer(self, name: str) -> None:
-        """A time that the scheduler named has come."""
+        """Calls the scheduler at a time that it asked for."""
         self.scheduler.on_timer(self.context.now, name)
 
     def on_peers_changed(self, reports: list[tuple[EngineId, Report, Time]]) -> None:
-        """Load reports of other routers, or a change among them, go to the scheduler."""
+        """Passes other routers' load reports, and changes among these routers, to the scheduler."""
         for engine, report, age in reports:
             self.scheduler.on_load_report(self.context.now, engine, report, age)
         self.scheduler.on_fleet_changed(self.context.now)
@@ -178,7 +178,7 @@
     # ---- engines ----------------------------------------------------------------------------------
 
     def on_engine_message(self, number: int, message: words.Said) -> None:
-        """Something has come from an engine; None says only that the connection is alive."""
+        """Handles a message of an engine; None only shows that the connection is alive."""
         connection = self.pool.connections.get(number)
         if connection is None:
             return
@@ -189,19 +189,19 @@
             self.attempts.on_message(connection, message)
 
     def on_connection_open(self, attempt: Attempt, connection: EngineConnection) -> None:
-        """The connection that an attempt waited for is open."""
+        """Sends an attempt once the connection that it waited for is open."""
         self.attempts.send(attempt, connection, self.pool.endpoints.get(attempt.engine))
 
     # ---- queries ----------------------------------------------------------------------------------
 
     def on_query(self, session: int, request: Request, received_at: Time) -> None:
-        """A complete query was received: it is failed where it can't be a query, rejected, or taken."""
-        fault = self.find_fault(session, request)
-        if fault is not None:
-            self.context.emit(FailQuery(session, fault))
-            self.context.log("invalid_query", session=session, reason=fault)
+        """Handles a received query: fails it if it is invalid, rejects it under overload, or accepts it."""
+        reason = self.invalid_reason(session, request)
+        if reason is not None:
+            self.context.emit(FailQuery(session, reason))
+            self.context.log("invalid_query", session=session, reason=reason)
             return
-        if len(self.unanswered) >= self.rules.max_open:
+        if len(self.unanswered) >= self.rules.max_open_queries:
             self.context.emit(RejectQuery(session, 0))
             return
         now = self.context.now
@@ -223,18 +223,18 @@
         else:
             self.schedule(query)
 
-    def find_fault(self, session: int, request: Request) -> str | None:
-        """Why this request can't be a query here; None if it can."""
+    def invalid_reason(self, session: int, request: Request) -> str | None:
+        """Returns why a request is not a valid query for this router, or None if it is valid."""
         if request.group not in self.rules.groups:
-            return f"field route names no resource group: {request.group[:SHOWN]}"
+            return f"field route names no resource group: {request.group[:MAX_SHOWN_CHARACTERS]}"
         if request.id in self.queries:
             return "field trace has been used before"
         if session in self.unanswered:
             return "a query is open on this session"
-        return self.rules.fault(request)
+        return self.rules.invalid_reason(request)
 
     def add_query(self, session: int, request: Request, received_at: Time) -> QueryState:
-        """Takes a query. Its deadline leaves time for the answer to get out, as late as the loop has been."""
+        """Adds a query. Its deadline leaves time to send the answer, based on the loop's recent lag."""
         client_timeout = request.patience
         deadline = received_at + client_timeout - self.loop_lag.answer_margin(client_timeout)
         if self.shutdown_deadline is not None:
@@ -247,7 +247,7 @@
         return query
 
     def schedule(self, query: QueryState) -> None:
-        """Hands a query to the scheduler."""
+        """Passes a query to the scheduler."""
         request = query.request
         group = self.rules.group_of(request)
         new_query = NewQuery(
@@ -262,30 +262,30 @@
         self.scheduler.on_query(self.context.now, new_query)
 
     def find_query(self, query_id: QueryId, number: int) -> QueryState | None:
-        """The query that a timer or claim was for; None if it is over, also where its id is in use again."""
+        """Returns the query with this id and number, or None if it has ended (its id may be in use again)."""
         query = self.queries.get(query_id)
         return query if query is not None and query.number == number else None
 
     def waiting_session(self, query_id: QueryId) -> int | None:
-        """The session that waits for the answer to a query; None where none does."""
+        """Returns the session that waits for the answer to a query, or None."""
         query = self.queries.get(query_id)
         return None if query is None or query.answered else query.session
 
     def on_client_left(self, session: int) -> None:
-        """A client gave its query up, or is gone."""
+        """Handles a client that cancelled its query or disconnected."""
         query = self.unanswered.get(session)
         if query is not None:
             self.scheduler.on_client_left(self.context.now, query.request.id)
             self.answer(query, None, QueryOutcome.CLIENT_LEFT)
 
     def on_stream_delivered(self, session: int) -> None:
-        """A client has had all of a stream."""
+        """Handles a stream that was delivered completely."""
         query = self.unanswered.get(session)
         if query is not None:
             self.answer(query, None, QueryOutcome.SERVED)
 
     def on_stream_unreadable(self, session: int, reason: str) -> None:
-        """A stream that is passed on to a client can't be read."""
+        """Handles a stream that can't be read while it is passed on to a client."""
         query = self.unanswered.get(session)
         if query is None:
             return
@@ -294,7 +294,7 @@
         self.answer(query, AbortStream(session, f"the result can't be read: {reason}"), QueryOutcome.ABORTED)
 
     def on_shutdown(self, answer_by: Time) -> None:
-        """The router ends: all queries, also those that still come, are answered by then."""
+        """Starts the shutdown: all queries, including those still to come, are answered by `answer_by`."""
         self.shutdown_deadline = answer_by
         self.scheduler.on_shutdown(self.context.now, answer_by)
         for query in list(self.unanswered.values()):
@@ -307,7 +307,7 @@
     # ---- answers ----------------------------------------------------------------------------------
 
     def on_timeout(self, query_id: QueryId, number: int) -> None:
-        """The last moment for an answer: the client gets one also where a decision has failed to come."""
+        """Answers a query at the last moment if no decision was made in time."""
         query = self.find_query(query_id, number)
         if query is None or query.answered:
             return
@@ -319,7 +319,7 @@
         if query.claim is ClaimState.FORWARDED:
             self.answer(query, failure, QueryOutcome.FAILED, "forwarded: no answer in time")
             return
-        # A process that stood still wakes with this timer and the scheduler's own all due at once.
+        # After a pause of the process, this timer and the scheduler's own are due at the same time.
         last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
         late = self.context.now - max(query.deadline, last_moment)
         event = "answered_late" if late > LAST_ANSWER_MARGIN else "fault"
@@ -330,10 +330,10 @@
     def answer(
         self, query: QueryState, effect: Effect | None, outcome: QueryOutcome, reason: str = ""
     ) -> None:
-        """Gives a query its one answer.
+        """Answers a query; does nothing if it is already answered.
 
-        `effect` is None where nobody waits for it any more, or the client has had it all; `outcome` and
-        `reason` (which check rejected or failed it) are for the log.
+        `effect` is None if the client has left or has received everything. `outcome` and `reason` (the check
+        that rejected or failed the query) are for the log.
         """
         if query.answered:
             return
@@ -341,7 +341,7 @@
         self.unanswered.pop(query.session, None)
         if effect is not None:
             self.context.emit(effect)
-        self.attempts.end_open(query)
+        self.attempts.end_unneeded(query)
         counted_as = outcome_text(outcome, reason)
         elapsed = self.context.now - query.received_at
         self.answer_log.count(query.request.group, counted_as, elapsed, len(self.unanswered))
@@ -350,8 +350,8 @@
         self.forget(query)
 
     def forget(self, query: QueryState) -> None:
-        """Drops a query that is answered and whose attempts have all ended."""
+        """Removes a query once it is answered and all its attempts have ended."""
         if query.answered and all(attempt.ended for attempt in query.attempts):
             self.queries.pop(query.request.id, None)
             self.claims.end(query)
-            query.attempts.clear()  # a cycle of references would keep results until the next collection
+            query.attempts.clear()  # a reference cycle would keep results until the next garbage collection
--- a/hillchute/router/reducer_context.py
+++ b/hillchute/router/reducer_context.py
@@ -1,7 +1,7 @@
-"""What the parts of the reducer share while an event is reduced: the time, the effects so far, timers.
+"""State shared by the reducer's components while an event is reduced: the time, the effects and the timers.
 
-Owns the heap of timers and the alarm that wakes the event loop for the first of them; does not know what a
-timer or an effect is for. Times are whole tenths of a millisecond.
+Owns the heap of timers and the alarm that wakes the event loop for the earliest of them. Times are integers
+in tenths of a millisecond.
 """
 
 import traceback
@@ -12,11 +12,11 @@
 from hillchute.decision.interface import Time
 from hillchute.router.effects import Effect, SetAlarm, WriteLog
 
-TRACEBACK_FRAMES = -8  # the innermost ones: those name the fault
+TRACEBACK_FRAMES = -8  # the innermost frames, which show where the fault is
 
 
 class Timer(NamedTuple):
-    """A call that is due at a time; `number` keeps the order of those that are due at once."""
+    """A call that is due at a time; `number` orders timers that are due at the same time."""
 
     due: Time
     number: int
@@ -25,63 +25,62 @@
 
 
 class ReducerContext:
-    """One event's time and effects, and the timers of all events.
+    """The time and effects of the current event, and all timers.
 
-    A timer's arguments are names of queries, not the queries themselves: those may end long before.
+    Timer arguments identify queries instead of referring to them, since a query may end long before.
     """
 
     def __init__(self, alarm_resolution: Time) -> None:
         self.alarm_resolution = alarm_resolution
         self.now: Time = 0
         self.effects: list[Effect] = []
-        self.scheduler_notified = False  # whether the scheduler learned anything from this event
+        self.scheduler_notified = False  # whether the scheduler was given anything new by this event
         self.last_number = 0
-        self.timers: list[Timer] = []  # a heap
+        self.timers: list[Timer] = []  # heap by due time
         self.alarm: Time | None = None
 
     def begin_event(self, now: Time, scheduler_notified: bool) -> None:
-        """Starts the reduction of an event that came at `now`."""
+        """Starts the reduction of an event at the time `now`."""
         self.now = now
         self.effects = []
         self.scheduler_notified = scheduler_notified
 
     def next_number(self) -> int:
-        """A number that no timer, connection, query or health check has had."""
+        """Returns a new number, unique among timers, connections, queries and health checks."""
         self.last_number += 1
         return self.last_number
 
     def emit(self, effect: Effect) -> None:
-        """Adds an effect to those of the event."""
+        """Adds an effect of the current event."""
         self.effects.append(effect)
 
     def log(self, event: str, **fields: object) -> None:
-        """Adds a line of the log to the effects."""
+        """Adds an effect that writes a log line."""
         self.effects.append(WriteLog(event, fields))
 
     def log_exception(self, source: str) -> None:
-        """Logs the exception that is being handled: it ends the call that raised it, not the program, and the
-        effects before it stand."""
+        """Logs the exception being handled; the program goes on, and the effects so far are kept."""
         self.log("fault", what=source, trace=traceback.format_exc(limit=TRACEBACK_FRAMES))
 
     def call_at(self, time: Time, callback: Callable[..., None], *arguments: object) -> None:
-        """Sets a timer: calls back with the first event at `time` or later."""
+        """Sets a timer, which calls back with the first event at `time` or later."""
         heappush(self.timers, Timer(time, self.next_number(), callback, arguments))
 
     def run_due_timers(self) -> None:
-        """Calls back for all timers that are due, also those that such a call sets."""
+        """Runs all due timers, including those that these calls set."""
         while self.timers and self.timers[0].due <= self.now:
             timer = heappop(self.timers)
             self.scheduler_notified = True
             try:
                 timer.callback(*timer.arguments)
-            except Exception:  # noqa: BLE001 - a fault in one timer keeps no other from its time
+            except Exception:  # noqa: BLE001 - an exception in one timer must not delay others
                 self.log_exception(timer.callback.__name__)
 
     def update_alarm(self) -> None:
-        """Emits an alarm if the first timer has changed.
+        """Emits a new alarm if the time of the earliest timer has changed.
 
-        Alarms come at multiples of the resolution: the scheduler asks for a wake-up at every query's turns,
-        thousands a second when it is busy.
+        Alarm times are rounded up to the resolution, since the scheduler asks for thousands of wake-ups a
+        second under load.
         """
         first = None
         if self.timers:
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -1,7 +1,7 @@
-"""SIGHUP: the configuration and the operator file read again under load.
+"""Reloads the configuration and the operator file on SIGHUP.
 
-What can change under load is changed at once; what needs a restart is named in the log. A file that can't be
-used changes nothing.
+Changes that need no restart apply at once; the log names those that do. A file that can't be used changes
+nothing.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,22 +24,22 @@
 
 
 class OperatorFile(NamedTuple):
-    """The operator file as it was read, and a way to read it again.
+    """The operator file's settings, and a function that reads the file again.
 
     `read` raises ValueError (hillchute.operator's OperatorFileError) if the file can't be used.
     """
 
     settings: OperatorSettings
-    read: Callable[[], OperatorSettings] | None = None  # None: it is read only once
+    read: Callable[[], OperatorSettings] | None = None  # None if it can't be read again
 
 
 NO_OPERATOR_FILE = OperatorFile({})
-"""Nothing beyond the platform's protocol is on."""
+"""Enables only the platform's protocol."""
 
 
 @dataclass(eq=False, kw_only=True)
 class ConfigurationReloader:
-    """Holds the configuration that is in force, and replaces it."""
+    """Holds the configuration in force and reloads it."""
 
     configuration: RouterConfiguration
     operator_file: OperatorFile
@@ -50,7 +50,7 @@
     log: Log
 
     def reload(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Reads both files again; the event bus is watched at its new address in `tasks`."""
+        """Reads both files again and watches the event bus at its new address, as a task in `tasks`."""
         try:
             configuration = config.read_configuration()
         except ConfigurationError as error:
@@ -64,7 +64,7 @@
         self.endpoint_watcher.watch(self.configuration.event_bus_address, tasks)
 
     def _reload_operator_file(self) -> list[str]:
-        """Returns the paths of what needs a restart; none if the file can't be used, which is logged."""
+        """Returns the paths of changes that need a restart; none if the file is unusable, which is logged."""
         if self.operator_file.read is None:
             return []
         try:
@@ -75,7 +75,7 @@
             return []
 
     def _apply(self, settings: OperatorSettings) -> list[str]:
-        """Changes what can change under load; returns the paths of the rest."""
+        """Applies the changes that need no restart; returns the paths of the others."""
         running = self.operator_file.settings
         restart = [section for section in ("engines", "log") if settings[section] != running[section]]
         flight = settings.get("flight")
--- a/hillchute/router/retry_delays.py
+++ b/hillchute/router/retry_delays.py
@@ -1,4 +1,4 @@
-"""Retry delays with jitter: routers that fail together must not retry together. One seed, one sequence."""
+"""Retry delays with jitter, so that routers that fail together do not retry at the same time."""
 
 from zlib import crc32
 
@@ -7,14 +7,14 @@
 
 
 class RetryDelays:
-    """The delays of one router, drawn from its seed and the number of delays so far."""
+    """The retry delays of one router; a seed always gives the same sequence."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.count = 0
 
     def next_delay(self, mean: float) -> float:
-        """The next delay in seconds, `mean` seconds on average; jitter.randomized has the bounds."""
+        """Returns the next delay in seconds, `mean` on average; jitter.randomized() defines the bounds."""
         self.count += 1
-        chance = crc32(f"{self.seed}:wait:{self.count}".encode()) / 2**32
-        return jitter.randomized(int(mean * SECOND), chance) / SECOND
+        fraction = crc32(f"{self.seed}:wait:{self.count}".encode()) / 2**32
+        return jitter.randomized(int(mean * SECOND), fraction) / SECOND
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -1,8 +1,8 @@
-"""The running router: builds its parts, runs them from start to exit, and acts on signals.
+"""The running router: builds its components, runs them from start to exit, and handles signals.
 
-The parts know one another only through what they are given here. Does none of their work: the event loop
-makes the rounds, the effect executor takes events in and carries effects out, the reducer holds all state of
-queries, and the scheduler decides.
+Components know each other only through what this module passes to them. The event loop runs the rounds, the
+effect executor receives events and carries out effects, the reducer holds all query state, and the scheduler
+decides.
 """
 
 import gc
@@ -40,21 +40,21 @@
 from hillchute.router.shutdown import ShutdownStep
 from hillchute.router.signal_handling import SignalReceiver
 
-POLL_FRESHNESS: Time = 200  # 20 ms: an event that comes later after a poll begins with another
+MAX_POLL_AGE: Time = 200  # 20 ms: events that come later than this after a poll trigger another
 SHUTDOWN_STEP_INTERVAL = 0.01  # seconds between two steps of the shutdown
-FLIGHT_CLOSE_GRACE = 0.3  # seconds that open calls of the Flight SQL frontend have at the end
-# Objects made before a collection, by generation. The interpreter's 700 are made by a few queries.
+FLIGHT_CLOSE_GRACE = 0.3  # seconds that open calls of the Flight SQL frontend get at shutdown
+# Garbage collection thresholds by generation; a few queries reach the interpreter's default of 700 objects.
 GC_THRESHOLDS = (10_000, 10, 10)
 
 
 class Service:
     """One router.
 
-    The parts call back through the methods of this class, since each needs others that are built after it.
+    Components call back through methods of this class, since each needs others that are built after it.
     """
 
     tasks: anyio.abc.TaskGroup
-    """Where all tasks of the router run: see attach_tasks()."""
+    """The task group of all tasks of the router, set by attach_tasks()."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
         clock: Clock | None = None,
         operator_file: OperatorFile = NO_OPERATOR_FILE,
     ) -> None:
-        """`poller` and `clock` are the machine's own unless others are given.
+        """`poller` and `clock` default to the system's.
 
-        Raises HillchuteError or OSError where keys, a disk or an address of an optional part can't be used.
+        Raises HillchuteError or OSError if a key, disk or address of an optional component can't be used.
         """
-        self.configuration = configuration  # as it was at the start: the reloader has what is in force
+        self.configuration = configuration  # as read at startup; the reloader has the one in force
         self.log = log
         self.poller = poller or Poller()
         self.clock = clock = clock or Clock()
@@ -80,9 +80,9 @@
         self.trace = EventTrace()
         self.faults = FaultLog(log, self.trace, clock)
         settings = operator_file.settings
-        own_scheduler = QueryScheduler(configuration.seed, configuration.settings, clock())
-        self.extension = self._build_extension(settings, own_scheduler)
-        scheduler = own_scheduler if self.extension is None else self.extension.scheduler
+        local_scheduler = QueryScheduler(configuration.seed, configuration.settings, clock())
+        self.extension = self._build_extension(settings, local_scheduler)
+        scheduler = local_scheduler if self.extension is None else self.extension.scheduler
         self.reducer = Reducer(scheduler, configuration.settings, configuration.max_engine_connections)
         if self.extension is not None:
             self._connect_extension(self.extension)
@@ -96,7 +96,7 @@
         self.reloader = self._build_reloader(operator_file)
         self.shutdown = self._build_shutdown()
 
-    # ---- the parts --------------------------------------------------------------------------------
+    # ---- components -------------------------------------------------------------------------------
 
     def _build_extension(
         self, settings: OperatorSettings, scheduler: QueryScheduler
@@ -216,59 +216,59 @@
             handle=self.handle,
         )
 
-    # ---- what the parts call back -----------------------------------------------------------------
+    # ---- callbacks of the components --------------------------------------------------------------
 
     def handle(self, event: Event) -> None:
-        """Takes in one event, whichever part raises it.
+        """Handles one event of any component.
 
-        Bounds what runs for clients that have left: what an event starts, it starts for clients that were
-        there POLL_FRESHNESS ago, also where a timer or an engine's message comes first after a pause.
+        Polls first if the last poll is older than MAX_POLL_AGE, so that nothing is started for clients that
+        left before, even if a timer or an engine's message comes first after a pause.
         """
-        if not self.executor.busy and self.clock() - self.event_loop.polled_at > POLL_FRESHNESS:
-            self.event_loop.notice_departures()
+        if not self.executor.busy and self.clock() - self.event_loop.polled_at > MAX_POLL_AGE:
+            self.event_loop.drop_disconnected_clients()
         self.executor.handle(event)
 
     def on_client_gone(self, session: int) -> None:
-        """A client gave its query up, or is gone; the query may not have been taken yet."""
+        """Handles a client that cancelled its query, which may not have been taken yet, or disconnected."""
         if not self.rounds.discard(session) and session in self.reducer.unanswered:
             self.handle(Left(session))
 
     def on_stream_delivered(self, session: int) -> None:
-        """A client has had all of a stream."""
+        """Handles a stream that was delivered completely."""
         self.handle(Passed(session))
 
     def on_stream_unreadable(self, session: int, reason: str) -> None:
-        """A stream for a client can't be read."""
+        """Handles a stream that can't be read while it is passed on to a client."""
         self.handle(Spoilt(session, reason))
 
     def client_is_waiting(self, query_id: QueryId) -> bool:
-        """Whether the client of a query waits for its answer, as of a poll POLL_FRESHNESS ago at most."""
-        if self.clock() - self.event_loop.polled_at > POLL_FRESHNESS:
-            self.event_loop.notice_departures()
+        """Whether the client of a query waits for its answer, as of a poll at most MAX_POLL_AGE ago."""
+        if self.clock() - self.event_loop.polled_at > MAX_POLL_AGE:
+            self.event_loop.drop_disconnected_clients()
         session = self.reducer.waiting_session(query_id)
         if session is None:
             return False
         return session >= FIRST_CALL or session in self.door.clients
 
     def endpoint_list_offset(self) -> int:
-        """The offset of the last watch event that was taken in."""
+        """Returns the offset of the last watch event that was applied."""
         return self.reducer.pool.list_offset
 
     def last_watch_offset(self) -> int:
-        """The offset after which the event bus is to go on: the configuration's until an event has come."""
+        """Returns the offset to resume the event bus after: the configuration's until an event is applied."""
         return max(self.endpoint_list_offset(), self.configuration.initial_offset)
 
-    # ---- from start to exit -----------------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------------------------------
 
     def attach_tasks(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Gives the parts the group that their tasks run in; to be called before the first event."""
+        """Sets the task group of the components; must be called before the first event."""
         self.tasks = tasks
         self.executor.tasks = tasks
 
     async def run(self) -> None:
-        """Serves until SIGTERM or SIGINT, and shuts down gracefully.
+        """Serves until SIGTERM or SIGINT, then shuts down gracefully.
 
-        Raises OSError if an address is taken, in an exception group with whatever ends other tasks.
+        Raises an exception group with an OSError if an address is in use, and with the errors of other tasks.
         """
         async with anyio.create_task_group() as tasks:
             self.attach_tasks(tasks)
@@ -298,7 +298,7 @@
         if self.extension is not None:
             self.extension.open(self.tasks)
         gc.collect()
-        gc.freeze()  # what the start has made lives to the end: no later collection need look at it
+        gc.freeze()  # objects made at startup live until exit; later collections can skip them
         gc.set_threshold(*GC_THRESHOLDS)
 
     async def _close_optional_parts(self) -> None:
@@ -308,7 +308,7 @@
             await self.extension.hand_over()
 
     def on_signal(self, number: int) -> None:
-        """Does what a signal asks for; a second SIGTERM changes nothing."""
+        """Handles a signal; a second SIGTERM has no effect."""
         self.log.write("signal", number=int(number))
         if number == signal.SIGUSR1:
             for batch in self.trace.batches():
@@ -316,7 +316,7 @@
         elif number != signal.SIGHUP:
             self.lifecycle.enter(Phase.CLOSING)
         elif self.lifecycle.phase in (Phase.CLOSING, Phase.FLUSHING):
-            self.reloader.reload(self.tasks)  # the endpoint list matters until the last answer
+            self.reloader.reload(self.tasks)  # the endpoint list is needed until the last answer
         elif self.lifecycle.enter(Phase.RELOADING):
             self.reloader.reload(self.tasks)
             self.lifecycle.enter(Phase.SERVING)
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -1,7 +1,7 @@
-"""The checks on a deployment's settings: which keys must be there, of what kind, within which bounds.
+"""Checks the settings of a deployment: required keys, types and bounds.
 
-`validate` raises ConfigurationError for the first fault, which names its key by the full path. The module
-holds no value that decides anything about a query, and no name of one deployment.
+validate() raises ConfigurationError for the first error, which names the key by its full path. Contains no
+values that affect decisions about queries, and no names of a particular deployment.
 """
 
 import re
@@ -11,67 +11,67 @@
 from hillchute.errors import ConfigurationError
 from hillchute.settings_translation import without_separators
 
-SEMANTICS = ("repeatable", "by_key", "once")  # the platform's words for what a query does to the data
-DEDUPLICATION_SCOPES = ("all", "zone", "cell")  # engines that drop repeats of an idempotency key together
-# Blanks and commas become underscores: settings_translation.without_separators.
+SEMANTICS = ("repeatable", "by_key", "once")  # the platform's terms for the effect of a query on the data
+DEDUPLICATION_SCOPES = ("all", "zone", "cell")  # engines that share their record of idempotency keys
+# Spaces and commas are allowed: settings_translation.without_separators() replaces them by underscores.
 CLASS_NAME = re.compile(r"[^\x00-\x1f=]{1,256}")
-LARGEST_FIGURE = 10**18  # nanoseconds, or any other figure: thirty years
-SHOWN_CHARACTERS = 40  # of a wrong value in a message
+MAX_NUMBER = 10**18  # upper bound of all numbers; in nanoseconds, thirty years
+MAX_SHOWN_CHARACTERS = 40  # of an invalid value in a message
 
 Number = int | float
 NUMBER_TYPES = (int, float)
 
 
 class NumberRule(NamedTuple):
-    """What one number of the settings must be."""
+    """The type and bounds of a number in the settings."""
 
     path: str
-    least: Number
-    most: Number = LARGEST_FIGURE
-    required: bool = False  # the router can't do without it
-    kind: type | tuple[type, ...] = int
-    above_least: bool = False  # `least` itself is not allowed
+    minimum: Number
+    maximum: Number = MAX_NUMBER
+    required: bool = False  # must be present
+    number_type: type | tuple[type, ...] = int
+    exclusive_minimum: bool = False  # the minimum itself is not allowed
 
 
 NUMBERS = (
     NumberRule("n_instances", 1),
     NumberRule("me", 0),
     NumberRule("tick_ns", 0),
-    NumberRule("limits.connect_timeout_ns", 0, required=True, above_least=True),
-    NumberRule("limits.keepalive_ns", 0, required=True, above_least=True),
+    NumberRule("limits.connect_timeout_ns", 0, required=True, exclusive_minimum=True),
+    NumberRule("limits.keepalive_ns", 0, required=True, exclusive_minimum=True),
     NumberRule("limits.streams_per_conn", 1),
     NumberRule("limits.most_tries", 1),
     NumberRule("limits.open_cap", 1),
     NumberRule("limits.max_retry_after_ns", 0),
     NumberRule("guarantees.cold_ns", 0),
-    NumberRule("guarantees.cold_from", 0, 1, kind=NUMBER_TYPES, above_least=True),
-    NumberRule("guarantees.tip_multiple", 0, kind=NUMBER_TYPES, above_least=True),
+    NumberRule("guarantees.cold_from", 0, 1, number_type=NUMBER_TYPES, exclusive_minimum=True),
+    NumberRule("guarantees.tip_multiple", 0, number_type=NUMBER_TYPES, exclusive_minimum=True),
     NumberRule("guarantees.fall_ns", 0),
     NumberRule("guarantees.drain_grace_ns", 0),
     NumberRule("guarantees.order_pause_ns", 0),
     NumberRule("guarantees.look_back_ns", 0),
-    NumberRule("guarantees.extra_share", 0, kind=NUMBER_TYPES),
-    NumberRule("guarantees.min_extra", 0, kind=NUMBER_TYPES),
+    NumberRule("guarantees.extra_share", 0, number_type=NUMBER_TYPES),
+    NumberRule("guarantees.min_extra", 0, number_type=NUMBER_TYPES),
     NumberRule("domain.tells_every_ns", 0),
-    NumberRule("costs.probe", 0, kind=NUMBER_TYPES),
+    NumberRule("costs.probe", 0, number_type=NUMBER_TYPES),
 )
 CLASS_NUMBERS = (
-    NumberRule("goal_time_ns", 0, required=True, above_least=True),
-    NumberRule("deadline_ns", 0, required=True, above_least=True),
-    NumberRule("aim_stretch", 0, kind=NUMBER_TYPES),
-    NumberRule("worth", 0, kind=NUMBER_TYPES),
+    NumberRule("goal_time_ns", 0, required=True, exclusive_minimum=True),
+    NumberRule("deadline_ns", 0, required=True, exclusive_minimum=True),
+    NumberRule("aim_stretch", 0, number_type=NUMBER_TYPES),
+    NumberRule("worth", 0, number_type=NUMBER_TYPES),
     NumberRule("window_ns", 0),
 )
-# Lists with a number for each kind of machine or each class, or one number for all.
+# A list with a number for each machine kind or class, or one number for all.
 NUMBERS_BY_KIND = (
-    NumberRule("domain.kind_cores", 0, kind=NUMBER_TYPES, above_least=True),
-    NumberRule("domain.ram_of_kind_mb", 0, kind=NUMBER_TYPES),
+    NumberRule("domain.kind_cores", 0, number_type=NUMBER_TYPES, exclusive_minimum=True),
+    NumberRule("domain.ram_of_kind_mb", 0, number_type=NUMBER_TYPES),
 )
 NUMBERS_BY_CLASS = (NumberRule("domain.width_by_class", 1),)
 
 
 def validate(settings: Mapping[str, object], path: str = "settings") -> None:
-    """Checks the whole settings; raises ConfigurationError for the first fault."""
+    """Checks all settings; raises ConfigurationError for the first error."""
     for rule in NUMBERS:
         check_number(settings, rule, path)
     classes = check_classes(settings, path)
@@ -86,12 +86,12 @@
         check_indexes(item, f"{path}.classes[{index}]", "runs_in", len(zones))
 
 
-def value_at(table: Mapping[str, object], dotted: str, path: str) -> object:
-    """The value at a dotted key below `path`; None where it is absent."""
+def value_at(table: Mapping[str, object], dotted_key: str, path: str) -> object:
+    """Returns the value at a dotted key below `path`, or None if it is absent."""
     value: object = table
-    for part in dotted.split("."):
+    for part in dotted_key.split("."):
         if not isinstance(value, Mapping):
-            raise ConfigurationError("not an object", f"{path}.{dotted}".rpartition(".")[0])
+            raise ConfigurationError("not an object", f"{path}.{dotted_key}".rpartition(".")[0])
         value = value.get(part)
         if value is None:
             return None
@@ -99,7 +99,7 @@
 
 
 def check_number(table: Mapping[str, object], rule: NumberRule, path: str) -> None:
-    """Checks the number that a rule names, where it is there or required."""
+    """Checks the number that a rule names if it is present; raises if it is required and missing."""
     value = value_at(table, rule.path, path)
     if value is not None:
         check_value(value, rule, f"{path}.{rule.path}")
@@ -108,21 +108,21 @@
 
 
 def check_value(value: object, rule: NumberRule, path: str) -> None:
-    """Checks a number's kind and bounds."""
-    if isinstance(value, bool) or not isinstance(value, rule.kind):
-        kind = "a whole number" if rule.kind is int else "a number"
-        raise ConfigurationError(f"expected {kind}, got {quoted(value)}", path)
-    number: Number = value  # type: ignore[assignment]  # rule.kind allows only numbers
-    if not rule.least <= number <= rule.most or (rule.above_least and number == rule.least):
-        bound = f"above {rule.least}" if rule.above_least else f"at least {rule.least}"
-        raise ConfigurationError(f"expected {bound} and at most {rule.most:g}, got {number}", path)
+    """Checks the type and bounds of a number."""
+    if isinstance(value, bool) or not isinstance(value, rule.number_type):
+        expected = "an integer" if rule.number_type is int else "a number"
+        raise ConfigurationError(f"expected {expected}, got {quoted(value)}", path)
+    number: Number = value  # type: ignore[assignment]  # rule.number_type only allows numbers
+    if not rule.minimum <= number <= rule.maximum or (rule.exclusive_minimum and number == rule.minimum):
+        bound = f"above {rule.minimum}" if rule.exclusive_minimum else f"at least {rule.minimum}"
+        raise ConfigurationError(f"expected {bound} and at most {rule.maximum:g}, got {number}", path)
 
 
 def check_classes(settings: Mapping[str, object], path: str) -> list[Mapping[str, object]]:
-    """Checks the list of classes and gives it."""
+    """Checks and returns the list of classes."""
     classes = settings.get("classes")
     if not isinstance(classes, list) or not classes:
-        raise ConfigurationError("expected a list of classes, and one at the least", f"{path}.classes")
+        raise ConfigurationError("expected a list of at least one class", f"{path}.classes")
     known: set[str] = set()
     for index, item in enumerate(classes):
         item_path = f"{path}.classes[{index}]"
@@ -131,7 +131,7 @@
         check_class(item, item_path)
         name = str(without_separators(item["name"]))
         if name in known:
-            raise ConfigurationError(f"{name} names another class already", f"{item_path}.name")
+            raise ConfigurationError(f"duplicate class name {name}", f"{item_path}.name")
         known.add(name)
     return classes
 
@@ -140,7 +140,7 @@
     """Checks the fields of one class."""
     name = item.get("name")
     if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
-        expected = "expected a name without control characters and ="
+        expected = "expected a name of 1 to 256 characters without control characters and ="
         raise ConfigurationError(f"{expected}, got {quoted(name)}", f"{path}.name")
     for rule in CLASS_NUMBERS:
         check_number(item, rule, path)
@@ -153,7 +153,7 @@
 def check_choice(
     item: Mapping[str, object], key: str, choices: Sequence[str], path: str, required: bool = False
 ) -> None:
-    """Checks that a field is one of some words."""
+    """Checks that a field has one of the given values."""
     value = item.get(key)
     if value is None and not required:
         return
@@ -164,7 +164,7 @@
 
 
 def check_names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
-    """Checks a list of names and gives it; an empty one where it is absent."""
+    """Checks and returns a list of names; returns an empty list if it is absent."""
     found = settings.get(key, [])
     if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
         raise ConfigurationError("expected a list of names", f"{path}.{key}")
@@ -181,13 +181,13 @@
         check_value(value, rule, value_path)
         return
     if len(value) < count:
-        raise ConfigurationError(f"expected a figure for each of {count}, got {len(value)}", value_path)
+        raise ConfigurationError(f"expected at least {count} numbers, got {len(value)}", value_path)
     for index, number in enumerate(value):
         check_value(number, rule, f"{value_path}[{index}]")
 
 
 def check_indexes(item: Mapping[str, object], path: str, key: str, count: int) -> None:
-    """Checks the indexes of kinds or zones, in a list of `count`, that a class may run on or in."""
+    """Checks the indexes, below `count`, of the machine kinds or zones that a class may run on or in."""
     value = item.get(key)
     if value is None:
         return
@@ -197,5 +197,5 @@
 
 
 def quoted(value: object) -> str:
-    """A wrong value as a message shows it."""
-    return repr(str(value)[:SHOWN_CHARACTERS])
+    """Returns an invalid value as shown in messages."""
+    return repr(str(value)[:MAX_SHOWN_CHARACTERS])
--- a/hillchute/router/shutdown.py
+++ b/hillchute/router/shutdown.py
@@ -1,15 +1,15 @@
-"""The schedule of a graceful shutdown: when the router stops accepting, closes its sessions, and exits.
+"""The schedule of a graceful shutdown: when the router stops accepting, closes its sessions and exits.
 
-Pure: the caller says after each complete round of the event loop what it sees, and takes the step that is
-due. Times are whole tenths of a millisecond, counted from the arrival of SIGTERM:
+Performs no I/O: after each complete round of the event loop, the caller reports the client activity and
+takes the step that is due. Times are integers in tenths of a millisecond from the arrival of SIGTERM:
 
-    answer_by          answers are due by then; queries that come later are answered at once
-    close_sessions_by  sessions are closed: LAST_WAIT after `answer_by`, and not while clients still come
-    exit_by            the process begins to exit
-    kill_at            SIGKILL may come, EXIT_TIME later
+    answer_by          answers are due; queries that arrive later are answered at once
+    close_sessions_by  sessions are closed, ANSWER_SLACK after `answer_by` and once no client may connect
+    exit_by            the process starts to exit
+    kill_at            the earliest SIGKILL, EXIT_TIME after `exit_by`
 
-Every query gets its answer, on a full core too: what the kernel has taken for this process counts as
-received, so no session is closed for the sake of a time alone before `close_sessions_by`.
+Every query is answered, even on a saturated core: data that the kernel has accepted for this process counts
+as received, so sessions are not closed by elapsed time alone before `close_sessions_by`.
 """
 
 from enum import Enum
@@ -17,18 +17,23 @@
 
 from hillchute.decision.interface import Time
 
-KILL_AFTER: Time = 7_000  # the protocol: SIGKILL comes 0.7 s after the longest client timeout at the earliest
-CLIENTS_COME: Time = 6_000  # the protocol: connections for 0.4 s after the signal, then queries for 0.2 s
-QUIET: Time = 1_000  # 0.1 s without a byte or a connection, and with nothing open: no client is on its way
-STILL_COMING: Time = 7_000  # a quiet router closes no earlier, where its longest timeout leaves the time
-LAST_WAIT: Time = 4_000  # 0.4 s past `answer_by` in which nothing is waited for; at most the longest timeout
-LEAST_READ_TIME: Time = 2_000  # for clients to read the last answer and close their connections themselves
-READ_TIME: Time = 3_000  # the same, where there is time
-EXIT_TIME: Time = 1_000  # for tasks, sockets and the interpreter to end
+# By the protocol, SIGKILL comes at the earliest 0.7 s plus the longest client timeout after SIGTERM.
+SIGKILL_DELAY: Time = 7_000
+# By the protocol, clients connect for 0.4 s after the signal, and send queries for another 0.2 s.
+ARRIVAL_PERIOD: Time = 6_000
+# 0.1 s: after this time without input or open work, no more clients are expected.
+QUIET_PERIOD: Time = 1_000
+# 0.7 s: an idle router closes its sessions no earlier, if the longest client timeout allows it.
+MIN_OPEN_TIME: Time = 7_000
+# 0.4 s after `answer_by` in which queries are answered at once; at most the longest client timeout.
+ANSWER_SLACK: Time = 4_000
+MIN_READ_TIME: Time = 2_000  # minimum time for clients to read the last answer and close their connections
+MAX_READ_TIME: Time = 3_000  # maximum time for this, before exit_by
+EXIT_TIME: Time = 1_000  # for tasks, sockets and the interpreter to finish
 
 
 class ShutdownStep(Enum):
-    """What the router does now."""
+    """The step of the shutdown that is due."""
 
     ACCEPT = "accept"
     CLOSE_SESSIONS = "close sessions"
@@ -36,47 +41,50 @@
 
 
 class ClientActivity(NamedTuple):
-    """What the router sees of its clients at a time."""
+    """The activity of clients at one time."""
 
     now: Time
-    last_activity: Time  # when a byte or a connection last came from a client
-    open_queries: int  # without an answer yet
-    unsent_answers: int  # sessions whose last answer the kernel has not taken completely
+    last_activity: Time  # when a byte or connection last arrived from a client
+    open_queries: int  # queries not answered yet
+    unsent_answers: int  # sessions whose last answer the kernel has not fully accepted
 
 
 class ShutdownSchedule:
-    """The times of one shutdown, and how far it has come."""
+    """The times of one shutdown, and its progress."""
 
     def __init__(self, signalled_at: Time, longest_timeout: Time, loop_lag: Time) -> None:
-        """`longest_timeout`: of a client, as far as the shutdown waits for it; `loop_lag`: how much later
-        than it came the signal may have been seen, as the process may have stood still."""
+        """Computes the times of the shutdown.
+
+        `longest_timeout`: of a client; the shutdown waits no longer than this. `loop_lag`: how late the
+        signal may have been handled, since the process may have paused.
+        """
         self.signalled_at = signalled_at
-        self.kill_at = signalled_at + longest_timeout + KILL_AFTER
+        self.kill_at = signalled_at + longest_timeout + SIGKILL_DELAY
         self.exit_by = self.kill_at - EXIT_TIME
-        self.close_sessions_by = max(signalled_at + CLIENTS_COME, self.exit_by - LEAST_READ_TIME)
-        last_wait = min(LAST_WAIT, longest_timeout)
-        self.answer_by = self.close_sessions_by - last_wait - min(loop_lag, longest_timeout // 4)
+        self.close_sessions_by = max(signalled_at + ARRIVAL_PERIOD, self.exit_by - MIN_READ_TIME)
+        answer_slack = min(ANSWER_SLACK, longest_timeout)
+        self.answer_by = self.close_sessions_by - answer_slack - min(loop_lag, longest_timeout // 4)
         self.sessions_closed_at: Time | None = None
 
-    def may_close_sessions(self, seen: ClientActivity) -> bool:
-        """Whether sessions may be closed without a client losing an answer that it could have had."""
-        if seen.now >= self.close_sessions_by:
+    def may_close_sessions(self, activity: ClientActivity) -> bool:
+        """Whether sessions may be closed without depriving a client of an answer."""
+        if activity.now >= self.close_sessions_by:
             return True
-        if seen.now < self.signalled_at + CLIENTS_COME or seen.open_queries:
+        if activity.now < self.signalled_at + ARRIVAL_PERIOD or activity.open_queries:
             return False
-        if seen.now >= self.answer_by + QUIET:
+        if activity.now >= self.answer_by + QUIET_PERIOD:
             return True
-        quiet_since = max(seen.last_activity, self.signalled_at)
-        quiet = seen.now - quiet_since >= QUIET and not seen.unsent_answers
-        return quiet and seen.now >= min(self.signalled_at + STILL_COMING, self.close_sessions_by)
+        quiet_since = max(activity.last_activity, self.signalled_at)
+        quiet = activity.now - quiet_since >= QUIET_PERIOD and not activity.unsent_answers
+        return quiet and activity.now >= min(self.signalled_at + MIN_OPEN_TIME, self.close_sessions_by)
 
-    def next_step(self, seen: ClientActivity, open_sessions: int) -> ShutdownStep:
-        """What to do after a round; `open_sessions` counts those that clients have not closed yet."""
+    def next_step(self, activity: ClientActivity, open_sessions: int) -> ShutdownStep:
+        """Returns the step due after a round; `open_sessions`: sessions not yet closed by their clients."""
         if self.sessions_closed_at is None:
-            if not self.may_close_sessions(seen):
+            if not self.may_close_sessions(activity):
                 return ShutdownStep.ACCEPT
-            self.sessions_closed_at = seen.now
+            self.sessions_closed_at = activity.now
             return ShutdownStep.CLOSE_SESSIONS
-        if not open_sessions or seen.now >= min(self.sessions_closed_at + READ_TIME, self.exit_by):
+        if not open_sessions or activity.now >= min(self.sessions_closed_at + MAX_READ_TIME, self.exit_by):
             return ShutdownStep.EXIT
         return ShutdownStep.CLOSE_SESSIONS
--- a/hillchute/router/signal_handling.py
+++ b/hillchute/router/signal_handling.py
@@ -1,4 +1,4 @@
-"""The signals that a router heeds: when each arrived, and their delivery to the event loop."""
+"""Receives signals, records when they arrived and passes them to the event loop."""
 
 import signal
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 
 
 class SignalReceiver:
-    """Gives signals to the event loop, and knows when SIGTERM and SIGINT arrived.
+    """Passes signals to the event loop and records when SIGTERM and SIGINT arrived.
 
-    The event loop is notified of a signal a round later than it arrives; a shutdown counts from the arrival.
+    The event loop sees a signal a round later than it arrived, but a shutdown is timed from the arrival.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.started_at: Time = clock()
-        self.arrivals: dict[int, Time] = {}  # first arrivals, by the signal's number
+        self.arrivals: dict[int, Time] = {}  # first arrival by signal number
 
     async def listen(self, on_signal: Callable[[int], None]) -> None:
-        """Calls back for each signal, until it is cancelled. Signals were blocked until now."""
+        """Unblocks the signals and calls back for each one, until cancelled."""
         with anyio.open_signal_receiver(*SIGNALS) as signals:
             self.record_arrival(signal.SIGTERM)
             self.record_arrival(signal.SIGINT)
@@ -32,17 +32,17 @@
                 on_signal(number)
 
     def record_arrival(self, number: int) -> None:
-        """Records when a signal arrives, between two steps of the interpreter.
+        """Installs a handler that records when a signal arrives.
 
-        One that came during the start, and is pending, counts from the start.
+        A signal that is already pending arrived during startup; its arrival is set to the start time.
         """
         if number in signal.sigpending():
             self.arrivals[number] = self.started_at
-        receive = signal.getsignal(number)
+        previous_handler = signal.getsignal(number)
 
         def record(number: int, frame: object) -> None:
             self.arrivals.setdefault(number, self.clock())
-            if callable(receive):
-                receive(number, frame)  # type: ignore[arg-type]  # the frame that the interpreter gave
+            if callable(previous_handler):
+                previous_handler(number, frame)  # type: ignore[arg-type]  # the interpreter's frame
 
         signal.signal(number, record)
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -44,8 +44,8 @@
     monkeypatch.setattr(
         ShutdownSchedule,
         "next_step",
-        lambda self, seen, open_sessions: (
-            ShutdownStep.EXIT if seen.now > self.signalled_at + 100 else ShutdownStep.CLOSE_SESSIONS
+        lambda self, activity, open_sessions: (
+            ShutdownStep.EXIT if activity.now > self.signalled_at + 100 else ShutdownStep.CLOSE_SESSIONS
         ),
     )
     assert any("0 answers" in fault for fault in faults())
@@ -98,17 +98,17 @@
 def test_query_of_a_key_waits_until_all_that_came_before_is_read():
     schedule = RoundSchedule()
     now = 10 * SECOND
-    schedule.sockets_read(now, connections_waiting=True)
+    schedule.record_sockets_read(now, connections_waiting=True)
     schedule.enqueue(1, request(key="k"), now, now, 99 * SECOND)
     schedule.enqueue(2, request(), now + 1, now + 1, 99 * SECOND)
     assert [w.session for w in schedule.take_queries(0)] == [2]
     assert schedule.waits_for_horizon and not schedule.idle
     assert schedule.accept_limit == round_schedule.LISTEN_BACKLOG
-    schedule.connections_accepted(now, backlog_empty=False)
-    schedule.sockets_read(now + 10, connections_waiting=True)
+    schedule.record_connections_accepted(now, backlog_empty=False)
+    schedule.record_sockets_read(now + 10, connections_waiting=True)
     assert not list(schedule.take_queries(0))  # the kernel still holds connections that are older
-    schedule.connections_accepted(now + 10, backlog_empty=True)
-    schedule.sockets_read(now + 20, connections_waiting=True)
+    schedule.record_connections_accepted(now + 10, backlog_empty=True)
+    schedule.record_sockets_read(now + 20, connections_waiting=True)
     assert [w.session for w in schedule.take_queries(0)] == [1]
     assert schedule.accept_limit == round_schedule.ACCEPT_LIMIT
 
@@ -116,7 +116,7 @@
 def test_query_of_a_key_does_not_wait_where_nobody_knocks():
     schedule = RoundSchedule()
     schedule.enqueue(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
-    schedule.sockets_read(SECOND, connections_waiting=False)
+    schedule.record_sockets_read(SECOND, connections_waiting=False)
     assert [w.session for w in schedule.take_queries(0)] == [1]
 
 
@@ -145,7 +145,7 @@
     late.record_lag(SECOND, loop_lag.MINIMUM_LAG + 1000)
     for now in range(SECOND, 3 * SECOND, 7):
         late.record_lag(now, 0)
-    assert loop_lag.MINIMUM_LAG + 790 <= late.worst <= loop_lag.MINIMUM_LAG + 810
+    assert loop_lag.MINIMUM_LAG + 790 <= late.peak_lag <= loop_lag.MINIMUM_LAG + 810
 
 
 def test_margin_leaves_half_of_a_short_patience():
@@ -183,12 +183,12 @@
 # ---- the end ----------------------------------------------------------------------------------------
 
 
-def step(schedule, *seen, sessions):
-    return schedule.next_step(ClientActivity(*seen), sessions)
+def step(schedule, *activity, sessions):
+    return schedule.next_step(ClientActivity(*activity), sessions)
 
 
 def test_end_waits_for_quiet_and_for_the_time_in_which_clients_still_come():
-    schedule, come = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.STILL_COMING
+    schedule, come = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.MIN_OPEN_TIME
     accept, close = ShutdownStep.ACCEPT, ShutdownStep.CLOSE_SESSIONS
     assert step(schedule, come - 1, 0, 0, 0, sessions=5) is accept
     assert step(schedule, come, come - 1, 0, 0, sessions=5) is accept  # just heard
@@ -203,7 +203,7 @@
     schedule = ShutdownSchedule(0, 3 * SECOND, SECOND // 10)
     assert schedule.answer_by == 3 * SECOND - SECOND // 10
     now = schedule.close_sessions_by
-    assert now >= schedule.answer_by + shutdown.LAST_WAIT
+    assert now >= schedule.answer_by + shutdown.ANSWER_SLACK
     assert step(schedule, now - 1, now - 1, 7, 1, sessions=5) is ShutdownStep.ACCEPT
     assert step(schedule, now, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
     assert step(schedule, schedule.exit_by - 1, now, 7, 1, sessions=5) is ShutdownStep.CLOSE_SESSIONS
@@ -214,11 +214,11 @@
 @pytest.mark.parametrize("late", [0, 4_000, 60_000])
 def test_sums_of_the_end_fit_before_sigkill_for_every_deadline(longest, late):
     schedule = ShutdownSchedule(0, longest, late)
-    assert schedule.answer_by <= schedule.close_sessions_by - min(shutdown.LAST_WAIT, longest)
-    assert shutdown.CLIENTS_COME <= schedule.close_sessions_by < schedule.exit_by
-    assert schedule.exit_by + shutdown.EXIT_TIME <= longest + shutdown.KILL_AFTER
+    assert schedule.answer_by <= schedule.close_sessions_by - min(shutdown.ANSWER_SLACK, longest)
+    assert shutdown.ARRIVAL_PERIOD <= schedule.close_sessions_by < schedule.exit_by
+    assert schedule.exit_by + shutdown.EXIT_TIME <= longest + shutdown.SIGKILL_DELAY
     # Nobody is hung up on while the protocol lets clients come, whatever the deadline.
-    assert not schedule.may_close_sessions(ClientActivity(shutdown.CLIENTS_COME - 1, 0, 0, 0))
+    assert not schedule.may_close_sessions(ClientActivity(shutdown.ARRIVAL_PERIOD - 1, 0, 0, 0))
     assert schedule.may_close_sessions(
         ClientActivity(schedule.close_sessions_by, schedule.close_sessions_by, 9, 9)
     )
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -677,8 +677,8 @@
         ("seed", None, "seed: missing"),
         ("known", [], "known: not an object"),
         ("bus", "nowhere", "bus: not an address of the form host:port: 'nowhere'"),
-        ("limits", {"sockets": 63}, "limits.sockets: 63 are too few to serve with"),
-        ("limits", {"memory_mb": 23}, "limits.memory_mb: 23 are too few to serve with"),
+        ("limits", {"sockets": 63}, "limits.sockets: expected at least 64, got 63"),
+        ("limits", {"memory_mb": 23}, "limits.memory_mb: expected at least 24, got 23"),
         ("limits", {"sockets": True}, "limits.sockets: expected int, got 'True'"),
     ],
 )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -102,7 +102,7 @@
     for client in clients:
         answers = client.answers()
         assert len(answers) == 1 and answers[0] in ANSWERS
-    assert schedule.answer_by <= sent + min(rig.longest, 3_000) * MILLISECOND + shutdown.KILL_AFTER
+    assert schedule.answer_by <= sent + min(rig.longest, 3_000) * MILLISECOND + shutdown.SIGKILL_DELAY
 
 
 def test_query_that_comes_as_sessions_are_ended_is_not_forwarded(rig, monkeypatch):
