--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -1,4 +1,4 @@
-"""A loop that is late: the order of its work, what it turns away, how it ends; runs of the slow loop."""
+"""A saturated event loop: order of work, lag, rejections and shutdown; runs of the slow-loop simulation."""
 
 from types import SimpleNamespace
 
@@ -22,17 +22,17 @@
     return Request("a" * 16, "lookup", SECOND, b"SELECT 1", key=key)
 
 
-# ---- whole runs -----------------------------------------------------------------------------------
+# ---- simulations ----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("first", range(1, 201, 25))
-def test_rules_hold_at_three_times_the_load_with_stalls_and_an_end(first):
-    broken = {seed: rig.faults for seed in range(first, first + 25) if (rig := slowloop.play(seed)).faults}
-    assert not broken
+def test_rules_hold_at_three_times_the_load_with_stalls_and_a_shutdown(first):
+    failed = {seed: rig.faults for seed in range(first, first + 25) if (rig := slowloop.play(seed)).faults}
+    assert not failed
 
 
-def faults(seeds=12, **known):
-    return [fault for seed in range(1, seeds + 1) for fault in slowloop.play(seed, **known).faults]
+def faults(seeds=12, **options):
+    return [fault for seed in range(1, seeds + 1) for fault in slowloop.play(seed, **options).faults]
 
 
 def test_checker_finds_answers_that_leave_no_time_for_a_pause(monkeypatch):
@@ -40,7 +40,7 @@
     assert any("too late" in fault for fault in faults())
 
 
-def test_checker_finds_queries_lost_by_an_end_that_does_not_look(monkeypatch):
+def test_checker_finds_queries_lost_by_a_shutdown_that_ignores_client_activity(monkeypatch):
     monkeypatch.setattr(
         ShutdownSchedule,
         "next_step",
@@ -57,7 +57,10 @@
 
 
 def stalled_key():
-    """Two queries of a key that come during one stall: on a new connection, then on one that is open."""
+    """Returns the faults of a run in which two queries of a key arrive during one stall.
+
+    The first arrives on a new connection, the second on an open one.
+    """
     rig = slowloop.Rig(1, times=0, term=False)
     start = rig.world.us
     rig.world.coming.clear()
@@ -70,11 +73,11 @@
         )
         rig.world.at(start + at, rig.come, rig.asked[id])
     slowloop.anyio.run(rig.play)
-    assert [a.answers[0][1] for a in rig.asked.values()] == ["finished"] * 3
+    assert [query.answers[0][1] for query in rig.asked.values()] == ["finished"] * 3
     return rig.faults
 
 
-def test_key_keeps_its_order_over_a_stall_though_its_second_query_is_read_first(no_hangs):
+def test_key_keeps_its_order_over_a_stall_even_if_its_second_query_is_read_first(no_hangs):
     assert stalled_key() == []
 
 
@@ -86,91 +89,93 @@
 # ---- rounds ---------------------------------------------------------------------------------------
 
 
-def test_queries_are_taken_in_the_order_in_which_their_bytes_came():
+def test_queries_are_taken_in_order_of_arrival():
     schedule = RoundSchedule()
-    for session, since in ((1, 30), (2, 10), (3, 20)):
-        schedule.enqueue(session, request(), since, since, 99 * SECOND)
+    for session, received_at in ((1, 30), (2, 10), (3, 20)):
+        schedule.enqueue(session, request(), received_at, received_at, 99 * SECOND)
     assert schedule.discard(3) and not schedule.discard(3)
-    assert [w.session for w in schedule.take_queries(0)] == [2, 1]
+    assert [query.session for query in schedule.take_queries(0)] == [2, 1]
     assert schedule.idle
 
 
-def test_query_of_a_key_waits_until_all_that_came_before_is_read():
+def test_query_of_a_key_waits_until_all_earlier_input_is_read():
     schedule = RoundSchedule()
     now = 10 * SECOND
     schedule.record_sockets_read(now, connections_waiting=True)
     schedule.enqueue(1, request(key="k"), now, now, 99 * SECOND)
     schedule.enqueue(2, request(), now + 1, now + 1, 99 * SECOND)
-    assert [w.session for w in schedule.take_queries(0)] == [2]
+    assert [query.session for query in schedule.take_queries(0)] == [2]
     assert schedule.waits_for_horizon and not schedule.idle
     assert schedule.accept_limit == round_schedule.LISTEN_BACKLOG
     schedule.record_connections_accepted(now, backlog_empty=False)
     schedule.record_sockets_read(now + 10, connections_waiting=True)
-    assert not list(schedule.take_queries(0))  # the kernel still holds connections that are older
+    assert not list(schedule.take_queries(0))  # the backlog still holds older connections
     schedule.record_connections_accepted(now + 10, backlog_empty=True)
     schedule.record_sockets_read(now + 20, connections_waiting=True)
-    assert [w.session for w in schedule.take_queries(0)] == [1]
+    assert [query.session for query in schedule.take_queries(0)] == [1]
     assert schedule.accept_limit == round_schedule.ACCEPT_LIMIT
 
 
-def test_query_of_a_key_does_not_wait_where_nobody_knocks():
+def test_query_of_a_key_does_not_wait_while_the_backlog_is_empty():
     schedule = RoundSchedule()
     schedule.enqueue(1, request(key="k"), SECOND + 400, SECOND + 400, 99 * SECOND)
     schedule.record_sockets_read(SECOND, connections_waiting=False)
-    assert [w.session for w in schedule.take_queries(0)] == [1]
+    assert [query.session for query in schedule.take_queries(0)] == [1]
 
 
-def test_query_whose_end_has_come_is_taken_before_older_ones():
+def test_timed_out_query_is_taken_before_older_ones():
     schedule = RoundSchedule()
     schedule.enqueue(1, request(), 10, 10, 9000)
     schedule.enqueue(2, request(), 20, 20, 5000)
     schedule.enqueue(3, request(key="k"), 3000, 3000, 5000)
-    assert [w.session for w in schedule.take_queries(5000)] == [2, 1]
-    assert [w.session for w in schedule.take_queries(5000 + round_schedule.ORDERED_TIMEOUT_GRACE)] == [3]
+    assert [query.session for query in schedule.take_queries(5000)] == [2, 1]
+    assert [
+        query.session for query in schedule.take_queries(5000 + round_schedule.ORDERED_TIMEOUT_GRACE)
+    ] == [3]
     assert schedule.idle and not list(schedule.take_queries(99 * SECOND))
 
 
-def test_what_a_round_left_goes_first_in_the_next():
+def test_connections_left_over_from_a_round_are_served_first_in_the_next():
     schedule = RoundSchedule()
-    links = [Client(n, 100) for n in (1, 2, 3)]
-    links[0].served, links[1].served = 7, 6
-    assert schedule.least_recently_served(links) == [links[2], links[1], links[0]]
+    clients = [Client(n, 100) for n in (1, 2, 3)]
+    clients[0].served, clients[1].served = 7, 6
+    assert schedule.least_recently_served(clients) == [clients[2], clients[1], clients[0]]
 
 
-# ---- how late ---------------------------------------------------------------------------------------
+# ---- loop lag ---------------------------------------------------------------------------------------
 
 
-def test_pause_is_forgotten_slowly_however_often_it_is_asked():
-    late = LoopLag()
-    late.record_lag(SECOND, loop_lag.MINIMUM_LAG + 1000)
+def test_peak_lag_decays_slowly_however_often_it_is_updated():
+    lag = LoopLag()
+    lag.record_lag(SECOND, loop_lag.MINIMUM_LAG + 1000)
     for now in range(SECOND, 3 * SECOND, 7):
-        late.record_lag(now, 0)
-    assert loop_lag.MINIMUM_LAG + 790 <= late.peak_lag <= loop_lag.MINIMUM_LAG + 810
+        lag.record_lag(now, 0)
+    assert loop_lag.MINIMUM_LAG + 790 <= lag.peak_lag <= loop_lag.MINIMUM_LAG + 810
 
 
-def test_margin_leaves_half_of_a_short_patience():
-    late = LoopLag()
-    assert late.answer_margin(1000) == 500
-    assert late.answer_margin(9 * SECOND) == loop_lag.MINIMUM_LAG + loop_lag.CONNECT_DELAY
-    late.record_query_delay(0, SECOND)
-    assert late.answer_margin(9 * SECOND) == SECOND + loop_lag.CONNECT_DELAY
+def test_margin_leaves_half_of_a_short_client_timeout():
+    lag = LoopLag()
+    assert lag.answer_margin(1000) == 500
+    assert lag.answer_margin(9 * SECOND) == loop_lag.MINIMUM_LAG + loop_lag.CONNECT_DELAY
+    lag.record_query_delay(0, SECOND)
+    assert lag.answer_margin(9 * SECOND) == SECOND + loop_lag.CONNECT_DELAY
 
 
-def test_pause_that_is_over_is_no_standing_delay():
-    late = LoopLag()
-    for now in range(0, 3000, 50):  # a pause of 0.2 s, then what came meanwhile, ever less late
-        late.record_query_delay(now, max(0, 2000 - now))
-    assert late.standing_delay == 0
+def test_pause_that_is_over_gives_no_standing_delay():
+    lag = LoopLag()
+    for now in range(0, 3000, 50):  # a pause of 0.2 s, then the queued queries, each less late
+        lag.record_query_delay(now, max(0, 2000 - now))
+    assert lag.standing_delay == 0
     for now in range(3000, 6000, 50):
-        late.record_query_delay(now, 700 + now % 300)
-    assert late.standing_delay >= 700
-    late.record_query_delay(6001, 3)
-    assert late.standing_delay == 3
-    late.record_query_delay(10 * SECOND, 900)
-    assert late.standing_delay == 0  # nothing was asked for a while
+        lag.record_query_delay(now, 700 + now % 300)
+    assert lag.standing_delay >= 700
+    lag.record_query_delay(6001, 3)
+    assert lag.standing_delay == 3
+    lag.record_query_delay(10 * SECOND, 900)
+    assert lag.standing_delay == 0  # no query came for a while
 
 
-def test_late_loop_turns_away_what_is_of_least_value_first(harness):
+def test_late_loop_rejects_the_least_valuable_group_first(harness):
     for _ in range(20):
         harness.router.admits(0, LOOKUP, 0.0)
         harness.router.admits(0, REPORT, 0.0)
@@ -180,26 +185,26 @@
     assert not harness.router.admits(0, REPORT, MOST_LATE)
 
 
-# ---- the end ----------------------------------------------------------------------------------------
+# ---- shutdown ---------------------------------------------------------------------------------------
 
 
 def step(schedule, *activity, sessions):
     return schedule.next_step(ClientActivity(*activity), sessions)
 
 
-def test_end_waits_for_quiet_and_for_the_time_in_which_clients_still_come():
-    schedule, come = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.MIN_OPEN_TIME
+def test_shutdown_waits_for_quiet_and_for_the_arrival_period():
+    schedule, now = ShutdownSchedule(0, 3 * SECOND, 0), shutdown.MIN_OPEN_TIME
     accept, close = ShutdownStep.ACCEPT, ShutdownStep.CLOSE_SESSIONS
-    assert step(schedule, come - 1, 0, 0, 0, sessions=5) is accept
-    assert step(schedule, come, come - 1, 0, 0, sessions=5) is accept  # just heard
-    assert step(schedule, come, 0, 1, 0, sessions=5) is accept  # a query is open
-    assert step(schedule, come, 0, 0, 1, sessions=5) is accept  # an answer is not out
-    assert step(schedule, come, 0, 0, 0, sessions=5) is close
-    assert step(schedule, come + 1, 0, 0, 0, sessions=5) is close  # they read
-    assert step(schedule, come + 2, 0, 0, 0, sessions=0) is ShutdownStep.EXIT
+    assert step(schedule, now - 1, 0, 0, 0, sessions=5) is accept
+    assert step(schedule, now, now - 1, 0, 0, sessions=5) is accept  # input has just arrived
+    assert step(schedule, now, 0, 1, 0, sessions=5) is accept  # a query is open
+    assert step(schedule, now, 0, 0, 1, sessions=5) is accept  # an answer is not sent
+    assert step(schedule, now, 0, 0, 0, sessions=5) is close
+    assert step(schedule, now + 1, 0, 0, 0, sessions=5) is close  # clients read their answers
+    assert step(schedule, now + 2, 0, 0, 0, sessions=0) is ShutdownStep.EXIT
 
 
-def test_end_comes_in_time_where_clients_go_on_without_end():
+def test_shutdown_ends_in_time_while_clients_keep_sending():
     schedule = ShutdownSchedule(0, 3 * SECOND, SECOND // 10)
     assert schedule.answer_by == 3 * SECOND - SECOND // 10
     now = schedule.close_sessions_by
@@ -210,14 +215,14 @@
     assert step(schedule, schedule.exit_by, now, 7, 1, sessions=5) is ShutdownStep.EXIT
 
 
-@pytest.mark.parametrize("longest", [100, 300, 1_000, 3_000, 10_000, 30_000])  # 10 ms to 3 s, the most of it
-@pytest.mark.parametrize("late", [0, 4_000, 60_000])
-def test_sums_of_the_end_fit_before_sigkill_for_every_deadline(longest, late):
-    schedule = ShutdownSchedule(0, longest, late)
+@pytest.mark.parametrize("longest", [100, 300, 1_000, 3_000, 10_000, 30_000])  # 10 ms to the maximum of 3 s
+@pytest.mark.parametrize("lag", [0, 4_000, 60_000])
+def test_shutdown_schedule_fits_before_sigkill_for_every_client_timeout(longest, lag):
+    schedule = ShutdownSchedule(0, longest, lag)
     assert schedule.answer_by <= schedule.close_sessions_by - min(shutdown.ANSWER_SLACK, longest)
     assert shutdown.ARRIVAL_PERIOD <= schedule.close_sessions_by < schedule.exit_by
     assert schedule.exit_by + shutdown.EXIT_TIME <= longest + shutdown.SIGKILL_DELAY
-    # Nobody is hung up on while the protocol lets clients come, whatever the deadline.
+    # No session is closed while the protocol lets clients connect, whatever the client timeout.
     assert not schedule.may_close_sessions(ClientActivity(shutdown.ARRIVAL_PERIOD - 1, 0, 0, 0))
     assert schedule.may_close_sessions(
         ClientActivity(schedule.close_sessions_by, schedule.close_sessions_by, 9, 9)
@@ -236,53 +241,53 @@
 # ---- sessions ---------------------------------------------------------------------------------------
 
 
-class Wire:
+class PipeStub:
     """Stands in for a session's pipe."""
 
-    def __init__(self, left=b"", unread=False):
-        self.unsent, self.waiting, self.closed = left, unread, False
+    def __init__(self, unsent=b"", unread=False):
+        self.unsent, self.unread, self.closed = unsent, unread, False
 
     def has_unread(self):
-        return self.waiting
+        return self.unread
 
     def close(self):
         self.closed = True
 
 
-def door(*wires):
-    """A door whose places are all taken by sessions in a step that is not complete."""
+def make_door(*pipes):
+    """Returns a door whose places are all taken by sessions in an incomplete step."""
     poller = SimpleNamespace(system=SYSTEM_CALLS)
-    made = Door(
-        len(wires), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
+    door = Door(
+        len(pipes), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
     )
-    for number, wire in enumerate(wires):
-        client = made.clients[number] = Client(number, 1000)
-        client.pipe = wire
-        made.seats.in_step(number, number)
-    return made
+    for number, pipe in enumerate(pipes):
+        client = door.clients[number] = Client(number, 1000)
+        client.pipe = pipe
+        door.seats.in_step(number, number)
+    return door
 
 
-def test_answer_that_is_not_out_keeps_its_place():
-    made = door(Wire(left=b"rows"), Wire(unread=True), Wire())
-    giving = made.seats.give_way()
-    assert made.make_room(iter(list(giving)))
-    assert sorted(made.clients) == [0, 1]
-    assert made.make_room(iter(()))  # a place is free now
+def test_session_with_an_unsent_answer_is_not_evicted():
+    door = make_door(PipeStub(unsent=b"rows"), PipeStub(unread=True), PipeStub())
+    candidates = door.seats.give_way()
+    assert door.make_room(iter(list(candidates)))
+    assert sorted(door.clients) == [0, 1]
+    assert door.make_room(iter(()))  # there is a free place now
 
 
-def test_burst_of_unread_sessions_is_asked_once_for_all_newcomers():
-    made = door(*[Wire(unread=True) for _ in range(5)], Wire())
-    giving = iter(list(made.seats.give_way()))
-    assert made.make_room(giving)
-    made.seats.in_step(9, 0)
-    assert not made.make_room(giving) and next(giving, None) is None
+def test_unread_sessions_are_checked_once_per_burst_of_new_connections():
+    door = make_door(*[PipeStub(unread=True) for _ in range(5)], PipeStub())
+    candidates = iter(list(door.seats.give_way()))
+    assert door.make_room(candidates)
+    door.seats.in_step(9, 0)
+    assert not door.make_room(candidates) and next(candidates, None) is None
 
 
-def test_first_query_written_along_with_the_login_counts_from_its_connection():
-    made = door(Wire(), Wire())
-    early, later = made.clients[0], made.clients[1]
+def test_first_query_sent_with_the_login_is_timed_from_its_connection():
+    door = make_door(PipeStub(), PipeStub())
+    early, later = door.clients[0], door.clients[1]
     early.knocked = later.knocked = SECOND
     early.let_in = later.let_in = 2 * SECOND
-    assert made.sent(early, 2 * SECOND) == SECOND
-    assert made.sent(early, 2 * SECOND) == 2 * SECOND  # not the first any more
-    assert made.sent(later, 3 * SECOND) == 3 * SECOND  # it waited for the login's answer
+    assert door.sent(early, 2 * SECOND) == SECOND
+    assert door.sent(early, 2 * SECOND) == 2 * SECOND  # no longer the first
+    assert door.sent(later, 3 * SECOND) == 3 * SECOND  # sent after the answer to the login
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The router's codecs and its reducer, without sockets."""
+"""The codecs, the reducer and the configuration of a router, and its MySQL sessions on sockets."""
 
 import errno
 import signal
@@ -51,7 +51,7 @@
 # ---- statements -----------------------------------------------------------------------------------
 
 
-def test_statement_goes_on_without_its_fields_and_unchanged():
+def test_statement_is_passed_on_unchanged_without_its_fields():
     request = statement.read(COMMENT + SELECT + b"  ")
     assert request.statement == SELECT + b"  "
     assert (request.id, request.group, request.patience) == ("9b1f03aa5c7e2d41", "report", 15_000)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, named",
+    "fields, invalid_field",
     [
         ("route=report,patience=5", "trace"),
         ("route=report,trace=9b1f03aa5c7e2d4,patience=5", "trace"),
@@ -75,8 +75,8 @@
         ("route=report,trace=9b1f03aa5c7e2d41,patience=0", "patience"),
     ],
 )
-def test_misread_names_the_field(fields, named):
-    with pytest.raises(statement.Misread, match=named):
+def test_error_names_the_invalid_field(fields, invalid_field):
+    with pytest.raises(statement.Misread, match=invalid_field):
         statement.read(b"/* %s */ SELECT 1" % fields.encode())
 
 
@@ -118,7 +118,7 @@
     return session
 
 
-def test_login_and_query_come_in_pieces_and_before_the_greeting_is_read(session):
+def test_login_and_query_sent_byte_by_byte_before_reading_the_greeting(session):
     data = packet(1, login()) + packet(0, b"\x03" + SELECT)
     for n in range(len(data)):
         session.feed(data[n : n + 1])
@@ -130,19 +130,19 @@
 @pytest.mark.parametrize(
     "changed, number", [({"user": b"x"}, 1045), ({"password": b"x"}, 1045), ({"database": b"x"}, 1049)]
 )
-def test_wrong_login_is_an_access_error(session, changed, number):
+def test_invalid_login_gets_its_error_code(session, changed, number):
     session.feed(packet(1, login(**changed)))
     command, out = session.command()
     assert command is None and session.over
     assert struct.unpack_from("<H", out, 5)[0] == number
 
 
-def test_garbage_ends_the_session_with_an_error(session):
+def test_malformed_login_ends_the_session_with_an_error(session):
     session.feed(packet(1, b"\xff" * 9))
     assert session.command()[1][4] == 0xFF and session.over
 
 
-def test_next_command_waits_for_the_answer_of_the_one_before(session):
+def test_next_command_waits_for_the_answer_to_the_previous_one(session):
     session.feed(packet(1, login()) + packet(0, b"\x0e") + packet(0, b"\x03KILL QUERY 12"))
     assert session.command()[0] == mysql.Ping()
     assert session.command()[0] is None
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, 240, 250, 251, 70_000])
-def test_result_set_holds_every_size_of_column(session, size):
+def test_result_set_encodes_every_size_of_column(session, size):
     session.sequence = 1
     data = session.result([[b"a", b"x" * size, b""]])
     payloads = []
@@ -167,7 +167,7 @@
 # ---- engines and the event bus --------------------------------------------------------------------
 
 
-def test_answers_come_in_pieces_and_several_at_once():
+def test_decoder_accepts_partial_and_multiple_answers():
     decoder = wire.Decoder()
     data = b"q1 ACK parts=2,work=12.5,rep=util:0.5;inflight:7 6\r\na\tb\tc\n\r\nq2 EIO - 0\r\n\r\n"
     answers = [answer for n in range(len(data)) for answer in decoder.feed(data[n : n + 1])]
@@ -196,26 +196,26 @@
     ],
     ids=range(13),
 )
-def test_answers_before_one_that_cannot_be_read_are_given(data):
+def test_answers_before_an_unreadable_one_are_returned(data):
     answers = wire.Decoder().feed(b"q1 EIO - 0\r\n\r\n" + data)
     assert next(answers).id == "q1"
     with pytest.raises(wire.Unreadable):
         next(answers)
 
 
-def test_known_and_frames_give_the_same_listing():
+def test_configured_and_received_endpoint_lists_are_equal():
     endpoint = {"name": "s-00c41f7a", "address": "10.1.0.9:6565", "zone": "west", "type": "big", "group": 2}
     endpoint |= {"status": "Terminating", "weight": 4, "since_ms": 1234}
     batch = [{"offset": 41, "topology": {"index": 7, "snapshot": True, "endpoints": [endpoint]}}]
-    (known,) = event_bus.initial_watch_events({"batch": batch}, ["east", "west"], ["std", "big"])
+    (configured,) = event_bus.initial_watch_events({"batch": batch}, ["east", "west"], ["std", "big"])
     record = event_bus.ENDPOINT_RECORD.pack(0xC41F7A, bytes([10, 1, 0, 9]), 6565, 1, 1, 1, 2, 4000, 1234)
     frame = event_bus.FRAME_HEADER.pack(9 + len(record), 41, 1) + record
     decoder = event_bus.WatchEventDecoder()
     assert not list(decoder.feed(frame[:20]))
-    assert list(decoder.feed(frame[20:])) == [known]
+    assert list(decoder.feed(frame[20:])) == [configured]
 
 
-def test_unreadable_frame_is_said_to_be():
+def test_malformed_frame_raises_a_protocol_error():
     with pytest.raises(EventBusProtocolError):
         list(event_bus.WatchEventDecoder().feed(event_bus.FRAME_HEADER.pack(9 + 5, 1, 2)))
 
@@ -247,7 +247,7 @@
 }
 
 
-def test_configuration_gives_the_map_that_the_bench_gives():
+def test_configuration_gives_the_same_catalog_as_the_simulator_adapter():
     pairs = (
         "classes.count=1 classes.0.name=a_lookup classes.0.goal_time_ns=150000 classes.0.deadline_ns=9000000"
     )
@@ -273,13 +273,13 @@
         ("settings.limits.keepalive_ns", 0),
     ],
 )
-def test_faulty_key_is_named_by_its_path(path, value):
+def test_error_names_the_faulty_key_by_its_path(path, value):
     table = orjson.loads(orjson.dumps(TABLE | {"limits": {}}))
     *parents, last = path.split(".")
-    place = table
+    section = table
     for name in parents:
-        place = place[name]
-    place[last] = value
+        section = section[name]
+    section[last] = value
     with pytest.raises(ConfigurationError, match=path.replace(".", r"\.")):
         config.parse_configuration(table, {})
 
@@ -296,40 +296,46 @@
 
 
 class Rig:
-    """A reducer with engines 1 to 6, and what it has asked for."""
+    """A reducer with engines 1 to 6, and the encoded commands by connection."""
 
-    def __init__(self, **changed):
-        catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changed.items()}
+    def __init__(self, **changes):
+        catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changes.items()}
         self.exchanges = {}
         settings = Settings.from_catalog(catalog)
         self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
         listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
         entries = [event_bus.Endpoint(listing, "127.0.0.1", listing.engine) for listing in listings]
-        self.do(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))))
+        self.handle(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))))
 
-    def do(self, event, now=0, kind=None):
+    def handle(self, event, now=0, kind=None):
+        """Reduces an event; returns its effects, or only those of the given type."""
         effects = self.reducer.reduce(event, now)
         for effect in effects:
             if isinstance(effect, SendCommand):
                 self.exchanges.setdefault(effect.connection, Exchange()).encode(effect.command)
         return [e for e in effects if kind is None or isinstance(e, kind)]
 
-    def ask(self, group="lookup", id="a" * 16, session=1, now=0, patience=5 * SECOND, cost=1000, **known):
-        request = statement.Request(id, group, patience, b"SELECT 1 FROM sales_4.orders", cost=cost, **known)
-        return self.do(events.Asked(session, request, now), now)
-
-    def sent(self, now=0, **known):
-        """A query whose submission is out; the number of its connection."""
-        (line,) = [e.connection for e in self.ask(now=now, **known) if isinstance(e, OpenConnection)]
-        assert [type(e.command) for e in self.do(events.Connected(line), now, SendCommand)] == [words.Run]
-        return line
-
-    def say(self, line, word, now=10, id="a" * 16, kind=None, **known):
+    def submit(self, group="lookup", id="a" * 16, session=1, now=0, patience=5 * SECOND, cost=1000, **fields):
+        request = statement.Request(id, group, patience, b"SELECT 1 FROM sales_4.orders", cost=cost, **fields)
+        return self.handle(events.Asked(session, request, now), now)
+
+    def send_query(self, now=0, **fields):
+        """Submits a query that is sent to an engine; returns the number of its connection."""
+        (connection,) = [
+            e.connection for e in self.submit(now=now, **fields) if isinstance(e, OpenConnection)
+        ]
+        assert [type(e.command) for e in self.handle(events.Connected(connection), now, SendCommand)] == [
+            words.Run
+        ]
+        return connection
+
+    def receive(self, connection, word, now=10, id="a" * 16, kind=None, **fields):
+        """Handles an answer of an engine."""
         try:
-            said = self.exchanges[line].said(Answer(id, word, **known))
-        except wire.Unreadable as fault:
-            return self.do(events.Lost(line, str(fault)), now, kind)
-        return self.do(events.Said(line, said), now, kind)
+            message = self.exchanges[connection].said(Answer(id, word, **fields))
+        except wire.Unreadable as error:
+            return self.handle(events.Lost(connection, str(error)), now, kind)
+        return self.handle(events.Said(connection, message), now, kind)
 
 
 @pytest.fixture
@@ -337,172 +343,174 @@
     return Rig()
 
 
-def test_pages_are_asked_for_at_once_and_put_in_order(rig):
-    line = rig.sent()
-    rig.say(line, "ACK", parts=3, body=b"1\t1\t1\n")
-    assert rig.exchanges[line].owed == b"".join(wire.encode(wire.Turn("a" * 16, n)) for n in (1, 2))
-    assert not rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n", kind=SendResult)
-    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
-    assert done.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
+def test_all_pages_are_requested_at_once_and_put_in_order(rig):
+    connection = rig.send_query()
+    rig.receive(connection, "ACK", parts=3, body=b"1\t1\t1\n")
+    assert rig.exchanges[connection].owed == b"".join(wire.encode(wire.Turn("a" * 16, n)) for n in (1, 2))
+    assert not rig.receive(connection, "BLOCK", part=2, body=b"3\t3\t3\n", kind=SendResult)
+    (result,) = rig.receive(connection, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
+    assert result.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
     assert not rig.reducer.queries and not rig.reducer.unanswered
 
 
-def test_spoilt_page_ends_its_connection_and_is_not_passed_on(rig):
-    line = rig.sent()
-    other = rig.reducer.pool.connections[line]
-    effects = rig.say(line, "ACK", body=b"1\t1\n")
+def test_unreadable_page_ends_its_connection_and_is_not_passed_on(rig):
+    connection = rig.send_query()
+    engine_connection = rig.reducer.pool.connections[connection]
+    effects = rig.receive(connection, "ACK", body=b"1\t1\n")
     assert not [e for e in effects if isinstance(e, SendResult)]
-    assert line not in rig.reducer.pool.connections and other.attempts == {}
+    assert connection not in rig.reducer.pool.connections and engine_connection.attempts == {}
 
 
-def test_page_that_comes_twice_or_was_not_asked_for_changes_nothing(rig):
-    line = rig.sent()
-    rig.say(line, "BLOCK", part=1, body=b"0\t0\t0\n")
-    rig.say(line, "ACK", parts=3, body=b"1\t1\t1\n")
-    rig.say(line, "ACK", parts=1, body=b"0\t0\t0\n")
-    rig.say(line, "BLOCK", part=2, body=b"3\t3\t3\n")
-    rig.say(line, "BLOCK", part=2, body=b"0\t0\t0\n")
-    rig.say(line, "BLOCK", part=9, body=b"0\t0\t0\n")
-    (done,) = rig.say(line, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
-    assert done.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
+def test_duplicate_and_unrequested_pages_are_ignored(rig):
+    connection = rig.send_query()
+    rig.receive(connection, "BLOCK", part=1, body=b"0\t0\t0\n")
+    rig.receive(connection, "ACK", parts=3, body=b"1\t1\t1\n")
+    rig.receive(connection, "ACK", parts=1, body=b"0\t0\t0\n")
+    rig.receive(connection, "BLOCK", part=2, body=b"3\t3\t3\n")
+    rig.receive(connection, "BLOCK", part=2, body=b"0\t0\t0\n")
+    rig.receive(connection, "BLOCK", part=9, body=b"0\t0\t0\n")
+    (result,) = rig.receive(connection, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
+    assert result.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
 
 
-def test_connection_on_which_nothing_is_heard_is_cut_and_its_queries_go_elsewhere(rig):
-    line = rig.sent(group="report")
-    engine = rig.reducer.pool.connections[line].engine
+def test_silent_connection_is_closed_and_its_queries_are_retried_elsewhere(rig):
+    connection = rig.send_query(group="report")
+    engine = rig.reducer.pool.connections[connection].engine
     for now in range(0, rig.reducer.pool.silence_limit, 1000):
-        assert not rig.do(events.AlarmDue(), now, CloseConnection)
+        assert not rig.handle(events.AlarmDue(), now, CloseConnection)
     effects = [
-        e for now in (4, 5) for e in rig.do(events.AlarmDue(), rig.reducer.pool.silence_limit * now // 4 + 2)
+        e
+        for now in (4, 5)
+        for e in rig.handle(events.AlarmDue(), rig.reducer.pool.silence_limit * now // 4 + 2)
     ]
-    assert CloseConnection(line) in effects
+    assert CloseConnection(connection) in effects
     assert [e for e in effects if isinstance(e, OpenConnection) and e.port != engine]
 
 
-def test_engine_that_is_gone_is_forgotten_once_nothing_is_out_there(rig):
-    def told(number, state):
+def test_engine_that_is_gone_is_removed_once_it_has_no_open_attempts(rig):
+    def list_engine(offset, state):
         entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
-        rig.do(events.EndpointsChanged(event_bus.WatchEvent(number, "Partial", (entry,))), 5)
+        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (entry,))), 5)
 
-    line = rig.sent()
-    engine = rig.reducer.pool.connections[line].engine
-    told(2, "Gone")
+    connection = rig.send_query()
+    engine = rig.reducer.pool.connections[connection].engine
+    list_engine(2, "Gone")
     assert engine in rig.reducer.pool.endpoints
-    rig.do(events.Lost(line, "reset"), 10)
-    told(3, "Gone")
+    rig.handle(events.Lost(connection, "reset"), 10)
+    list_engine(3, "Gone")
     assert engine not in rig.reducer.pool.endpoints and engine not in rig.reducer.scheduler.engines
-    told(4, "Ready")
+    list_engine(4, "Ready")
     assert rig.reducer.pool.endpoints[engine].ready
 
 
-def test_fault_in_one_event_leaves_the_effects_before_it(rig):
+def test_exception_in_one_event_is_logged_and_its_query_is_still_answered(rig):
     rig.reducer.scheduler.on_query = lambda *_: 1 / 0
-    (note,) = [e for e in rig.ask() if isinstance(e, WriteLog)]
-    assert note.event == "fault" and "ZeroDivisionError" in note.fields["trace"]
-    assert [type(e) for e in rig.do(events.AlarmDue(), 5 * SECOND, FailQuery)] == [FailQuery]
+    (log_line,) = [e for e in rig.submit() if isinstance(e, WriteLog)]
+    assert log_line.event == "fault" and "ZeroDivisionError" in log_line.fields["trace"]
+    assert [type(e) for e in rig.handle(events.AlarmDue(), 5 * SECOND, FailQuery)] == [FailQuery]
 
 
 @pytest.mark.parametrize(
     "event, result",
     [
-        (lambda line: events.Said(line, words.Ended("a" * 16, "saturated")), "saturated"),
-        (lambda line: events.Said(line, words.Ended("a" * 16, "errored")), "errored"),
-        (lambda line: events.Said(line, words.Ended("a" * 16, "superseded")), "superseded"),
-        (lambda line: events.Lost(line, "reset"), "severed"),
+        (lambda connection: events.Said(connection, words.Ended("a" * 16, "saturated")), "saturated"),
+        (lambda connection: events.Said(connection, words.Ended("a" * 16, "errored")), "errored"),
+        (lambda connection: events.Said(connection, words.Ended("a" * 16, "superseded")), "superseded"),
+        (lambda connection: events.Lost(connection, "reset"), "severed"),
     ],
 )
-def test_endings_are_told_apart(rig, event, result):
-    line = rig.sent()
-    told = []
-    rig.reducer.scheduler.on_attempt_ended = lambda now, ended: told.append(ended.result)
-    rig.do(event(line), 10)
-    assert told == [result]
+def test_results_of_attempts_are_distinguished(rig, event, result):
+    connection = rig.send_query()
+    results = []
+    rig.reducer.scheduler.on_attempt_ended = lambda now, ended: results.append(ended.result)
+    rig.handle(event(connection), 10)
+    assert results == [result]
 
 
-def test_refused_connection_proves_that_nothing_ran_and_another_engine_is_tried(rig):
-    (first,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
-    (second,) = rig.do(events.NotConnected(first.connection, ConnectFault.REFUSED), 10, OpenConnection)
+def test_query_is_retried_on_another_engine_after_a_refused_connection(rig):
+    (first,) = [e for e in rig.submit() if isinstance(e, OpenConnection)]
+    (second,) = rig.handle(events.NotConnected(first.connection, ConnectFault.REFUSED), 10, OpenConnection)
     assert second.port != first.port
 
 
-def test_timers_of_a_query_leave_the_next_of_the_same_name_alone(rig):
-    line = rig.sent(patience=2 * SECOND)
-    rig.say(line, "ACK", parts=1, body=b"1\t1\t1\n")
-    rig.ask(now=SECOND, patience=4 * SECOND, session=2)
-    effects = rig.do(events.AlarmDue(), 2 * SECOND + 1)
+def test_timers_of_a_query_do_not_affect_the_next_one_with_its_id(rig):
+    connection = rig.send_query(patience=2 * SECOND)
+    rig.receive(connection, "ACK", parts=1, body=b"1\t1\t1\n")
+    rig.submit(now=SECOND, patience=4 * SECOND, session=2)
+    effects = rig.handle(events.AlarmDue(), 2 * SECOND + 1)
     assert not [e for e in effects if isinstance(e, WriteLog) and e.event == "fault"]
     assert 2 in rig.reducer.unanswered
 
 
-def test_longest_idle_connection_gives_way_where_there_are_no_more(rig):
+def test_longest_idle_connection_is_closed_when_the_pool_is_full(rig):
     pool = rig.reducer.pool
     pool.max_connections = 3
     opened = [pool.connection_for(pool.endpoints[n], None) for n in (1, 2, 3)]
     for used, connection in zip((5, 3, 4), opened, strict=True):
-        rig.do(events.Connected(connection.number))
+        rig.handle(events.Connected(connection.number))
         connection.last_used_at = used
     assert pool.connection_for(pool.endpoints[4], None) is not None
     assert {connection.engine for connection in pool.connections.values()} == {1, 3, 4}
 
 
-def test_want_of_connections_is_no_verdict_on_the_engine(rig):
+def test_lack_of_connections_does_not_count_against_the_engine(rig):
     rig.reducer.pool.max_connections = 0
-    assert [type(e) for e in rig.ask() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
+    assert [type(e) for e in rig.submit() if isinstance(e, RejectQuery | OpenConnection)] == [RejectQuery]
     assert not [e for e in rig.reducer.scheduler.engines.values() if e.failures or e.started]
 
 
-def test_second_submission_never_shares_the_connection_of_the_first(rig):
-    line = rig.sent()
-    q = rig.reducer.queries["a" * 16]
-    peer = rig.reducer.pool.endpoints[q.attempts[0].engine]
-    assert rig.reducer.pool.connection_for(peer, None).number == line
-    assert rig.reducer.pool.connection_for(peer, q).number != line
+def test_second_attempt_never_shares_the_connection_of_the_first(rig):
+    connection = rig.send_query()
+    query = rig.reducer.queries["a" * 16]
+    endpoint = rig.reducer.pool.endpoints[query.attempts[0].engine]
+    assert rig.reducer.pool.connection_for(endpoint, None).number == connection
+    assert rig.reducer.pool.connection_for(endpoint, query).number != connection
 
 
-def test_silent_connection_gets_nothing_new(rig):
-    line = rig.sent()
-    peer = rig.reducer.pool.endpoints[rig.reducer.pool.connections[line].engine]
+def test_silent_connection_gets_no_new_attempt(rig):
+    connection = rig.send_query()
+    endpoint = rig.reducer.pool.endpoints[rig.reducer.pool.connections[connection].engine]
     rig.reducer.context.now = rig.reducer.pool.silence_limit + 1
-    assert rig.reducer.pool.connection_for(peer, None).number != line
-    rig.say(line, "EVENT", now=rig.reducer.context.now, topic=1, value=0.1)
-    assert rig.reducer.pool.connection_for(peer, None).number == line
+    assert rig.reducer.pool.connection_for(endpoint, None).number != connection
+    rig.receive(connection, "EVENT", now=rig.reducer.context.now, topic=1, value=0.1)
+    assert rig.reducer.pool.connection_for(endpoint, None).number == connection
 
 
-def test_time_out_gives_the_submission_up_and_a_late_answer_is_passed_over(rig):
-    line = rig.sent(patience=SECOND)
+def test_timed_out_attempt_is_cancelled_and_its_late_answer_is_ignored(rig):
+    connection = rig.send_query(patience=SECOND)
     margin = loop_lag.LoopLag().answer_margin(SECOND) + rig.reducer.scheduler.answer_margin
-    effects = rig.do(events.AlarmDue(), SECOND - margin)
+    effects = rig.handle(events.AlarmDue(), SECOND - margin)
     assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
     assert [type(e) for e in effects if isinstance(e, RejectQuery | FailQuery)] == [RejectQuery]
-    assert not rig.say(line, "ACK", now=SECOND, kind=SendResult)
+    assert not rig.receive(connection, "ACK", now=SECOND, kind=SendResult)
 
 
-def test_drain_told_while_a_connection_comes_up_stops_the_send(rig):
-    (wait,) = [e for e in rig.ask() if isinstance(e, OpenConnection)]
-    engine = rig.reducer.pool.connections[wait.connection].engine
+def test_drain_while_a_connection_is_opened_prevents_the_send(rig):
+    (opening,) = [e for e in rig.submit() if isinstance(e, OpenConnection)]
+    engine = rig.reducer.pool.connections[opening.connection].engine
     entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
-    rig.do(events.EndpointsChanged(event_bus.WatchEvent(2, "Partial", (entry,))), 5)
-    sends = rig.do(events.Connected(wait.connection), 10, SendCommand)
+    rig.handle(events.EndpointsChanged(event_bus.WatchEvent(2, "Partial", (entry,))), 5)
+    sends = rig.handle(events.Connected(opening.connection), 10, SendCommand)
     assert not [e for e in sends if isinstance(e.command, words.Run)]
     assert rig.reducer.queries["a" * 16].attempts[0].ended
 
 
-def test_client_that_leaves_gets_nothing_and_the_answer_is_shut(rig):
-    line = rig.sent()
-    assert not rig.do(events.Left(1), 5, FailQuery | RejectQuery)
-    assert not rig.say(line, "ACK", kind=SendResult)
+def test_client_that_left_gets_no_answer(rig):
+    connection = rig.send_query()
+    assert not rig.handle(events.Left(1), 5, FailQuery | RejectQuery)
+    assert not rig.receive(connection, "ACK", kind=SendResult)
     assert not rig.reducer.queries
 
 
-def test_priority_changed_on_running_work_goes_to_its_engine(rig):
-    line = rig.sent()
+def test_priority_change_of_a_running_query_is_sent_to_its_engine(rig):
+    connection = rig.send_query()
     rig.reducer.context.effects = []
     rig.reducer.attempts.set_priority(rig.reducer.queries["a" * 16], 3)
-    assert rig.reducer.context.effects == [SendCommand(line, words.Hurry("a" * 16, 3))]
+    assert rig.reducer.context.effects == [SendCommand(connection, words.Hurry("a" * 16, 3))]
 
 
 @pytest.mark.parametrize(
-    "known, named",
+    "fields, invalid_field",
     [
         ({"group": "x"}, "route"),
         ({"group": "load"}, "nonce"),
@@ -512,81 +520,81 @@
         ({"memory": 1001.0}, "mb"),
     ],
 )
-def test_query_that_does_not_fit_is_answered_with_its_field(known, named):
+def test_invalid_query_is_failed_with_the_name_of_its_field(fields, invalid_field):
     rig = Rig(groups__2__queue_timeout=9 * SECOND - 1, domain__ram_of_kind_mb=[500, 1000])
-    (answer,) = [e for e in rig.ask(**known) if isinstance(e, FailQuery)]
-    assert named in answer.reason
+    (answer,) = [e for e in rig.submit(**fields) if isinstance(e, FailQuery)]
+    assert invalid_field in answer.reason
     assert not rig.reducer.queries
 
 
-def test_fault_in_the_decisions_leaves_no_query_unanswered(rig):
+def test_exception_in_the_scheduler_leaves_no_query_unanswered(rig):
     rig.reducer.scheduler.next_decision = lambda now: 1 / 0
-    notes = [e for e in rig.ask(patience=SECOND) if isinstance(e, WriteLog)]
-    assert "ZeroDivisionError" in notes[0].fields["trace"]
-    assert [type(e) for e in rig.do(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
+    log_lines = [e for e in rig.submit(patience=SECOND) if isinstance(e, WriteLog)]
+    assert "ZeroDivisionError" in log_lines[0].fields["trace"]
+    assert [type(e) for e in rig.handle(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
 
 
-def test_pause_of_the_loop_is_taken_off_the_end_whichever_event_comes_first(rig):
-    rig.ask(id="b" * 16, session=2, patience=SECOND // 2)
-    first_look = rig.reducer.context.timers[0].due
-    rig.ask(now=first_look + 6000, patience=5 * SECOND)
-    assert rig.reducer.queries["a" * 16].deadline == first_look + 5 * SECOND - loop_lag.CONNECT_DELAY
+def test_pause_of_the_loop_shortens_the_deadline_whichever_event_comes_first(rig):
+    rig.submit(id="b" * 16, session=2, patience=SECOND // 2)
+    first_timer = rig.reducer.context.timers[0].due
+    rig.submit(now=first_timer + 6000, patience=5 * SECOND)
+    assert rig.reducer.queries["a" * 16].deadline == first_timer + 5 * SECOND - loop_lag.CONNECT_DELAY
 
 
-def test_closing_answers_everything_by_its_end(rig):
-    rig.sent(patience=9 * SECOND)
-    rig.do(events.ShutdownStarted(2 * SECOND), SECOND)
-    done = rig.do(events.AlarmDue(), 2 * SECOND - rig.reducer.scheduler.answer_margin, RejectQuery)
-    assert [e.session for e in done] == [1]
+def test_shutdown_answers_everything_by_its_deadline(rig):
+    rig.send_query(patience=9 * SECOND)
+    rig.handle(events.ShutdownStarted(2 * SECOND), SECOND)
+    rejections = rig.handle(events.AlarmDue(), 2 * SECOND - rig.reducer.scheduler.answer_margin, RejectQuery)
+    assert [e.session for e in rejections] == [1]
 
 
 def test_connections_to_engines_are_bounded():
     rig = Rig()
     rig.reducer.pool.max_connections = 0
-    assert not [e for e in rig.ask() if isinstance(e, OpenConnection)]
+    assert not [e for e in rig.submit() if isinstance(e, OpenConnection)]
 
 
-def test_event_written_twice_brings_no_older_list_back(rig):
-    def listed(number, state):
+def test_repeated_watch_event_does_not_restore_an_older_endpoint_list(rig):
+    def is_ready_after(offset, state):
         entry = event_bus.Endpoint(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
-        rig.do(events.EndpointsChanged(event_bus.WatchEvent(number, "Partial", (entry,))))
+        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (entry,))))
         return rig.reducer.pool.endpoints[1].ready
 
-    assert not listed(3, "Terminating")
-    assert not listed(2, "Ready") and not listed(3, "Ready")
-    assert listed(4, "Ready")
+    assert not is_ready_after(3, "Terminating")
+    assert not is_ready_after(2, "Ready") and not is_ready_after(3, "Ready")
+    assert is_ready_after(4, "Ready")
 
 
 # ---- sockets --------------------------------------------------------------------------------------
 
 
-class Fickle:
-    """A socket that is full, then wakes its writer for nothing, then takes a few bytes at a time."""
+class PartialSocket:
+    """A socket that is full, then wakes its writer spuriously, then accepts only a few bytes."""
 
     def __init__(self):
-        self.turns = iter([None, None, 3])
-        self.taken = b""
+        self.accepted_sizes = iter([None, None, 3])
+        self.accepted = b""
 
     def send(self, data):
-        size = next(self.turns, len(data))
+        size = next(self.accepted_sizes, len(data))
         if size is None:
             raise BlockingIOError(errno.EAGAIN, "would block")
-        self.taken += bytes(data[:size])
+        self.accepted += bytes(data[:size])
         return min(size, len(data))
 
 
-def test_bytes_that_a_full_socket_does_not_take_are_still_owed():
-    pipe = BufferedSocket(Fickle(), Watched(), None, 1024)
+def test_bytes_that_a_full_socket_does_not_accept_are_sent_later():
+    pipe = BufferedSocket(PartialSocket(), PollerStub(), None, 1024)
     pipe.write(b"an answer")
     while pipe.unsent:
         assert pipe.poller.writing
         pipe.flush()
     assert not pipe.poller.writing
-    assert pipe.sock.taken == b"an answer" and not pipe.unsent
+    assert pipe.sock.accepted == b"an answer" and not pipe.unsent
 
 
-class Watched:
-    """Stands in for the poller: whether the pipe asks to be told that its socket takes bytes."""
+class PollerStub:
+    """Stands in for the poller; records whether the pipe waits for its socket to be writable."""
 
     writing = False
     system = SYSTEM_CALLS
@@ -594,8 +602,8 @@
     def add(self, sock, owner):
         pass
 
-    def watch_writing(self, sock, on):
-        self.writing = on
+    def watch_writing(self, sock, enabled):
+        self.writing = enabled
 
 
 @pytest.fixture
@@ -610,10 +618,10 @@
     return router
 
 
-def test_reload_moves_the_event_bus_and_goes_on_from_the_last_number(router, configuration, monkeypatch):
+def test_reload_moves_the_event_bus_and_resumes_after_the_last_offset(router, configuration, monkeypatch):
     async def run():
         buses = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        read_again = iter(
+        configurations = iter(
             [
                 ConfigurationError("missing", "bus"),
                 configuration._replace(event_bus_address=buses[1].getsockname()),
@@ -621,13 +629,13 @@
         )
 
         def read():
-            found = next(read_again)
-            if isinstance(found, Exception):
-                raise found
-            return found
+            result = next(configurations)
+            if isinstance(result, Exception):
+                raise result
+            return result
 
         monkeypatch.setattr(config, "read_configuration", read)
-        monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not the main thread
+        monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not in the main thread
         monkeypatch.setattr(
             signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2)
         )
@@ -642,7 +650,7 @@
             await router.signals.listen(router.on_signal)
             second = (await anyio.to_thread.run_sync(buses[1].accept))[0]
             assert await anyio.to_thread.run_sync(second.recv, 8) == event_bus.encode_subscription(7)
-            assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # left
+            assert await anyio.to_thread.run_sync(first.recv, 8) == b""  # closed by the router
             tasks.cancel_scope.cancel()
         for sock in (*buses, first, second):
             sock.close()
@@ -659,9 +667,9 @@
     assert config.needs_restart(configuration, config.parse_configuration(table, {})) == ["limits.keepalive"]
 
 
-def test_fewer_sockets_are_named_with_the_sessions_that_follow_from_them(configuration):
-    fewer = config.parse_configuration(TABLE | {"limits": {"sockets": 512}}, {})
-    assert config.needs_restart(configuration, fewer) == ["sockets", "sessions"]
+def test_changed_sockets_are_named_with_the_sessions_derived_from_them(configuration):
+    changed = config.parse_configuration(TABLE | {"limits": {"sockets": 512}}, {})
+    assert config.needs_restart(configuration, changed) == ["sockets", "sessions"]
 
 
 @pytest.mark.parametrize("seed, number", [("ff", 255), (17, 17)])
@@ -682,44 +690,44 @@
         ("limits", {"sockets": True}, "limits.sockets: expected int, got 'True'"),
     ],
 )
-def test_fault_of_a_configuration_is_told_in_words(path, value, message):
+def test_configuration_error_describes_the_problem(path, value, message):
     with pytest.raises(ConfigurationError) as error:
         config.parse_configuration(TABLE | {path: value}, {})
     assert str(error.value) == message
 
 
-def test_settings_of_a_shape_that_no_check_knows_are_refused_by_name():
+def test_malformed_setting_without_a_check_of_its_own_is_rejected():
     domain = SETTINGS["domain"] | {"report_x0": ["a", "b"]}
     with pytest.raises(ConfigurationError) as error:
         config.parse_configuration(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
     assert error.value.location == "settings"
 
 
-# ---- who may stay connected -----------------------------------------------------------------------
+# ---- session limits -------------------------------------------------------------------------------
 
 
-def test_silent_sessions_give_way_first_then_the_longest_idle_and_never_one_with_a_query():
-    places = seats.Seats(4)
+def test_incomplete_sessions_are_evicted_first_then_the_longest_idle_and_never_one_with_a_query():
+    sessions = seats.Seats(4)
     for session in (1, 2, 3, 4):
-        places.in_step(session, 0)
-    places.ask(1)
-    places.rest(2)
-    places.rest(3)
-    places.rest(2)
-    assert places.full and list(places.give_way()) == [4, 3, 2]
+        sessions.in_step(session, 0)
+    sessions.ask(1)
+    sessions.rest(2)
+    sessions.rest(3)
+    sessions.rest(2)
+    assert sessions.full and list(sessions.give_way()) == [4, 3, 2]
 
 
-def test_step_is_late_by_its_own_clock_and_an_idle_session_never():
-    places = seats.Seats(4)
-    places.in_step(1, 0)
-    places.in_step(2, 5)
-    places.rest(2)
-    places.in_step(3, 10)
-    places.in_step(1, 20)
-    assert places.late(seats.STEP) == [1]
+def test_step_is_late_by_its_start_time_and_an_idle_session_never_is():
+    sessions = seats.Seats(4)
+    sessions.in_step(1, 0)
+    sessions.in_step(2, 5)
+    sessions.rest(2)
+    sessions.in_step(3, 10)
+    sessions.in_step(1, 20)
+    assert sessions.late(seats.STEP) == [1]
 
 
-def test_commands_that_wait_are_bounded_together_and_each_is_answered():
+def test_waiting_commands_are_bounded_in_total_size_and_each_is_answered():
     session = mysql.Session(7, longest=1000)
     session.greeting()
     session.feed(packet(1, login()))
@@ -727,27 +735,27 @@
     session.feed(packet(0, b"\x03" + b"x" * 600))
     assert not session.full
     session.feed(packet(0, b"\x03" + b"y" * 600))
-    assert session.full and not session.over  # nothing more is read until one of them is answered
+    assert session.full and not session.over  # no more is read until one of them is answered
     assert session.command()[0].text == b"x" * 600
     assert not session.full
     session.ok()
     assert session.command()[0].text == b"y" * 600
 
 
-def test_more_commands_at_once_than_may_wait_are_all_answered_in_their_order(session):
+def test_more_commands_than_the_queue_limit_are_all_answered_in_order(session):
     session.feed(packet(1, login()))
     session.command()
-    many = 3 * mysql.MOST_WAITING
-    session.feed(b"".join(packet(0, b"\x03%d" % n) for n in range(many)), since=5)
+    count = 3 * mysql.MOST_WAITING
+    session.feed(b"".join(packet(0, b"\x03%d" % n) for n in range(count)), since=5)
     assert len(session.waiting) == mysql.MOST_WAITING and session.full
-    for n in range(many):
+    for n in range(count):
         command, _ = session.command()
         assert command == mysql.Query(b"%d" % n, 5)
         session.ok()
     assert not session.full and not session.buffer
 
 
-def test_commands_ahead_of_a_packet_that_is_too_large_are_answered_before_it_ends_the_session():
+def test_commands_before_an_oversized_packet_are_answered_before_it_ends_the_session():
     session = mysql.Session(7, longest=1000)
     session.greeting()
     session.feed(packet(1, login()) + packet(0, b"\x03one") + packet(0, b"x" * 1001) + packet(0, b"\x0e"))
@@ -759,76 +767,76 @@
     assert struct.unpack_from("<H", out, 5)[0] == mysql.TOO_LARGE[0]
 
 
-async def serve(router, talk):
-    """Runs a router's door on a port of its own while `talk` speaks to it in a thread."""
+async def serve(router, client):
+    """Serves MySQL clients on a free port while `client` runs in a thread with the router's address."""
     listener = socket.create_server(("127.0.0.1", 0))
     router.door.open(listener)
     async with anyio.create_task_group() as tasks:
         router.attach_tasks(tasks)
         tasks.start_soon(router.event_loop.run)
         tasks.start_soon(router.event_loop.run_sweep)
-        await anyio.to_thread.run_sync(talk, listener.getsockname())
+        await anyio.to_thread.run_sync(client, listener.getsockname())
         tasks.cancel_scope.cancel()
     router.door.close()
 
 
-def hear(sock):
-    """All that the router says until it closes."""
+def read_until_closed(sock):
+    """Returns all that the router sends until it closes the connection."""
     sock.settimeout(5)
-    said = b""
+    received = b""
     while data := sock.recv(65_536):
-        said += data
-    return said
+        received += data
+    return received
 
 
-def test_usual_client_finds_room_among_hundreds_that_say_nothing(router):
-    def talk(address):
+def test_active_client_is_served_among_hundreds_of_silent_ones(router):
+    def client(address):
         silent = [socket.create_connection(address) for _ in range(router.door.seats.most + 20)]
         with socket.create_connection(address) as sock:
             sock.sendall(packet(1, login()) + packet(0, b"\x0e") + packet(0, b"\x01"))
-            assert hear(sock).endswith(packet(2, mysql.OK) + packet(1, mysql.OK))
+            assert read_until_closed(sock).endswith(packet(2, mysql.OK) + packet(1, mysql.OK))
         assert len(router.door.clients) <= router.door.seats.most
         for sock in silent:
             sock.close()
 
-    anyio.run(serve, router, talk)
+    anyio.run(serve, router, client)
 
 
-def test_error_reaches_a_client_that_goes_on_sending(router):
-    def talk(address):
+def test_error_reaches_a_client_that_keeps_sending(router):
+    def client(address):
         with socket.create_connection(address) as sock:
             sock.sendall(packet(1, login()) + b"\xff\xff\xff\0")
             for _ in range(300):
                 sock.sendall(b"x" * 10_000)
             sock.shutdown(socket.SHUT_WR)
-            assert b"are allowed" in hear(sock)
+            assert b"are allowed" in read_until_closed(sock)
 
-    anyio.run(serve, router, talk)
+    anyio.run(serve, router, client)
 
 
-def test_login_that_does_not_go_on_is_ended(router, monkeypatch):
+def test_stalled_login_is_ended(router, monkeypatch):
     monkeypatch.setattr(seats, "STEP", 500)
 
-    def talk(address):
+    def client(address):
         with socket.create_connection(address) as sock:
             sock.sendall(packet(1, login())[:9])
-            assert b"not complete in time" in hear(sock)
+            assert b"not complete in time" in read_until_closed(sock)
 
-    anyio.run(serve, router, talk)
+    anyio.run(serve, router, client)
 
 
-def test_events_that_follow_from_an_effect_wait_until_those_before_are_out(router, monkeypatch):
-    done = []
+def test_event_raised_by_an_effect_waits_until_earlier_effects_are_carried_out(router, monkeypatch):
+    carried_out = []
     monkeypatch.setattr(router.reducer, "reduce", lambda event, now: [f"{event} one", f"{event} two"])
 
     def carry_out(effect):
-        done.append(effect)
+        carried_out.append(effect)
         if effect == "first one":
             router.handle("second")
 
     monkeypatch.setattr(router.executor, "carry_out", carry_out)
     router.handle("first")
-    assert done == ["first one", "first two", "second one", "second two"]
+    assert carried_out == ["first one", "first two", "second one", "second two"]
 
 
 LOGGED_REASONS = {
@@ -850,7 +858,7 @@
 }
 
 
-def test_log_counts_answers_by_outcome_and_the_name_of_the_check():
+def test_log_counts_answers_by_outcome_and_name_of_the_reason():
     assert LOGGED_REASONS.keys() == set(Reason)
     for reason, name in LOGGED_REASONS.items():
         assert outcome_text(QueryOutcome.REJECTED, reason) == f"rejected: {name}"
@@ -859,14 +867,14 @@
 
 
 @pytest.mark.parametrize(("result", "name"), LOGGED_RESULTS.items())
-def test_log_has_the_name_of_an_attempts_result(rig, result, name):
-    line = rig.sent()
-    said = rig.do(events.Said(line, words.Ended("a" * 16, result)), 10, WriteLog)
-    (ended,) = [note for note in said if note.event == "attempt_ended"]
+def test_log_has_the_member_name_of_an_attempt_result(rig, result, name):
+    connection = rig.send_query()
+    log_lines = rig.handle(events.Said(connection, words.Ended("a" * 16, result)), 10, WriteLog)
+    (ended,) = [line for line in log_lines if line.event == "attempt_ended"]
     assert ended.fields["result"] == name
 
 
-def test_lines_alike_are_counted_not_written():
+def test_repeated_log_lines_are_counted_instead_of_written():
     log = Log("n1", -1)
     for _ in range(100):
         log.write("invalid_query", reason="x")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The parts of the running router: its alarm, the order of effects, faults in the log, files read again."""
+"""The components of the running router: the alarm, the order of effects, the fault log and reloading."""
 
 from types import SimpleNamespace
 
@@ -32,27 +32,27 @@
 
 def test_earlier_alarm_ends_the_wait_and_a_later_one_does_not():
     async def run():
-        alarm, ended = Alarm(lambda: NOW), []
+        alarm, ended_at = Alarm(lambda: NOW), []
         alarm.set(NOW + 36_000_000)
 
         async def wait():
             await alarm.wait()
-            ended.append(alarm.due_at)
+            ended_at.append(alarm.due_at)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(wait)
             await anyio.wait_all_tasks_blocked()
             alarm.set(NOW + 72_000_000)
             await anyio.wait_all_tasks_blocked()
-            assert ended == []
+            assert ended_at == []
             alarm.set(NOW + 18_000_000)
             await anyio.wait_all_tasks_blocked()
-            assert ended == [NOW + 18_000_000]
+            assert ended_at == [NOW + 18_000_000]
 
     anyio.run(run)
 
 
-def test_first_alarm_ends_the_wait_without_one_and_one_that_is_due_is_not_waited_for():
+def test_first_alarm_ends_a_wait_without_alarm_and_a_due_alarm_is_not_waited_for():
     async def run():
         alarm = Alarm(lambda: NOW)
         async with anyio.create_task_group() as tasks:
@@ -68,20 +68,20 @@
 # ---- events and effects ---------------------------------------------------------------------------
 
 
-def test_events_that_are_held_are_handled_in_order_at_the_end(rig, monkeypatch):
-    seen, executor = [], rig.service.executor
-    monkeypatch.setattr(rig.service.reducer, "reduce", lambda event, now: seen.append(event) or [])
+def test_held_events_are_handled_in_order_when_released(rig, monkeypatch):
+    handled, executor = [], rig.service.executor
+    monkeypatch.setattr(rig.service.reducer, "reduce", lambda event, now: handled.append(event) or [])
     with executor.events_held():
         executor.handle("first")
         with executor.events_held():
             executor.handle("second")
-        assert seen == []
-    assert seen == ["first", "second"] and not executor.busy
+        assert handled == []
+    assert handled == ["first", "second"] and not executor.busy
 
 
-def test_fault_in_one_effect_is_logged_and_keeps_no_other_from_being_carried_out(rig, monkeypatch):
-    claim = EndClaim("id", 1, None, None)  # there is no extension
-    effects = [claim, RejectQuery(FIRST_GUEST, 0), WriteLog("answers", {"open": 0})]
+def test_exception_in_one_effect_is_logged_and_the_others_are_carried_out(rig, monkeypatch):
+    end_claim = EndClaim("id", 1, None, None)  # fails: there is no extension
+    effects = [end_claim, RejectQuery(FIRST_GUEST, 0), WriteLog("answers", {"open": 0})]
     monkeypatch.setattr(rig.service.reducer, "reduce", lambda event, now: effects)
     rig.log.lines.clear()
     rig.service.handle(AlarmDue())
@@ -89,13 +89,13 @@
     assert rig.log.lines[-1] == ("answers", {"open": 0})
 
 
-def test_session_number_says_which_frontend_has_the_client(rig, monkeypatch):
+def test_session_number_selects_the_frontend(rig, monkeypatch):
     executor = rig.service.executor
     assert executor.frontend_of(FIRST_CALL - 1) is rig.service.door
-    monkeypatch.setattr(executor, "flight", "calls")
+    monkeypatch.setattr(executor, "flight", "flight")
     monkeypatch.setattr(executor, "extension", SimpleNamespace(forwarded_queries="forwarded"))
     assert executor.frontend_of(FIRST_CALL - 1) is rig.service.door
-    assert executor.frontend_of(FIRST_CALL) == executor.frontend_of(FIRST_GUEST - 1) == "calls"
+    assert executor.frontend_of(FIRST_CALL) == executor.frontend_of(FIRST_GUEST - 1) == "flight"
     assert executor.frontend_of(FIRST_GUEST) == "forwarded"
 
 
@@ -125,32 +125,32 @@
     assert len(log.lines) > lines + 2
 
 
-# ---- files read again -----------------------------------------------------------------------------
+# ---- reloading ------------------------------------------------------------------------------------
 
 
-class Part:
-    """Stands in for the Flight SQL frontend and the extension: both name one setting that needs a restart."""
+class Component:
+    """Stands in for the Flight SQL frontend and the extension; each names a setting that needs a restart."""
 
     def __init__(self):
-        self.taken = []
+        self.applied = []
 
     def renew(self, settings):
-        self.taken.append(settings)
+        self.applied.append(settings)
         return ["listen"]
 
     def reload(self, settings):
-        self.taken.append(settings["peers"])
+        self.applied.append(settings["peers"])
         return ["peers.listen"]
 
 
 class Reload:
-    """A reloader, what its operator file says when it is read again, and what came of it."""
+    """A reload with the given operator files, its log lines and the event bus addresses that it watched."""
 
-    def __init__(self, rig, monkeypatch, running, read_again, flight=None, extension=None):
+    def __init__(self, rig, monkeypatch, running, read, flight=None, extension=None):
         self.log, self.watched, service = Kept(), [], rig.service
         self.reloader = ConfigurationReloader(
             configuration=rig.configuration,
-            operator_file=OperatorFile(running, read_again),
+            operator_file=OperatorFile(running, read),
             endpoint_updates=service.endpoint_updates,
             endpoint_watcher=SimpleNamespace(watch=lambda address, tasks: self.watched.append(address)),
             flight=flight,
@@ -169,23 +169,23 @@
     reload = Reload(rig, monkeypatch, {}, None)
     reload.watched.clear()
 
-    def unreadable():
+    def raise_error():
         raise ConfigurationError("missing", "bus")
 
-    monkeypatch.setattr(config, "read_configuration", unreadable)
+    monkeypatch.setattr(config, "read_configuration", raise_error)
     reload.reloader.reload(None)
     ((event, fields),) = reload.log.lines[1:]
     assert event == "reload" and fields["kept"] == "the running configuration" and fields["where"] == "bus"
     assert reload.watched == []
 
 
-def test_operator_file_that_cannot_be_used_stays_as_it_was_and_the_bus_is_followed(rig, monkeypatch):
+def test_unusable_operator_file_keeps_the_running_one_and_the_event_bus_is_still_moved(rig, monkeypatch):
     running = {"engines": {}, "log": {}}
 
-    def unusable():
+    def raise_error():
         raise ValueError("not an operator file")
 
-    reload = Reload(rig, monkeypatch, running, unusable)
+    reload = Reload(rig, monkeypatch, running, raise_error)
     assert [fields.get("kept") for _, fields in reload.log.lines] == ["the running operator file", None]
     assert reload.reloader.operator_file.settings is running
     assert (
@@ -194,21 +194,21 @@
     )
 
 
-def test_parts_that_run_take_their_settings_and_name_what_needs_a_restart(rig, monkeypatch):
+def test_running_components_apply_their_settings_and_name_what_needs_a_restart(rig, monkeypatch):
     running = {"engines": {}, "log": {}, "flight": {"users": []}, "peers": {"name": "a"}}
-    again = {"engines": {}, "log": {"alike": 1}, "flight": {"users": ["u"]}, "peers": {"name": "b"}}
-    flight, extension = Part(), Part()
-    reload = Reload(rig, monkeypatch, running, lambda: again, flight, extension)
-    assert flight.taken == [{"users": ["u"]}] and extension.taken == [{"name": "b"}]
+    changed = {"engines": {}, "log": {"alike": 1}, "flight": {"users": ["u"]}, "peers": {"name": "b"}}
+    flight, extension = Component(), Component()
+    reload = Reload(rig, monkeypatch, running, lambda: changed, flight, extension)
+    assert flight.applied == [{"users": ["u"]}] and extension.applied == [{"name": "b"}]
     assert reload.needs_restart() == ["log", "flight.listen", "peers.listen"]
-    assert reload.reloader.operator_file.settings is again
+    assert reload.reloader.operator_file.settings is changed
 
 
 @pytest.mark.parametrize("section", ["flight", "peers"])
-def test_section_that_is_new_or_gone_needs_a_restart(rig, monkeypatch, section):
+def test_added_or_removed_section_needs_a_restart(rig, monkeypatch, section):
     without = {"engines": {}, "log": {}}
-    with_it = without | {section: {"listen": "127.0.0.1:1"}}
-    assert Reload(rig, monkeypatch, without, lambda: with_it).needs_restart() == [section]
-    part = {"flight": "flight", "peers": "extension"}[section]
-    gone = Reload(rig, monkeypatch, with_it, lambda: without, **{part: Part()})
-    assert gone.needs_restart() == [section]
+    with_section = without | {section: {"listen": "127.0.0.1:1"}}
+    assert Reload(rig, monkeypatch, without, lambda: with_section).needs_restart() == [section]
+    parameter = {"flight": "flight", "peers": "extension"}[section]
+    removed = Reload(rig, monkeypatch, with_section, lambda: without, **{parameter: Component()})
+    assert removed.needs_restart() == [section]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,5 +1,5 @@
-"""Settings of other customers: absent and absurd ones are named, and whatever is sound is served by the
-rules."""
+"""Settings of arbitrary deployments: invalid ones are reported by path, and the router keeps its rules with
+all valid ones."""
 
 import copy
 
@@ -19,11 +19,11 @@
 
 
 def changed(path, value):
-    """The toy deployment with one key of its settings changed, or taken out."""
+    """Returns the toy deployment with one key of its settings changed, or removed if the value is None."""
     table = copy.deepcopy(deployment.table())
     item = table["settings"]
-    *before, last = path.replace("[", ".").replace("]", "").split(".")
-    for part in before:
+    *parents, last = path.replace("[", ".").replace("]", "").split(".")
+    for part in parents:
         item = item[int(part)] if part.isdigit() else item[part]
     if value is None:
         del item[last]
@@ -76,10 +76,10 @@
         ("limits", "none"),
     ],
 )
-def test_absent_or_absurd_setting_is_named_by_its_path(path, value):
-    with pytest.raises(ConfigurationError) as fault:
+def test_missing_or_invalid_setting_is_named_by_its_path(path, value):
+    with pytest.raises(ConfigurationError) as error:
         config.parse_configuration(changed(path, value), {})
-    assert fault.value.location.startswith(f"settings.{path}") and fault.value.remedy
+    assert error.value.location.startswith(f"settings.{path}") and error.value.remedy
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
         ("classes[2].window_ns", None),
     ],
 )
-def test_setting_that_may_be_absent_or_extreme_is_served(path, value):
+def test_router_serves_with_optional_settings_absent_or_extreme(path, value):
     rig = Rig(table=changed(path, value))
     try:
         client = rig.client(LOGIN + query(1))
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("effect", ["repeatable", "by_key", "once"])
-def test_classes_of_one_effect_only_are_served(effect):
+def test_router_serves_with_classes_of_a_single_effect(effect):
     table = deployment.table()
     for kind in table["settings"]["classes"]:
         kind["semantics"] = effect
@@ -124,13 +124,13 @@
 
 
 @pytest.mark.parametrize("count", [1_024, 5_000])
-def test_list_of_more_than_a_thousand_engines_is_taken_whole(count):
+def test_list_of_more_than_a_thousand_engines_is_applied_completely(count):
     body = b"".join(
         ENDPOINT_RECORD.pack(n, bytes((127, 0, 0, 1)), 9, 0, 0, 0, 0, 1000, 0) for n in range(count)
     )
-    (news,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
+    (update,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
     rig = Rig()
-    rig.service.endpoint_updates.on_watch_event(news._replace(offset=2))
+    rig.service.endpoint_updates.on_watch_event(update._replace(offset=2))
     assert len(rig.service.reducer.scheduler.engines) == count and not rig.log.faults()
     rig.close()
 
@@ -157,7 +157,7 @@
     st.sampled_from(["all", "zone", "cell"]),
     st.integers(0, 60_000),
 )
-figures = st.fixed_dictionaries(
+deployments = st.fixed_dictionaries(
     {
         "classes": st.lists(classes, min_size=1, max_size=5, unique_by=lambda kind: kind["name"]),
         "n_instances": st.integers(1, 2_000),
@@ -194,9 +194,9 @@
 
 
 @settings(max_examples=40, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
-@given(figures)
-def test_short_day_by_the_rules_whatever_the_settings(drawn):
-    """Two queries of each class; the engine's first connection breaks under the first of them."""
+@given(deployments)
+def test_rules_hold_for_any_valid_settings(drawn):
+    """Sends two queries of each class; the connections to the engine break before it answers any of them."""
     rig = Rig(table=drawn_table(drawn))
     try:
         rig.serving = False
@@ -204,26 +204,26 @@
         for n, kind in enumerate(drawn["classes"]):
             patience = kind["deadline_ns"] // MS
             for number in (2 * n + 1, 2 * n + 2):
-                about = {"patience": patience, "nonce": f"{number:02x}", "entity": "ab"}
-                clients[number] = kind, rig.client(LOGIN + query(number, kind["name"], **about))
+                fields = {"patience": patience, "nonce": f"{number:02x}", "entity": "ab"}
+                clients[number] = kind, rig.client(LOGIN + query(number, kind["name"], **fields))
         rig.turn(20)
         for talk in rig.talks:
             talk.close()
         broken = set(rig.wants)
         rig.serving = True
-        # The router's clock goes on by 20 ms a round, so that no deadline is waited for in real time.
-        last = rig.clock() + max(kind["deadline_ns"] for kind in drawn["classes"]) // 100_000 + 500
-        while rig.clock() < last and not all(client.answers() for _, client in clients.values()):
+        # The router's clock advances by 20 ms a round, so that no deadline is waited for in real time.
+        end = rig.clock() + max(kind["deadline_ns"] for kind in drawn["classes"]) // 100_000 + 500
+        while rig.clock() < end and not all(client.answers() for _, client in clients.values()):
             rig.turn()
             rig.service.door.sweep()
             rig.pass_time(0.02)
         for number, (kind, client) in clients.items():
-            (answer,) = client.answers()  # one final answer each
+            (answer,) = client.answers()  # exactly one final answer
             assert answer in ("served", REFUSED[0], FAILED[0])
-            tries = rig.wants.count(f"{number:016x}")
-            assert tries <= drawn["tries"]
+            attempts = rig.wants.count(f"{number:016x}")
+            assert attempts <= drawn["tries"]
             if kind["semantics"] == "once" and f"{number:016x}" in broken:
-                assert tries == 1 and answer == FAILED[0]  # it may have run: neither again nor "try again"
+                assert attempts == 1 and answer == FAILED[0]  # it may have run: no retry, no rejection
         assert not rig.log.faults()
     finally:
         rig.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: all that came on open connections is answered, and the program is gone before SIGKILL."""
+"""Shutdown on SIGTERM: all received queries are answered, and the process exits before SIGKILL."""
 
 import os
 import signal
@@ -19,12 +19,12 @@
 from hillchute.router.round_schedule import ACCEPT_LIMIT
 from hillchute.router.shutdown import ShutdownStep
 
-ANSWERS = {"served", REFUSED[0], FAILED[0]}
+FINAL_ANSWERS = {"served", REFUSED[0], FAILED[0]}
 ROOT = Path(__file__).parents[1]
-LONGEST = [100, 500, 3_000, 30_000]  # milliseconds
+LONGEST_TIMEOUTS_MS = [100, 500, 3_000, 30_000]
 
 
-@pytest.fixture(params=LONGEST)
+@pytest.fixture(params=LONGEST_TIMEOUTS_MS)
 def rig(request):
     table = short_deadlines(request.param, deployment.table(sockets=128))
     rig = Rig(JustReceived(), table=table, time_by_turns=True)
@@ -39,43 +39,43 @@
     return rig.service.shutdown.schedule
 
 
-def go_to(rig, time):
-    """The clock goes on to a time, if it has not come yet."""
+def advance_clock_to(rig, time):
+    """Advances the clock to a time unless it is already past."""
     rig.pass_time(max(0, time - rig.clock()) / 10_000)
 
 
 def step(rig):
     rig.pass_turn_time()
-    found = rig.service.shutdown.advance()
+    due_step = rig.service.shutdown.advance()
     rig.engine()
-    return found
+    return due_step
 
 
-def test_query_that_came_with_its_login_to_the_backlog_is_answered_until_the_end(rig):
+def test_query_sent_with_its_login_in_the_backlog_is_answered_when_sessions_close(rig):
     schedule = terminate(rig)
     client = rig.client(LOGIN + query(1, patience=rig.longest))
-    go_to(rig, schedule.close_sessions_by)  # the loop has stood still: the connection was never accepted
+    advance_clock_to(rig, schedule.close_sessions_by)  # the loop paused: the connection was never accepted
     assert step(rig) is ShutdownStep.CLOSE_SESSIONS
-    assert len(client.answers()) == 1 and set(client.answers()) <= ANSWERS and rig.wants == []
+    assert len(client.answers()) == 1 and set(client.answers()) <= FINAL_ANSWERS and rig.wants == []
 
 
-def test_query_on_an_open_connection_is_answered_in_the_step_that_hangs_up(rig):
+def test_query_on_an_open_connection_is_answered_in_the_step_that_closes_sessions(rig):
     client = rig.client()
     rig.turn(2)
     schedule = terminate(rig)
-    go_to(rig, schedule.close_sessions_by)
+    advance_clock_to(rig, schedule.close_sessions_by)
     client.write(query(1, patience=rig.longest))
     assert step(rig) is ShutdownStep.CLOSE_SESSIONS
-    assert len(client.answers()) == 1 and set(client.answers()) <= ANSWERS
+    assert len(client.answers()) == 1 and set(client.answers()) <= FINAL_ANSWERS
     rig.turn(2)
     client.hear()
     assert client.ended and not client.was_reset
 
 
-def test_connection_and_query_within_the_time_in_which_clients_come_are_served(rig):
+def test_connection_and_query_within_the_arrival_period_are_served(rig):
     rig.connected()
     schedule = terminate(rig)
-    go_to(rig, schedule.signalled_at + 3_000)
+    advance_clock_to(rig, schedule.signalled_at + 3_000)
     assert step(rig) is ShutdownStep.ACCEPT
     client = rig.client(LOGIN + query(1, patience=rig.longest))
     for _ in range(20):
@@ -83,40 +83,41 @@
     assert client.answers() == ["served"]
 
 
-def test_engines_that_hang_throughout_keep_nothing_from_its_end(rig):
+def test_hanging_engines_do_not_delay_the_shutdown(rig):
     rig.connected()
     rig.serving = False
     clients = [rig.client(LOGIN + query(n, patience=rig.longest)) for n in range(1, 6)]
     rig.until(lambda: len(rig.wants) + sum(len(c.answers()) for c in clients) == 5)
     schedule = terminate(rig)
-    sent = rig.clock()
-    found = ShutdownStep.ACCEPT
-    while found is not ShutdownStep.EXIT and rig.clock() < schedule.kill_at:
+    signalled_at = rig.clock()
+    due_step = ShutdownStep.ACCEPT
+    while due_step is not ShutdownStep.EXIT and rig.clock() < schedule.kill_at:
         rig.pass_time(0.02)
-        found = step(rig)
-        if found is ShutdownStep.ACCEPT and rig.clock() < schedule.answer_by - 1_000:
+        due_step = step(rig)
+        if due_step is ShutdownStep.ACCEPT and rig.clock() < schedule.answer_by - 1_000:
             continue
     assert (
-        found is ShutdownStep.EXIT and rig.clock() <= schedule.exit_by + 20 * MILLISECOND + 100 * MILLISECOND
+        due_step is ShutdownStep.EXIT
+        and rig.clock() <= schedule.exit_by + 20 * MILLISECOND + 100 * MILLISECOND
     )
     for client in clients:
         answers = client.answers()
-        assert len(answers) == 1 and answers[0] in ANSWERS
-    assert schedule.answer_by <= sent + min(rig.longest, 3_000) * MILLISECOND + shutdown.SIGKILL_DELAY
+        assert len(answers) == 1 and answers[0] in FINAL_ANSWERS
+    assert schedule.answer_by <= signalled_at + min(rig.longest, 3_000) * MILLISECOND + shutdown.SIGKILL_DELAY
 
 
-def test_query_that_comes_as_sessions_are_ended_is_not_forwarded(rig, monkeypatch):
-    """It crosses the end of a connection on which nothing is open: its client sends it again elsewhere."""
+def test_query_that_arrives_while_sessions_are_closed_is_not_run(rig, monkeypatch):
+    """The query meets the close of an idle connection; its client sends it again elsewhere."""
     client = rig.connected()
     schedule = terminate(rig)
-    go_to(rig, schedule.close_sessions_by)
+    advance_clock_to(rig, schedule.close_sessions_by)
     hang_up = rig.service.door.hang_up
 
-    def cross():
-        client.write(query(7, patience=rig.longest))  # after the last look, before the end is written
+    def write_then_hang_up():
+        client.write(query(7, patience=rig.longest))  # after the last read, before the close
         hang_up()
 
-    monkeypatch.setattr(rig.service.door, "hang_up", cross)
+    monkeypatch.setattr(rig.service.door, "hang_up", write_then_hang_up)
     assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     monkeypatch.undo()
     for _ in range(5):
@@ -125,44 +126,44 @@
     assert rig.wants == [] and client.ended
 
 
-def test_second_signal_changes_nothing_and_a_list_that_comes_in_shutdown_counts(rig, monkeypatch):
+def test_second_signal_has_no_effect_and_an_endpoint_list_during_shutdown_is_applied(rig, monkeypatch):
     client = rig.connected()
     schedule = terminate(rig)
     assert not rig.service.lifecycle.enter(Phase.CLOSING)
-    end = schedule.answer_by
-    moved = []
+    answer_by = schedule.answer_by
+    watched = []
     moved_bus = rig.configuration._replace(event_bus_address=("127.0.0.1", 9))
     monkeypatch.setattr(config, "read_configuration", lambda: moved_bus)
-    monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda bus, tasks: moved.append(bus))
+    monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda bus, tasks: watched.append(bus))
     monkeypatch.setattr(signal_handling.signal, "pthread_sigmask", lambda *_: None)
     monkeypatch.setattr(
         signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(signal.SIGHUP, signal.SIGTERM)
     )
     monkeypatch.setattr(rig.service.signals, "record_arrival", lambda number: None)
     anyio.run(rig.service.signals.listen, rig.service.on_signal)
-    assert moved == [("127.0.0.1", 9)] and rig.service.lifecycle.phase is Phase.CLOSING
-    assert rig.service.shutdown.schedule is schedule and schedule.answer_by == end
+    assert watched == [("127.0.0.1", 9)] and rig.service.lifecycle.phase is Phase.CLOSING
+    assert rig.service.shutdown.schedule is schedule and schedule.answer_by == answer_by
     rig.list(2, state="Terminating")
     client.write(query(1, patience=rig.longest))
     for _ in range(10):
         step(rig)
-    assert rig.wants == []  # the drain was heard
-    go_to(rig, schedule.close_sessions_by)
+    assert rig.wants == []  # the engine is draining, so it gets no queries
+    advance_clock_to(rig, schedule.close_sessions_by)
     step(rig)
     assert len(client.answers()) == 2
 
 
-DURING_THE_START = """
+SIGNAL_DURING_STARTUP = """
 import os, signal, sys
 from hillchute.router import __main__ as program
 read = program.config.read_configuration
-def read_and_be_told():
-    os.kill(os.getpid(), signal.SIGTERM)  # it is blocked now
+def read_and_signal():
+    os.kill(os.getpid(), signal.SIGTERM)  # it is blocked here
     return read()
-program.config.read_configuration = read_and_be_told
+program.config.read_configuration = read_and_signal
 sys.exit(program.main())
 """
-DURING_A_LONG_ROUND = """
+SIGNAL_DURING_A_LONG_ROUND = """
 import os, signal, sys, time
 from hillchute.fronts.mysql.door import Door
 from hillchute.router import __main__ as program
@@ -182,35 +183,37 @@
 
 
 @pytest.mark.parametrize(
-    ("program", "ago"), [(DURING_THE_START, 0), (DURING_A_LONG_ROUND, 500)], ids=["start", "long round"]
+    ("program", "min_ms_ago"),
+    [(SIGNAL_DURING_STARTUP, 0), (SIGNAL_DURING_A_LONG_ROUND, 500)],
+    ids=["start", "long round"],
 )
-def test_signal_is_heeded_and_counts_from_its_arrival(tmp_path, program, ago):
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port = free.getsockname()[1]
+def test_signal_is_handled_and_timed_from_its_arrival(tmp_path, program, min_ms_ago):
+    with socket.create_server(("127.0.0.1", 0)) as free_port:
+        port = free_port.getsockname()[1]
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(deployment.table() | {"listen": f"127.0.0.1:{port}", "bus": "127.0.0.1:9"}))
     environ = {**os.environ, "EDGE_CONFIG": str(path)}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", program], env=environ, cwd=ROOT, capture_output=True, timeout=30
     )
-    lines = [orjson.loads(line) for line in done.stdout.splitlines()]
-    assert done.returncode == 0, done.stderr
+    lines = [orjson.loads(line) for line in process.stdout.splitlines()]
+    assert process.returncode == 0, process.stderr
     phases = [line["phase"] for line in lines if line["event"] == "phase"]
     assert phases[-3:] == ["closing", "flushing", "stopped"]
-    (closing,) = [line for line in lines if line["event"] == "shutdown"]
-    assert closing["signalled_ms_ago"] >= ago
+    (shutdown_line,) = [line for line in lines if line["event"] == "shutdown"]
+    assert shutdown_line["signalled_ms_ago"] >= min_ms_ago
 
 
-def test_backlog_longer_than_one_round_takes_is_answered_whole():
+def test_backlog_beyond_the_limit_of_one_round_is_answered_completely():
     rig = Rig(sockets=512)
     schedule = terminate(rig)
     clients = [rig.client(LOGIN + query(n)) for n in range(3 * ACCEPT_LIMIT)]
-    go_to(rig, schedule.close_sessions_by)
+    advance_clock_to(rig, schedule.close_sessions_by)
     assert step(rig) is ShutdownStep.CLOSE_SESSIONS
     assert all(len(client.answers()) == 1 for client in clients)
     rig.close()
 
 
-def test_signal_before_the_router_serves_leads_to_its_end():
+def test_signal_before_the_router_serves_leads_to_shutdown():
     lifecycle = Lifecycle(Kept())
     assert lifecycle.enter(Phase.CLOSING) and not lifecycle.enter(Phase.SERVING)
