--- a/hillchute/settings_translation.py
+++ b/hillchute/settings_translation.py
@@ -1,15 +1,16 @@
-"""The translation of the deployment's settings from the platform's spelling into the plain catalog.
+"""Translates the deployment's settings from the platform's names into the settings catalog.
 
-The catalog is a map of dotted names to values, in the words and units of this code; `Settings.from_catalog`
-reads it. The simulator's wire states settings as pairs of path and value, the router's configuration as
-nested JSON: both come to the same catalog. Holds no default and no value of its own.
+The catalog is a flat map of dotted names to values, in the names and units of this code;
+`Settings.from_catalog` reads it. The simulator's wire has settings as pairs of path and value, the router's
+configuration as nested JSON; both are translated to the same catalog. This module defines no defaults or
+values.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
 
 from hillchute.net.clock import round_up_to_time_units
 
-CATALOG_WORDS = {
+CATALOG_NAMES = {
     "classes": "groups",
     "goal_time": "target_runtime",
     "aim_stretch": "target_stretch",
@@ -20,16 +21,16 @@
     "class_load": "group_load",
     "width_by_class": "width_by_group",
 }
-"""The platform's words in a path, as the catalog has them; others stay as they are."""
+"""Catalog names of the platform's words in a path; other words are unchanged."""
 
 CATALOG_EFFECTS = {"repeatable": "read-only", "by_key": "tokened", "once": "mutating"}
-"""The platform's words for what a query does to the data, as the catalog has them."""
+"""Catalog values of the platform's words for the effect of a query on the data."""
 
-NANOSECONDS_SUFFIX = "_ns"  # of the paths whose values are durations or instants
+NANOSECONDS_SUFFIX = "_ns"  # of paths whose values are durations or times
 
 
 def translate_settings(pairs: Iterable[tuple[str, object]]) -> dict[str, object]:
-    """The catalog of pairs of path and value as the platform spells them.
+    """Returns the catalog for pairs of path and value in the platform's names.
 
     Nanoseconds become tenths of a millisecond, rounded up.
     """
@@ -39,17 +40,17 @@
 def _translate_setting(path: str, value: object) -> tuple[str, object]:
     if path.endswith(NANOSECONDS_SUFFIX) and isinstance(value, int):
         path, value = path.removesuffix(NANOSECONDS_SUFFIX), round_up_to_time_units(value)
-    parts = [CATALOG_WORDS.get(part, part) for part in path.split(".")]
+    parts = [CATALOG_NAMES.get(part, part) for part in path.split(".")]
     if parts[-1] == "effect" and isinstance(value, str):
         value = CATALOG_EFFECTS.get(value, value)
     return ".".join(parts), value
 
 
 def flatten_settings(nested: Mapping[str, object], prefix: str = "") -> Iterator[tuple[str, object]]:
-    """Nested settings as the pairs of path and value in which the simulator's wire gives them.
+    """Yields nested settings as pairs of path and value, in the form of the simulator's wire.
 
-    An object in a list has its index in the path, a list of one value is that value, an empty list an empty
-    text, and what is null is left out. `prefix` stands before each path.
+    The path of an object in a list contains its index. A list of one value becomes that value, an empty
+    list an empty string, and null values are left out. `prefix` is prepended to each path.
     """
     for name, value in nested.items():
         path = prefix + name
@@ -67,5 +68,8 @@
 
 
 def without_separators(value: object) -> object:
-    """A text with underscores for blanks and commas, which part values on the simulator's wire."""
+    """Returns a string with its spaces and commas replaced by underscores, and other values unchanged.
+
+    Spaces and commas separate values on the simulator's wire.
+    """
     return value.replace(" ", "_").replace(",", "_") if isinstance(value, str) else value
--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -1,10 +1,10 @@
-"""Decisions of simulated routers, pinned: the same seed gives the same decisions at the same times.
+"""Pinned decision traces: with the same seed, simulated routers make the same decisions at the same times.
 
-Each case plays one simulation from one seed and records every decision that any scheduler in it makes. The
-SHA-256 digest of that trace must be the one in `data/decision_traces.json`. A change of the code that is not
-meant to change behaviour must leave that file as it is.
+Each case runs one simulation with one seed and records every decision of every scheduler in it. The SHA-256
+digest of that trace must be the one in `data/decision_traces.json`. A change of the code that is not meant to
+change behaviour must leave that file unchanged.
 
-To find the first decision that differs, write a case's trace in both trees and compare:
+To find the first decision that differs, write the trace of a case in both source trees and compare them:
 
     PYTHONPATH=. python tests/test_decision_traces.py alone-killed-1 > trace.txt
 
@@ -40,11 +40,11 @@
 
 PINNED = Path(__file__).parent / "data" / "decision_traces.json"
 
-# The position of a reason stands for it, so that it can be reworded: never reorder this.
+# Traces contain the index of a reason, so that its text may change: never reorder this.
 REASONS = ("its end", "tried", "too late", "too heavy", "crowd", "line of loads")
 
-# Settings under which the fleet also cancels, sets priorities, sends clients a time to come back after, asks
-# for the endpoints, has queries that must not run twice and limits its retries.
+# Settings with which routers also cancel attempts, set priorities, send clients a retry-after time,
+# subscribe to the endpoint list, have non-idempotent queries and limit retries.
 STRICT = {
     "discovery": "on_request",
     "limits.cancel": True,
@@ -56,7 +56,7 @@
     "guarantees.min_extra": 2,
     "guarantees.extra_share": 0.1,
 }
-# Settings under which the second group's queries load tables and the first's keep away from those engines.
+# Settings with which the second group has bulk loads and the first group's queries avoid their engines.
 LOADS = {
     "limits.cancel": True,
     "groups.1.effect": "tokened",
@@ -69,9 +69,9 @@
 
 
 def canonical(decision: Decision) -> str:
-    """A decision's kind and values as text. The only function here that knows how a decision is represented.
+    """Returns a decision's kind and values as text, without the name of a timer and the text of a reason.
 
-    Left out are the name of a wake-up call and the wording of a reason.
+    Only this function depends on the representation of decisions.
     """
     match decision:
         case Submit(query, engine, timeout):
@@ -95,13 +95,13 @@
 
 @contextmanager
 def recorded_decisions() -> Iterator[list[str]]:
-    """A list to which each decision of any scheduler is added as `time router decision`.
+    """Yields a list to which each decision of any scheduler is added as `time router decision`.
 
-    Routers are numbered in the order in which they are first asked for a decision; a restarted one is new.
+    Routers are numbered in the order of their first decision request; a restarted one gets a new number.
     """
     trace: list[str] = []
     numbers: dict[int, int] = {}
-    seen: list[QueryScheduler] = []  # kept alive, so that no id() is used twice
+    seen: list[QueryScheduler] = []  # keeps schedulers alive, so that each id() is unique
     next_decision = QueryScheduler.next_decision
 
     def decide_and_record(scheduler: QueryScheduler, now: int) -> Decision | None:
@@ -122,7 +122,7 @@
 
 
 def play_few_routers(play: str, seed: int) -> None:
-    """Fewer routers than half the engines, and too many queries: loads wait behind other loads."""
+    """Fewer routers than half of the engines, and overload: bulk loads wait behind other bulk loads."""
     plays.run(Many(seed, 2, 4, 1.5, **LOADS), play)
 
 
@@ -151,7 +151,7 @@
 
 
 def summary(trace: list[str]) -> dict[str, object]:
-    """What is pinned of a trace: its digest and, to show what has changed, the decisions by kind."""
+    """Returns what is pinned of a trace: its digest and, to show changes, the number of decisions by kind."""
     kinds = Counter(line.split(" ")[2] for line in trace)
     digest = hashlib.sha256("\n".join(trace).encode()).hexdigest()
     return {"decisions": len(trace), "by_kind": dict(sorted(kinds.items())), "sha256": digest}
--- a/tests/test_settings_translation.py
+++ b/tests/test_settings_translation.py
@@ -1,4 +1,4 @@
-"""From the platform's spelling of settings to the plain catalog."""
+"""Translation of the platform's settings into the settings catalog."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     assert translate_settings([(path, value)]) == translated
 
 
-def test_nested_settings_become_the_pairs_of_the_wire():
+def test_nested_settings_become_the_pairs_of_the_wire_format():
     nested = {
         "me": 4,
         "classes": [{"name": "a b,c", "window_ns": 5}, {"name": "d"}],
@@ -50,5 +50,5 @@
 
 
 @pytest.mark.parametrize("value", [5, 1.5, True, None, ["a b"]])
-def test_what_is_no_text_has_no_separators(value):
+def test_values_other_than_strings_are_unchanged(value):
     assert without_separators(value) is value
