--- a/hillchute/decision/__init__.py
+++ b/hillchute/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on a query, without I/O; scheduler.py is the facade, interface.py the types around it."""
+"""Decisions on queries. Performs no I/O. scheduler.py is the facade, interface.py has its types."""
--- a/hillchute/decision/dashboards.py
+++ b/hillchute/decision/dashboards.py
@@ -1,6 +1,6 @@
-"""Dashboards: queries of the groups with the shortest latency objective.
+"""Dispatch of dashboards: the queries of the groups with the shortest latency objective.
 
-They skip the queue and the thread bound.
+Dashboards bypass the queue and the thread limit of engines.
 """
 
 from hillchute.decision.dispatch import Dispatcher
@@ -12,7 +12,7 @@
 
 
 class Dashboards:
-    """Sends dashboards to engines that are not crowded, or rejects them."""
+    """Sends dashboards to engines that are not overloaded, or rejects them."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         self.planned = dispatcher.planned
 
     def send_next(self, now: Time) -> None:
-        """Sends or rejects the first dashboard for which that can be decided now."""
+        """Sends or rejects the first dashboard that can be decided now."""
         for query in self.queues.dashboards:
             if self.health_checks.waits_for_answer(now, query):
                 continue
-            if not self.placement.may_go_somewhere(now, query):
+            if not self.placement.has_eligible_engine(now, query):
                 continue
             engine = self.health_checks.choose(
                 now, query, lambda engine: self.load.has_room_for_dashboard(now, engine)
--- a/hillchute/decision/dispatch.py
+++ b/hillchute/decision/dispatch.py
@@ -1,4 +1,4 @@
-"""Carrying out what was chosen for one query: an attempt on an engine, or an answer without a result."""
+"""Carries out the choice for one query: starts an attempt on an engine or answers without a result."""
 
 from collections import deque
 
@@ -14,21 +14,25 @@
     Submit,
     Time,
 )
-from hillchute.decision.load_estimation import SHORTEST_TIME, LoadEstimator
+from hillchute.decision.load_estimation import MIN_RUNTIME, LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
 from hillchute.decision.query_state import Attempt, QueryPlace, QueryState
 from hillchute.settings import Effect, Settings
 
-ANSWER_MARGIN: Time = 5 * MILLISECOND  # a final answer goes out so long before the deadline, plus two ticks
-PATIENCE = 2.5  # times the expected run until an attempt is taken as hung, badly planned or its answer lost
-QUEUE_PATIENCE = 6.0  # where engines queue for memory: a wait holds nothing, a cut loses the place
+ANSWER_MARGIN: Time = 5 * MILLISECOND  # a final answer is sent this long before the deadline, plus two ticks
+# Multiple of the expected runtime after which an attempt counts as failed: the engine hangs, the plan is bad,
+# or the answer was lost.
+TIME_LIMIT_FACTOR = 2.5
+# The same where engines queue attempts for memory: a queued attempt holds no resources, and one that is cut
+# short loses its place in the queue.
+QUEUEING_TIME_LIMIT_FACTOR = 6.0
 HIGHEST_PRIORITY = 3
-MOST_USUAL_COST = 3  # times the mean cost of its group up to which a query is not among the heaviest
+HEAVY_COST_MULTIPLE = 3  # of the mean cost of its group; a query above it gets the lowest priority
 
 
 class Dispatcher:
-    """Turns choices into decisions, and keeps what follows from them."""
+    """Records the decisions on a query and updates the state that depends on them."""
 
     def __init__(
         self,
@@ -45,17 +49,19 @@
         self.queues = queues
         self.planned = planned
         self.answer_margin = ANSWER_MARGIN + 2 * settings.tick
-        self.patience = QUEUE_PATIENCE if settings.queues_for_memory else PATIENCE
+        self.time_limit_factor = (
+            QUEUEING_TIME_LIMIT_FACTOR if settings.queues_for_memory else TIME_LIMIT_FACTOR
+        )
 
     def submit(self, now: Time, query: QueryState, engine: EngineState) -> None:
-        """Starts an attempt."""
+        """Starts an attempt on an engine."""
         group = query.group.settings
         self.retries.count_attempt(now, query)
         time_limit = self._time_limit(now, query)
         self._set_priority(query)
         self.planned.append(Submit(query.id, engine.id, max(1, time_limit)))
         work = query.cost * query.group.cost_ratio
-        attempt = Attempt(engine.id, now, work, max(SHORTEST_TIME, query.runtime_alone))
+        attempt = Attempt(engine.id, now, work, max(MIN_RUNTIME, query.runtime_alone))
         self.load.attempt_started(now, query, attempt)
         query.place = QueryPlace.RUNNING
         query.attempts.append(attempt)
@@ -65,17 +71,20 @@
         self.placement.affinity[query.table_group] = engine.id
 
     def _time_limit(self, now: Time, query: QueryState) -> Time:
-        """How long the engine may take. Guards against a hung engine, a bad plan and a lost answer where a
-        time-out frees the engine."""
+        """Returns the time that the engine has for an attempt.
+
+        Where cancelling an attempt frees its engine, the limit guards against a hung engine, a bad plan and a
+        lost answer.
+        """
         group = query.group.settings
         limit = query.deadline - self.answer_margin - now
         if self.settings.cancels and group.effect is Effect.READ_ONLY:
             expected = self.load.expected_runtime(now, query)
-            limit = min(limit, int(max(group.target_runtime / 2, self.patience * expected)))
+            limit = min(limit, int(max(group.target_runtime / 2, self.time_limit_factor * expected)))
         return limit
 
     def _set_priority(self, query: QueryState) -> None:
-        """Short and light work first, where engines heed priorities."""
+        """Gives short and light queries a higher priority, where engines honour priorities."""
         if not self.settings.priorities or query.attempts:
             return
         group = query.group
@@ -83,14 +92,14 @@
             priority = HIGHEST_PRIORITY
         elif query.cost <= group.mean_cost:
             priority = HIGHEST_PRIORITY - 1
-        elif query.cost <= MOST_USUAL_COST * group.mean_cost:
+        elif query.cost <= HEAVY_COST_MULTIPLE * group.mean_cost:
             priority = HIGHEST_PRIORITY - 2
         else:
             priority = 0
         self.planned.append(SetTerms(query.id, 0, priority))
 
     def give_up(self, query: QueryState, reason: Reason) -> None:
-        """Answers a query without a result; `reason` is for the log alone."""
+        """Answers a query without a result; `reason` is only logged."""
         if query.open_attempts and self.settings.cancels:
             self.planned.append(Cancel(query.id, len(query.attempts) - 1))
         if self.retries.may_reject(query):
--- a/hillchute/decision/draws.py
+++ b/hillchute/decision/draws.py
@@ -1,17 +1,20 @@
-"""Numbers by chance that are the same in every run of one seed: a counter and a hash, no generator state."""
+"""Pseudo-random numbers from a counter and a hash: the same in every run with the same seed."""
 
 from zlib import crc32
 
-HASH_RANGE = 2**32  # of crc32
+HASH_RANGE = 2**32  # number of values of crc32
 
 
-def fraction_of(text: str) -> float:
-    """A number from 0 to 1 that all routers work out alike from a text."""
+def hash_fraction(text: str) -> float:
+    """Returns a number from 0 to 1 that depends on the text only, so that all routers compute the same."""
     return crc32(text.encode()) / HASH_RANGE
 
 
 class DrawSequence:
-    """One router's numbers, in order; the order of review times takes from the same counter."""
+    """The pseudo-random numbers of one router.
+
+    The same counter orders reviews that are due at the same time.
+    """
 
     __slots__ = ("count", "seed")
 
@@ -20,10 +23,10 @@
         self.count = 0
 
     def next_number(self) -> int:
-        """The next count, from 1."""
+        """Returns the next value of the counter, from 1."""
         self.count += 1
         return self.count
 
-    def chance(self) -> float:
-        """The next number from 0 to 1."""
-        return fraction_of(f"{self.seed}:{self.next_number()}")
+    def next_fraction(self) -> float:
+        """Returns the next pseudo-random number from 0 to 1."""
+        return hash_fraction(f"{self.seed}:{self.next_number()}")
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of engines, and the order in which all routers see them. Nothing here decides."""
+"""State of the engines that a router knows, and their order by hash. Takes no decisions."""
 
 from bisect import bisect_left, insort
 from collections import deque
@@ -9,53 +9,57 @@
 from hillchute.decision.interface import EndpointState, EngineId, FleetShares, Listing, ListMode, Time
 from hillchute.settings import Settings
 
-NEVER: Time = -(10**9)  # before every time
+NEVER: Time = -(10**9)  # earlier than any time of the caller's clock
 
 
 @dataclass(slots=True, eq=False)
 class EngineState:
-    """One engine, as the endpoint list, its load reports and this router's own attempts show it."""
+    """One engine, by the endpoint list, its load reports and this router's attempts on it."""
 
     id: EngineId
     kind: int = 0
     cell: int = 0
     zone: int = 0
     cores: int = 1
-    memory_mb: float = 0.0  # that it has; 0: not stated
-    warm_up_initial_share: float = 0.0  # of its cores' work that it does as it starts
+    memory_mb: float = 0.0  # total; 0: not stated
+    warm_up_initial_share: float = 0.0  # share of its cores' capacity that is usable at its start
     warm_up_duration: Time = 0
     ready: bool = False
     gone: bool = False
-    started: Time = 0  # as the list says, or as refused connections suggest
-    threads: int = 0  # of this router's open attempts
-    attempts_memory_mb: float = 0.0  # of this router's open attempts
+    started: Time = 0  # by the endpoint list, or the time of a refused connection if that is later
+    threads: int = 0  # used by this router's open attempts
+    attempts_memory_mb: float = 0.0  # used by this router's open attempts
     open_attempts: int = 0
-    running_loads: list[int | None] = field(default_factory=list)  # their table groups; of this router
-    unreported: deque[tuple[Time, int, float]] = field(default_factory=deque)  # sent: time, threads, memory
-    unreported_threads: int = 0  # the sums of it
+    running_loads: list[int | None] = field(default_factory=list)  # table groups of this router's bulk loads
+    # Attempts that the last report may not include: time sent, threads, memory.
+    unreported: deque[tuple[Time, int, float]] = field(default_factory=deque)
+    unreported_threads: int = 0  # sums over `unreported`
     unreported_memory_mb: float = 0.0
-    reported_threads: float | None = None  # in use at the last report
-    memory_granted: float | None = None  # share of its memory at the last report
+    reported_threads: float | None = None  # used by all routers at the last report
+    memory_granted: float | None = None  # share of its memory that was granted at the last report
     reported_at: Time = NEVER
     checked_at: Time = NEVER
     under_pressure_until: Time = 0
-    failures: int = 0  # moments of failure in a row
+    failures: int = 0  # consecutive failures; those at the same time count as one
     failed_at: Time = -1
     ejected_until: Time = 0
 
     def is_warming_up(self, now: Time) -> bool:
-        """Whether it has started of late."""
+        """Returns whether the engine started within the warm-up duration."""
         return self.started > 0 and now < self.started + self.warm_up_duration
 
     def usable_cores(self, now: Time) -> float:
-        """The cores' equivalent of what it can do now. How it warms up is not known: linearly is assumed."""
+        """Returns its present capacity in cores.
+
+        How the capacity grows during warm-up is not known; linear growth is assumed.
+        """
         if not self.is_warming_up(now):
             return self.cores
         warmed = (1 - self.warm_up_initial_share) * (now - self.started) / self.warm_up_duration
         return self.cores * (self.warm_up_initial_share + warmed)
 
     def update(self, listing: Listing, settings: Settings) -> None:
-        """The endpoint list names it."""
+        """Takes over an entry of the endpoint list for this engine."""
         self.kind = listing.kind
         self.cell = listing.cell
         self.zone = listing.zone
@@ -68,7 +72,7 @@
         self.gone = listing.state == EndpointState.GONE
 
     def attempt_started(self, now: Time, threads: int, memory_mb: float) -> None:
-        """An attempt of this router that takes so much goes out."""
+        """Counts an attempt of this router that starts, with its threads and memory."""
         self.open_attempts += 1
         self.threads += threads
         self.attempts_memory_mb += memory_mb
@@ -77,19 +81,19 @@
         self.unreported_memory_mb += memory_mb
 
     def attempt_ended(self, threads: int, memory_mb: float) -> None:
-        """An attempt of this router that took so much is over."""
+        """Removes an ended attempt of this router, with its threads and memory."""
         self.open_attempts -= 1
         self.threads -= threads
         self.attempts_memory_mb -= memory_mb
 
     def count_failure(self, now: Time) -> int:
-        """Counts a failure; those of one moment count once. Failures in a row."""
+        """Counts a failure, those at the same time once, and returns the number of consecutive failures."""
         self.failures += now > self.failed_at
         self.failed_at = now
         return self.failures
 
     def sent_since(self, start: Time) -> tuple[int, float]:
-        """Threads and memory that this router has sent since then and that are still in use."""
+        """Returns the threads and memory (MB) of attempts sent since `start` that may still be in use."""
         while self.unreported and self.unreported[0][0] < start:
             _, threads, memory_mb = self.unreported.popleft()
             self.unreported_threads -= threads
@@ -101,7 +105,10 @@
 
 
 class EngineOrder:
-    """One order of engines by hash that all routers work out alike; a change moves no more than it must."""
+    """Engines ordered by the hash of their id: every router computes the same order.
+
+    Adding or removing an engine keeps the order of the others.
+    """
 
     __slots__ = ("_order", "_ranks")
 
@@ -113,38 +120,38 @@
         return len(self._order)
 
     def add(self, engine: EngineId) -> None:
-        """Adds an engine if it isn't there."""
+        """Adds an engine if it is not present."""
         if engine not in self._ranks:
             rank = crc32(str(engine).encode()), engine
             self._ranks[engine] = rank
             insort(self._order, rank)
 
     def discard(self, engine: EngineId) -> None:
-        """Removes an engine if it is there."""
+        """Removes an engine if it is present."""
         rank = self._ranks.pop(engine, None)
         if rank is not None:
             del self._order[bisect_left(self._order, rank)]
 
     def position(self, engine: EngineId) -> int:
-        """The engine's position, from 0; KeyError if it isn't there."""
+        """Returns the engine's position, from 0; raises KeyError if it is not present."""
         return bisect_left(self._order, self._ranks[engine])
 
 
 class EnginePool:
-    """The engines that this router knows, its subset of them, and its part of what routers share."""
+    """The engines that this router knows, its subset of them, and its shares of the common limits."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.engines: dict[EngineId, EngineState] = {}
         self.order = EngineOrder()
-        self.warming_up: dict[EngineId, EngineState] = {}  # those that may be
-        self.leaving: dict[EngineId, EngineState] = {}  # gone with attempts open
-        self.subset: frozenset[EngineId] = frozenset()  # to be preferred
+        self.warming_up: dict[EngineId, EngineState] = {}  # may include engines that have warmed up since
+        self.gone_engines: dict[EngineId, EngineState] = {}  # gone, but with open attempts
+        self.subset: frozenset[EngineId] = frozenset()  # the preferred engines
         self.routers = max(1, settings.routers)
         self.shares = FleetShares()
 
     def update(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> list[EngineId]:
-        """Takes in the endpoint list or a change of it; the engines that are forgotten with it."""
+        """Applies the endpoint list or a change of it and returns the engines that were removed."""
         changed: dict[EngineId, EngineState] = {}
         for listing in listings:
             engine = self.engines.setdefault(listing.engine, EngineState(listing.engine))
@@ -161,25 +168,25 @@
                     engine.ready = False
                     engine.gone = True
                     changed[engine.id] = engine
-        return self._refile(now, changed.values())
+        return self._update_indexes(now, changed.values())
 
-    def _refile(self, now: Time, changed: Iterable[EngineState]) -> list[EngineId]:
-        """What follows from the engines that have changed, without a look at all the others."""
+    def _update_indexes(self, now: Time, changed: Iterable[EngineState]) -> list[EngineId]:
+        """Updates the collections for the changed engines only and returns the engines that were removed."""
         for engine in changed:
             if engine.gone:
-                self.leaving[engine.id] = engine
+                self.gone_engines[engine.id] = engine
             else:
-                self.leaving.pop(engine.id, None)
+                self.gone_engines.pop(engine.id, None)
                 self.order.add(engine.id)
             if engine.is_warming_up(now):
                 self.warming_up[engine.id] = engine
-        forgotten = [engine.id for engine in self.leaving.values() if not engine.open_attempts]
-        for engine_id in forgotten:  # new ids come all day
-            for engines in (self.engines, self.leaving, self.warming_up):
+        removed = [engine.id for engine in self.gone_engines.values() if not engine.open_attempts]
+        for engine_id in removed:  # new ids keep coming, so the state would grow without limit
+            for engines in (self.engines, self.gone_engines, self.warming_up):
                 engines.pop(engine_id, None)
             self.order.discard(engine_id)
-        return forgotten
+        return removed
 
     def subset_engines(self) -> list[EngineState]:
-        """The engines of the subset that are known."""
+        """Returns the engines of the subset that are known."""
         return [engine for engine in map(self.engines.get, self.subset) if engine]
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks: polling engines for their load, before a query goes to one and at a pace beside it.
+"""Health checks: poll an engine for its load before a query is sent to it, and periodically.
 
-Only where load reports come by health checks alone.
+Used only where engines send load reports in answer to health checks alone.
 """
 
 from collections import deque
@@ -14,17 +14,20 @@
 from hillchute.decision.query_state import QueryState
 from hillchute.settings import Settings
 
-CHECK_EVERY: Time = 400 * MILLISECOND  # per engine; reports are rarely fresher than that
-WAIT_FOR_ANSWER: Time = 100 * MILLISECOND  # that a query waits for: a handshake, a slow loop
-MOST_OVERLOADED = 3  # crowded engines that a query passes over before it goes to the best of them, or to none
-QUERY_COST_SHARE = 0.05  # of its own weight that a query's check may cost: it raises its odds by about that
-PACED_COST_SHARE = 0.01  # of all weight that checks beside these may cost: they serve nobody in particular
+CHECK_INTERVAL: Time = 400 * MILLISECOND  # per engine; reports are rarely more recent than that
+CHECK_TIMEOUT: Time = 100 * MILLISECOND  # for which a query waits; covers a handshake and a slow event loop
+# After this many checks of overloaded engines, a query goes to an engine with a recent report or to none.
+MAX_OVERLOADED_CHECKS = 3
+# Share of a query's weight that its check may cost; the check raises its chance of success by about as much.
+QUERY_CHECK_COST_SHARE = 0.05
+# Share of the weight of all queries that periodic checks may cost; they help no particular query.
+PERIODIC_CHECK_COST_SHARE = 0.01
 
 HasRoom = Callable[[EngineState], bool]
 
 
 class HealthChecks:
-    """When to ask which engine for its load, and the choice of an engine by the answers."""
+    """Decides when to check which engine, and chooses an engine for a query by the results."""
 
     def __init__(
         self,
@@ -41,23 +44,25 @@
         self.placement = placement
         self.admission = admission
         self.planned = planned
-        self.credit = float(len(settings.groups))  # checks that may be sent beside those for queries
-        self.credit_per_query = PACED_COST_SHARE / (self.cost or PACED_COST_SHARE)
+        self.credit = float(
+            len(settings.groups)
+        )  # periodic checks that may be sent; checks for queries are deducted too
+        self.credit_per_query = PERIODIC_CHECK_COST_SHARE / (self.cost or PERIODIC_CHECK_COST_SHARE)
         self.next_check: Time = 0
 
     def query_arrived(self) -> None:
-        """Checks are paced by the queries admitted, up to one for each engine."""
+        """Earns credit for periodic checks with each admitted query, up to one check per engine."""
         share = self.pool.shares.health_checks
         self.credit += min(self.credit_per_query, share, len(self.pool.engines) - self.credit)
 
     def send(self, now: Time, engine: EngineState) -> None:
-        """Asks an engine for its load."""
+        """Sends a health check to an engine."""
         engine.checked_at = now
         self.credit -= 1
         self.planned.append(HealthCheck(engine.id))
 
-    def send_paced(self, now: Time) -> None:
-        """Asks the engine of the subset whose last report or check is the oldest."""
+    def send_periodic(self, now: Time) -> None:
+        """Checks the engine of the subset whose last report or check is the oldest, if a check is due."""
         if not self.enabled or now < self.next_check or self.credit < 1:
             return
         engines = filter(None, map(self.pool.engines.get, self.pool.subset or self.pool.engines))
@@ -67,24 +72,24 @@
             if engine.ready and engine.ejected_until <= now
         ]
         if not known:
-            self.next_check = max(now + MILLISECOND, CHECK_EVERY)
+            self.next_check = max(now + MILLISECOND, CHECK_INTERVAL)
             return
-        known_at, longest_ago = min(known)
-        if now - known_at >= CHECK_EVERY:
-            self.send(now, self.pool.engines[longest_ago])
+        known_at, engine_id = min(known)
+        if now - known_at >= CHECK_INTERVAL:
+            self.send(now, self.pool.engines[engine_id])
         else:
-            self.next_check = max(now + MILLISECOND, known_at + CHECK_EVERY)
+            self.next_check = max(now + MILLISECOND, known_at + CHECK_INTERVAL)
 
     def is_stale(self, now: Time, engine: EngineState) -> bool:
-        """Whether an engine's last report is so old that a check would be worth more."""
+        """Returns whether an engine's last report is so old that a check would tell more."""
         return self.enabled and now - engine.reported_at > REPORT_HALF_LIFE
 
     def waits_for_answer(self, now: Time, query: QueryState) -> bool:
-        """Whether the engine that is checked for a query may still answer."""
+        """Returns whether the engine that is checked for a query may still answer in time."""
         if query.checked_engine is None:
             return False
         engine = self.pool.engines.get(query.checked_engine)
-        if engine is None or now >= query.checked_at + WAIT_FOR_ANSWER:
+        if engine is None or now >= query.checked_at + CHECK_TIMEOUT:
             return False
         return max(engine.reported_at, engine.failed_at) < query.checked_at
 
@@ -95,45 +100,50 @@
         has_room: HasRoom,
         affine: EngineState | None = None,
     ) -> EngineState | None:
-        """The engine for a query, once enough is known of it; None while one is checked, or all are full.
+        """Returns the engine for a query; None while an engine is checked for it, or if all are full.
 
-        Guards against choosing on old reports: a router of hundreds has few fresh ones, and an overloaded or
-        dead engine would be chosen again and again."""
-        silent = None
+        Guards against choosing by old reports: with hundreds of routers, each has few recent ones, and an
+        overloaded or dead engine would be chosen repeatedly.
+        """
+        unresponsive = None
         checked = None if query.checked_engine is None else self.pool.engines.get(query.checked_engine)
         query.checked_engine = None
         if checked is not None and checked.reported_at >= query.checked_at:
-            calm = self.load.is_lightly_loaded(now, checked) and has_room(checked)
-            if calm and checked in self.placement.eligible_engines(now, query):
+            is_usable = self.load.is_lightly_loaded(now, checked) and has_room(checked)
+            if is_usable and checked in self.placement.eligible_engines(now, query):
                 return checked
             query.overloaded_checks += 1
         elif checked is not None:
-            silent = checked
-        engines = self.candidates(now, query, has_room, affine, silent)
+            unresponsive = checked
+        engines = self.candidates(now, query, has_room, affine, unresponsive)
         if not self.enabled:
             return self.placement.pick(now, query, engines, affine)
-        engine = self.placement.pick(now, query, self._worth_a_visit(now, query, engines), affine)
+        engine = self.placement.pick(now, query, self._filter_by_load(now, query, engines), affine)
         if engine is None or engine.id == query.permit_engine or not self.is_stale(now, engine):
             return engine
-        if not self._may_cost_a_check(query):
+        if not self._is_worth_a_check(query):
             return engine
         query.checked_engine = engine.id
         query.checked_at = now
-        if now - engine.checked_at >= WAIT_FOR_ANSWER:
+        if now - engine.checked_at >= CHECK_TIMEOUT:
             self.send(now, engine)
         return None
 
-    def _worth_a_visit(self, now: Time, query: QueryState, engines: list[EngineState]) -> list[EngineState]:
-        if query.overloaded_checks >= MOST_OVERLOADED and now - query.checked_at < CHECK_EVERY:
+    def _filter_by_load(self, now: Time, query: QueryState, engines: list[EngineState]) -> list[EngineState]:
+        """Returns the engines that may be lightly loaded, or all if none is.
+
+        After MAX_OVERLOADED_CHECKS, returns those with a recent report instead.
+        """
+        if query.overloaded_checks >= MAX_OVERLOADED_CHECKS and now - query.checked_at < CHECK_INTERVAL:
             return [engine for engine in engines if not self.is_stale(now, engine)]
         return [engine for engine in engines if self._may_be_lightly_loaded(now, engine)] or engines
 
     def _may_be_lightly_loaded(self, now: Time, engine: EngineState) -> bool:
         return self.is_stale(now, engine) or self.load.is_lightly_loaded(now, engine)
 
-    def _may_cost_a_check(self, query: QueryState) -> bool:
+    def _is_worth_a_check(self, query: QueryState) -> bool:
         weight = query.group.settings.weight
-        return self.cost * (self.admission.mean_weight or weight) <= QUERY_COST_SHARE * weight
+        return self.cost * (self.admission.mean_weight or weight) <= QUERY_CHECK_COST_SHARE * weight
 
     def candidates(
         self,
@@ -141,24 +151,27 @@
         query: QueryState,
         has_room: HasRoom,
         affine: EngineState | None,
-        silent: EngineState | None,
+        unresponsive: EngineState | None,
     ) -> list[EngineState]:
-        """The engines to draw from; `silent` has not answered its check.
+        """Returns the engines to choose from; `unresponsive` has not answered its check.
 
-        Guards against knowing little of all: a router of hundreds keeps to its subset, and to affine engines,
-        while they have room. They are looked at first, so that a query does not cost more the more engines
-        there are."""
+        With hundreds of routers, each knows little about most engines, so it keeps to its subset and to the
+        affine engine while they have room. These are examined first, so that the cost of a query does not
+        grow with the number of engines.
+        """
         first = self.placement.first_choices(query, affine)
         preferred = [
             engine
             for engine in first
-            if engine is not silent and self.placement.is_preferred(now, engine, query) and has_room(engine)
+            if engine is not unresponsive
+            and self.placement.is_preferred(now, engine, query)
+            and has_room(engine)
         ]
         preferred = [engine for engine in preferred if self._may_be_lightly_loaded(now, engine)]
         if preferred:
             return preferred
         engines = [engine for engine in self.placement.eligible_engines(now, query) if has_room(engine)]
-        engines = [engine for engine in engines if engine is not silent] or engines
+        engines = [engine for engine in engines if engine is not unresponsive] or engines
         return [
             engine for engine in engines if engine in first and self._may_be_lightly_loaded(now, engine)
         ] or engines
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -1,6 +1,6 @@
-"""The scheduler's interface: what has happened goes in, typed decisions come out. Types only.
+"""The scheduler's interface: the types of its inputs and decisions, and the `Scheduler` protocol.
 
-Times are whole tenths of a millisecond on the caller's clock; ids are kept as the caller gives them.
+Times are whole tenths of a millisecond on the caller's clock; ids are passed through unchanged.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,14 +14,14 @@
 Time: TypeAlias = int
 QueryId: TypeAlias = str
 EngineId: TypeAlias = int
-Report: TypeAlias = Mapping[str, float]  # a load report: column names to figures
+Report: TypeAlias = Mapping[str, float]  # a load report: values by column name
 
 SECOND: Time = 10_000
 MILLISECOND: Time = 10
 
 
 class EndpointState(StrEnum):
-    """State of an engine in the endpoint list; the values are the event bus's spelling."""
+    """State of an engine in the endpoint list; the values are those of the event bus."""
 
     READY = "Ready"
     DRAINING = "Terminating"
@@ -29,28 +29,28 @@
 
 
 class ListMode(StrEnum):
-    """How an endpoint list relates to the one before; the values are the event bus's spelling."""
+    """How an endpoint list relates to the previous one; the values are those of the event bus."""
 
-    COMPLETE = "Complete"  # engines that it does not name are gone
-    PARTIAL = "Partial"  # engines that it does not name are as they were
-    PERSISTED = "Persisted"  # the complete list as this router kept it last, possibly out of date
-    ERROR = "Error"  # the list could not be read: the earlier one remains in force
+    COMPLETE = "Complete"  # engines that are not listed are gone
+    PARTIAL = "Partial"  # engines that are not listed are unchanged
+    PERSISTED = "Persisted"  # the complete list that this router stored last, possibly out of date
+    ERROR = "Error"  # the list could not be read: the previous one remains in force
 
 
 class AttemptResult(StrEnum):
-    """How an attempt to run a query on an engine, or a health check, ended.
+    """Result of an attempt to run a query on an engine, or of a health check.
 
-    The values are the spelling that the simulator's wire has; the log has the members' names in lower case.
+    The values are those of the simulator's wire; the log has the members' names in lower case.
     """
 
     SERVED = "finished"  # a result, or the answer to a health check
-    OVERLOADED = "saturated"  # the engine rejected it because it is full
-    CONNECTION_REFUSED = "refused_conn"  # no process listens there
-    UNREACHABLE = "unreached"  # no connection came up in time, or there is no route
-    NOT_SENT = "superseded"  # no byte left this router
+    OVERLOADED = "saturated"  # the engine rejected it because it is at capacity
+    CONNECTION_REFUSED = "refused_conn"  # no process listens at the address
+    UNREACHABLE = "unreached"  # no connection was established in time, or there is no route
+    NOT_SENT = "superseded"  # this router sent no byte of it
     TIMED_OUT = "overdue"  # no answer within the time limit
-    CONNECTION_LOST = "severed"  # the connection broke with the answer outstanding
-    CANCELLED = "recalled"  # this router gave it up
+    CONNECTION_LOST = "severed"  # the connection broke before the answer
+    CANCELLED = "recalled"  # this router cancelled it
     FAILED = "errored"  # the engine answered with an error
 
 
@@ -70,7 +70,7 @@
 
 
 class Listing(NamedTuple):
-    """One engine of the endpoint list."""
+    """An entry of the endpoint list: one engine."""
 
     engine: EngineId
     kind: int
@@ -82,42 +82,43 @@
 
 
 class NewQuery(NamedTuple):
-    """A query that a client has sent and that was admitted."""
+    """An admitted query of a client."""
 
     id: QueryId
     group: int  # number of its resource group in the settings
-    deadline: Time  # the client gives up then
+    deadline: Time  # the client times out then
     table_group: int | None = None
     tenant: int = 0
     cost: Time | None = None  # estimated core time; None where there is no estimate
     memory_mb: float = 0.0
-    ordering_key: str | None = None  # queries of a key run one after another, if the group keeps order
+    ordering_key: str | None = None  # queries of a key run one after another if the group keeps order
 
 
 class AttemptEnded(NamedTuple):
     """The end of an attempt."""
 
     query: QueryId
-    attempt: int  # its number among the query's attempts, from 0
+    attempt: int  # index among the query's attempts, from 0
     result: AttemptResult
-    final: bool  # whether the client has its answer with this
+    final: bool  # whether this result answers the client
     elapsed: Time  # since the attempt was sent
-    cost: Time | None = None  # core time that the engine says it used
-    report: Report | None = None  # the load report that came with the answer
+    cost: Time | None = None  # core time used, as the engine reports it
+    report: Report | None = None  # load report that came with the answer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetShares:
     """This router's shares of the limits that all routers have in common.
 
-    A limit of which no share is stated is divided equally among the routers.
+    A limit without a stated share is divided equally among the routers.
     """
 
-    warm_up: float | None = None  # of the light queries that warming engines get
-    tenants: Mapping[int, float] = field(default_factory=dict)  # of tenants' quotas, by tenant
-    health_checks: float = 1  # checks for each query at the most
-    pool_routers: float | None = None  # with partners: as many routers with this one's share fill the pool
-    excluded_engines: frozenset[EngineId] = frozenset()  # warming engines that get no more queries for now
+    warm_up: float | None = None  # share of the light queries that are sent to warming engines
+    tenants: Mapping[int, float] = field(default_factory=dict)  # shares of the tenants' quotas, by tenant
+    health_checks: float = 1  # most health checks per query
+    # With partners: the inverse of this router's share of the pool. None: the number of routers is used.
+    pool_routers: float | None = None
+    excluded_engines: frozenset[EngineId] = frozenset()  # warming engines that must not get more queries now
 
 
 # ---- decisions ------------------------------------------------------------------------------------
@@ -126,20 +127,20 @@
 class Reason(StrEnum):
     """Which check rejected or failed a query.
 
-    The log has the members' names in lower case; the values are what simulations print.
+    The log has the members' names in lower case; simulations print the values.
     """
 
-    DEADLINE = "its end"  # its deadline has come
-    NO_RETRY = "tried"  # its attempt ended without a result, and there may be no further one, or none in time
-    TOO_LATE = "too late"  # a start would not meet the latency objective any more
-    TOO_HEAVY = "too heavy"  # for the load of the engines, or for the sessions that are free
-    ENGINES_OVERLOADED = "crowd"  # a dashboard, and every engine is crowded
-    LOADS_AHEAD = "line of loads"  # a load that can't start in time behind those of its table group
+    DEADLINE = "its end"  # its deadline is reached
+    NO_RETRY = "tried"  # its attempt had no result, and a retry is not allowed or would be too late
+    TOO_LATE = "too late"  # a start would no longer meet the latency objective
+    TOO_HEAVY = "too heavy"  # too heavy for the load of the engines or for the number of free sessions
+    ENGINES_OVERLOADED = "crowd"  # the query is a dashboard, and all engines are overloaded
+    LOADS_AHEAD = "line of loads"  # a bulk load that can't start in time behind others of its table group
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Start an attempt: send the query to this engine, which may take so long for it."""
+    """Start an attempt: send the query to this engine, which has `time_limit` for it."""
 
     query: QueryId
     engine: EngineId
@@ -148,16 +149,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTerms:
-    """On which terms engines take the query: how much memory, and its priority; higher runs first."""
+    """Set the memory and the priority with which engines run the query; higher priorities run first."""
 
     query: QueryId
-    memory_mb: float  # 0: the engine's own figure is used
+    memory_mb: float  # 0: the engine's default is used
     priority: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the client that nothing ran and trying again is harmless, after a wait (0: none is named)."""
+    """Tell the client that nothing ran and a retry is safe after a wait; `retry_after` of 0 names no wait."""
 
     query: QueryId
     retry_after: Time
@@ -174,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give up an attempt."""
+    """Cancel an attempt."""
 
     query: QueryId
     attempt: int
@@ -189,12 +190,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Start to follow the endpoint list."""
+    """Subscribe to the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Call `on_timer` at this time with this name."""
+    """Set a timer: call `on_timer` at this time with this name."""
 
     at: Time
     name: str
@@ -204,14 +205,17 @@
 
 
 class Scheduler(Protocol):
-    """The inputs (`on_...`) only update what is known; `next_decision` is called until it returns None."""
+    """Makes the decisions of one router.
+
+    The inputs (`on_...`) only update its state; the caller then calls `next_decision` until it returns None.
+    """
 
     @property
     def engines(self) -> "Mapping[EngineId, EngineState]":
-        """All engines that are known; callers only look at them."""
+        """All known engines, by id; callers must not change them."""
 
     def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
-        """The endpoint list, or a change of it, has come."""
+        """Takes the endpoint list or a change of it."""
 
     def on_subset(
         self,
@@ -220,45 +224,51 @@
         routers: int | None = None,
         shares: FleetShares | None = None,
     ) -> None:
-        """The engines to prefer have changed (subsetting), the number of live routers, or this router's
-        shares of the limits that routers have in common; None leaves the earlier value."""
+        """Takes the preferred engines (subsetting), the number of live routers and this router's shares.
+
+        None keeps the previous value.
+        """
 
     def admits(self, now: Time, group: int, lateness: float) -> bool:
-        """Whether a query of this group is admitted while the event loop runs so late (tenths of a
-        millisecond). Called before the query is read."""
+        """Returns whether a query of this group is admitted; called before the query is read.
+
+        `lateness` is the event loop lag in tenths of a millisecond.
+        """
 
     def on_query(self, now: Time, query: NewQuery) -> None:
-        """A query was admitted."""
+        """Takes an admitted query."""
 
     def on_attempt_ended(self, now: Time, ended: AttemptEnded) -> None:
-        """An attempt has ended; one that is not known, or has ended before, is ignored."""
+        """Takes the end of an attempt; an unknown attempt or one that has already ended is ignored."""
 
     def on_health_check(
         self, now: Time, engine: EngineId, result: AttemptResult, report: Report | None
     ) -> None:
-        """A health check of this router has ended."""
+        """Takes the result of a health check of this router."""
 
     def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
-        """Another router passed on a load report, which is so old; an older one than is known is ignored."""
+        """Takes a load report of this age that another router relayed; one older than the last is ignored."""
 
     def on_fleet_changed(self, now: Time) -> None:
-        """What other routers observe, which of them live, or what they lend may have changed. A scheduler
-        that knows of no peers has nothing to read anew."""
+        """Takes note that other routers' observations, liveness or quota leases may have changed.
+
+        A scheduler without peers ignores it.
+        """
 
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
-        """An engine reports how far an attempt has come."""
+        """Takes an engine's progress report on an attempt."""
 
     def on_stream_started(self, now: Time, query: QueryId) -> None:
-        """The first part of a streamed result has come: the query is not retried or rejected from here on."""
+        """Takes note of the first part of a streamed result: the query is no longer retried or rejected."""
 
     def on_client_left(self, now: Time, query: QueryId) -> None:
-        """Nobody waits for the query any more."""
+        """Takes note that no client waits for the query any more."""
 
     def on_shutdown(self, now: Time, deadline: Time) -> None:
-        """This router ends: every query is answered by then."""
+        """Takes note that this router shuts down: every query is answered by the deadline."""
 
     def on_timer(self, now: Time, name: str) -> None:
-        """The time of a `Wake` has come."""
+        """Takes note that the timer of a `Wake` has expired."""
 
     def next_decision(self, now: Time) -> Decision | None:
-        """The next decision, or None if there is nothing to do at this time."""
+        """Returns the next decision, or None if there is nothing to decide at this time."""
--- a/hillchute/decision/placement.py
+++ b/hillchute/decision/placement.py
@@ -1,7 +1,8 @@
-"""Placement: which engines a query may go to, and which of them it gets.
+"""Placement: determines the engines that a query may be sent to, and chooses one of them.
 
-All routers work out alike which engines serve a table group's loads and which the queries that would stand
-still behind them; the choice among several is drawn by chance, weighted against load.
+For each table group, all routers compute the same division of the engines: one half runs its bulk loads, the
+other half the queries that bulk loads would block. The choice among several engines is random and weighted
+against load.
 """
 
 from bisect import bisect
@@ -16,14 +17,14 @@
 from hillchute.decision.slow_start import SlowStart
 from hillchute.settings import DeduplicationScope, Effect, Settings
 
-IDLE_LOAD = (
-    0.4  # threads a core added to each load: an engine that looks idle doesn't draw all routers at once
-)
-SHARPNESS = 4  # power of the draw's weight: twice the load, a sixteenth of the draws
+# Threads per core that are added to each load, so that an apparently idle engine is not chosen by all routers
+# at once.
+BASE_LOAD = 0.4
+LOAD_EXPONENT = 4  # an engine with twice the load is chosen a sixteenth as often
 
 
 class Placement:
-    """Eligibility of engines, and the draw among them."""
+    """Checks the eligibility of engines and chooses among the eligible ones."""
 
     def __init__(
         self,
@@ -31,24 +32,24 @@
         load: LoadEstimator,
         retries: RetryPolicy,
         slow_start: SlowStart,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
     ) -> None:
         self.router = settings.router
         self.pool = load.pool
         self.load = load
         self.retries = retries
         self.slow_start = slow_start
-        self.chance = chance
-        self.affinity: dict[int | None, EngineId] = {}  # table group: the engine that last ran it
+        self.random_fraction = random_fraction
+        self.affinity: dict[int | None, EngineId] = {}  # the engine that last ran each table group
 
     # ---- eligibility ------------------------------------------------------------------------------
 
     def may_send(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Whether the query may go to this engine now, whatever the load."""
+        """Returns whether the query may be sent to this engine now, regardless of load."""
         return self.retries.may_attempt(now, query) and self.is_eligible(now, engine, query)
 
     def is_eligible(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Whether the engine is ready, where the query may run, and open to it if it warms up."""
+        """Returns whether the engine is ready, allowed for the group and, if it warms up, open by permit."""
         group = query.group.settings
         if not engine.ready:
             return False
@@ -62,7 +63,7 @@
         return not engine.is_warming_up(now) or self.slow_start.admits(now, engine, query)
 
     def _drops_repeats(self, engine: EngineState, query: QueryState) -> bool:
-        """Whether an engine knows the idempotency keys that the query's first one has seen."""
+        """Returns whether the engine drops repeats of idempotency keys seen by the query's first engine."""
         scope = query.group.settings.deduplication
         if scope is DeduplicationScope.ALL or query.first_run is None:
             return True
@@ -72,8 +73,11 @@
         return scope is not DeduplicationScope.CELL or engine.cell == first.cell
 
     def eligible_engines(self, now: Time, query: QueryState) -> list[EngineState]:
-        """Engines that may take the query and are not ejected. One that waits for loads keeps off their
-        table groups, and a retry off the engine before, if there are others."""
+        """Returns the engines that may run the query and are not ejected.
+
+        A bulk load never shares an engine with another one of its table group. If there are others, a query
+        that waits for bulk loads avoids such engines, and a retry avoids the engine of the previous attempt.
+        """
         if query.attempts and not self.retries.may_retry(now, query):
             return []
         if query.permit_engine is not None and not self.slow_start.may_use_permit(now, query):
@@ -84,8 +88,8 @@
             if now >= engine.ejected_until and self.is_eligible(now, engine, query)
         ]
         group = query.group.settings
-        if group.waits_for_loads or group.is_load:
-            engines = self.on_right_side(engines, query)
+        if group.waits_for_bulk_loads or group.is_load:
+            engines = self.filter_by_half(engines, query)
             undisturbed = [engine for engine in engines if query.table_group not in engine.running_loads]
             if undisturbed or group.is_load:
                 engines = undisturbed
@@ -95,7 +99,7 @@
         return engines
 
     def is_preferred(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Whether an engine is what `eligible_engines` wants where it need not make do with less."""
+        """Returns whether an engine meets all criteria of `eligible_engines`, also the optional ones."""
         if query.attempts and not self.retries.may_retry(now, query):
             return False
         if now < engine.ejected_until or not self.is_eligible(now, engine, query):
@@ -103,71 +107,80 @@
         if query.attempts and query.attempts[-1].engine == engine.id:
             return False
         group = query.group.settings
-        if not (group.waits_for_loads or group.is_load):
+        if not (group.waits_for_bulk_loads or group.is_load):
             return True
-        if query.table_group in engine.running_loads or not self.is_on_side(engine, query):
+        if query.table_group in engine.running_loads or not self.is_in_half(engine, query):
             return False
-        return self._is_own_load_engine(engine, query)
+        return self._is_own_bulk_load_engine(engine, query)
 
-    def may_go_somewhere(self, now: Time, query: QueryState) -> bool:
-        """Whether any engine may take the query and is not ejected."""
+    def has_eligible_engine(self, now: Time, query: QueryState) -> bool:
+        """Returns whether any engine may run the query and is not ejected."""
         if any(self.is_preferred(now, engine, query) for engine in self.first_choices(query)):
             return True
         return bool(self.eligible_engines(now, query))
 
     def may_join_team(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Whether a query may join a team on this engine: it is one that it might have drawn itself."""
+        """Returns whether a query may join a team on this engine: one that it could also choose itself."""
         group = query.group.settings
         if not self.may_send(now, engine, query) or group.is_load:
             return False
-        if group.waits_for_loads and (
-            query.table_group in engine.running_loads or not self.is_on_side(engine, query)
+        if group.waits_for_bulk_loads and (
+            query.table_group in engine.running_loads or not self.is_in_half(engine, query)
         ):
             return False
         return not (query.attempts and query.attempts[-1].engine == engine.id)
 
-    # ---- sides: loads, and the queries that would stand still behind them -------------------------
+    # ---- halves: bulk loads, and the queries that they would block --------------------------------
 
     def position(self, engine: EngineState, query: QueryState) -> int:
-        """One order of engines for all table groups, each beginning elsewhere in it: a change of the endpoint
-        list moves few."""
+        """Returns the engine's position in the order for the query's table group.
+
+        All table groups use the same order with different offsets, so that a change of the endpoint list
+        moves few engines.
+        """
         order = self.pool.order
         return (order.position(engine.id) + query.placement_offset) % len(order)
 
-    def _load_side_size(self) -> int:
+    def _load_half_size(self) -> int:
         return (len(self.pool.order) + 1) // 2
 
-    def is_on_side(self, engine: EngineState, query: QueryState) -> bool:
-        """Whether an engine is on the query's side of its table group's order."""
-        is_for_loads = self.position(engine, query) < self._load_side_size()
+    def is_in_half(self, engine: EngineState, query: QueryState) -> bool:
+        """Returns whether the engine is in the query's half; a permit also opens one in the load half."""
+        is_for_loads = self.position(engine, query) < self._load_half_size()
         return is_for_loads == query.group.settings.is_load or (
             is_for_loads and engine.id == query.permit_engine
         )
 
-    def on_right_side(self, engines: list[EngineState], query: QueryState) -> list[EngineState]:
-        """Loads of a table group keep to one half of the engines, queries that wait for loads to the other,
-        if there are any there.
+    def filter_by_half(self, engines: list[EngineState], query: QueryState) -> list[EngineState]:
+        """Returns the engines of the half for the query, or all where that half has none of them.
 
-        Guards against standing still behind loads of other routers: all split alike. Harms a short half."""
-        engines = [engine for engine in engines if self.is_on_side(engine, query)] or engines
-        if not query.group.settings.is_load or self.pool.routers > self._load_side_size():
+        One half runs the bulk loads of a table group, the other the queries that wait for bulk loads. Guards
+        against queries that are blocked by bulk loads of other routers, as all routers divide the engines the
+        same way. Harmful where one half has too few engines for its queries.
+        """
+        engines = [engine for engine in engines if self.is_in_half(engine, query)] or engines
+        if not query.group.settings.is_load or self.pool.routers > self._load_half_size():
             return engines
-        return [engine for engine in engines if self._is_own_load_engine(engine, query)] or engines
+        return [engine for engine in engines if self._is_own_bulk_load_engine(engine, query)] or engines
+
+    def _is_own_bulk_load_engine(self, engine: EngineState, query: QueryState) -> bool:
+        """Returns whether this router may run the query's bulk load on the engine.
 
-    def _is_own_load_engine(self, engine: EngineState, query: QueryState) -> bool:
-        """Few routers: each has engines of its own for a group's loads; none stands behind another's."""
-        half = self._load_side_size()
-        if not query.group.settings.is_load or self.pool.routers > half:
+        With few routers, each has its own engines for the bulk loads of a table group, so that none of these
+        is blocked by another router's.
+        """
+        half_size = self._load_half_size()
+        if not query.group.settings.is_load or self.pool.routers > half_size:
             return True
         position = self.position(engine, query)
-        return position < half and position % self.pool.routers == self.router
+        return position < half_size and position % self.pool.routers == self.router
 
-    def blocked_load_engines(self, now: Time, query: QueryState) -> list[EngineState]:
-        """The engines for this load, if it would only stand still, behind one of this router's, on all."""
+    def blocked_bulk_load_engines(self, now: Time, query: QueryState) -> list[EngineState]:
+        """Returns the engines for a bulk load if this router's bulk loads would block it on all of them."""
         if not query.group.settings.is_load:
             return []
         eligible = [e for e in self.pool.engines.values() if self.is_eligible(now, e, query)]
-        engines = self.on_right_side(eligible, query)
+        engines = self.filter_by_half(eligible, query)
         if all(query.table_group in engine.running_loads for engine in engines):
             return engines
         return []
@@ -175,7 +188,7 @@
     # ---- the choice -------------------------------------------------------------------------------
 
     def first_choices(self, query: QueryState, affine: EngineState | None = None) -> list[EngineState]:
-        """The engines that a query looks at first: that of its permit, else the subset and its affine one."""
+        """Returns the engines to consider first: the permit's, or else the subset and the affine engine."""
         if query.permit_engine is not None:
             engine = self.pool.engines.get(query.permit_engine)
             return [engine] if engine else []
@@ -185,14 +198,14 @@
         return engines
 
     def affine_engine(self, query: QueryState) -> EngineState | None:
-        """The engine that last ran the query's table group, if it is known still."""
+        """Returns the engine that last ran the query's table group, if it is still known."""
         engine = self.affinity.get(query.table_group)
         return None if engine is None else self.pool.engines.get(engine)
 
     def pick(
         self, now: Time, query: QueryState, engines: Sequence[EngineState], affine: EngineState | None
     ) -> EngineState | None:
-        """The engine of the query's permit, its table group's last engine, or one by chance."""
+        """Returns the engine of the query's permit, the affine engine, or a random one, in that order."""
         permitted = None if query.permit_engine is None else self.pool.engines.get(query.permit_engine)
         for engine in (permitted, affine):
             if engine is not None and engine in engines:
@@ -200,12 +213,12 @@
         return self.draw(now, engines)
 
     def draw(self, now: Time, engines: Sequence[EngineState]) -> EngineState | None:
-        """One by chance, weighted against load; None of none."""
+        """Returns a random engine, weighted against load; None if there are no engines."""
         if not engines:
             return None
         weights: Iterable[float] = (
-            (IDLE_LOAD + self.load.believed_threads(now, engine) / engine.cores) ** -SHARPNESS
+            (BASE_LOAD + self.load.estimated_threads(now, engine) / engine.cores) ** -LOAD_EXPONENT
             for engine in engines
         )
         sums = list(accumulate(weights))
-        return engines[bisect(sums, self.chance() * sums[-1])]
+        return engines[bisect(sums, self.random_fraction() * sums[-1])]
--- a/hillchute/decision/query_queues.py
+++ b/hillchute/decision/query_queues.py
@@ -1,4 +1,4 @@
-"""The lines that queries wait in, and when each query is to be reviewed."""
+"""The queues in which queries wait, and the times at which each query is to be reviewed."""
 
 from collections import defaultdict, deque
 from heapq import heappop, heappush
@@ -12,14 +12,14 @@
 
 
 def dashboard_groups(settings: Settings) -> frozenset[int]:
-    """The resource groups with the shortest latency objective, but for loads."""
+    """Returns the resource groups with the shortest latency objective, bulk loads excluded."""
     groups = [group for group in settings.groups if not group.is_load]
     shortest = min((group.target_runtime for group in groups), default=0)
     return frozenset(group.number for group in groups if group.target_runtime == shortest)
 
 
 class QueryQueues:
-    """All queries that are not over, by the place where they wait."""
+    """All open queries, and the queues in which they wait."""
 
     def __init__(
         self, settings: Settings, draws: DrawSequence, load: LoadEstimator, slow_start: SlowStart
@@ -29,69 +29,70 @@
         self.slow_start = slow_start
         self.dashboard_groups = dashboard_groups(settings)
         self.queries: dict[QueryId, QueryState] = {}
-        self.teams: deque[QueryState] = deque()  # leaders and mates to be
-        self.dashboards: deque[QueryState] = deque()  # those with no engine
-        self.behind_loads: defaultdict[int | None, deque[QueryState]] = defaultdict(deque)  # by table group
+        self.teams: deque[QueryState] = deque()  # future leaders and members of teams
+        self.dashboards: deque[QueryState] = deque()  # dashboards without an engine
+        # Bulk loads that wait for others of their table group, by table group.
+        self.blocked_bulk_loads: defaultdict[int | None, deque[QueryState]] = defaultdict(deque)
         self.keys: defaultdict[str, OrderedKey] = defaultdict(OrderedKey)
-        self.changed_keys: dict[str, bool] = {}  # those whose next query may have changed, in order
-        self.reviews: list[tuple[Time, int, QueryId]] = []  # heap; the second tells equal times apart
+        self.changed_keys: dict[str, bool] = {}  # keys whose next query may have changed, in order
+        self.reviews: list[tuple[Time, int, QueryId]] = []  # heap; the second value orders equal times
 
     @property
-    def anything_waits(self) -> bool:
-        """Whether a query waits for an engine or for its turn."""
+    def has_waiting_queries(self) -> bool:
+        """Whether any query waits for an engine or for earlier queries of its key."""
         return bool(self.teams or self.dashboards or self.keys)
 
     def review_at(self, query: QueryState, time: Time) -> None:
-        """The query is to be reviewed then."""
+        """Schedules a review of the query."""
         heappush(self.reviews, (time, self.draws.next_number(), query.id))
 
     def next_review(self) -> QueryState | None:
-        """Takes the next review that is due; None too where its query is over."""
+        """Removes the next review and returns its query; None if that no longer needs a review."""
         query = self.queries.get(heappop(self.reviews)[2])
         if query is None or query.place is QueryPlace.ANSWERED or query.streaming:
             return None
         return query
 
     def enqueue(self, now: Time, query: QueryState, front: bool = False) -> None:
-        """The query waits for an engine from now on, behind all others or before them."""
+        """Adds the query to the end or the front of the queue for an engine."""
         if query.group.settings.number in self.dashboard_groups:
-            line = self.dashboards
+            queue = self.dashboards
             query.place = QueryPlace.DASHBOARD_QUEUE
         else:
-            line = self.teams
+            queue = self.teams
             query.place = QueryPlace.TEAM_QUEUE
-        query.waiting_line = line
+        query.queue = queue
         if front:
-            line.appendleft(query)
+            queue.appendleft(query)
         else:
-            line.append(query)
+            queue.append(query)
         self.slow_start.draw_permit(now, query)
         self.review_at(query, now)
         self.review_at(query, self.load.latest_start(now, query))
 
     def enqueue_by_key(self, now: Time, query: QueryState, key: str) -> None:
-        """The query waits until all earlier ones of its key are over."""
-        line = self.keys[key].queries
-        line.append(query)
-        query.waiting_line = line
+        """Makes the query wait until all earlier ones of its ordering key have ended."""
+        queue = self.keys[key].queries
+        queue.append(query)
+        query.queue = queue
         query.place = QueryPlace.ORDERED
         self.changed_keys[key] = True
         self.review_at(query, self.load.latest_start(now, query))
 
-    def wait_behind_loads(self, load: QueryState) -> None:
-        """The first of the team queue waits for the loads of its table group."""
-        line = self.behind_loads[load.table_group]
-        line.append(self.teams.popleft())
-        load.waiting_line = line
-        load.place = QueryPlace.BEHIND_LOADS
+    def block_first_bulk_load(self, bulk_load: QueryState) -> None:
+        """Moves the first query of the team queue, a bulk load, behind the others of its table group."""
+        queue = self.blocked_bulk_loads[bulk_load.table_group]
+        queue.append(self.teams.popleft())
+        bulk_load.queue = queue
+        bulk_load.place = QueryPlace.BLOCKED_BULK_LOAD
 
-    def load_ended(self, now: Time, load: QueryState) -> None:
-        """The next load of a table group, if one waits, may start now."""
-        if self.behind_loads.get(load.table_group):
-            self.enqueue(now, self.behind_loads[load.table_group].popleft(), front=True)
+    def bulk_load_ended(self, now: Time, bulk_load: QueryState) -> None:
+        """Moves the next blocked bulk load of the table group, if any, to the front of the team queue."""
+        if self.blocked_bulk_loads.get(bulk_load.table_group):
+            self.enqueue(now, self.blocked_bulk_loads[bulk_load.table_group].popleft(), front=True)
 
     def release_ordered(self, now: Time) -> None:
-        """The next query of a key lines up once all earlier ones are over and the key's pause has passed."""
+        """Enqueues the next query of each key whose earlier queries have ended and whose pause is over."""
         for key in [key for key in self.changed_keys if now >= self.keys[key].paused_until]:
             del self.changed_keys[key]
             query = self.keys[key].next_query()
@@ -101,9 +102,9 @@
                 self.enqueue(now, query)
 
     def end(self, query: QueryState) -> None:
-        """The query is answered; it is kept while an attempt is open, since its key waits for that."""
-        if query.place in WAITING and query.waiting_line is not None:
-            query.waiting_line.remove(query)
+        """Marks the query as answered; it is kept while an attempt is open, since its key waits for that."""
+        if query.place in WAITING and query.queue is not None:
+            query.queue.remove(query)
         query.place = QueryPlace.ANSWERED
         if not query.open_attempts:
             self.queries.pop(query.id, None)
--- a/hillchute/decision/retries.py
+++ b/hillchute/decision/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether a query may have a further attempt, and whether its client may be told to try again."""
+"""Retry policy: whether a query may have another attempt, and whether its client may be told to retry."""
 
 from collections import deque
 
@@ -7,48 +7,50 @@
 from hillchute.decision.statistics import TRAFFIC_SPAN, TrafficWindow
 from hillchute.settings import DeduplicationScope, Effect, Settings
 
-MOST_ERRORS = 1  # answers with an error after which a query is tried once more
-CLOCK_ROUNDING: Time = 2  # by which two times of the caller's clock may differ from the true time between
+MAX_ERRORS = 1  # error answers of engines after which a query is still retried
+CLOCK_ROUNDING: Time = 2  # largest error of the difference between two times of the caller's clock
 
 
 class RetryPolicy:
-    """The limits of the settings on attempts, and what a query's effect allows."""
+    """Applies the settings' limits on attempts, and the limits that follow from the query's effect."""
 
     def __init__(self, settings: Settings, traffic: TrafficWindow) -> None:
         self.settings = settings.retries
         self.traffic = traffic
-        self.retries: deque[Time] = deque()  # when they were sent
-        self.span = max(TRAFFIC_SPAN, self.settings.budget_window)
+        self.retry_times: deque[Time] = deque()  # when retries were sent
+        self.window = max(TRAFFIC_SPAN, self.settings.budget_window)
 
     def forget_before(self, start: Time) -> None:
-        """Drops the retries from before `start`."""
-        while self.retries and self.retries[0] < start:
-            self.retries.popleft()
+        """Drops the retries that were sent before `start`."""
+        while self.retry_times and self.retry_times[0] < start:
+            self.retry_times.popleft()
 
     def count_attempt(self, now: Time, query: QueryState) -> None:
-        """An attempt goes out."""
+        """Records an attempt that starts, if it is a retry."""
         if query.attempts:
-            self.retries.append(now)
+            self.retry_times.append(now)
 
     def may_attempt(self, now: Time, query: QueryState) -> bool:
-        """Whether an attempt is within the rules now, as far as the query alone goes."""
+        """Returns whether the query itself allows an attempt now."""
         return not query.attempts or self.may_retry(now, query)
 
     def may_retry(self, now: Time, query: QueryState) -> bool:
-        """Whether a query may have a further attempt now: its effect must not happen twice, and the attempts
-        and the retry budget have limits."""
-        if query.place is QueryPlace.ANSWERED or query.errors > MOST_ERRORS:
+        """Returns whether a query may have another attempt now.
+
+        Its effect must not happen twice, and the number of attempts and the retry budget are limited.
+        """
+        if query.place is QueryPlace.ANSWERED or query.errors > MAX_ERRORS:
             return False
-        if len(query.attempts) >= self.settings.most_attempts:
+        if len(query.attempts) >= self.settings.max_attempts:
             return False
         if query.open_attempts:
-            return False  # never two at once, also where that is allowed: it would feed an overload
+            return False  # no concurrent attempts, even where allowed: they would worsen an overload
         if query.first_run is not None and not self._may_repeat(now, query, query.first_run.sent):
             return False
         return not query.attempts or self.has_budget(now)
 
     def _may_repeat(self, now: Time, query: QueryState, first_sent: Time) -> bool:
-        """Whether a query that may have run may run again."""
+        """Returns whether a query that may already have run may run again."""
         group = query.group.settings
         if group.effect is Effect.NON_IDEMPOTENT:
             return False
@@ -57,18 +59,20 @@
         return True
 
     def has_budget(self, now: Time) -> bool:
-        """Whether the retry budget allows one more. Beyond it retries are held back by the admission of
-        heavy queries alone, so that they do not feed an overload."""
+        """Returns whether the retry budget allows another retry.
+
+        Apart from the budget, only the rejection of heavy queries keeps retries from worsening an overload.
+        """
         window = self.settings.budget_window
         if not window:
             return True
-        # The clock is rounded: count a little more of what was used, a little less of what was admitted.
-        used = sum(at >= now - window - CLOCK_ROUNDING for at in self.retries)
+        # Allows for clock rounding: a slightly longer window for retries, a shorter one for admitted queries.
+        used = sum(at >= now - window - CLOCK_ROUNDING for at in self.retry_times)
         admitted = self.traffic.since(now - window + CLOCK_ROUNDING)
         return used + 1 <= self.settings.budget_minimum + self.settings.budget_share * admitted
 
     def may_reject(self, query: QueryState) -> bool:
-        """Whether a client may be told that trying again is harmless."""
+        """Returns whether a client may be told that a retry is safe."""
         group = query.group.settings
         if group.effect is Effect.READ_ONLY:
             return True
--- a/hillchute/decision/reviews.py
+++ b/hillchute/decision/reviews.py
@@ -1,4 +1,4 @@
-"""Reviews: queries whose time has come are answered if they can't be served any more, or tried again."""
+"""Reviews: answers queries that can no longer be served in time, and retries those that can."""
 
 from hillchute.decision.admission import Admission
 from hillchute.decision.dispatch import Dispatcher
@@ -10,7 +10,7 @@
 
 
 class Reviews:
-    """Looks again at queries at their deadlines, after an attempt, and while they wait."""
+    """Reviews queries at their deadlines, after an attempt, and while they wait."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self.planned = dispatcher.planned
 
     def run(self, now: Time) -> None:
-        """Reviews what is due, until something is decided."""
+        """Runs the due reviews until one of them leads to a decision."""
         reviews = self.queues.reviews
         while reviews and reviews[0][0] <= now and not self.planned:
             query = self.queues.next_review()
@@ -39,7 +39,7 @@
         if now >= query.deadline - self.dispatcher.answer_margin:
             self.dispatcher.give_up(query, Reason.DEADLINE)
         elif query.place is QueryPlace.RETRYING:
-            if self._may_be_served_by_a_retry(now, query):
+            if self._can_retry_in_time(now, query):
                 self.queues.enqueue(now, query, front=True)
             else:
                 self.dispatcher.give_up(query, Reason.NO_RETRY)
@@ -48,7 +48,7 @@
         elif query.place in WAITING and self.admission.is_too_heavy(now, query):
             self.dispatcher.give_up(query, Reason.TOO_HEAVY)
 
-    def _may_be_served_by_a_retry(self, now: Time, query: QueryState) -> bool:
+    def _can_retry_in_time(self, now: Time, query: QueryState) -> bool:
         if not self.retries.may_retry(now, query):
             return False
         return now + self.load.expected_runtime(now, query) < query.deadline
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -1,14 +1,14 @@
-"""Slow start: how much of a recovering engine's budget one of many routers may use, and when.
+"""Slow start: limits how much work this router sends to an engine that has just started.
 
-Owns the permits by which a query may go to an engine that has just started. Must never do I/O or read a
-clock. Times are whole tenths of a millisecond, work is core time.
+A query needs a permit to be sent to a warming engine. Performs no I/O and reads no clock. Times are whole
+tenths of a millisecond, work is core time.
 
-Routers don't talk to each other, and each may have less than one query of an engine's budget. So each
-draws the moment of its first permit by chance and spaces the next by the work that the permit before let
-in. What all send in any window is then their shares of the budget and, at the most, as much again for
-permits that were not used yet: whatever their traffic was before, however many restart, and however many
-engines start at once. A rate measured over the past, which this replaces, let a burst after a quiet time
-pass many times the share.
+Routers do not coordinate here, and a router's share of an engine's budget may be less than one query. Each
+router therefore chooses the time of its first permit at random, and the work sent with a permit determines
+when the next one follows. Within any window, all routers together send the sum of their shares of the
+budget and at most the same amount again from unused permits, whatever their earlier traffic, and however
+many routers restart or engines start at once. A rate limit based on past traffic would let a burst after a
+quiet time exceed the share many times over.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,40 +21,43 @@
 from hillchute.decision.statistics import TRAFFIC_SPAN, WorkWindow, smoothed
 from hillchute.settings import Settings
 
-WARM_UP_BUDGET_SHARE = (
-    0.7  # of what a recovering engine can do, sent by all routers: what a warm one bears well
-)
-UNUSED_WINDOWS = 1.0  # for which a permit that nobody used is valid
-PERMIT_WINDOWS = 0.5  # for which a query that drew a permit may wait with it
-FEWEST_QUERIES = 16  # that overload a recovering engine together: few heavy ones must not by chance
+# Share of a warming engine's capacity that all routers together use: a load that warm engines sustain well.
+WARM_UP_BUDGET_SHARE = 0.7
+UNUSED_PERMIT_WINDOWS = 1.0  # windows for which an unused permit remains valid
+DRAWN_PERMIT_WINDOWS = 0.5  # windows for which a query may wait with the permit that it drew
+# Fewest queries with permits that together overload a warming engine, so that a random run of a few heavy
+# queries can't overload it.
+MIN_OVERLOADING_QUERIES = 16
 
 
 @dataclass(slots=True)
 class Credit:
-    """What one router may send one engine, in work; there is a permit while it is not below 0."""
+    """The work that one router may send to one engine; a permit is available while it is not negative."""
 
-    engine_started: Time  # the start of the engine that it is for
+    engine_started: Time  # start time of the engine that the credit is for
     updated: Time
     work: float
 
 
 class PermitLedger:
-    """Permits of one router, by engine."""
+    """The permits of one router, by engine."""
 
-    def __init__(self, window: Time, chance: Callable[[], float]) -> None:
-        """`window`: over which the settings state the budget; `chance`: a new number from 0 to 1."""
+    def __init__(self, window: Time, random_fraction: Callable[[], float]) -> None:
+        """`window`: the period of the settings' budget; `random_fraction`: returns a number from 0 to 1."""
         self.window = window
-        self.chance = chance
-        self.mean_work = 0.0  # of the queries that may use permits
+        self.random_fraction = random_fraction
+        self.mean_work = 0.0  # of queries that may use permits
         self.credits: dict[EngineId, Credit] = {}
 
     def count_query(self, work: float) -> None:
-        """A query that may use a permit has lined up."""
+        """Counts a queued query that may use a permit, with its work."""
         self.mean_work = smoothed(self.mean_work, work)
 
     def draw(self, now: Time, engines: Iterable[EngineState], work: float, share: float) -> EngineId | None:
-        """Uses a permit for a query, that of the engine with the most credit, if there is one; `share` of
-        the budget is this router's."""
+        """Draws a permit for a query and returns the permit's engine; None if there is no permit.
+
+        The engine is the one with the most credit. `share` is this router's share of the budget.
+        """
         found = None
         most = 0.0
         for engine in engines:
@@ -67,51 +70,56 @@
         return found
 
     def credit(self, now: Time, engine: EngineState, share: float) -> Credit:
-        """As of now; a permit that nobody used in time is gone."""
+        """Returns the present credit for an engine; unused permits expire."""
         credit = self.credits.get(engine.id)
         if credit is None or credit.engine_started != engine.started:
-            # The first permit comes at a moment by chance: a router with a share of less than one query has
-            # one in so many windows, and all together have their sum.
-            credit = Credit(engine.started, now, -self.chance() * self.mean_work)
+            # The first permit comes at a random time: a router with a share of less than one query gets a
+            # permit once in several windows, and all routers together get the sum of their shares.
+            credit = Credit(engine.started, now, -self.random_fraction() * self.mean_work)
             self.credits[engine.id] = credit
         rate = WARM_UP_BUDGET_SHARE * engine.usable_cores(now) * share
         credit.work += rate * (now - credit.updated)
         credit.updated = now
-        excess = credit.work - rate * UNUSED_WINDOWS * self.window
+        excess = credit.work - rate * UNUSED_PERMIT_WINDOWS * self.window
         if excess > 0:
             credit.work -= ceil(excess / self.mean_work) * self.mean_work
         return credit
 
     def is_valid(self, now: Time, drawn: Time) -> bool:
-        """Whether a query that drew a permit then may still use it. Guards against queries that wait with
-        theirs and are all sent in one instant."""
-        return now - drawn <= PERMIT_WINDOWS * self.window
+        """Returns whether a permit that was drawn at that time is still valid.
+
+        Guards against queries that wait with their permits and are then all sent at once.
+        """
+        return now - drawn <= DRAWN_PERMIT_WINDOWS * self.window
 
     def forget(self, engine: EngineId) -> None:
-        """An engine is no longer known."""
+        """Drops the credit of an engine that is no longer known."""
         self.credits.pop(engine, None)
 
 
 class SlowStart:
-    """Which engine that warms up, if any, is open to a query."""
+    """Decides which warming engine, if any, is open to a query."""
 
-    def __init__(self, settings: Settings, pool: EnginePool, chance: Callable[[], float], now: Time) -> None:
+    def __init__(
+        self, settings: Settings, pool: EnginePool, random_fraction: Callable[[], float], now: Time
+    ) -> None:
         warm_up = settings.warm_up
         weakest = settings.fewest_cores
-        overloading = warm_up.budget_multiple * warm_up.initial_share * warm_up.budget_window * weakest
+        overloading_work = warm_up.budget_multiple * warm_up.initial_share * warm_up.budget_window * weakest
         self.pool = pool
-        self.heaviest = overloading / FEWEST_QUERIES  # work of a query that may use a permit
+        self.max_permit_work = overloading_work / MIN_OVERLOADING_QUERIES  # of one query
         self.light_traffic = WorkWindow(now)  # queries that may use permits
-        self.permits = PermitLedger(warm_up.budget_window, chance)
+        self.permits = PermitLedger(warm_up.budget_window, random_fraction)
 
     def draw_permit(self, now: Time, query: QueryState) -> None:
-        """Draws the one engine that warms up and is open to a query, each time that it lines up.
+        """Draws the one warming engine that is open to a query; called each time that the query is queued.
 
-        Guards such an engine against the sum of routers, also when all learn of it at once, restart, see a
-        burst after a quiet time, or have a share of less than a query."""
+        Guards warming engines against the total of all routers, also when all routers learn of an engine at
+        once, restart, have a burst after a quiet time, or have a share of less than one query.
+        """
         query.permit_engine = None
         query.permit_at = now
-        if query.work > self.heaviest:
+        if query.work > self.max_permit_work:
             return
         self.light_traffic.add(now, query.work, TRAFFIC_SPAN)
         self.permits.count_query(query.work)
@@ -125,9 +133,9 @@
         query.permit_engine = self.permits.draw(now, engines, query.work, share)
 
     def may_use_permit(self, now: Time, query: QueryState) -> bool:
-        """Whether the permit that a query has drawn is still valid."""
+        """Returns whether the permit that a query drew is still valid."""
         return self.permits.is_valid(now, query.permit_at)
 
     def admits(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Whether the query has a permit for an engine that warms up."""
+        """Returns whether the query has a valid permit for this engine."""
         return query.permit_engine == engine.id and self.may_use_permit(now, query)
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -1,14 +1,15 @@
-"""Teams, after Query Teamwork: the first query of the queue leads, others of its table group join it.
+"""Teams of the Query Teamwork algorithm: queries of one table group that are sent to an engine together.
 
-The leader is sent to the engine that last ran its table group, if that has room within the thread bound, and
-its mates (the affinity set) go along as far as there is room. Loads go alone.
+The first query of the queue is the leader. It is sent to the engine that last ran its table group, if that
+has free slots within the thread limit, and the queued queries of the same table group (the affinity set)
+are sent along as far as there are slots. Bulk loads are sent alone.
 """
 
 from collections.abc import Iterable
 from math import inf
 
 from hillchute.decision.dispatch import Dispatcher
-from hillchute.decision.draws import fraction_of
+from hillchute.decision.draws import hash_fraction
 from hillchute.decision.engine_state import EngineState
 from hillchute.decision.health_checks import HealthChecks
 from hillchute.decision.interface import Reason, Time
@@ -17,12 +18,13 @@
 from hillchute.decision.query_queues import QueryQueues
 from hillchute.decision.query_state import QueryState
 
-# Guards leaders against starving behind dashboards, which may fill an engine past its bound.
-LONG_WAIT = 0.5  # share of its slack after which a leader may go past the bound
+# Share of its slack after which a leader may exceed the thread limit. Guards against starvation: dashboards
+# may fill engines beyond the limit.
+LONG_WAIT = 0.5
 
 
 class Teams:
-    """The queue's next team, and the thread bound of engines."""
+    """Sends the teams of the queue, and applies the thread limit of engines."""
 
     def __init__(
         self,
@@ -40,84 +42,89 @@
         self.dispatcher = dispatcher
 
     def send_next(self, now: Time) -> None:
-        """Sends the next team, if its leader has an engine."""
-        if not self._move_blocked_loads(now):
+        """Sends the next team, if there is an engine for its leader."""
+        if not self._move_blocked_bulk_loads(now):
             return
         queue = self.queues.teams
         if not queue or self.health_checks.waits_for_answer(now, queue[0]):
             return
         leader = queue[0]
-        bound_factor = OVERLOAD_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
+        limit_factor = OVERLOAD_FACTOR if self.load.slack_used(now, leader) > LONG_WAIT else 1
         engine = self.health_checks.choose(
             now,
             leader,
-            lambda engine: self.room(now, engine, leader, bound_factor) > 0,
+            lambda engine: self.free_slots(now, engine, leader, limit_factor) > 0,
             self.placement.affine_engine(leader),
         )
         if engine is None:
-            return  # the leader waits for an engine's answer, or for an attempt to end
-        for query in self._team(now, engine, leader, bound_factor):
+            return  # the leader waits for a health check, or for an attempt to end
+        for query in self._team(now, engine, leader, limit_factor):
             if query is leader or self.placement.may_send(now, engine, query):
                 queue.remove(query)
                 self.dispatcher.submit(now, query, engine)
 
     def _team(
-        self, now: Time, engine: EngineState, leader: QueryState, bound_factor: float
+        self, now: Time, engine: EngineState, leader: QueryState, limit_factor: float
     ) -> list[QueryState]:
-        """The leader and those of its affinity set that there is room for."""
+        """Returns the leader and the members of its affinity set that fit on the engine."""
         if leader.group.settings.is_load:
             return [leader]
-        mates = [
+        members = [
             query
             for query in self.queues.teams
             if query is not leader
             and query.table_group == leader.table_group
             and self.placement.may_join_team(now, engine, query)
         ]
-        return [leader, *mates[: self.room(now, engine, leader, bound_factor) - 1]]
+        return [leader, *members[: self.free_slots(now, engine, leader, limit_factor) - 1]]
 
-    def _move_blocked_loads(self, now: Time) -> bool:
-        """Loads at the head of the queue that would only stand still wait behind the others of their table
-        group; False where one was answered instead. Guards against waiting for what can't come: a client
-        that waits holds a session all the while."""
+    def _move_blocked_bulk_loads(self, now: Time) -> bool:
+        """Moves blocked bulk loads from the head of the queue behind the others of their table group.
+
+        Returns False where a bulk load was answered instead because it can't start in time: a client that
+        waits in vain would hold its session.
+        """
         queues = self.queues
         while queues.teams:
-            load = queues.teams[0]
-            engines = self.placement.blocked_load_engines(now, load)
+            bulk_load = queues.teams[0]
+            engines = self.placement.blocked_bulk_load_engines(now, bulk_load)
             if not engines:
                 break
-            line = queues.behind_loads[load.table_group]
-            wait = self._total_runtime(now, line) / len(engines)
-            if now + wait > self.load.latest_start(now, load):
-                self.dispatcher.give_up(load, Reason.LOADS_AHEAD)
+            queue = queues.blocked_bulk_loads[bulk_load.table_group]
+            wait = self._total_runtime(now, queue) / len(engines)
+            if now + wait > self.load.latest_start(now, bulk_load):
+                self.dispatcher.give_up(bulk_load, Reason.LOADS_AHEAD)
                 return False
-            queues.wait_behind_loads(load)
+            queues.block_first_bulk_load(bulk_load)
         return True
 
-    def _total_runtime(self, now: Time, loads: Iterable[QueryState]) -> Time:
-        return sum(self.load.expected_runtime(now, load) for load in loads)
+    def _total_runtime(self, now: Time, bulk_loads: Iterable[QueryState]) -> Time:
+        return sum(self.load.expected_runtime(now, bulk_load) for bulk_load in bulk_loads)
+
+    # ---- the thread limit -------------------------------------------------------------------------
 
-    # ---- the thread bound -------------------------------------------------------------------------
+    def free_slots(self, now: Time, engine: EngineState, query: QueryState, limit_factor: float = 1) -> int:
+        """Returns how many queries like this one the engine has threads and memory for.
 
-    def room(self, now: Time, engine: EngineState, query: QueryState, bound_factor: float = 1) -> int:
-        """How many queries like this one the engine has threads and memory for; one at the least if nothing
-        of this router is there. `bound_factor`: times the thread bound."""
+        It is at least one if this router has no attempt there; under pressure, only for a random part of the
+        queries. `limit_factor` multiplies the thread limit.
+        """
         threads = query.threads
-        bound = bound_factor * THREADS_PER_CORE * engine.usable_cores(now)
-        free = bound - self.load.total_threads(now, engine)
+        thread_limit = limit_factor * THREADS_PER_CORE * engine.usable_cores(now)
+        free = thread_limit - self.load.total_threads(now, engine)
         least = 1
         if now < engine.under_pressure_until:
-            # With partners by agreed shares of the pool, else evenly.
+            # With partners, by the agreed shares of the pool; otherwise equally.
             pool_routers = self.pool.shares.pool_routers
-            share = bound / (self.pool.routers if pool_routers is None else pool_routers)
-            # Guards against many routers whose bound is under one query: each then has one by chance only.
-            least = int(fraction_of(f"{query.id}:{engine.id}") < share / threads)
+            share = thread_limit / (self.pool.routers if pool_routers is None else pool_routers)
+            # With many routers, the share of each may be less than one query: each then gets one at random.
+            least = int(hash_fraction(f"{query.id}:{engine.id}") < share / threads)
             free = min(free, max(threads, share) - engine.threads) * least
         slots = min(int(free // threads), self._memory_slots(now, engine, query))
         return int(max(0, slots, least * int(not engine.open_attempts)))
 
     def _memory_slots(self, now: Time, engine: EngineState, query: QueryState) -> float:
-        """How many queries like this one the engine has memory for."""
+        """Returns how many queries like this one the engine has memory for."""
         if not query.memory_mb or not engine.memory_mb:
             return inf
         granted = 0.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, each at the function that guards it."""
+"""The seven rules that the scheduler must not break, each tested at the function that enforces it."""
 
 import pytest
 from conftest import LOAD, LOOKUP, REPORT, WRITE
@@ -16,11 +16,11 @@
 )
 
 
-def submitted(said):
-    return [d.query for d in said if isinstance(d, Submit)]
+def submitted(decisions):
+    return [d.query for d in decisions if isinstance(d, Submit)]
 
 
-def test_every_query_is_answered_before_its_end(harness):
+def test_every_query_is_answered_before_its_deadline(harness):
     harness.list_engines(1, 2, 3, state=EndpointState.DRAINING)
     q = harness.arrive(WRITE, deadline=2 * SECOND)
     harness.decisions(0)
@@ -36,7 +36,7 @@
     assert not submitted(harness.decisions())
 
 
-def test_late_outcome_of_an_ended_query_is_passed_over(harness):
+def test_late_result_of_an_ended_query_is_ignored(harness):
     q = harness.attempted(REPORT)
     harness.router.on_client_left(0, q.id)
     harness.router.on_attempt_ended(5, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 5))
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "group, result, again, defer",
+    "group, result, may_retry, may_reject",
     [
         (LOOKUP, AttemptResult.TIMED_OUT, True, True),
         (WRITE, AttemptResult.TIMED_OUT, False, False),
@@ -55,20 +55,20 @@
         (LOAD, AttemptResult.CONNECTION_LOST, True, True),
     ],
 )
-def test_no_effect_happens_twice(harness, group, result, again, defer):
+def test_no_effect_happens_twice(harness, group, result, may_retry, may_reject):
     q = harness.attempted(group, result=result)
-    assert harness.router.retries.may_retry(harness.router.now, q) is again
-    assert harness.router.retries.may_reject(q) is defer
+    assert harness.router.retries.may_retry(harness.router.now, q) is may_retry
+    assert harness.router.retries.may_reject(q) is may_reject
 
 
-def test_tokened_query_rests_with_its_window(harness):
+def test_idempotent_query_is_not_retried_after_its_deduplication_window(harness):
     q = harness.attempted(LOAD, result=AttemptResult.TIMED_OUT)
     harness.router.now = q.group.settings.deduplication_window - 1
     assert not harness.router.retries.may_retry(harness.router.now, q)
 
 
 @pytest.mark.parametrize("group, allowed", [("zone", [1]), ("cell", [1])])
-def test_tokened_query_stays_where_repeats_are_dropped(make_harness, group, allowed):
+def test_idempotent_query_is_retried_only_where_repeats_are_dropped(make_harness, group, allowed):
     harness = make_harness(groups__2__repeats_dropped_by=group)
     q = harness.attempted(LOAD, result=AttemptResult.TIMED_OUT)
     assert [
@@ -79,13 +79,13 @@
     assert not harness.router.retries.may_reject(q)
 
 
-def test_one_submission_at_a_time(make_harness):
+def test_only_one_attempt_at_a_time(make_harness):
     harness = make_harness(limits__may_duplicate=True)
     assert not harness.router.retries.may_retry(harness.router.now, harness.attempted(LOOKUP))
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_drained_engine_gets_nothing_new(harness, state):
+def test_draining_or_gone_engine_gets_no_new_query(harness, state):
     e = harness.router.engines[1]
     harness.list_engines(1, mode=ListMode.PARTIAL, state=state)
     assert not harness.router.placement.may_send(harness.router.now, e, harness.arrive(LOOKUP))
@@ -97,7 +97,7 @@
     assert not e.ready and 1 not in harness.router.engines
 
 
-def test_cold_engine_is_closed_without_a_lot(harness):
+def test_warming_engine_is_closed_without_a_permit(harness):
     harness.list_engines(1, mode=ListMode.PARTIAL, started=1)
     e, q = harness.router.engines[1], harness.arrive(LOOKUP)
     assert not harness.router.placement.may_send(harness.router.now, e, q)
@@ -107,7 +107,7 @@
     assert harness.router.placement.may_send(harness.router.now, e, q)
 
 
-def test_key_order_waits_for_the_outcome_and_the_rest(harness):
+def test_next_query_of_a_key_waits_for_the_result_and_the_pause(harness):
     first, second = harness.arrive(LOAD, ordering_key="k"), harness.arrive(LOAD, ordering_key="k")
     assert submitted(harness.decisions()) == [first.id]
     harness.router.on_attempt_ended(100, AttemptEnded(first.id, 0, AttemptResult.CONNECTION_LOST, False, 100))
@@ -116,7 +116,7 @@
     assert submitted(harness.decisions(3101)) == [second.id]
 
 
-def test_key_stays_taken_while_an_ended_query_has_a_submission_out(harness):
+def test_key_stays_occupied_while_an_ended_query_has_an_open_attempt(harness):
     first, second = harness.arrive(LOAD, ordering_key="k"), harness.arrive(LOAD, ordering_key="k")
     harness.decisions()
     harness.router.on_client_left(1, first.id)
@@ -125,7 +125,7 @@
     assert submitted(harness.decisions(4)) == [second.id]
 
 
-def test_bound_group_keeps_its_place(make_harness):
+def test_group_runs_only_in_its_zones_and_kinds(make_harness):
     harness = make_harness(groups__0__runs_in=[1], groups__0__runs_on=[0])
     q = harness.arrive(LOOKUP)
     assert [
@@ -135,21 +135,21 @@
     ] == [2]
 
 
-def test_further_submissions_stay_in_the_stated_budget(make_harness):
+def test_retries_stay_within_the_budget(make_harness):
     harness = make_harness(guarantees__look_back=SECOND, guarantees__min_extra=1, guarantees__extra_share=0.5)
     harness.arrive(LOOKUP)
     harness.attempted(LOOKUP, result=AttemptResult.CONNECTION_LOST)
-    harness.router.retries.retries.append(0)
+    harness.router.retries.retry_times.append(0)
     assert harness.router.retries.has_budget(harness.router.now)
-    harness.router.retries.retries.append(0)
+    harness.router.retries.retry_times.append(0)
     assert not harness.router.retries.has_budget(harness.router.now)
 
 
-def test_budget_is_checked_again_when_the_query_goes_out(make_harness):
+def test_retry_budget_is_checked_again_when_the_query_is_sent(make_harness):
     harness = make_harness(guarantees__look_back=SECOND, guarantees__min_extra=9, guarantees__extra_share=0.5)
     q = harness.attempted(LOOKUP, result=AttemptResult.TIMED_OUT)
     assert harness.router.placement.may_send(harness.router.now, harness.router.engines[2], q)
-    harness.router.retries.retries.extend([0] * 10)
+    harness.router.retries.retry_times.extend([0] * 10)
     assert not harness.router.placement.may_send(harness.router.now, harness.router.engines[2], q)
 
 
@@ -163,6 +163,6 @@
     harness.router.on_attempt_ended(
         40 * SECOND, AttemptEnded(first.id, 0, AttemptResult.SERVED, True, 40 * SECOND)
     )
-    said = harness.decisions(40 * SECOND)
-    assert [d.query for d in said if isinstance(d, Reject | Fail)] == [late.id]
-    assert [d.query for d in said if isinstance(d, Submit)] == [fresh.id]
+    decisions = harness.decisions(40 * SECOND)
+    assert [d.query for d in decisions if isinstance(d, Reject | Fail)] == [late.id]
+    assert [d.query for d in decisions if isinstance(d, Submit)] == [fresh.id]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,7 @@
-"""A router among sixteen times the engines looks at no more of them for a query, and decides as it would
-by all."""
+"""Scaling with the number of engines: a router examines no more engines per query among 16 times as many.
+
+The candidates for a query are nevertheless those of a rule that examines all engines.
+"""
 
 import random
 import tracemalloc
@@ -30,29 +32,29 @@
 from hillchute.settings import Settings
 from hillchute.statements import request as statement
 
-MORE_LOOKS = 1.2  # times as many engines looked at for a query, at sixteen times the engines
-EVERYWHERE = 2  # a query without a place among those in sight may look at all of them once or twice
+MAX_EXAMINED_RATIO = 1.2  # most engines examined per query among 16 times the engines, as a ratio
+MAX_FULL_SCANS = 2  # a query that finds no engine in the subset may examine all engines once or twice
 
 
 def listing(engine, state=EndpointState.READY, started=0):
     return Listing(engine, 0, engine // 4, engine % 3, started, state, 1.0)
 
 
-def among(engines, routers=200, **changed):
+def scheduler_with_engines(engines, routers=200, **changed):
     router = QueryScheduler(1, Settings.from_catalog(CATALOG | {"n_instances": routers} | changed), 0)
     router.on_endpoint_list(0, ListMode.COMPLETE, [listing(n) for n in range(engines)])
     router.on_subset(0, Subset(7, routers).select(range(engines)))
     return router
 
 
-def looked_at(engines, monkeypatch):
-    """Engines that are looked at for a query, in the mean of some hundreds that are served at once."""
-    router, looks = among(engines), [0]
-    fits = Placement.is_eligible
+def examined_engines(engines, monkeypatch):
+    """Returns the mean number of engines examined per query, over 300 queries that are served at once."""
+    router, examined = scheduler_with_engines(engines), [0]
+    is_eligible = Placement.is_eligible
 
     def counted(self, now, e, q):
-        looks[0] += 1
-        return fits(self, now, e, q)
+        examined[0] += 1
+        return is_eligible(self, now, e, q)
 
     with monkeypatch.context() as patch:
         patch.setattr(Placement, "is_eligible", counted)
@@ -64,34 +66,37 @@
                     ended = AttemptEnded(decision.query, 0, AttemptResult.SERVED, True, 100, cost=2000)
                     router.on_attempt_ended(now, ended)
     assert not router.queries
-    return looks[0] / 300
+    return examined[0] / 300
 
 
 @pytest.mark.parametrize("engines", [70, 200])
-def test_query_looks_at_as_many_engines_among_sixteen_times_as_many(engines, monkeypatch):
-    assert looked_at(16 * engines, monkeypatch) <= MORE_LOOKS * looked_at(engines, monkeypatch) + 1
+def test_query_examines_as_many_engines_among_sixteen_times_as_many(engines, monkeypatch):
+    assert (
+        examined_engines(16 * engines, monkeypatch)
+        <= MAX_EXAMINED_RATIO * examined_engines(engines, monkeypatch) + 1
+    )
 
 
-def test_change_of_the_list_looks_at_the_engines_that_changed(monkeypatch):
-    """A thousand changes among 3,200 engines: their order is not worked out anew."""
-    router = among(3_200)
-    sight = Subset(7, 200)
-    sight.select(range(3_200))
-    placed = []
+def test_change_of_the_list_reorders_only_the_changed_engines(monkeypatch):
+    """1,000 changes among 3,200 engines: the order of the engines is not rebuilt."""
+    router = scheduler_with_engines(3_200)
+    subset = Subset(7, 200)
+    subset.select(range(3_200))
+    added = []
     add = type(router.pool.order).add
-    monkeypatch.setattr(type(router.pool.order), "add", lambda self, e: placed.append(e) or add(self, e))
+    monkeypatch.setattr(type(router.pool.order), "add", lambda self, e: added.append(e) or add(self, e))
     ready = set(range(3_200))
     for n in range(1_000):
-        gone, come = listing(n, EndpointState.GONE), listing(10_000 + n)
-        router.on_endpoint_list(n, ListMode.PARTIAL, [gone, come])
+        gone, new = listing(n, EndpointState.GONE), listing(10_000 + n)
+        router.on_endpoint_list(n, ListMode.PARTIAL, [gone, new])
         ready = ready - {n} | {10_000 + n}
-        router.on_subset(n, sight.select(ready))
-    assert len(placed) == 1_000 and len(router.engines) == len(router.pool.order) == 3_200
+        router.on_subset(n, subset.select(ready))
+    assert len(added) == 1_000 and len(router.engines) == len(router.pool.order) == 3_200
     assert {router.pool.order.position(e) for e in router.engines} == set(range(3_200))
 
 
-def connects(engines):
-    """Connections made for some hundreds of queries that are answered at once, and those open in the end."""
+def count_connections(engines):
+    """Returns the connections opened for 300 queries that are answered at once, and those open at the end."""
     configuration = config.parse_configuration(deployment.table(routers=200, sockets=576), {})
     reducer = Reducer(
         QueryScheduler(1, configuration.settings, 0),
@@ -100,33 +105,33 @@
     )
     entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
     reducer.reduce(events.EndpointsChanged(WatchEvent(1, "Complete", entries)), 1)
-    made, waiting = 0, []
+    opened, effects = 0, []
     for n in range(300):
         now = 10 + n * 500
         text = f"/* route=lookup,trace={n:016x},patience=3000,weight=20.0,mb=1 */ SELECT 1 FROM s_{n % 40}.t"
-        waiting += reducer.reduce(events.Asked(n + 1, statement.read(text.encode()), now), now)
-        while waiting:
-            match waiting.pop(0):
-                case OpenConnection(line, _, _):
-                    made += 1
-                    waiting += reducer.reduce(events.Connected(line), now)
-                case SendCommand(line, words.Probe(tag)):
-                    said = words.Probed(tag, "finished", {"util": 0.3, "inflight": 3.0})
-                    waiting += reducer.reduce(events.Said(line, said), now)
-                case SendCommand(line, words.Run(id=id)):
-                    waiting += reducer.reduce(events.Said(line, words.Whole(id, [], 20.0)), now)
+        effects += reducer.reduce(events.Asked(n + 1, statement.read(text.encode()), now), now)
+        while effects:
+            match effects.pop(0):
+                case OpenConnection(connection, _, _):
+                    opened += 1
+                    effects += reducer.reduce(events.Connected(connection), now)
+                case SendCommand(connection, words.Probe(tag)):
+                    answer = words.Probed(tag, "finished", {"util": 0.3, "inflight": 3.0})
+                    effects += reducer.reduce(events.Said(connection, answer), now)
+                case SendCommand(connection, words.Run(id=id)):
+                    effects += reducer.reduce(events.Said(connection, words.Whole(id, [], 20.0)), now)
     assert not reducer.unanswered
-    return made, len(reducer.pool.connections)
+    return opened, len(reducer.pool.connections)
 
 
 @pytest.mark.parametrize("engines", [70, 200])
-def test_connections_made_and_kept_stay_as_they_are_among_sixteen_times_as_many(engines):
-    few, many = connects(engines), connects(16 * engines)
+def test_connections_opened_and_kept_do_not_grow_with_sixteen_times_the_engines(engines):
+    few, many = count_connections(engines), count_connections(16 * engines)
     assert 0 < many[0] <= 2.5 * few[0] + 40 and many[1] <= 2 * few[1] + 40
 
 
-def test_memory_for_three_thousand_engines_is_within_the_bound():
-    def kept(engines):
+def test_memory_for_three_thousand_engines_is_within_the_limit():
+    def peak_memory(engines):
         tracemalloc.start()
         rig = Rig(table=deployment.table(routers=200))
         entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
@@ -136,52 +141,54 @@
         rig.close()
         return peak
 
-    kept(10)  # what is made once in a process
-    assert kept(3_200) <= 1.5 * kept(200) + (8 + 4 * 3.2) * 1_000_000
+    peak_memory(10)  # allocates what a process allocates only once
+    assert peak_memory(3_200) <= 1.5 * peak_memory(200) + (8 + 4 * 3.2) * 1_000_000
 
 
-def plainly(router, q, free, home, silent):
-    """The same choice as a rule over all engines, one after another."""
-    engines = [e for e in router.placement.eligible_engines(router.now, q) if free(e)]
-    engines = [e for e in engines if e is not silent] or engines
+def candidates_among_all(router, q, has_room, affine, unresponsive):
+    """Returns the same candidates by a rule that examines all engines."""
+    engines = [e for e in router.placement.eligible_engines(router.now, q) if has_room(e)]
+    engines = [e for e in engines if e is not unresponsive] or engines
     wanted = (
         {q.permit_engine}
         if q.permit_engine is not None
-        else {*router.pool.subset, *([home.id] if home else [])}
+        else {*router.pool.subset, *([affine.id] if affine else [])}
     )
-    near = [
+    preferred = [
         e
         for e in engines
         if e.id in wanted
         and (router.health_checks.is_stale(router.now, e) or router.load.is_lightly_loaded(router.now, e))
     ]
-    return {e.id for e in near or engines}
+    return {e.id for e in preferred or engines}
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_choice_is_that_of_the_rule_over_all_engines(seed):
-    chance = random.Random(seed)
-    probes = {"report.via": "probe", "limits.probes": chance.random() < 0.5, "report.columns": ["inflight"]}
-    router = among(chance.choice([3, 12, 60]), chance.choice([1, 4, 200]), **probes)
+def test_candidates_are_those_of_the_rule_over_all_engines(seed):
+    rng = random.Random(seed)
+    probes = {"report.via": "probe", "limits.probes": rng.random() < 0.5, "report.columns": ["inflight"]}
+    router = scheduler_with_engines(rng.choice([3, 12, 60]), rng.choice([1, 4, 200]), **probes)
     router.now = 20 * SECOND
-    router.load.mean_load = chance.uniform(0, 2)
+    router.load.mean_load = rng.uniform(0, 2)
     for e in router.engines.values():
-        e.reported_threads, e.reported_at = chance.uniform(0, 30), router.now - chance.randrange(3 * SECOND)
-        e.ejected_until = router.now + 1 if chance.random() < 0.2 else 0
-        e.started = router.now - SECOND if chance.random() < 0.2 else 0
-        e.ready = chance.random() < 0.9
-        e.threads = chance.randrange(20)
-        e.running_loads = [chance.randrange(3)] if chance.random() < 0.3 else []
+        e.reported_threads, e.reported_at = rng.uniform(0, 30), router.now - rng.randrange(3 * SECOND)
+        e.ejected_until = router.now + 1 if rng.random() < 0.2 else 0
+        e.started = router.now - SECOND if rng.random() < 0.2 else 0
+        e.ready = rng.random() < 0.9
+        e.threads = rng.randrange(20)
+        e.running_loads = [rng.randrange(3)] if rng.random() < 0.3 else []
     for n in range(20):
-        group = chance.choice([LOOKUP, REPORT, LOAD])
-        tables = chance.randrange(3)
-        arrival = NewQuery(f"q{n}", group, router.now + 7 * SECOND, table_group=tables, cost=500)
+        group = rng.choice([LOOKUP, REPORT, LOAD])
+        table_group = rng.randrange(3)
+        arrival = NewQuery(f"q{n}", group, router.now + 7 * SECOND, table_group=table_group, cost=500)
         router.on_query(router.now, arrival)
         q = router.queries[f"q{n}"]
-        if chance.random() < 0.3:
-            q.permit_engine, q.permit_at = chance.choice(list(router.engines)), router.now
+        if rng.random() < 0.3:
+            q.permit_engine, q.permit_at = rng.choice(list(router.engines)), router.now
         engines = list(router.engines.values())
-        home, silent = (chance.choice([None, *engines]) for _ in range(2))
-        spare = {e.id for e in engines if chance.random() < 0.7}
-        about = q, lambda e, spare=spare: e.id in spare, home, silent
-        assert {e.id for e in router.health_checks.candidates(router.now, *about)} == plainly(router, *about)
+        affine, unresponsive = (rng.choice([None, *engines]) for _ in range(2))
+        with_room = {e.id for e in engines if rng.random() < 0.7}
+        arguments = q, lambda e, with_room=with_room: e.id in with_room, affine, unresponsive
+        assert {
+            e.id for e in router.health_checks.candidates(router.now, *arguments)
+        } == candidates_among_all(router, *arguments)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path and the answers to failures found."""
+"""Decisions of the scheduler: teams, dashboards, load estimation, ejection, load shedding and bulk loads."""
 
 import pytest
 from conftest import LOAD, LOOKUP, REPORT, WRITE
@@ -6,12 +6,12 @@
 from hillchute.decision.interface import SECOND, AttemptEnded, AttemptResult, Reject, Submit
 
 
-def engines_of(said, *queries):
+def engines_of(decisions, *queries):
     names = [q.id for q in queries]
-    return [d.engine for d in said if isinstance(d, Submit) and d.query in names]
+    return [d.engine for d in decisions if isinstance(d, Submit) and d.query in names]
 
 
-def test_affinity_set_joins_the_leader_and_loads_go_alone(harness):
+def test_affinity_set_joins_the_leader_and_bulk_loads_are_sent_alone(harness):
     leader, other = harness.arrive(REPORT, table_group=4), harness.arrive(REPORT, table_group=5)
     mate, load = harness.arrive(REPORT, table_group=4), harness.arrive(LOAD, table_group=4)
     harness.router.teams.send_next(harness.router.now)
@@ -20,23 +20,23 @@
     assert list(harness.router.queues.teams) == [other, load]
 
 
-def test_leader_returns_to_the_engine_that_last_ran_its_group(harness):
+def test_leader_is_sent_to_the_engine_that_last_ran_its_table_group(harness):
     q = harness.arrive(REPORT, table_group=4)
     harness.router.placement.affinity[4] = 3
     harness.router.teams.send_next(harness.router.now)
     assert engines_of(harness.router.planned, q) == [3]
 
 
-def test_bound_binds_only_under_pressure(harness):
+def test_own_share_of_the_thread_limit_applies_only_under_pressure(harness):
     e, q = harness.router.engines[1], harness.arrive(REPORT)
     harness.fill(e, attempts=2)
-    harness.router.now = 3 * SECOND  # reports have counted them by then
+    harness.router.now = 3 * SECOND  # late enough that reports include these attempts
     harness.router.load.mean_load = 1.0
     harness.router.load.mean_own_threads = 8.0
     harness.router.load.reports_count_queries = True
-    assert harness.router.teams.room(harness.router.now, e, q) == 2
+    assert harness.router.teams.free_slots(harness.router.now, e, q) == 2
     harness.router.load.read_report(harness.router.now, e, {"queue": 2.0})
-    assert harness.router.teams.room(harness.router.now, e, q) == 0
+    assert harness.router.teams.free_slots(harness.router.now, e, q) == 0
 
 
 def test_leader_waits_when_no_engine_is_eligible(harness):
@@ -47,7 +47,7 @@
     assert list(harness.router.queues.teams) == [q]
 
 
-def test_dashboard_skips_the_queue_and_the_bound(harness):
+def test_dashboard_bypasses_the_queue_and_the_thread_limit(harness):
     for e in harness.router.engines.values():
         harness.fill(e, attempts=2)
     waiting, q = harness.arrive(REPORT), harness.arrive(LOOKUP)
@@ -57,7 +57,7 @@
     assert list(harness.router.queues.teams) == [waiting]
 
 
-def test_dashboard_is_deferred_when_every_engine_is_crowded(harness):
+def test_dashboard_is_rejected_when_every_engine_is_overloaded(harness):
     for e in harness.router.engines.values():
         harness.fill(e, attempts=4)
     q = harness.arrive(LOOKUP)
@@ -66,35 +66,39 @@
     assert isinstance(answer, Reject) and answer.query == q.id
 
 
-def test_loads_and_the_queries_that_wait_for_them_keep_apart(make_harness):
+def test_bulk_loads_and_the_queries_that_wait_for_them_use_different_engines(make_harness):
     for tables in range(9):
-        sides = []
+        engine_halves = []
         for harness in (make_harness(), make_harness()):
             load, lookup = (
                 harness.arrive(LOAD, table_group=tables),
                 harness.arrive(LOOKUP, table_group=tables),
             )
-            sides.append(
+            engine_halves.append(
                 [
                     {e.id for e in harness.router.placement.eligible_engines(harness.router.now, q)}
                     for q in (load, lookup)
                 ]
             )
-        assert not sides[0][0] & sides[0][1]
-        assert sides[0] == sides[1]
+        assert not engine_halves[0][0] & engine_halves[0][1]
+        assert engine_halves[0] == engine_halves[1]
 
 
-def test_room_counts_the_memory_that_reports_show(make_harness):
+def test_free_slots_count_the_memory_granted_in_reports(make_harness):
     harness = make_harness(domain__report_x0="share_of_memory_granted", domain__ram_of_kind_mb=1000.0)
     e = harness.router.engines[1]
     e.open_attempts = 1
     harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0, "x0": 0.5})
-    assert harness.router.teams.room(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 2
+    assert (
+        harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 2
+    )
     harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0, "x0": 0.8})
-    assert harness.router.teams.room(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 0
+    assert (
+        harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 0
+    )
 
 
-def test_queries_held_count_as_the_mean_width_of_the_work(harness):
+def test_reported_queries_count_with_the_mean_threads_of_the_work(harness):
     for group, cost in ((LOOKUP, 1000), (REPORT, 4000)):
         harness.router.dispatcher.submit(
             harness.router.now, harness.arrive(group, cost=cost), harness.router.engines[2]
@@ -103,16 +107,16 @@
     assert harness.router.engines[1].reported_threads == 10
 
 
-def test_unheard_engine_counts_as_average(harness):
+def test_engine_without_a_report_counts_with_the_mean_load(harness):
     for e, util in zip(harness.router.engines.values(), (0.25, 0.75), strict=False):
         harness.router.load.read_report(harness.router.now, e, {"util": util})
-    assert harness.router.load.believed_threads(
+    assert harness.router.load.estimated_threads(
         harness.router.now, harness.router.engines[3]
     ) == pytest.approx(8 * harness.router.load.mean_load)
-    assert 2 < harness.router.load.believed_threads(harness.router.now, harness.router.engines[3]) < 6
+    assert 2 < harness.router.load.estimated_threads(harness.router.now, harness.router.engines[3]) < 6
 
 
-def test_dashboard_keeps_off_the_tables_a_load_holds(harness):
+def test_dashboard_avoids_engines_that_run_a_bulk_load_of_its_table_group(harness):
     harness.list_engines(1, 2, 3, 4, 5, 6)
     first, second, third = harness.router.placement.eligible_engines(
         harness.router.now, q := harness.arrive(LOOKUP, table_group=4)
@@ -121,22 +125,22 @@
     assert harness.router.placement.eligible_engines(harness.router.now, q) == [third]
 
 
-def test_failing_engine_rests_longer_each_time(harness):
+def test_failing_engine_is_ejected_for_longer_each_time(harness):
     e = harness.router.engines[1]
-    rests = []
+    ejected_until_times = []
     for sent in range(3):
         harness.attempted(LOOKUP, sent=sent, result=AttemptResult.CONNECTION_REFUSED)
-        rests.append(e.ejected_until)
-    assert rests == sorted(set(rests)) and e.ejected_until > harness.router.now
+        ejected_until_times.append(e.ejected_until)
+    assert ejected_until_times == sorted(set(ejected_until_times)) and e.ejected_until > harness.router.now
 
 
-def test_all_that_goes_down_with_one_connection_is_one_failure(harness):
+def test_attempts_lost_with_one_connection_are_one_failure(harness):
     for q in [harness.attempted(LOOKUP) for _ in range(5)]:
         harness.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.CONNECTION_LOST, False, 10))
     assert harness.router.engines[1].ejected_until == 0
 
 
-def test_query_that_no_engine_can_run_rests_none_and_is_not_tried_for_ever(harness):
+def test_query_that_no_engine_can_run_ejects_none_and_is_not_retried_forever(harness):
     for n in range(6):
         q = harness.attempted(LOOKUP, sent=n, result=AttemptResult.FAILED)
         harness.attempt(q, 2, n, AttemptResult.FAILED)
@@ -144,7 +148,7 @@
     assert not any(e.ejected_until for e in harness.router.engines.values())
 
 
-def test_engine_whose_errors_another_engine_can_run_rests(harness):
+def test_engine_is_ejected_if_another_serves_the_queries_that_failed_on_it(harness):
     for n in range(2):
         q = harness.attempted(LOOKUP, sent=n, result=AttemptResult.FAILED)
         harness.attempt(q, 2, n, AttemptResult.SERVED)
@@ -154,7 +158,7 @@
     )
 
 
-def test_what_was_sent_since_the_report_and_has_ended_is_no_load(harness):
+def test_ended_attempts_that_were_sent_since_the_report_are_no_load(harness):
     harness.router.on_health_check(0, 1, AttemptResult.SERVED, {"inflight": 4})
     for n in range(6):
         q = harness.attempted(LOOKUP, sent=0)
@@ -163,7 +167,7 @@
     assert harness.router.engines[1].sent_since(0) == (1, 0.0)
 
 
-def test_engine_that_hangs_between_reports_is_seen_by_what_is_out(harness):
+def test_engine_that_hangs_between_reports_shows_by_its_open_attempts(harness):
     e = harness.router.engines[1]
     harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0})
     harness.router.load.mean_load = 1.0
@@ -174,64 +178,66 @@
     assert harness.router.load.total_threads(harness.router.now, e) == 18
 
 
-def test_few_threads_out_at_one_of_many_routers_do_not_close_an_engine(make_harness):
+def test_few_own_threads_are_hardly_extrapolated_to_many_routers(make_harness):
     harness = make_harness(n_instances=200)
     harness.router.load.mean_load, harness.router.load.mean_own_threads = 1.0, 0.1
     harness.attempted(REPORT)
     assert 4 < harness.router.load.total_threads(harness.router.now, harness.router.engines[1]) < 32
 
 
-def test_bound_below_one_query_is_held_by_chance(make_harness):
+def test_share_of_less_than_one_query_admits_queries_at_random(make_harness):
     harness = make_harness(n_instances=40)
     e = harness.router.engines[1]
     harness.router.load.read_report(harness.router.now, e, {"util": 1.0})
     assert (
         5
-        <= sum(harness.router.teams.room(harness.router.now, e, harness.arrive(REPORT)) for _ in range(100))
+        <= sum(
+            harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT)) for _ in range(100)
+        )
         <= 20
     )
 
 
-def test_report_fades_into_the_average(harness):
+def test_report_decays_to_the_mean(harness):
     one, other = harness.router.engines[1], harness.router.engines[2]
     harness.router.load.read_report(harness.router.now, other, {"util": 0.5})
     harness.router.load.read_report(harness.router.now, one, {"util": 1.0})
-    assert harness.router.load.believed_threads(harness.router.now, one) == 8
+    assert harness.router.load.estimated_threads(harness.router.now, one) == 8
     harness.router.now = 60 * SECOND
-    assert harness.router.load.believed_threads(harness.router.now, one) == pytest.approx(
+    assert harness.router.load.estimated_threads(harness.router.now, one) == pytest.approx(
         harness.router.load.mean_load * 8
     )
 
 
-def test_jam_shows_before_its_first_answer_and_keeps_heavy_queries_out(harness):
-    for _ in range(4):
+def test_overload_shows_before_the_first_answer_and_heavy_queries_are_rejected(harness):
+    for n in range(4):
         harness.attempted(LOOKUP)
-        harness.router.load.recent_attempts.add(0, harness.router.queries[f"q{_}"].attempts[0])
+        harness.router.load.recent_attempts.add(0, harness.router.queries[f"q{n}"].attempts[0])
     light, heavy = harness.arrive(REPORT, now=4000, cost=90), harness.arrive(REPORT, now=4000, cost=9000)
-    assert harness.router.load.pace(harness.router.now) == 4
+    assert harness.router.load.slowdown(harness.router.now) == 4
     assert [harness.router.admission.is_too_heavy(harness.router.now, q) for q in (light, heavy)] == [
         False,
         True,
     ]
 
 
-def test_few_lost_answers_leave_the_pace(harness):
+def test_few_lost_answers_do_not_change_the_slowdown(harness):
     for n in range(7):
         q = harness.attempted(LOOKUP)
         harness.router.load.recent_attempts.add(0, q.attempts[0])
         if n > 2:
             harness.router.on_attempt_ended(1000, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 1000))
     harness.router.now = 3 * SECOND
-    assert harness.router.load.pace(harness.router.now) == 1
+    assert harness.router.load.slowdown(harness.router.now) == 1
 
 
-def test_lone_broken_connection_says_nothing_of_the_engine(harness):
+def test_single_lost_connection_neither_ejects_nor_warms_up_the_engine(harness):
     harness.attempted(LOOKUP, result=AttemptResult.CONNECTION_LOST)
     assert harness.router.engines[1].ejected_until == 0
     assert not harness.router.engines[1].is_warming_up(harness.router.now)
 
 
-def test_customer_over_its_share_is_held_to_lighter_queries(make_harness):
+def test_tenant_over_its_share_is_limited_to_lighter_queries(make_harness):
     harness = make_harness(parties__0__fraction=0.5, parties__0__quota_per_s=1, parties__1__fraction=0.5)
     harness.router.load.mean_load = 1.5
     over, _, other = (
@@ -246,7 +252,7 @@
     ]
 
 
-def test_busy_report_holds_until_the_next_report(harness):
+def test_busy_report_counts_until_the_next_report(harness):
     e = harness.router.engines[1]
     harness.router.load.read_report(harness.router.now, e, {"util": 1.0})
     assert e.under_pressure_until > SECOND
@@ -254,8 +260,8 @@
     assert e.under_pressure_until == 0
 
 
-def test_patience_is_longer_where_a_submission_may_stand_in_line_for_memory(make_harness):
-    waits = []
+def test_time_limit_is_longer_where_engines_queue_for_memory(make_harness):
+    time_limits = []
     for shortage in ("cut", "line_up"):
         harness = make_harness(limits__cancel=True, domain__on_shortage=shortage)
         harness.router.dispatcher.submit(
@@ -263,11 +269,11 @@
             harness.arrive(REPORT, cost=8 * SECOND, deadline=60 * SECOND),
             harness.router.engines[1],
         )
-        waits.append(harness.router.planned[-1].time_limit)
-    assert waits == [5 * SECOND, 12 * SECOND]
+        time_limits.append(harness.router.planned[-1].time_limit)
+    assert time_limits == [5 * SECOND, 12 * SECOND]
 
 
-def test_query_heavy_for_its_value_is_kept_out_before_one_heavy_for_its_group_alone(harness):
+def test_query_heavy_for_its_weight_is_rejected_before_one_heavy_for_its_group_only(harness):
     harness.router.admission.mean_cost_per_weight, harness.router.load.mean_load = 100.0, 1.5
     report, load = harness.arrive(REPORT, cost=100), harness.arrive(WRITE, cost=100)
     report.cost = load.cost = 600
@@ -277,58 +283,58 @@
     ]
 
 
-def test_few_slow_submissions_at_a_quiet_router_do_not_give_up_a_query(harness):
+def test_few_slow_attempts_at_a_quiet_router_do_not_make_a_query_too_late(harness):
     for _ in range(3):
         harness.router.load.recent_attempts.add(0, harness.attempted(LOOKUP).attempts[0])
     harness.router.now = SECOND
     q = harness.arrive(REPORT, now=SECOND, cost=8000)
-    assert harness.router.load.pace(harness.router.now) == 10
+    assert harness.router.load.slowdown(harness.router.now) == 10
     assert harness.router.load.latest_start(harness.router.now, q) > SECOND
 
 
-def test_load_that_would_stand_still_waits_in_line_and_holds_up_nobody(harness):
+def test_blocked_bulk_load_waits_and_delays_no_other_query(harness):
     harness.list_engines(1, 2, 3, 4)
     first, second, report = (
         harness.arrive(LOAD, table_group=4),
         harness.arrive(LOAD, table_group=4),
         harness.arrive(REPORT, table_group=5),
     )
-    for e in harness.router.placement.on_right_side(list(harness.router.engines.values()), first):
+    for e in harness.router.placement.filter_by_half(list(harness.router.engines.values()), first):
         e.running_loads.append(4)
-    said = harness.decisions()
-    assert engines_of(said, report) and not engines_of(said, first, second)
-    assert list(harness.router.queues.behind_loads[4]) == [first, second]
+    decisions = harness.decisions()
+    assert engines_of(decisions, report) and not engines_of(decisions, first, second)
+    assert list(harness.router.queues.blocked_bulk_loads[4]) == [first, second]
 
 
-def test_load_starts_when_the_one_before_it_ends(harness):
+def test_bulk_load_starts_when_the_one_before_it_ends(harness):
     harness.list_engines(1, 2, 3, 4)
     loads = [harness.arrive(LOAD, table_group=4) for _ in range(3)]
-    out = [q for q in loads if engines_of(harness.decisions(), q) or q.attempts]
-    assert len(out) == 1 and len(harness.router.queues.behind_loads[4]) == 2
-    harness.router.on_attempt_ended(100, AttemptEnded(out[0].id, 0, AttemptResult.SERVED, True, 100))
+    sent = [q for q in loads if engines_of(harness.decisions(), q) or q.attempts]
+    assert len(sent) == 1 and len(harness.router.queues.blocked_bulk_loads[4]) == 2
+    harness.router.on_attempt_ended(100, AttemptEnded(sent[0].id, 0, AttemptResult.SERVED, True, 100))
     assert engines_of(harness.decisions(100), *loads)
 
 
-def test_load_that_can_not_start_in_time_behind_others_is_answered_at_once(harness):
+def test_bulk_load_that_can_not_start_in_time_behind_others_is_rejected_at_once(harness):
     harness.list_engines(1, 2, 3, 4)
     loads = [harness.arrive(LOAD, table_group=4, cost=2 * SECOND, deadline=60 * SECOND) for _ in range(9)]
-    deferred = [d.query for d in harness.decisions() if isinstance(d, Reject)]
-    assert loads[-1].id in deferred and loads[0].id not in deferred
+    rejected = [d.query for d in harness.decisions() if isinstance(d, Reject)]
+    assert loads[-1].id in rejected and loads[0].id not in rejected
 
 
-def test_few_routers_keep_their_loads_of_a_table_group_apart(make_harness):
-    homes = set()
+def test_few_routers_use_different_engines_for_bulk_loads_of_a_table_group(make_harness):
+    load_engines = set()
     for me in range(2):
         harness = make_harness(me=me)
         harness.list_engines(1, 2, 3, 4)
-        (e,) = harness.router.placement.on_right_side(
+        (e,) = harness.router.placement.filter_by_half(
             list(harness.router.engines.values()), harness.arrive(LOAD, table_group=4)
         )
-        homes.add(e.id)
-    assert len(homes) == 2
+        load_engines.add(e.id)
+    assert len(load_engines) == 2
 
 
-def test_load_whose_turn_by_key_comes_too_late_is_answered_before_its_end(harness):
+def test_ordered_query_whose_turn_comes_too_late_is_rejected_before_its_deadline(harness):
     harness.arrive(LOAD, ordering_key="k", deadline=60 * SECOND)
     late = harness.arrive(LOAD, ordering_key="k", deadline=60 * SECOND)
     harness.decisions()
@@ -340,7 +346,7 @@
     assert late not in harness.router.queues.keys["k"].queries
 
 
-def test_closing_brings_every_end_forward(harness):
+def test_shutdown_brings_every_deadline_forward(harness):
     q = harness.arrive(REPORT, deadline=60 * SECOND)
     harness.decisions()
     harness.router.on_shutdown(0, SECOND)
@@ -349,7 +355,7 @@
     ]
 
 
-def test_query_that_holds_a_session_long_for_its_value_is_kept_out_when_sessions_run_short(make_harness):
+def test_query_that_holds_a_session_too_long_for_its_weight_is_rejected_when_few_are_free(make_harness):
     harness = make_harness(sessions=10)
     lookup, load = harness.arrive(LOOKUP), harness.arrive(LOAD)
     harness.router.admission.mean_elapsed_per_weight = lookup.group.mean_elapsed = 2000
@@ -363,8 +369,8 @@
     ]
 
 
-def test_pressure_counts_a_routers_own_work_once(harness):
-    """A report counts ours too; what of it has ended since is gone, what began since takes its place."""
+def test_pressure_counts_own_attempts_once(harness):
+    """A report includes own attempts; attempts sent later replace those that have ended since."""
     router = harness.router
     router.on_subset(0, frozenset(router.engines))
     for e in router.engines.values():
@@ -374,13 +380,13 @@
     for engine in router.engines:
         for _ in range(4):
             harness.attempted(REPORT, engine, cost=3000)
-    assert [router.load.believed_threads(router.now, e) > 1.9 * e.cores for e in router.engines.values()] == [
-        True
-    ] * 3
+    assert [
+        router.load.estimated_threads(router.now, e) > 1.9 * e.cores for e in router.engines.values()
+    ] == [True] * 3
     assert not router.admission.is_too_heavy(router.now, q)
 
 
-def test_pressure_is_at_least_what_is_ours(harness):
+def test_pressure_is_at_least_the_load_of_own_attempts(harness):
     router = harness.router
     router.on_subset(0, frozenset(router.engines))
     for e in router.engines.values():
