--- a/hillchute/fronts/__init__.py
+++ b/hillchute/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: one package a protocol, bytes to typed values and back; seats.py says who may stay connected."""
+"""Frontends for clients: one package for each protocol; seats.py limits how many sessions are connected."""
--- a/hillchute/fronts/events.py
+++ b/hillchute/fronts/events.py
@@ -1,6 +1,6 @@
-"""What clients do, whichever protocol they speak, as plain values.
+"""Events that frontends report about their clients, independent of the protocol.
 
-Must never hold a protocol's spelling, nor say what follows: that is for whoever is told.
+The types hold nothing of a protocol's encoding; the receiver of an event decides what follows from it.
 """
 
 from typing import NamedTuple
@@ -8,12 +8,12 @@
 from hillchute.decision.interface import Time
 from hillchute.statements.request import Request
 
-FIRST_CALL = 1 << 40  # sessions from here on are calls of the Flight front; those of MySQL are below 2**32
-FIRST_GUEST = 1 << 50  # and from here on queries that another partner's router passed on
+FIRST_CALL = 1 << 40  # first session number of the Flight SQL frontend; MySQL's are below 2**32
+FIRST_GUEST = 1 << 50  # first session number of queries that another partner's router forwarded
 
 
 class Asked(NamedTuple):
-    """A client's query has come whole, at the time `since`."""
+    """A query of a client has been received completely; `since` is the time of its receipt."""
 
     session: int
     request: Request
@@ -21,19 +21,19 @@
 
 
 class Left(NamedTuple):
-    """The client of a session gave its query up, or is gone."""
+    """The client of a session cancelled its query or closed its connection."""
 
     session: int
 
 
 class Passed(NamedTuple):
-    """The client of a session has taken the last of a stream."""
+    """A result stream has been delivered to the client of a session to its end."""
 
     session: int
 
 
 class Spoilt(NamedTuple):
-    """A stream that is passed on to a session brings what can't be read."""
+    """The result stream for a session contains data that can't be decoded."""
 
     session: int
     why: str
--- a/hillchute/fronts/mysql/__init__.py
+++ b/hillchute/fronts/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""The MySQL front: packets.py is the protocol without I/O, door.py the sessions on sockets."""
+"""The MySQL frontend: packets.py implements the protocol without I/O, door.py the sessions on sockets."""
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -1,7 +1,7 @@
-"""The MySQL front: clients' sessions on sockets, from the first connection to the last byte.
+"""The MySQL frontend: accepts connections and serves clients' sessions on sockets.
 
-Owns the listener, the sessions, their places and their steps. Must never decide what is answered nor keep a
-query's state: what clients ask goes into the rounds, what they give up is told, answers come from outside.
+Owns the listener, the sessions and the limits on them. Queries are put into a queue, cancellations and closed
+connections are reported by callback, and answers are supplied by the caller; no query state is kept here.
 """
 
 import contextlib
@@ -23,15 +23,15 @@
 from hillchute.net.system_calls import ABORTED_CONNECTION_ERRNOS
 from hillchute.statements import request as statements
 
-READ = 16_384  # bytes read at once from a client: there are many
-LAST_READS = 8  # reads at the most of what a client wrote before it closed
-COARSE = 50  # 5 ms: by so much a socket's clock may be off
-ROWS = 256  # rows of a stream written in one go; then the kernel must have taken them
-NUMBERS = 1 << 32  # of sessions, as the protocol's greeting has room for
+READ_BYTES = 16_384  # bytes of one read; small, because there are many clients
+MAX_READS_AFTER_CLOSE = 8  # limit on reads of what a client wrote before it closed
+RECEIVE_TIME_ERROR = 50  # 5 ms: error of the kernel's receive times
+ROWS_PER_WRITE = 256  # rows of a stream written at once, before waiting until the kernel has taken them
+SESSION_NUMBERS = 1 << 32  # session numbers are 32 bits wide in the protocol's greeting
 
 
-class Waiting(Protocol):
-    """Where queries wait for their turn: see round_schedule.py."""
+class QueryQueue(Protocol):
+    """The queue of received queries; implemented in round_schedule.py."""
 
     last_client_activity: Time
 
@@ -41,53 +41,57 @@
 
 
 class Client:
-    """One session, and what is known of it beside its packets."""
+    """One session with its connection and the state beside its packets."""
 
     __slots__ = (
         "session",
         "pipe",
         "served",
-        "free",
+        "last_answered_at",
         "number",
         "knocked",
         "let_in",
-        "first",
+        "awaits_first_query",
         "stream",
-        "empty",
+        "output_sent",
     )
 
-    def __init__(self, number: int, longest: int) -> None:
+    def __init__(self, number: int, max_packet_bytes: int) -> None:
         self.number = number
-        self.session = packets.Session(number, longest)
+        self.session = packets.Session(number, max_packet_bytes)
         self.pipe: BufferedSocket
         self.served = 0
-        self.free = 0  # since when nothing of it is open
-        self.knocked = 0  # when the kernel took the connection
-        self.let_in = 0  # when its login was answered
-        self.first = True  # it has not asked anything yet
-        self.stream: words.Stream | None = None  # that is being passed on
-        self.empty: anyio.Event | None = None  # set when the kernel has taken all
-
-    def unread(self) -> bool:
+        self.last_answered_at = 0  # when its last answer was written
+        self.knocked = 0  # when the connection was established
+        self.let_in = 0  # when its login was answered; 0: not yet
+        self.awaits_first_query = True  # no query has been received yet
+        self.stream: words.Stream | None = None  # the result being delivered
+        self.output_sent: anyio.Event | None = None  # set when the kernel has taken all output
+
+    def has_unread(self) -> bool:
         return self.pipe.has_unread()
 
-    async def drained(self) -> None:
-        """Until the kernel has taken all that was written, or the connection is gone."""
+    async def wait_until_sent(self) -> None:
+        """Waits until the kernel has taken all output, or the connection is closed."""
         while self.pipe.unsent and not self.pipe.closed:
-            self.empty = anyio.Event()
-            await self.empty.wait()
+            self.output_sent = anyio.Event()
+            await self.output_sent.wait()
 
 
 class Door:
-    """Sessions by number. `left` is called with the session of a client that gave up, or is gone; `margin`
-    tells how long before the end of a patience an answer must be on its way."""
+    """Sessions by number.
+
+    `left` is called with the session of a client that cancelled its query or closed its connection. `margin`
+    returns how long before the end of a client timeout an answer must be sent. `passed` is called when a
+    stream is delivered, `unreadable` when a stream can't be decoded.
+    """
 
     def __init__(
         self,
-        places: int,
-        packet: int,
+        max_sessions: int,
+        max_packet_bytes: int,
         poller: Poller,
-        rounds: Waiting,
+        rounds: QueryQueue,
         log: Log,
         clock: Callable[[], int],
         left: Callable[[int], None],
@@ -95,18 +99,19 @@
         passed: Callable[[int], None],
         unreadable: Callable[[int, str], None],
     ) -> None:
-        self.seats = Seats(places)
-        self.packet = packet
+        self.seats = Seats(max_sessions)
+        self.max_packet_bytes = max_packet_bytes
         self.poller, self.rounds, self.log, self.clock, self.left = poller, rounds, log, clock, left
         self.system = poller.system
-        self.paused = False  # accepting waits for descriptors or memory
+        self.paused = False  # accepting is suspended for lack of descriptors or memory
         self.margin, self.passed, self.unreadable = margin, passed, unreadable
         self.clients: dict[int, Client] = {}
         self.listener: socket.socket | None = None
         self.served = 0
-        # Numbers of sessions go on from the clock, four to a millisecond: a client may still name one from
-        # before a restart, and bursts take more than one in a millisecond.
-        self.sessions = clock() * 4 // 10 % NUMBERS
+        # Session numbers start from the clock, four to a millisecond, so that a restart does not reuse
+        # them: a client may still cancel by a number from before it. Bursts of connections use more than
+        # one number in a millisecond.
+        self.last_session = clock() * 4 // 10 % SESSION_NUMBERS
 
     # ---- new connections --------------------------------------------------------------------------
 
@@ -119,17 +124,17 @@
             self.pause(fault)
 
     def close(self) -> None:
-        """No new connection after this one; what the kernel holds must have been taken before."""
+        """Closes the listener. Connections that the kernel has queued must be accepted before."""
         if self.listener is not None:
             self.poller.remove(self.listener)
             self.system.close(self.listener)
             self.listener = None
 
     def accept(self, most: int) -> bool:
-        """Takes up to so many connections; whether the kernel holds no more."""
-        # Each session is asked once for its place, not once for each newcomer: after a burst hundreds have
-        # bytes unread, and asking the kernel about all of them again and again made the loop late.
-        giving = iter(list(self.seats.give_way()) if self.seats.nearly_full(most) else ())
+        """Accepts up to `most` connections; returns whether the kernel's queue is empty."""
+        # Each session is checked for eviction once, not once for each new connection: after a burst hundreds
+        # have unread bytes, and asking the kernel about all of them for each connection delayed the loop.
+        evictable = iter(list(self.seats.give_way()) if self.seats.would_exceed(most) else ())
         for _ in range(most):
             if self.listener is None:
                 return True
@@ -143,26 +148,26 @@
                 self.pause(fault)
                 return False
             self.rounds.last_client_activity = self.clock()
-            self.welcome(sock, self.make_room(giving))
+            self.start_session(sock, self.make_room(evictable))
         return False
 
     def pause(self, fault: OSError) -> None:
-        """This machine lacks descriptors or memory: connections wait with the kernel until the next sweep."""
+        """Suspends accepting until sweep() for lack of descriptors or memory; connections wait in the kernel."""
         self.paused = True
         self.poller.remove(self.listener)
         self.log.write("fault", **AcceptPausedError(str(fault), str(self.listener.getsockname())).log_fields)
 
-    def welcome(self, sock: socket.socket, room: bool) -> None:
-        """A new session. What it wrote along with its login is read at once: it may be KILL QUERY."""
-        self.sessions = (self.sessions + 1) % NUMBERS
-        client = Client(self.sessions, self.packet)
+    def start_session(self, sock: socket.socket, room: bool) -> None:
+        """Starts a session. What was sent along with its login is read at once, as it may be KILL QUERY."""
+        self.last_session = (self.last_session + 1) % SESSION_NUMBERS
+        client = Client(self.last_session, self.max_packet_bytes)
         try:
             self.system.prepare(sock)
-            if not room and self.seats.overfull:
+            if not room and self.seats.reserve_full:
                 self.system.close(sock)
                 return
-            client.pipe = BufferedSocket(sock, self.poller, client, READ)
-        except OSError as fault:  # it has broken already, or the poller takes no more
+            client.pipe = BufferedSocket(sock, self.poller, client, READ_BYTES)
+        except OSError as fault:  # the connection is broken already, or the poller can't add it
             self.log.write("accept_failed", reason=str(fault))
             with contextlib.suppress(OSError):
                 self.system.close(sock)
@@ -173,18 +178,20 @@
             client.pipe.write(client.session.greeting())
         else:
             client.pipe.write(client.session.close(packets.REFUSED, "too many sessions"))
-        self.stand(client)
+        self.update_state(client)
         self.read(client)
 
-    def make_room(self, giving: Iterator[int]) -> bool:
-        """A place for one more session, from those of `giving` that were not looked at yet. Who has written
-        something that was not read yet, or is owed bytes of an answer, keeps its own: the answer is whole
-        only once the kernel has taken it."""
+    def make_room(self, evictable: Iterator[int]) -> bool:
+        """Makes room for one more session by closing the next suitable one of `evictable`.
+
+        Returns False if there is none. A session with unread input or with unsent bytes of an answer is kept:
+        an answer is complete only once the kernel has taken it.
+        """
         if not self.seats.full:
             return True
-        for number in giving:
+        for number in evictable:
             client = self.clients[number]
-            if not client.unread() and not (client.pipe.unsent and not client.session.over):
+            if not client.has_unread() and not (client.pipe.unsent and not client.session.over):
                 self.drop(client)
                 return True
         return False
@@ -192,24 +199,26 @@
     # ---- a session --------------------------------------------------------------------------------
 
     def ready(self, client: Client, readable: bool, writable: bool, ended: bool = False) -> None:
-        """Its socket has something to read, takes bytes again, or has come to its end."""
+        """Handles a socket that is readable, writable, or closed by the client."""
         if ended:
             self.ended(client)
             return
         if writable and not client.pipe.closed:
             client.pipe.flush()
-            if client.empty is not None and not client.pipe.unsent:
-                client.empty.set()
-            self.commands(client)
+            if client.output_sent is not None and not client.pipe.unsent:
+                client.output_sent.set()
+            self.run_commands(client)
         if readable and not client.pipe.closed:
             self.read(client)
 
     def ended(self, client: Client) -> None:
-        """The client has closed or reset its connection, whatever stands unread before that.
+        """Handles a connection that the client has closed or reset, even if input before that is unread.
 
-        Guards rule 1's bound on departed clients: a queue of commands ahead of the end must not hide it. What
-        it wrote is still read where no query of its own is open, since that may be KILL QUERY for another."""
-        for _ in range(LAST_READS):
+        Queued commands must not hide the close, since the time for which queries run for departed clients is
+        bounded (rule 1). If the session has no query open, its input is still read: it may be KILL QUERY for
+        another session.
+        """
+        for _ in range(MAX_READS_AFTER_CLOSE):
             if client.pipe.closed or client.session.busy or client.session.over or client.pipe.unsent:
                 break
             self.read(client)
@@ -225,14 +234,14 @@
         now = self.clock()
         self.rounds.last_client_activity = now
         if client.session.over:
-            return  # read and thrown away, so that what was said last is not
+            return  # discarded: closing over unread input would reset the connection and lose the output
         client.session.feed(data, client.pipe.last_received_at(now))
-        self.commands(client)
+        self.run_commands(client)
 
-    def commands(self, client: Client) -> None:
-        """Acts on the commands whose turn has come."""
+    def run_commands(self, client: Client) -> None:
+        """Executes queued commands until one must wait for its answer or for the client to read."""
         session = client.session
-        while not client.pipe.unsent:  # one answer at a time: the next command waits until this one is read
+        while not client.pipe.unsent:  # the next command waits until the previous answer is sent
             command, out = session.command()
             if session.logged_in and not client.let_in:
                 client.let_in = self.clock()
@@ -242,7 +251,7 @@
                 case None:
                     break
                 case packets.Query():
-                    self.ask(client, command)
+                    self.enqueue_query(client, command)
                 case packets.KillQuery(number):
                     known = number in self.clients
                     if known:
@@ -251,9 +260,9 @@
                     client.pipe.write(session.ok() if known else session.failed(*unknown))
                 case packets.Ping():
                     client.pipe.write(session.ok())
-        self.stand(client)
+        self.update_state(client)
 
-    def ask(self, client: Client, query: packets.Query) -> None:
+    def enqueue_query(self, client: Client, query: packets.Query) -> None:
         try:
             request = statements.read(query.text)
         except statements.Misread as fault:
@@ -262,19 +271,21 @@
             return
         since = self.sent(client, query.since)
         end = since + request.patience - self.margin(request.patience)
-        self.rounds.enqueue(client.number, request, since, max(query.since, client.free), end)
+        self.rounds.enqueue(client.number, request, since, max(query.since, client.last_answered_at), end)
 
-    def sent(self, client: Client, came: int) -> int:
-        """When a query was sent at the earliest, where its last byte came at a time.
+    def sent(self, client: Client, received_at: int) -> int:
+        """The earliest time at which a query may have been sent, given when its last byte was received.
 
-        Guards rule 1 against a first query that was written along with the login: kernels hold it back until
-        the login is acknowledged, and that comes up to 0.2 s late while nobody reads here."""
-        ahead = client.first and came <= client.let_in + COARSE
-        client.first = False
-        return min(came, client.knocked) if ahead else came
+        A first query that was written along with the login counts from the connection: the client's kernel
+        holds it back until the login is acknowledged, which takes up to 0.2 s while the router does not read.
+        Without this, the query could run past its client timeout (rule 1).
+        """
+        sent_with_login = client.awaits_first_query and received_at <= client.let_in + RECEIVE_TIME_ERROR
+        client.awaits_first_query = False
+        return min(received_at, client.knocked) if sent_with_login else received_at
 
-    def stand(self, client: Client) -> None:
-        """Tells the seats how the session stands now."""
+    def update_state(self, client: Client) -> None:
+        """Updates the session's state in `seats`, whether its socket is read, and its half-close."""
         session, number = client.session, client.number
         if client.pipe.closed:
             return
@@ -289,20 +300,21 @@
             self.seats.rest(number)
 
     def drop(self, client: Client) -> None:
-        """Ends a session: its client is gone, or must go."""
+        """Closes a session at once and reports its client as gone."""
         client.session.over = True
         client.pipe.close()
-        if client.empty is not None:
-            client.empty.set()
+        if client.output_sent is not None:
+            client.output_sent.set()
         if self.clients.pop(client.number, None) is not None:
             self.seats.leave(client.number)
             self.left(client.number)
 
     def sweep(self) -> None:
-        """A step of the protocol that takes too long ends with an error; who does not close then is dropped.
+        """Ends sessions whose step takes too long with an error, and drops those not closed after it.
 
-        Guards what was written last: a close over unread bytes would reset the connection and take it
-        away."""
+        The connection is not closed together with the error: closing over unread bytes would reset the
+        connection and lose the error. Accepting is also resumed here.
+        """
         self.poller.resume()
         if self.listener is not None and self.paused:
             try:
@@ -318,40 +330,40 @@
                 continue
             client.pipe.write(client.session.close(packets.MALFORMED, "a packet was not complete in time"))
             self.seats.leave(number)
-            self.stand(client)
+            self.update_state(client)
 
     def hang_up(self) -> None:
-        """Ends every session from this side, and lets it read what it was answered."""
+        """Ends every session from this side once its remaining output is sent."""
         for client in list(self.clients.values()):
             client.session.over = True
-            self.stand(client)
+            self.update_state(client)
 
     def owed(self) -> int:
-        """Sessions whose answer the kernel has not taken whole."""
+        """The number of sessions with output that the kernel has not taken."""
         return sum(1 for client in self.clients.values() if client.pipe.unsent)
 
     # ---- answers ----------------------------------------------------------------------------------
 
     def finish(self, session: int, rows: list[list[bytes]]) -> None:
         if client := self.clients.get(session):
-            self.answered(client, client.session.result(rows))
+            self.write_answer(client, client.session.result(rows))
 
     def defer(self, session: int, after: int) -> None:
         if client := self.clients.get(session):
             hint = f"; come back after {after / 10:g} ms" if after else ""
-            self.answered(
+            self.write_answer(
                 client, client.session.failed(packets.REFUSED, f"not run, trying again is harmless{hint}")
             )
 
     def kill(self, session: int, why: str) -> None:
         if client := self.clients.get(session):
-            self.answered(client, client.session.failed(packets.FAILED, why))
+            self.write_answer(client, client.session.failed(packets.FAILED, why))
 
     async def pass_on(self, session: int, stream: words.Stream) -> None:
-        """Passes a stream of batches on as rows, no faster than its client reads."""
-        from hillchute.protocol import sql as arrow  # only where an engine speaks Flight
+        """Delivers a stream of Arrow batches as rows, no faster than the client reads."""
+        from hillchute.protocol import sql as arrow  # needed only for engines that speak Flight
 
-        client, reading, begun = self.clients.get(session), arrow.Reading(), False
+        client, reading, has_begun = self.clients.get(session), arrow.Reading(), False
         if client is None:
             stream.close()
             return
@@ -359,13 +371,13 @@
         try:
             while (raw := await stream.read()) is not None:
                 batch = reading.take(raw)
-                if not begun and reading.schema is not None:
-                    begun = True
+                if not has_begun and reading.schema is not None:
+                    has_begun = True
                     client.pipe.write(client.session.begin(reading.schema.names))
                 rows = list(arrow.to_rows(batch)) if batch is not None else []
-                for start in range(0, len(rows), ROWS):
-                    client.pipe.write(client.session.more(rows[start : start + ROWS]))
-                    await client.drained()
+                for start in range(0, len(rows), ROWS_PER_WRITE):
+                    client.pipe.write(client.session.more(rows[start : start + ROWS_PER_WRITE]))
+                    await client.wait_until_sent()
                     if client.pipe.closed or client.stream is not stream:
                         stream.close()
                         return
@@ -376,15 +388,15 @@
         if client.stream is stream and not stream.broken:
             client.stream = None
             self.passed(session)
-            self.answered(client, client.session.end())
+            self.write_answer(client, client.session.end())
 
     def cut(self, session: int, why: str) -> None:
-        """A result that was begun can't be ended: the protocol allows an error in the place of its end."""
+        """Aborts a result that has begun: the protocol allows an error in place of its end."""
         if client := self.clients.get(session):
             client.stream = None
-            self.answered(client, client.session.failed(packets.FAILED, why))
+            self.write_answer(client, client.session.failed(packets.FAILED, why))
 
-    def answered(self, client: Client, data: bytes) -> None:
-        client.free = self.clock()
+    def write_answer(self, client: Client, data: bytes) -> None:
+        client.last_answered_at = self.clock()
         client.pipe.write(data)
-        self.commands(client)
+        self.run_commands(client)
--- a/hillchute/fronts/mysql/packets.py
+++ b/hillchute/fronts/mysql/packets.py
@@ -1,7 +1,7 @@
-"""The clients' protocol: one session's packets in, typed commands out, answers as packets.
+"""The MySQL client/server protocol of one session: decodes packets to commands and encodes answers.
 
-Owns the MySQL wire of one session: login, sequence numbers, result sets, error packets. Must never do
-I/O, touch a statement or decide what is answered.
+Covers login, sequence numbers, result sets and error packets. Performs no I/O and does not interpret
+statements beyond those that client libraries send by themselves.
 """
 
 import struct
@@ -9,23 +9,23 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-VERSION = b"8.0.36-hillchute"
+SERVER_VERSION = b"8.0.36-hillchute"
 USER, DATABASE = b"app", b"lake"
-HEAD = 4  # bytes ahead of a packet: its size and its number
-MOST_WAITING = 32  # commands taken ahead of the answer; those that follow wait with the kernel
+HEADER_BYTES = 4  # bytes of a packet's header: its size and its sequence number
+MOST_WAITING = 32  # commands queued behind the open one; further ones stay in the kernel's buffer
 
-# Capabilities: long password, found rows, long flag, connect with a database, protocol 4.1, transactions,
+# Capability flags: long password, found rows, long flag, connect with a database, protocol 4.1, transactions,
 # secure connection, plugin authentication and length-encoded authentication data.
 CAPABILITIES = 0x1 | 0x2 | 0x4 | 0x8 | 0x200 | 0x2000 | 0x8000 | 0x80000 | 0x200000
-WITH_DATABASE, SECURE, LENGTH_ENCODED = 0x8, 0x8000, 0x200000
-PROTOCOL_41 = 0x200
-UTF8 = 45
-AUTOCOMMIT = 2
-VAR_STRING = 0xFD
+CLIENT_CONNECT_WITH_DB, CLIENT_SECURE_CONNECTION, CLIENT_LENGTH_ENCODED_AUTH = 0x8, 0x8000, 0x200000
+CLIENT_PROTOCOL_41 = 0x200
+UTF8MB4_GENERAL_CI = 45
+STATUS_AUTOCOMMIT = 2
+TYPE_VAR_STRING = 0xFD
 COLUMNS = (b"c1", b"c2", b"c3")
 
-# Error numbers with their states.
-REFUSED = (1040, b"08004")  # the platform's word for: trying again is harmless
+# Error codes with their SQL states.
+REFUSED = (1040, b"08004")  # the platform's code for a query that was not run and may be retried
 FAILED = (1317, b"70100")
 ACCESS_DENIED = (1045, b"28000")
 UNKNOWN_DATABASE = (1049, b"42000")
@@ -35,12 +35,12 @@
 TOO_LARGE = (1153, b"08S01")
 NO_SUCH_THREAD = (1094, b"HY000")
 
-KILL_QUERY = b"kill query "
+KILL_QUERY_PREFIX = b"kill query "
 
 
 class Query(NamedTuple):
     text: bytes
-    since: int = 0  # when its last byte came
+    since: int = 0  # when its last byte was received
 
 
 class KillQuery(NamedTuple):
@@ -68,20 +68,27 @@
     return b"\xfe" + n.to_bytes(8, "little")
 
 
-def text(value: bytes) -> bytes:
+def lenenc_string(value: bytes) -> bytes:
     return length(len(value)) + value
 
 
-def column(name: bytes) -> bytes:
-    head = text(b"def") + text(DATABASE) + text(b"") + text(b"") + text(name) + text(name)
-    return head + b"\x0c" + struct.pack("<HIBHB", UTF8, 48_000, VAR_STRING, 0, 0) + b"\0\0"
+def column_definition(name: bytes) -> bytes:
+    head = (
+        lenenc_string(b"def")
+        + lenenc_string(DATABASE)
+        + lenenc_string(b"")
+        + lenenc_string(b"")
+        + lenenc_string(name)
+        + lenenc_string(name)
+    )
+    return head + b"\x0c" + struct.pack("<HIBHB", UTF8MB4_GENERAL_CI, 48_000, TYPE_VAR_STRING, 0, 0) + b"\0\0"
 
 
-EOF = b"\xfe" + struct.pack("<HH", 0, AUTOCOMMIT)
+EOF = b"\xfe" + struct.pack("<HH", 0, STATUS_AUTOCOMMIT)
 NULL = b"\xfb"
-OK = b"\0\0\0" + struct.pack("<HH", AUTOCOMMIT, 0)
-ROW = b"%c\0\0%c%c%b%c%b%c%b"
-HEADER = (length(len(COLUMNS)), *(column(name) for name in COLUMNS), EOF)
+OK = b"\0\0\0" + struct.pack("<HH", STATUS_AUTOCOMMIT, 0)
+SHORT_ROW_FORMAT = b"%c\0\0%c%c%b%c%b%c%b"
+RESULT_HEADER = (length(len(COLUMNS)), *(column_definition(name) for name in COLUMNS), EOF)
 
 
 def error(kind: tuple[int, bytes], message: str) -> bytes:
@@ -90,22 +97,22 @@
 
 
 class Session:
-    """One client's session. feed() takes bytes, command() gives the next command when its turn has come."""
+    """One client's session: feed() takes received bytes, command() returns the next command to execute."""
 
     def __init__(self, number: int, longest: int) -> None:
         self.number = number
-        self.longest = longest  # bytes of a packet, and of all that waits here
+        self.longest = longest  # limit in bytes for a packet, and for all queued input
         self.buffer = bytearray()
         self.waiting: deque[tuple[int, bytes, int]] = deque()
-        self.ahead = 0  # bytes of the commands that wait
-        self.came = 0  # when the last bytes of the buffer came
-        self.oversized: int | None = None  # bytes of a packet that is too large; it is the last that waits
+        self.ahead = 0  # bytes of the queued commands
+        self.received_at = 0  # when the last bytes of the buffer were received
+        self.oversized_bytes: int | None = None  # size of a too large packet, the last in the queue
         self.sequence = 0
         self.logged_in = False
-        self.busy = False  # a command is open: its answer comes first
-        self.over = False  # nothing more is read; the connection closes once all is written
+        self.busy = False  # a command is open; the next one waits for its answer
+        self.over = False  # no more input is taken; the connection closes once all output is sent
 
-    def packets(self, payloads: Iterable[bytes]) -> bytes:
+    def to_packets(self, payloads: Iterable[bytes]) -> bytes:
         out = bytearray()
         for payload in payloads:
             out += len(payload).to_bytes(3, "little")
@@ -117,103 +124,119 @@
     def greeting(self) -> bytes:
         salt = bytes(1 + (self.number * 7919 + 31 * n) % 251 % 126 for n in range(20))
         low, high = CAPABILITIES & 0xFFFF, CAPABILITIES >> 16
-        payload = b"\x0a" + VERSION + b"\0" + struct.pack("<I", self.number & 0xFFFFFFFF) + salt[:8] + b"\0"
-        payload += struct.pack("<HBHHB", low, UTF8, AUTOCOMMIT, high, 21) + bytes(10)
-        return self.packets([payload + salt[8:] + b"\0" + b"mysql_native_password\0"])
+        payload = (
+            b"\x0a" + SERVER_VERSION + b"\0" + struct.pack("<I", self.number & 0xFFFFFFFF) + salt[:8] + b"\0"
+        )
+        payload += struct.pack("<HBHHB", low, UTF8MB4_GENERAL_CI, STATUS_AUTOCOMMIT, high, 21) + bytes(10)
+        return self.to_packets([payload + salt[8:] + b"\0" + b"mysql_native_password\0"])
 
     def feed(self, data: bytes, since: int = 0) -> None:
-        """Takes in bytes that came at a time."""
+        """Takes bytes that were received at the time `since`."""
         if self.over:
             return
         self.buffer += data
-        self.came = since
+        self.received_at = since
         self.take_packets()
 
     @property
     def full(self) -> bool:
-        """Whether so much has come ahead of its answers that no more is to be read for now."""
+        """Whether so much input is queued that no more should be read for now."""
         ahead = self.ahead + len(self.buffer)
-        return self.oversized is not None or len(self.waiting) >= MOST_WAITING or ahead > self.longest + HEAD
+        return (
+            self.oversized_bytes is not None
+            or len(self.waiting) >= MOST_WAITING
+            or ahead > self.longest + HEADER_BYTES
+        )
 
     def take_packets(self) -> None:
-        """Commands out of the buffer, as many as may wait. What stays there came with the last read: while
-        a whole command stays, the session is full and nothing more is read."""
-        while len(self.buffer) >= HEAD and len(self.waiting) < MOST_WAITING and self.oversized is None:
+        """Moves complete packets from the buffer to the queue, as many as it may hold.
+
+        All bytes left in the buffer came with the last read: while a complete packet is left there, the
+        session is full and no more is read. `received_at` thus holds for each of them.
+        """
+        while (
+            len(self.buffer) >= HEADER_BYTES
+            and len(self.waiting) < MOST_WAITING
+            and self.oversized_bytes is None
+        ):
             size = int.from_bytes(self.buffer[:3], "little")
             if size > self.longest:
-                self.oversized = size
-                self.waiting.append((self.buffer[3], b"", self.came))  # its turn ends the session
+                self.oversized_bytes = size
+                self.waiting.append((self.buffer[3], b"", self.received_at))  # ends the session when reached
                 return
-            if len(self.buffer) < HEAD + size:
+            if len(self.buffer) < HEADER_BYTES + size:
                 return
             self.ahead += size
-            self.waiting.append((self.buffer[3], bytes(self.buffer[HEAD : HEAD + size]), self.came))
-            del self.buffer[: HEAD + size]
+            self.waiting.append(
+                (self.buffer[3], bytes(self.buffer[HEADER_BYTES : HEADER_BYTES + size]), self.received_at)
+            )
+            del self.buffer[: HEADER_BYTES + size]
 
     def close(self, kind: tuple[int, bytes], message: str) -> bytes:
+        """Ends the session with an error; returns its packet."""
         self.over = True
         self.waiting.clear()
         self.buffer.clear()
-        return self.packets([error(kind, message)])
+        return self.to_packets([error(kind, message)])
 
     def command(self) -> tuple[Command | None, bytes]:
-        """The next command, if its turn has come, and what is to be written ahead of acting on it."""
+        """The next command, or None while another is open, and output to write before executing it."""
         out = b""
         while self.waiting and not self.busy and not self.over:
             number, payload, since = self.waiting.popleft()
             self.ahead -= len(payload)
             self.take_packets()
             self.sequence = number + 1 & 255
-            if self.oversized is not None and not self.waiting:
-                why = f"packet of {self.oversized} bytes; {self.longest} are allowed"
+            if self.oversized_bytes is not None and not self.waiting:
+                why = f"packet of {self.oversized_bytes} bytes; {self.longest} are allowed"
                 return None, out + self.close(TOO_LARGE, why)
             if not self.logged_in:
-                out += self.log_in(payload)
+                out += self.authenticate(payload)
                 continue
-            command, answer = self.read(payload, since)
+            command, answer = self.parse_command(payload, since)
             out += answer
             if command is not None:
                 self.busy = not isinstance(command, Quit)
                 return command, out
         return None, out
 
-    def read(self, payload: bytes, since: int = 0) -> tuple[Command | None, bytes]:
+    def parse_command(self, payload: bytes, since: int = 0) -> tuple[Command | None, bytes]:
         code, rest = payload[:1], payload[1:]
         match code:
-            case b"\x01":
+            case b"\x01":  # COM_QUIT
                 self.over = True
                 return Quit(), b""
-            case b"\x02":  # change of database
+            case b"\x02":  # COM_INIT_DB: change of database
                 if rest.rstrip(b"\0") != DATABASE:
-                    return None, self.packets([error(UNKNOWN_DATABASE, "unknown database")])
-                return None, self.packets([OK])
-            case b"\x03":
-                return self.statement(rest, since)
-            case b"\x0e":
+                    return None, self.to_packets([error(UNKNOWN_DATABASE, "unknown database")])
+                return None, self.to_packets([OK])
+            case b"\x03":  # COM_QUERY
+                return self.parse_statement(rest, since)
+            case b"\x0e":  # COM_PING
                 return Ping(), b""
-            case b"\x09":  # statistics: a plain string
-                return None, self.packets([b"hillchute"])
-            case b"\x1b":  # set option: multi statements on or off
-                return None, self.packets([EOF])
-            case b"\x1f":  # reset connection
-                return None, self.packets([OK])
-            case b"\x0c" if len(rest) == 4:  # process kill
+            case b"\x09":  # COM_STATISTICS: the answer is a plain string
+                return None, self.to_packets([b"hillchute"])
+            case b"\x1b":  # COM_SET_OPTION: multi-statements on or off
+                return None, self.to_packets([EOF])
+            case b"\x1f":  # COM_RESET_CONNECTION
+                return None, self.to_packets([OK])
+            case b"\x0c" if len(rest) == 4:  # COM_PROCESS_KILL
                 return KillQuery(int.from_bytes(rest, "little")), b""
-        return None, self.packets([error(UNKNOWN_COMMAND, "unknown command")])
+        return None, self.to_packets([error(UNKNOWN_COMMAND, "unknown command")])
 
-    def statement(self, sql: bytes, since: int = 0) -> tuple[Command | None, bytes]:
+    def parse_statement(self, sql: bytes, since: int = 0) -> tuple[Command | None, bytes]:
         if sql.startswith(b"/*"):
             return Query(sql, since), b""
         plain = b" ".join(sql.rstrip(b"\0; \t\r\n").split()).lower() if len(sql) < 200 else b""
-        if plain.startswith(KILL_QUERY) and plain[len(KILL_QUERY) :].isdigit():
-            return KillQuery(int(plain[len(KILL_QUERY) :])), b""
+        if plain.startswith(KILL_QUERY_PREFIX) and plain[len(KILL_QUERY_PREFIX) :].isdigit():
+            return KillQuery(int(plain[len(KILL_QUERY_PREFIX) :])), b""
         if plain.startswith((b"set ", b"use lake")) or plain in (b"begin", b"commit", b"rollback"):
-            return None, self.packets([OK])  # what usual client libraries say by themselves
+            return None, self.to_packets([OK])  # sent by common client libraries by themselves
         return Query(sql, since), b""
 
-    def log_in(self, payload: bytes) -> bytes:
+    def authenticate(self, payload: bytes) -> bytes:
         try:
-            user, answer, database = login(payload)
+            user, answer, database = parse_login(payload)
         except (ValueError, IndexError, struct.error):
             return self.close(MALFORMED, "malformed login packet")
         if user != USER or answer:
@@ -221,65 +244,68 @@
         if database not in (DATABASE, None):
             return self.close(UNKNOWN_DATABASE, "unknown database")
         self.logged_in = True
-        return self.packets([OK])
+        return self.to_packets([OK])
 
     # ---- answers to the open command -------------------------------------------------------------
 
-    def answer(self, payloads: Iterable[bytes]) -> bytes:
+    def finish_command(self, payloads: Iterable[bytes]) -> bytes:
         self.busy = False
-        return self.packets(payloads)
+        return self.to_packets(payloads)
 
     def ok(self) -> bytes:
-        return self.answer([OK])
+        return self.finish_command([OK])
 
     def failed(self, kind: tuple[int, bytes], message: str) -> bytes:
-        return self.answer([error(kind, message)])
+        return self.finish_command([error(kind, message)])
 
     def begin(self, names: Iterable[str]) -> bytes:
-        """The head of a result set whose rows come bit by bit; the command stays open."""
-        columns = [column(name.encode()) for name in names]
-        return self.packets((length(len(columns)), *columns, EOF))
+        """The column definitions of a result set whose rows follow; the command stays open."""
+        columns = [column_definition(name.encode()) for name in names]
+        return self.to_packets((length(len(columns)), *columns, EOF))
 
     def more(self, rows: Iterable[Sequence[bytes | None]]) -> bytes:
-        """Rows of a result set that was begun; None is NULL."""
-        return self.packets(b"".join(NULL if v is None else text(v) for v in row) for row in rows)
+        """Rows of a result set started with begin(); None is NULL."""
+        return self.to_packets(b"".join(NULL if v is None else lenenc_string(v) for v in row) for row in rows)
 
     def end(self) -> bytes:
-        return self.answer([EOF])
+        return self.finish_command([EOF])
 
     def result(self, rows: Iterable[Sequence[bytes]]) -> bytes:
-        """A result set. Rows of short columns, nearly all there are, are written in one step each."""
-        out = [self.packets(HEADER)]
+        """A complete result set. Rows of less than 251 bytes, nearly all of them, have a fast path."""
+        out = [self.to_packets(RESULT_HEADER)]
         for row in rows:
             a, b, c = row
             size = len(a) + len(b) + len(c) + 3
             if size < 251:
-                out.append(ROW % (size, self.sequence, len(a), a, len(b), b, len(c), c))
+                out.append(SHORT_ROW_FORMAT % (size, self.sequence, len(a), a, len(b), b, len(c), c))
                 self.sequence = self.sequence + 1 & 255
             else:
-                out.append(self.packets([b"".join(map(text, row))]))
-        out.append(self.answer([EOF]))
+                out.append(self.to_packets([b"".join(map(lenenc_string, row))]))
+        out.append(self.finish_command([EOF]))
         return b"".join(out)
 
 
-def login(payload: bytes) -> tuple[bytes, bytes, bytes | None]:
-    """User, authentication answer and database of a login packet."""
+def parse_login(payload: bytes) -> tuple[bytes, bytes, bytes | None]:
+    """User, authentication response and database of a login packet.
+
+    Raises ValueError, IndexError or struct.error if the packet is malformed.
+    """
     (flags,) = struct.unpack_from("<I", payload)
-    if not flags & PROTOCOL_41:
+    if not flags & CLIENT_PROTOCOL_41:
         raise ValueError("not protocol 4.1")
-    at = 32
-    end = payload.index(b"\0", at)
-    user, at = payload[at:end], end + 1
-    if flags & (LENGTH_ENCODED | SECURE):
-        size, at = payload[at], at + 1
-        if size > 250 or at + size > len(payload):
+    offset = 32
+    end = payload.index(b"\0", offset)
+    user, offset = payload[offset:end], end + 1
+    if flags & (CLIENT_LENGTH_ENCODED_AUTH | CLIENT_SECURE_CONNECTION):
+        size, offset = payload[offset], offset + 1
+        if size > 250 or offset + size > len(payload):
             raise ValueError("authentication data too long")
-        answer, at = payload[at : at + size], at + size
+        answer, offset = payload[offset : offset + size], offset + size
     else:
-        end = payload.index(b"\0", at)
-        answer, at = payload[at:end], end + 1
+        end = payload.index(b"\0", offset)
+        answer, offset = payload[offset:end], end + 1
     database = None
-    if flags & WITH_DATABASE and at < len(payload):
-        end = payload.find(b"\0", at)
-        database = payload[at : end if end >= 0 else len(payload)] or None
+    if flags & CLIENT_CONNECT_WITH_DB and offset < len(payload):
+        end = payload.find(b"\0", offset)
+        database = payload[offset : end if end >= 0 else len(payload)] or None
     return user, answer, database
--- a/hillchute/fronts/seats.py
+++ b/hillchute/fronts/seats.py
@@ -1,22 +1,24 @@
-"""Who may stay connected: the places for clients' sessions, and who gives way when they are all taken.
+"""Limits how many sessions are connected, and selects those to close when the limit is reached.
 
-Owns each session's standing: in a step of the protocol that is not complete, idle, or with a query open.
-Must never touch a socket nor know what is asked; it only says whose turn to go it is.
+Tracks whether each session is in an incomplete step of the protocol, idle, or has a query open.
+Performs no I/O: callers close the sessions that are selected here.
 """
 
 from collections.abc import Iterator
 
 from hillchute.decision.interface import Time
 
-STEP: Time = 20_000  # 2 s for a step to be complete: the platform's page asks for an end within 3 s
+STEP: Time = 20_000  # 2 s to complete a step: the platform requires that a session ends within 3 s
 
 
 class Seats:
+    """The state of each connected session; `most` sessions are allowed."""
+
     def __init__(self, most: int) -> None:
         self.most = most
-        self.steps: dict[int, Time] = {}  # sessions in an incomplete step, and since when: the oldest first
-        self.idle: dict[int, None] = {}  # sessions that wait for nothing, the longest idle first
-        self.busy: set[int] = set()
+        self.steps: dict[int, Time] = {}  # sessions in an incomplete step, with its start; oldest first
+        self.idle: dict[int, None] = {}  # sessions without an open query; longest idle first
+        self.busy: set[int] = set()  # sessions with an open query
 
     def __len__(self) -> int:
         return len(self.steps) + len(self.idle) + len(self.busy)
@@ -25,17 +27,20 @@
     def full(self) -> bool:
         return len(self) >= self.most
 
-    def nearly_full(self, more: int) -> bool:
-        """Whether there is no room for so many more."""
-        return len(self) + more > self.most
+    def would_exceed(self, count: int) -> bool:
+        """Whether so many more sessions would exceed the limit."""
+        return len(self) + count > self.most
 
     @property
-    def overfull(self) -> bool:
-        """Beyond the places there is some room for those who are told that there is none."""
+    def reserve_full(self) -> bool:
+        """Whether the reserve is used up as well.
+
+        Beyond the limit an eighth is reserved for connections that are told that there are too many sessions.
+        """
         return len(self) >= self.most + self.most // 8
 
     def in_step(self, session: int, now: Time) -> None:
-        """Login, a packet, an answer to be read or an end: begun, and not complete."""
+        """Records that a login, a packet, the delivery of an answer or a close has begun."""
         if session not in self.steps:
             self.leave(session)
             self.steps[session] = now
@@ -54,15 +59,15 @@
         self.busy.discard(session)
 
     def give_way(self) -> Iterator[int]:
-        """Whose place goes to one that comes, the least useful first: never one with a query open."""
+        """Sessions that may be closed for a new one, in order of preference; none has a query open."""
         yield from self.steps
         yield from self.idle
 
     def late(self, now: Time) -> list[int]:
-        """Sessions that have been too long in one step."""
-        found = []
+        """Sessions whose current step has taken STEP or longer."""
+        timed_out = []
         for session, since in self.steps.items():
             if now - since < STEP:
                 break
-            found.append(session)
-        return found
+            timed_out.append(session)
+        return timed_out
