--- a/hillchute/fronts/flight/__init__.py
+++ b/hillchute/fronts/flight/__init__.py
@@ -1,2 +1,4 @@
-"""The Flight SQL front: codec.py, tickets.py and identity.py do no I/O; server.py serves on grpc. Imported
-only where the operator file asks for it."""
+"""The Flight SQL frontend: server.py serves calls on gRPC; the other modules do no I/O during calls.
+
+Imported only if the operator file enables it.
+"""
--- a/hillchute/fronts/flight/answers.py
+++ b/hillchute/fronts/flight/answers.py
@@ -1,7 +1,7 @@
-"""What a Flight SQL client is told: gRPC status codes with their details; and a query's fields in headers.
+"""The gRPC statuses that Flight SQL clients receive, and the headers that carry a query's fields.
 
-Owns the table of codes (docs/flightsql.md states it) and the names of the headers. Must never decide how a
-query ends, nor do I/O.
+Owns the status codes with their reasons, documented in docs/flightsql.md, and the names of the headers.
+Performs no I/O.
 """
 
 from collections.abc import Iterable
@@ -14,9 +14,9 @@
 
 from hillchute.protocol.status import DOMAIN, packed
 
-HEADER = "x-hillchute-"  # ahead of a field's name: x-hillchute-route, x-hillchute-patience, ...
-FIELDS = ("route", "trace", "patience", "nonce", "weight", "mb", "entity")
-LONGEST_TEXT = 400  # bytes of a message
+HEADER_PREFIX = "x-hillchute-"  # prefix of a field's name: x-hillchute-route, x-hillchute-patience, ...
+FIELD_NAMES = ("route", "trace", "patience", "nonce", "weight", "mb", "entity")
+MAX_TEXT_LENGTH = 400  # characters of a message
 
 DEFERRED = (grpc.StatusCode.UNAVAILABLE, "DEFERRED")
 KILLED = (grpc.StatusCode.ABORTED, "KILLED")
@@ -30,28 +30,30 @@
 
 
 class Status(NamedTuple):
-    """How a call ends where it does not end well."""
+    """The status of a call that does not succeed."""
 
     code: grpc.StatusCode
     text: str
     details: bytes
 
     @classmethod
-    def of(cls, kind: tuple[grpc.StatusCode, str], text: str, after: int | None = None) -> "Status":
-        """`after`: milliseconds until trying again makes sense; None where it is not said to be harmless."""
+    def of(cls, kind: tuple[grpc.StatusCode, str], text: str, retry_after_ms: int | None = None) -> "Status":
+        """`retry_after_ms`: milliseconds until a retry makes sense; None if a retry may not be safe."""
         code, reason = kind
-        text = text[:LONGEST_TEXT]
+        text = text[:MAX_TEXT_LENGTH]
         details: list[Message] = [error_details_pb2.ErrorInfo(reason=reason, domain=DOMAIN)]
-        if after is not None:
-            wait = Duration(seconds=after // 1000, nanos=after % 1000 * 1_000_000)
-            details.append(error_details_pb2.RetryInfo(retry_delay=wait))
+        if retry_after_ms is not None:
+            retry_delay = Duration(seconds=retry_after_ms // 1000, nanos=retry_after_ms % 1000 * 1_000_000)
+            details.append(error_details_pb2.RetryInfo(retry_delay=retry_delay))
         return cls(code, text, packed(code, text, details))
 
 
-def fields(metadata: Iterable[tuple[str, str | bytes]]) -> dict[str, str]:
-    """A query's fields out of a call's headers, by the names that the leading comment gives them."""
+def query_fields(metadata: Iterable[tuple[str, str | bytes]]) -> dict[str, str]:
+    """A query's fields from a call's headers, under the names that the leading comment uses for them."""
     return {
         name: value
         for key, value in metadata
-        if key.startswith(HEADER) and (name := key[len(HEADER) :]) in FIELDS and isinstance(value, str)
+        if key.startswith(HEADER_PREFIX)
+        and (name := key[len(HEADER_PREFIX) :]) in FIELD_NAMES
+        and isinstance(value, str)
     }
--- a/hillchute/fronts/flight/catalog.py
+++ b/hillchute/fronts/flight/catalog.py
@@ -1,7 +1,7 @@
-"""What a Flight SQL client may ask about the router itself, and prepared statements' marks.
+"""Metadata that Flight SQL clients request, and the parameters of prepared statements.
 
-Owns the answers to GetSqlInfo, catalogs, schemas, tables and table types, and the putting of parameters into
-a statement's text. Must never do I/O. What it calls tables are the resource groups: a router knows no others.
+Answers GetSqlInfo and the requests for catalogs, schemas, tables and table types, and inserts parameters into
+a statement's text. Resource groups are listed as tables, since a router knows no others. Performs no I/O.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -16,30 +16,37 @@
 from hillchute.protocol import sql as arrow
 from hillchute.statements.request import Misread, tokens
 
-CATALOG, TYPE = "lake", "RESOURCE GROUP"
+CATALOG_NAME, TABLE_TYPE = "lake", "RESOURCE GROUP"
 
-ACTIONS = {
+ACTION_DESCRIPTIONS = {
     "CreatePreparedStatement": "makes a prepared statement; its parameters are question marks",
     "ClosePreparedStatement": "closes a prepared statement",
     "CancelFlightInfo": "gives up what a FlightInfo's tickets run",
     "CancelQuery": "the older form of CancelFlightInfo",
 }
 
-# Numbers of GetSqlInfo, as the protocol gives them.
-SERVER_NAME, SERVER_VERSION, ARROW_VERSION, READ_ONLY, HAS_SQL, HAS_SUBSTRAIT = 0, 1, 2, 3, 4, 5
-TRANSACTIONS, CANCELS = 8, 9
-INFOS: dict[int, str | bool | int] = {
-    SERVER_NAME: "hillchute",
-    SERVER_VERSION: __version__,
-    ARROW_VERSION: pa.__version__,
-    READ_ONLY: False,
-    HAS_SQL: True,
-    HAS_SUBSTRAIT: False,
-    TRANSACTIONS: 0,
-    CANCELS: True,
+# Codes of GetSqlInfo, as the protocol defines them.
+(
+    SQL_INFO_SERVER_NAME,
+    SQL_INFO_SERVER_VERSION,
+    SQL_INFO_ARROW_VERSION,
+    SQL_INFO_READ_ONLY,
+    SQL_INFO_SQL,
+    SQL_INFO_SUBSTRAIT,
+) = 0, 1, 2, 3, 4, 5
+SQL_INFO_TRANSACTION, SQL_INFO_CANCEL = 8, 9
+SQL_INFO: dict[int, str | bool | int] = {
+    SQL_INFO_SERVER_NAME: "hillchute",
+    SQL_INFO_SERVER_VERSION: __version__,
+    SQL_INFO_ARROW_VERSION: pa.__version__,
+    SQL_INFO_READ_ONLY: False,
+    SQL_INFO_SQL: True,
+    SQL_INFO_SUBSTRAIT: False,
+    SQL_INFO_TRANSACTION: 0,
+    SQL_INFO_CANCEL: True,
 }
 
-INFO_VALUE = pa.dense_union(
+SQL_INFO_VALUE = pa.dense_union(
     [
         pa.field("string_value", pa.string()),
         pa.field("bool_value", pa.bool_()),
@@ -49,10 +56,12 @@
         pa.field("int32_to_int32_list_map", pa.map_(pa.int32(), pa.list_(pa.int32()))),
     ]
 )
-INFO = pa.schema([pa.field("info_name", pa.uint32(), False), pa.field("value", INFO_VALUE, False)])
-CATALOGS = pa.schema([pa.field("catalog_name", pa.string(), False)])
-SCHEMAS = pa.schema([("catalog_name", pa.string()), pa.field("db_schema_name", pa.string(), False)])
-TABLES = pa.schema(
+SQL_INFO_SCHEMA = pa.schema(
+    [pa.field("info_name", pa.uint32(), False), pa.field("value", SQL_INFO_VALUE, False)]
+)
+CATALOGS_SCHEMA = pa.schema([pa.field("catalog_name", pa.string(), False)])
+DB_SCHEMAS_SCHEMA = pa.schema([("catalog_name", pa.string()), pa.field("db_schema_name", pa.string(), False)])
+TABLES_SCHEMA = pa.schema(
     [
         ("catalog_name", pa.string()),
         ("db_schema_name", pa.string()),
@@ -60,60 +69,62 @@
         pa.field("table_type", pa.string(), False),
     ]
 )
-WITH_SCHEMA = TABLES.append(pa.field("table_schema", pa.binary(), False))
-TYPES = pa.schema([pa.field("table_type", pa.string(), False)])
+TABLES_WITH_COLUMNS_SCHEMA = TABLES_SCHEMA.append(pa.field("table_schema", pa.binary(), False))
+TABLE_TYPES_SCHEMA = pa.schema([pa.field("table_type", pa.string(), False)])
 
 
-def schema(asked: Message) -> pa.Schema | None:
-    """The columns of the answer to a command about the router; None where it is not spoken here."""
-    match asked:
+def answer_schema(command: Message) -> pa.Schema | None:
+    """The schema of the answer to a metadata command; None if the command is not supported."""
+    match command:
         case sql.CommandGetSqlInfo():
-            return INFO
+            return SQL_INFO_SCHEMA
         case sql.CommandGetCatalogs():
-            return CATALOGS
+            return CATALOGS_SCHEMA
         case sql.CommandGetDbSchemas():
-            return SCHEMAS
+            return DB_SCHEMAS_SCHEMA
         case sql.CommandGetTables():
-            return WITH_SCHEMA if asked.include_schema else TABLES
+            return TABLES_WITH_COLUMNS_SCHEMA if command.include_schema else TABLES_SCHEMA
         case sql.CommandGetTableTypes():
-            return TYPES
+            return TABLE_TYPES_SCHEMA
     return None
 
 
-def table(asked: Message, groups: Mapping[str, object]) -> Iterator[flight.FlightData]:
-    """The answer to a command about the router, as messages."""
-    columns = schema(asked)
+def answer(command: Message, groups: Mapping[str, object]) -> Iterator[flight.FlightData]:
+    """The answer to a metadata command, as messages; raises NotImplementedError if it is not supported."""
+    columns = answer_schema(command)
     if columns is None:
-        raise NotImplementedError(f"{asked.DESCRIPTOR.name} is not spoken here")
-    match asked:
+        raise NotImplementedError(f"{command.DESCRIPTOR.name} is not spoken here")
+    match command:
         case sql.CommandGetSqlInfo():
-            batch = infos(asked.info)
+            batch = sql_info_batch(command.info)
         case sql.CommandGetCatalogs():
-            batch = made(columns, [(CATALOG,)])
+            batch = to_batch(columns, [(CATALOG_NAME,)])
         case sql.CommandGetDbSchemas():
-            wanted = asked.db_schema_filter_pattern if asked.HasField("db_schema_filter_pattern") else "%"
-            fits = like("", wanted)
-            here = not asked.HasField("catalog") or asked.catalog == CATALOG
-            batch = made(columns, [(CATALOG, "")] if fits and here else [])
+            schema_pattern = (
+                command.db_schema_filter_pattern if command.HasField("db_schema_filter_pattern") else "%"
+            )
+            schema_matches = matches_like("", schema_pattern)
+            catalog_matches = not command.HasField("catalog") or command.catalog == CATALOG_NAME
+            batch = to_batch(columns, [(CATALOG_NAME, "")] if schema_matches and catalog_matches else [])
         case sql.CommandGetTables():
-            batch = made(columns, list(tables(asked, groups)))
+            batch = to_batch(columns, list(table_rows(command, groups)))
         case _:
-            batch = made(columns, [(TYPE,)])
+            batch = to_batch(columns, [(TABLE_TYPE,)])
     return arrow.batches(columns, [batch])
 
 
-def made(columns: pa.Schema, rows: Sequence[tuple]) -> pa.RecordBatch:
+def to_batch(columns: pa.Schema, rows: Sequence[tuple]) -> pa.RecordBatch:
     values = list(zip(*rows, strict=True)) if rows else [[] for _ in columns]
     arrays = [pa.array(list(v), field.type) for v, field in zip(values, columns, strict=True)]
     return pa.record_batch(arrays, schema=columns)
 
 
-def infos(wanted: Sequence[int]) -> pa.RecordBatch:
-    known = {n: INFOS[n] for n in (wanted or INFOS) if n in INFOS}
-    kinds, offsets, strings, flags, numbers = [], [], [], [], []
-    for value in known.values():
+def sql_info_batch(wanted: Sequence[int]) -> pa.RecordBatch:
+    requested = {n: SQL_INFO[n] for n in (wanted or SQL_INFO) if n in SQL_INFO}
+    type_ids, offsets, strings, flags, numbers = [], [], [], [], []
+    for value in requested.values():
         column = flags if isinstance(value, bool) else strings if isinstance(value, str) else numbers
-        kinds.append(0 if column is strings else 1 if column is flags else 2)
+        type_ids.append(0 if column is strings else 1 if column is flags else 2)
         offsets.append(len(column))
         column.append(value)
     children = [
@@ -124,56 +135,58 @@
         pa.array([], pa.list_(pa.string())),
         pa.array([], pa.map_(pa.int32(), pa.list_(pa.int32()))),
     ]
-    names = [INFO_VALUE.field(n).name for n in range(INFO_VALUE.num_fields)]
-    places = pa.array(kinds, pa.int8()), pa.array(offsets, pa.int32())
-    union = pa.UnionArray.from_dense(*places, children, names)
-    return pa.record_batch([pa.array(list(known), pa.uint32()), union], schema=INFO)
+    names = [SQL_INFO_VALUE.field(n).name for n in range(SQL_INFO_VALUE.num_fields)]
+    union_layout = pa.array(type_ids, pa.int8()), pa.array(offsets, pa.int32())
+    union = pa.UnionArray.from_dense(*union_layout, children, names)
+    return pa.record_batch([pa.array(list(requested), pa.uint32()), union], schema=SQL_INFO_SCHEMA)
 
 
-def tables(asked: sql.CommandGetTables, groups: Mapping[str, object]) -> Iterator[tuple]:
-    if asked.HasField("catalog") and asked.catalog != CATALOG:
+def table_rows(command: sql.CommandGetTables, groups: Mapping[str, object]) -> Iterator[tuple]:
+    if command.HasField("catalog") and command.catalog != CATALOG_NAME:
         return
-    if asked.table_types and TYPE not in asked.table_types:
+    if command.table_types and TABLE_TYPE not in command.table_types:
         return
-    if asked.HasField("db_schema_filter_pattern") and not like("", asked.db_schema_filter_pattern):
+    if command.HasField("db_schema_filter_pattern") and not matches_like(
+        "", command.db_schema_filter_pattern
+    ):
         return
-    pattern = asked.table_name_filter_pattern if asked.HasField("table_name_filter_pattern") else "%"
+    pattern = command.table_name_filter_pattern if command.HasField("table_name_filter_pattern") else "%"
     for name in sorted(groups):
-        if like(name, pattern):
-            row = (CATALOG, "", name, TYPE)
-            yield (*row, arrow.schema_bytes(arrow.PLAIN)) if asked.include_schema else row
+        if matches_like(name, pattern):
+            row = (CATALOG_NAME, "", name, TABLE_TYPE)
+            yield (*row, arrow.schema_bytes(arrow.PLAIN)) if command.include_schema else row
 
 
-def like(text: str, pattern: str) -> bool:
-    """SQL's LIKE."""
-    shell = pattern.replace("[", "[[]").replace("*", "[*]").replace("?", "[?]")
-    return fnmatchcase(text, shell.replace("%", "*").replace("_", "?"))
+def matches_like(text: str, pattern: str) -> bool:
+    """Whether a text matches a pattern of SQL's LIKE."""
+    glob = pattern.replace("[", "[[]").replace("*", "[*]").replace("?", "[?]")
+    return fnmatchcase(text, glob.replace("%", "*").replace("_", "?"))
 
 
 # ---- prepared statements --------------------------------------------------------------------------
 
 
-def marks(text: str) -> int:
-    """How many parameters a statement has: question marks outside of strings, names and comments."""
+def count_parameters(text: str) -> int:
+    """The number of a statement's parameters: question marks outside of strings, names and comments."""
     return sum(token == b"?" for token in tokens(text.encode()))
 
 
-def parameters(count: int) -> pa.Schema:
+def parameter_schema(count: int) -> pa.Schema:
     return pa.schema([(f"parameter_{n + 1}", pa.string()) for n in range(count)])
 
 
-def bound(text: str, values: Sequence[object]) -> str:
-    """A statement with its parameters in it, as literals; raises Misread where their number is wrong."""
-    left, out = list(values), []
+def bind_parameters(text: str, values: Sequence[object]) -> str:
+    """A statement with its parameters replaced by literals; raises Misread if their number is wrong."""
+    remaining, out = list(values), []
     for token in tokens(text.encode()):
         if token == b"?":
-            if not left:
-                raise Misread(f"parameters: {marks(text)} are wanted, {len(values)} are bound")
-            out.append(literal(left.pop(0)).encode())
+            if not remaining:
+                raise Misread(f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound")
+            out.append(literal(remaining.pop(0)).encode())
         else:
             out.append(token)
-    if left:
-        raise Misread(f"parameters: {marks(text)} are wanted, {len(values)} are bound")
+    if remaining:
+        raise Misread(f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound")
     return b"".join(out).decode()
 
 
--- a/hillchute/fronts/flight/identity.py
+++ b/hillchute/fronts/flight/identity.py
@@ -1,7 +1,7 @@
-"""Who a call comes from: basic and bearer authentication by the users of the operator file.
+"""Authenticates calls: basic and bearer authentication for the users of the operator file.
 
-Owns the users' secrets and the tokens given out at a handshake. Must never do I/O after the start, and never
-say which half of a name and password was wrong.
+Holds the users' secrets and issues tokens at a handshake. Performs no I/O except when it is created. An error
+never tells whether the name or the password was wrong.
 """
 
 import base64
@@ -11,16 +11,16 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-ANYBODY = "-"  # the owner of what is handed out where no users are set
-SPAN = 36_000_000  # an hour: how long a token that was given out at a handshake is good
+ANONYMOUS = "-"  # owner of tickets and prepared statements if no users are configured
+TOKEN_LIFETIME = 36_000_000  # 1 h: validity of a token that is issued at a handshake
 
 
-class Refused(Exception):
-    """The call names nobody that may come in."""
+class AuthenticationError(Exception):
+    """The call has no valid credentials; the text is sent to the client."""
 
 
-def secret(user: Mapping[str, str], kind: str) -> str | None:
-    """A user's password or token, from the file or from the file that it names."""
+def read_secret(user: Mapping[str, str], kind: str) -> str | None:
+    """A user's password or token, from the operator file or from the file that it names; None if not set."""
     if kind in user:
         return user[kind]
     if f"{kind}_file" in user:
@@ -28,57 +28,61 @@
     return None
 
 
-class Gate:
-    """Tells the owner of a call by its `authorization` header."""
+class Authenticator:
+    """Identifies the user of a call by its `authorization` header."""
 
     def __init__(self, users: Sequence[Mapping[str, str]], key: bytes) -> None:
         self.key = key
-        self.passwords = {u["name"]: s for u in users if (s := secret(u, "password")) is not None}
-        self.tokens = {s: u["name"] for u in users if (s := secret(u, "token")) is not None}
-        self.open = not users
-
-    def owner(self, now: int, header: str | None) -> str:
-        """The user's name; raises Refused."""
-        if self.open:
-            return ANYBODY
+        self.passwords = {u["name"]: s for u in users if (s := read_secret(u, "password")) is not None}
+        self.tokens = {s: u["name"] for u in users if (s := read_secret(u, "token")) is not None}
+        self.allows_anonymous = not users
+
+    def authenticate(self, now: int, header: str | None) -> str:
+        """The name of the call's user, ANONYMOUS if none are configured; raises AuthenticationError."""
+        if self.allows_anonymous:
+            return ANONYMOUS
         kind, _, value = (header or "").partition(" ")
         match kind.lower():
             case "basic":
-                return self.basic(value)
+                return self.check_basic(value)
             case "bearer":
-                return self.bearer(now, value)
-        raise Refused("authentication is needed: basic or bearer")
+                return self.check_bearer(now, value)
+        raise AuthenticationError("authentication is needed: basic or bearer")
 
-    def basic(self, value: str) -> str:
+    def check_basic(self, value: str) -> str:
         try:
-            name, sign, password = base64.b64decode(value, validate=True).decode().partition(":")
+            name, separator, password = base64.b64decode(value, validate=True).decode().partition(":")
         except (binascii.Error, UnicodeDecodeError):
-            raise Refused("malformed basic authentication") from None
-        if not sign:
-            raise Refused("malformed basic authentication")
-        return self.password(name, password)
+            raise AuthenticationError("malformed basic authentication") from None
+        if not separator:
+            raise AuthenticationError("malformed basic authentication")
+        return self.check_password(name, password)
 
-    def password(self, name: str, password: str) -> str:
+    def check_password(self, name: str, password: str) -> str:
         known = self.passwords.get(name, "")
-        same = hmac.compare_digest(known.encode(), password.encode())
-        if not same or name not in self.passwords:
-            raise Refused("wrong user or password")
+        matches = hmac.compare_digest(known.encode(), password.encode())
+        if not matches or name not in self.passwords:
+            raise AuthenticationError("wrong user or password")
         return name
 
-    def bearer(self, now: int, value: str) -> str:
+    def check_bearer(self, now: int, value: str) -> str:
         for token, name in self.tokens.items():
             if hmac.compare_digest(token.encode(), value.encode()):
                 return name
         name, _, rest = value.rpartition(".")
-        name, _, until = name.rpartition(".")
-        if until.isdigit() and hmac.compare_digest(value, self.sign(name, int(until))) and int(until) > now:
+        name, _, expires_at = name.rpartition(".")
+        if (
+            expires_at.isdigit()
+            and hmac.compare_digest(value, self.sign_token(name, int(expires_at)))
+            and int(expires_at) > now
+        ):
             return name
-        raise Refused("wrong or expired token")
+        raise AuthenticationError("wrong or expired token")
 
-    def give(self, now: int, name: str) -> str:
-        """A token for the hour to come, told by itself: nothing is kept of it."""
-        return self.sign(name, now + SPAN)
+    def issue_token(self, now: int, name: str) -> str:
+        """A token that is valid for TOKEN_LIFETIME; it is verified by its signature, so none is stored."""
+        return self.sign_token(name, now + TOKEN_LIFETIME)
 
-    def sign(self, name: str, until: int) -> str:
-        text = f"{name}.{until}"
+    def sign_token(self, name: str, expires_at: int) -> str:
+        text = f"{name}.{expires_at}"
         return f"{text}.{hmac.new(self.key, text.encode(), hashlib.sha256).hexdigest()}"
--- a/hillchute/fronts/flight/server.py
+++ b/hillchute/fronts/flight/server.py
@@ -1,7 +1,7 @@
-"""The Flight SQL front: calls on grpc, inside the router's own event loop.
+"""The Flight SQL frontend: a gRPC server in the router's event loop.
 
-Owns the listening port, the open calls and what was handed out to clients. Must never decide what is answered
-nor keep a query's state: what clients ask is handed in, answers come from outside, by the call's number.
+Owns the listening port, the open calls, the tickets and the prepared statements. Queries are reported as
+events, and the caller supplies their answers by the call's number; no query state is kept here.
 """
 
 import os
@@ -20,8 +20,8 @@
 from hillchute.fronts import events
 from hillchute.fronts.flight import answers, catalog
 from hillchute.fronts.flight.answers import Status
-from hillchute.fronts.flight.identity import ANYBODY, Gate, Refused
-from hillchute.fronts.flight.tickets import Full, NotHeld, Table
+from hillchute.fronts.flight.identity import ANONYMOUS, AuthenticationError, Authenticator
+from hillchute.fronts.flight.tickets import InvalidTokenError, LimitReachedError, Table
 from hillchute.log import Log
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
@@ -30,25 +30,25 @@
 from hillchute.statements import request as statements
 from hillchute.statements.request import Request
 
-SECOND = 10_000  # tenths of a millisecond
-LONGEST_HEADERS = 65_536
+SECOND = 10_000  # in units of 0.1 ms
+MAX_HEADER_BYTES = 65_536
 
 
 class Call:
-    """One query of a client, from its asking to its answer."""
+    """One query of a client, from its submission to its answer."""
 
-    __slots__ = ("number", "owner", "done", "rows", "stream", "status")
+    __slots__ = ("number", "owner", "answered", "rows", "stream", "status")
 
     def __init__(self, number: int, owner: str) -> None:
         self.number, self.owner = number, owner
-        self.done = anyio.Event()
+        self.answered = anyio.Event()
         self.rows: words.Rows | None = None
         self.stream: words.Stream | None = None
         self.status: Status | None = None
 
 
 class Prepared(NamedTuple):
-    """A prepared statement: its text, the fields of the call that made it, and values for its marks."""
+    """A prepared statement: its text, the fields of the call that created it, and its parameters' values."""
 
     text: str
     fields: Mapping[str, str]
@@ -56,7 +56,7 @@
 
 
 class Server:
-    """`handle` takes events; numbers of calls are sessions there."""
+    """Serves calls; `handle` takes their events, in which a call's number is the session."""
 
     def __init__(
         self,
@@ -66,15 +66,15 @@
         clock: Callable[[], int],
         handle: Callable[[events.Event], None],
     ) -> None:
-        """`settings`: the operator file's `flight`; `tables`: the resource groups' names, for the catalog."""
+        """`settings`: `flight` of the operator file; `tables`: the resource groups by name."""
         self.settings, self.log, self.clock, self.handle = settings, log, clock, handle
         key = secrets.token_bytes(32)
-        self.gate = Gate(settings["users"], key)
+        self.authenticator = Authenticator(settings["users"], key)
         self.tickets: Table[Request] = Table(key, settings["tickets"], settings["ticket_ms"] * 10)
         self.prepared: Table[Prepared] = Table(key[::-1], settings["prepared"], None)
         self.calls: dict[int, Call] = {}
-        self.by_ticket: dict[bytes, int] = {}  # calls that run a ticket, for those who cancel
-        self.count = events.FIRST_CALL
+        self.by_ticket: dict[bytes, int] = {}  # numbers of the calls that run a ticket, for cancellation
+        self.last_call = events.FIRST_CALL
         self.tables = tables
         self.server: grpc.aio.Server | None = None
         self.port = 0
@@ -83,25 +83,25 @@
     # ---- the port ---------------------------------------------------------------------------------
 
     async def open(self) -> None:
-        """Serves from here on; raises OSError where the port is taken, ValueError where keys are no good."""
+        """Starts serving; raises OSError if the port is taken, ValueError if the TLS keys are not valid."""
         most = self.settings["message_bytes"]
         self.server = grpc.aio.server(
             options=[
                 ("grpc.max_receive_message_length", most),
                 ("grpc.max_send_message_length", -1),
-                ("grpc.max_metadata_size", LONGEST_HEADERS),
+                ("grpc.max_metadata_size", MAX_HEADER_BYTES),
                 ("grpc.so_reuseport", 0),
             ],
             maximum_concurrent_rpcs=self.settings["streams"] + self.settings["tickets"],
         )
         handlers = {
-            "Handshake": grpc.stream_stream_rpc_method_handler(self.guarded_stream(self.handshake)),
-            "GetFlightInfo": grpc.unary_unary_rpc_method_handler(self.guarded(self.get_info)),
-            "GetSchema": grpc.unary_unary_rpc_method_handler(self.guarded(self.get_schema)),
-            "DoGet": grpc.unary_stream_rpc_method_handler(self.guarded_stream(self.do_get)),
-            "DoPut": grpc.stream_stream_rpc_method_handler(self.guarded_stream(self.do_put)),
-            "DoAction": grpc.unary_stream_rpc_method_handler(self.guarded_stream(self.do_action)),
-            "ListActions": grpc.unary_stream_rpc_method_handler(self.guarded_stream(self.list_actions)),
+            "Handshake": grpc.stream_stream_rpc_method_handler(self.stream_handler(self.handshake)),
+            "GetFlightInfo": grpc.unary_unary_rpc_method_handler(self.unary_handler(self.get_info)),
+            "GetSchema": grpc.unary_unary_rpc_method_handler(self.unary_handler(self.get_schema)),
+            "DoGet": grpc.unary_stream_rpc_method_handler(self.stream_handler(self.do_get)),
+            "DoPut": grpc.stream_stream_rpc_method_handler(self.stream_handler(self.do_put)),
+            "DoAction": grpc.unary_stream_rpc_method_handler(self.stream_handler(self.do_action)),
+            "ListActions": grpc.unary_stream_rpc_method_handler(self.stream_handler(self.list_actions)),
         }
         name = arrow.SERVICE.strip("/")
         self.server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(name, handlers),))
@@ -118,24 +118,24 @@
         self.log.write("flight", phase="open", listen=listen, port=self.port, tls=tls is not None)
 
     def credentials(self, tls: Mapping[str, object]) -> grpc.ServerCredentials:
-        """Keys of now; new ones are found when their files change, without a restart."""
+        """TLS credentials that are reloaded when their files change, without a restart."""
         authority = tls.get("client_authority")
-        known = {"marks": self.marks(tls), "at": self.clock()}
-        first = self.keys(tls)
+        last_check = {"versions": self.file_versions(tls), "checked_at": self.clock()}
+        first = self.load_keys(tls)
 
         def fetch() -> grpc.ServerCertificateConfiguration | None:
             now = self.clock()
-            if now - known["at"] < tls["reload_ms"] * 10:
+            if now - last_check["checked_at"] < tls["reload_ms"] * 10:
                 return None
-            known["at"], marks = now, self.marks(tls)
-            if marks == known["marks"]:
+            last_check["checked_at"], versions = now, self.file_versions(tls)
+            if versions == last_check["versions"]:
                 return None
             try:
-                keys = self.keys(tls)
-            except (OSError, ValueError) as fault:  # half-written: the running keys stay
+                keys = self.load_keys(tls)
+            except (OSError, ValueError) as fault:  # files may be half-written: keep the current keys
                 self.log.write("flight", kept="the running keys", reason=str(fault))
                 return None
-            known["marks"] = marks
+            last_check["versions"] = versions
             self.log.write("flight", keys="reloaded")
             return keys
 
@@ -143,19 +143,19 @@
             first, fetch, require_client_authentication=authority is not None
         )
 
-    def marks(self, tls: Mapping[str, object]) -> list[tuple[int, int]]:
+    def file_versions(self, tls: Mapping[str, object]) -> list[tuple[int, int]]:
         paths = [tls["certificate"], tls["key"], tls.get("client_authority")]
-        found = []
+        versions = []
         for path in filter(None, paths):
             try:
-                known = os.stat(path)
-                found.append((known.st_mtime_ns, known.st_size))
+                status = os.stat(path)
+                versions.append((status.st_mtime_ns, status.st_size))
             except OSError:
-                found.append((0, 0))
-        return found
+                versions.append((0, 0))
+        return versions
 
-    def keys(self, tls: Mapping[str, object]) -> grpc.ServerCertificateConfiguration:
-        """Raises OSError or ValueError where the files are no pair of keys."""
+    def load_keys(self, tls: Mapping[str, object]) -> grpc.ServerCertificateConfiguration:
+        """Reads the TLS keys; raises OSError or ValueError if certificate and key do not match."""
         key, chain = Path(tls["key"]).read_bytes(), Path(tls["certificate"]).read_bytes()
         try:
             ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER).load_cert_chain(tls["certificate"], tls["key"])
@@ -166,106 +166,109 @@
         return grpc.ssl_server_certificate_configuration(((key, chain),), roots)
 
     async def close(self, grace: float) -> None:
-        """No new call; those that are open have so many seconds."""
+        """Takes no more calls, and ends those that are open after `grace` seconds."""
         self.closing = True
         if self.server is not None:
             await self.server.stop(grace)
 
     def renew(self, settings: Mapping[str, object]) -> list[str]:
-        """Settings read again: users, defaults and bounds move; the keys of those that can't are given."""
+        """Applies users, defaults and limits of reloaded settings; returns the keys that need a restart."""
         fixed = [
             key for key in ("listen", "tls", "message_bytes") if settings.get(key) != self.settings.get(key)
         ]
         try:
-            gate = Gate(settings["users"], self.gate.key)
+            authenticator = Authenticator(settings["users"], self.authenticator.key)
         except OSError as fault:
             raise ValueError(f"flight.users: {fault}") from None
         self.settings = {**settings, **{key: self.settings.get(key) for key in fixed}}
-        self.gate = gate
-        self.tickets.most, self.tickets.span = settings["tickets"], settings["ticket_ms"] * 10
-        self.prepared.most = settings["prepared"]
+        self.authenticator = authenticator
+        self.tickets.max_entries, self.tickets.lifetime = settings["tickets"], settings["ticket_ms"] * 10
+        self.prepared.max_entries = settings["prepared"]
         return fixed
 
-    # ---- every call -------------------------------------------------------------------------------
+    # ---- all calls --------------------------------------------------------------------------------
 
-    async def end(self, context: grpc.aio.ServicerContext, status: Status) -> None:
+    async def abort(self, context: grpc.aio.ServicerContext, status: Status) -> None:
         await context.abort(status.code, status.text, ((DETAILS, status.details),))
 
-    def owner(self, context: grpc.aio.ServicerContext) -> str:
+    def authenticate(self, context: grpc.aio.ServicerContext) -> str:
         header = next((v for k, v in context.invocation_metadata() or () if k == "authorization"), None)
-        return self.gate.owner(self.clock(), header)
+        return self.authenticator.authenticate(self.clock(), header)
 
-    def fault(self, fault: Exception) -> Status:
+    def status_of(self, fault: Exception) -> Status:
         match fault:
-            case Refused():
+            case AuthenticationError():
                 return Status.of(answers.NO_ENTRY, str(fault))
-            case NotHeld():
+            case InvalidTokenError():
                 return Status.of(answers.NO_TICKET, str(fault))
-            case Full():
-                return Status.of(answers.FULL, str(fault), after=100)
+            case LimitReachedError():
+                return Status.of(answers.FULL, str(fault), retry_after_ms=100)
             case arrow.Unreadable() | statements.Misread():
                 return Status.of(answers.MISREAD, str(fault))
             case NotImplementedError():
                 return Status.of(answers.UNSPOKEN, str(fault))
-            case Ended():
+            case CallEndedError():
                 return fault.status
         raise fault
 
-    def guarded(self, work: Callable) -> Callable:
-        async def served(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
+    def unary_handler(self, method: Callable) -> Callable:
+        async def handle_call(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
             try:
-                return await work(data, context)
-            except FAULTS as fault:
-                status = self.fault(fault)
-            await self.end(context, status)
+                return await method(data, context)
+            except CALL_ERRORS as fault:
+                status = self.status_of(fault)
+            await self.abort(context, status)
 
-        return served
+        return handle_call
 
-    def guarded_stream(self, work: Callable) -> Callable:
-        async def served(data, context: grpc.aio.ServicerContext) -> AsyncIterator[bytes]:
+    def stream_handler(self, method: Callable) -> Callable:
+        async def handle_call(data, context: grpc.aio.ServicerContext) -> AsyncIterator[bytes]:
             status = None
             try:
-                async for part in work(data, context):
+                async for part in method(data, context):
                     yield part
-            except FAULTS as fault:
-                status = self.fault(fault)
+            except CALL_ERRORS as fault:
+                status = self.status_of(fault)
             if status is not None:
-                await self.end(context, status)
+                await self.abort(context, status)
 
-        return served
+        return handle_call
 
-    # ---- who ----------------------------------------------------------------------------------------
+    # ---- authentication -----------------------------------------------------------------------------
 
     async def handshake(self, messages, context) -> AsyncIterator[bytes]:
-        """Basic authentication by header or by payload; a bearer token comes back both ways."""
+        """Basic authentication by header or by payload; the bearer token is returned in both."""
         now = self.clock()
         header = next((v for k, v in context.invocation_metadata() or () if k == "authorization"), None)
-        if header is not None or self.gate.open:
-            owner, version = self.gate.owner(now, header), 0
+        if header is not None or self.authenticator.allows_anonymous:
+            owner, version = self.authenticator.authenticate(now, header), 0
         else:
             first = await anext(aiter(messages), None)
             if first is None:
-                raise Refused("authentication is needed: basic or bearer")
+                raise AuthenticationError("authentication is needed: basic or bearer")
             sent = arrow.read(flight.HandshakeRequest, first)
-            known = arrow.read(flight.BasicAuth, sent.payload)
-            owner, version = self.gate.password(known.username, known.password), sent.protocol_version
-        token = self.gate.give(now, owner)
+            credentials = arrow.read(flight.BasicAuth, sent.payload)
+            owner, version = (
+                self.authenticator.check_password(credentials.username, credentials.password),
+                sent.protocol_version,
+            )
+        token = self.authenticator.issue_token(now, owner)
         await context.send_initial_metadata((("authorization", f"Bearer {token}"),))
         yield flight.HandshakeResponse(protocol_version=version, payload=token.encode()).SerializeToString()
 
-    # ---- what is there ------------------------------------------------------------------------------
+    # ---- metadata and tickets -----------------------------------------------------------------------
 
     async def get_info(self, data: bytes, context) -> bytes:
-        owner = self.owner(context)
+        owner = self.authenticate(context)
         descriptor = arrow.read(flight.FlightDescriptor, data)
-        asked = self.asked(descriptor)
-        if isinstance(asked, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery):
-            schema, ticket = b"", self.ticket(owner, asked, context)
+        command = self.parse_command(descriptor)
+        if isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery):
+            schema, ticket = b"", self.issue_ticket(owner, command, context)
         else:
-            known = catalog.schema(asked)
-            if known is None:
-                raise NotImplementedError(f"{asked.DESCRIPTOR.name} is not spoken here")
-            schema, ticket = arrow.schema_bytes(known), descriptor.cmd
+            answer_schema = catalog.answer_schema(command)
+            if answer_schema is None:
+                raise NotImplementedError(f"{command.DESCRIPTOR.name} is not spoken here")
+            schema, ticket = arrow.schema_bytes(answer_schema), descriptor.cmd
         return flight.FlightInfo(
             schema=schema,
             flight_descriptor=descriptor,
@@ -274,38 +277,41 @@
             total_bytes=-1,
         ).SerializeToString()
 
-    def asked(self, descriptor: flight.FlightDescriptor):
+    def parse_command(self, descriptor: flight.FlightDescriptor):
         if descriptor.type != flight.FlightDescriptor.CMD:
             raise NotImplementedError("only commands are spoken here, no paths")
         return arrow.unwrap(descriptor.cmd)
 
     async def get_schema(self, data: bytes, context) -> bytes:
-        owner = self.owner(context)
-        asked = self.asked(arrow.read(flight.FlightDescriptor, data))
-        if isinstance(asked, sql.CommandPreparedStatementQuery):
-            self.prepared.get(self.clock(), owner, asked.prepared_statement_handle)
-        statement = isinstance(asked, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery)
-        known = arrow.PLAIN if statement else catalog.schema(asked)
-        if known is None:
-            raise NotImplementedError(f"{asked.DESCRIPTOR.name} is not spoken here")
-        return flight.SchemaResult(schema=arrow.schema_bytes(known)).SerializeToString()
+        owner = self.authenticate(context)
+        command = self.parse_command(arrow.read(flight.FlightDescriptor, data))
+        if isinstance(command, sql.CommandPreparedStatementQuery):
+            self.prepared.get(self.clock(), owner, command.prepared_statement_handle)
+        statement = isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery)
+        answer_schema = arrow.PLAIN if statement else catalog.answer_schema(command)
+        if answer_schema is None:
+            raise NotImplementedError(f"{command.DESCRIPTOR.name} is not spoken here")
+        return flight.SchemaResult(schema=arrow.schema_bytes(answer_schema)).SerializeToString()
 
     # ---- statements -----------------------------------------------------------------------------------
 
-    def ticket(self, owner: str, asked, context) -> bytes:
-        """A ticket for a statement; it is read here, so that what can't run is told before."""
+    def issue_ticket(self, owner: str, command, context) -> bytes:
+        """A ticket for a statement, which is parsed here so that errors are reported before it is run."""
         now = self.clock()
-        fields = answers.fields(context.invocation_metadata() or ())
-        if isinstance(asked, sql.CommandStatementQuery):
-            text = asked.query
+        fields = answers.query_fields(context.invocation_metadata() or ())
+        if isinstance(command, sql.CommandStatementQuery):
+            text = command.query
         else:
-            known = self.prepared.get(now, owner, asked.prepared_statement_handle)
-            text, fields = catalog.bound(known.text, known.values), {**known.fields, **fields}
-        token = self.tickets.put(now, owner, self.request(text, fields))
+            prepared = self.prepared.get(now, owner, command.prepared_statement_handle)
+            text, fields = (
+                catalog.bind_parameters(prepared.text, prepared.values),
+                {**prepared.fields, **fields},
+            )
+        token = self.tickets.put(now, owner, self.build_request(text, fields))
         return arrow.wrap(sql.TicketStatementQuery(statement_handle=token))
 
-    def request(self, text: str, fields: Mapping[str, str]) -> Request:
-        """A query out of its text and the call's headers; what neither states has the operator's default."""
+    def build_request(self, text: str, fields: Mapping[str, str]) -> Request:
+        """A query from its text and the call's fields; missing fields have the operator's defaults."""
         missing = {
             "trace": secrets.token_hex(8),
             "patience": str(self.settings["default_patience_ms"]),
@@ -316,57 +322,57 @@
 
     async def do_get(self, data: bytes, context) -> AsyncIterator[bytes]:
         since = self.clock()
-        owner = self.owner(context)
+        owner = self.authenticate(context)
         ticket = arrow.read(flight.Ticket, data).ticket
-        asked = arrow.unwrap(ticket)
-        if not isinstance(asked, sql.TicketStatementQuery):
-            for part in catalog.table(asked, self.tables):
+        command = arrow.unwrap(ticket)
+        if not isinstance(command, sql.TicketStatementQuery):
+            for part in catalog.answer(command, self.tables):
                 yield part.SerializeToString()
             return
-        request = self.tickets.take(since, owner, asked.statement_handle)
-        call = self.call(owner)
+        request = self.tickets.take(since, owner, command.statement_handle)
+        call = self.open_call(owner)
         self.by_ticket[ticket] = call.number
         try:
-            await self.ask(call, request, since)
+            await self.run_query(call, request, since)
             if call.rows is not None:
                 for part in arrow.from_rows(call.rows):
                     yield part.SerializeToString()
             else:
-                async for raw in self.passed_on(call):
+                async for raw in self.stream_messages(call):
                     yield raw
         finally:
             self.by_ticket.pop(ticket, None)
-            self.forget(call)
+            self.close_call(call)
 
-    async def passed_on(self, call: Call) -> AsyncIterator[bytes]:
-        """An engine's messages as they are, one at a time: grpc takes the next when the client has room."""
+    async def stream_messages(self, call: Call) -> AsyncIterator[bytes]:
+        """The engine's messages unchanged; gRPC takes the next when the client can receive it."""
         while (raw := await call.stream.read()) is not None and call.status is None:
             yield raw
         if call.status is not None:
-            raise Ended(call.status)
+            raise CallEndedError(call.status)
         if call.stream.broken:
-            raise Ended(Status.of(answers.CUT, "the result broke off"))
+            raise CallEndedError(Status.of(answers.CUT, "the result broke off"))
         self.handle(events.Passed(call.number))
 
-    def call(self, owner: str) -> Call:
+    def open_call(self, owner: str) -> Call:
         if self.closing:
-            raise Ended(Status.of(answers.CLOSING, "the router ends", after=100))
+            raise CallEndedError(Status.of(answers.CLOSING, "the router ends", retry_after_ms=100))
         if len(self.calls) >= self.settings["streams"]:
-            raise Full("too many calls are open")
-        self.count += 1
-        call = self.calls[self.count] = Call(self.count, owner)
+            raise LimitReachedError("too many calls are open")
+        self.last_call += 1
+        call = self.calls[self.last_call] = Call(self.last_call, owner)
         return call
 
-    async def ask(self, call: Call, request: Request, since: int) -> None:
-        """Hands a query in and waits for its answer, or for the first of its stream."""
-        customer = "" if call.owner == ANYBODY else call.owner
+    async def run_query(self, call: Call, request: Request, since: int) -> None:
+        """Submits a query and waits for its answer, or for the start of its result stream."""
+        customer = "" if call.owner == ANONYMOUS else call.owner
         self.handle(events.Asked(call.number, request._replace(customer=customer), since))
-        await call.done.wait()
+        await call.answered.wait()
         if call.rows is None and call.stream is None:
-            raise Ended(call.status)
+            raise CallEndedError(call.status)
 
-    def forget(self, call: Call) -> None:
-        """The call is over, whoever ended it; a query that is still open was given up by its client."""
+    def close_call(self, call: Call) -> None:
+        """Removes a call and reports that its client left, which cancels the query if it is still open."""
         if self.calls.pop(call.number, None) is not None:
             self.handle(events.Left(call.number))
 
@@ -374,39 +380,39 @@
 
     async def do_put(self, messages, context) -> AsyncIterator[bytes]:
         since = self.clock()
-        owner = self.owner(context)
+        owner = self.authenticate(context)
         parts = aiter(messages)
         first = await anext(parts, None)
         if first is None:
             raise arrow.Unreadable("a put without a message")
         data = arrow.read(flight.FlightData, first)
-        asked = self.asked(data.flight_descriptor)
-        fields = answers.fields(context.invocation_metadata() or ())
-        match asked:
+        command = self.parse_command(data.flight_descriptor)
+        fields = answers.query_fields(context.invocation_metadata() or ())
+        match command:
             case sql.CommandStatementUpdate():
-                count = await self.update(owner, self.request(asked.query, fields), since)
+                count = await self.run_update(owner, self.build_request(command.query, fields), since)
             case sql.CommandPreparedStatementUpdate():
-                known = self.prepared.get(since, owner, asked.prepared_statement_handle)
-                values = await self.parameters(first, parts)
-                text = catalog.bound(known.text, values or known.values)
-                request = self.request(text, {**known.fields, **fields})
-                count = await self.update(owner, request, since)
+                prepared = self.prepared.get(since, owner, command.prepared_statement_handle)
+                values = await self.read_parameters(first, parts)
+                text = catalog.bind_parameters(prepared.text, values or prepared.values)
+                request = self.build_request(text, {**prepared.fields, **fields})
+                count = await self.run_update(owner, request, since)
             case sql.CommandPreparedStatementQuery():
-                handle = asked.prepared_statement_handle
-                known = self.prepared.get(since, owner, handle)
-                values = await self.parameters(first, parts)
+                handle = command.prepared_statement_handle
+                prepared = self.prepared.get(since, owner, handle)
+                values = await self.read_parameters(first, parts)
                 number = self.prepared.find(since, owner, handle)
-                self.prepared.entries[number].held = known._replace(values=values)
+                self.prepared.entries[number].value = prepared._replace(values=values)
                 result = sql.DoPutPreparedStatementResult(prepared_statement_handle=handle)
                 yield flight.PutResult(app_metadata=result.SerializeToString()).SerializeToString()
                 return
             case _:
-                raise NotImplementedError(f"{asked.DESCRIPTOR.name} can't be put here")
+                raise NotImplementedError(f"{command.DESCRIPTOR.name} can't be put here")
         result = sql.DoPutUpdateResult(record_count=count)
         yield flight.PutResult(app_metadata=result.SerializeToString()).SerializeToString()
 
-    async def parameters(self, first: bytes, parts) -> tuple[object, ...]:
-        """The one row of parameters that a put brings; empty where it brings none."""
+    async def read_parameters(self, first: bytes, parts) -> tuple[object, ...]:
+        """The row of parameters that a put carries; empty if it carries none."""
         reading, raw, values = arrow.Reading(), first, ()
         while raw is not None:
             batch = reading.take(raw)
@@ -417,58 +423,60 @@
             raw = await anext(parts, None)
         return values
 
-    async def update(self, owner: str, request: Request, since: int) -> int:
-        """Runs a statement for its effect; how many records it says it changed, or rows it gave."""
-        call = self.call(owner)
+    async def run_update(self, owner: str, request: Request, since: int) -> int:
+        """Runs a statement for its effect; returns the number of changed records, or else of result rows."""
+        call = self.open_call(owner)
         try:
-            await self.ask(call, request, since)
+            await self.run_query(call, request, since)
             if call.rows is not None:
-                return changed(call.rows)
+                return changed_count(call.rows)
             count, reading = 0, arrow.Reading()
-            async for raw in self.passed_on(call):
+            async for raw in self.stream_messages(call):
                 batch = reading.take(raw)
                 count += batch.num_rows if batch is not None else 0
             return count
         finally:
-            self.forget(call)
+            self.close_call(call)
 
     # ---- actions ----------------------------------------------------------------------------------------
 
     async def do_action(self, data: bytes, context) -> AsyncIterator[bytes]:
-        owner, now = self.owner(context), self.clock()
+        owner, now = self.authenticate(context), self.clock()
         action = arrow.read(flight.Action, data)
         match action.type:
             case "CreatePreparedStatement":
-                asked = arrow.unwrap(action.body)
-                if not isinstance(asked, sql.ActionCreatePreparedStatementRequest):
+                command = arrow.unwrap(action.body)
+                if not isinstance(command, sql.ActionCreatePreparedStatementRequest):
                     raise arrow.Unreadable("not a request for a prepared statement")
-                fields = answers.fields(context.invocation_metadata() or ())
-                handle = self.prepared.put(now, owner, Prepared(asked.query, fields))
-                marks = catalog.marks(asked.query)
+                fields = answers.query_fields(context.invocation_metadata() or ())
+                handle = self.prepared.put(now, owner, Prepared(command.query, fields))
+                parameter_count = catalog.count_parameters(command.query)
                 result = sql.ActionCreatePreparedStatementResult(
                     prepared_statement_handle=handle,
-                    parameter_schema=arrow.schema_bytes(catalog.parameters(marks)) if marks else b"",
+                    parameter_schema=arrow.schema_bytes(catalog.parameter_schema(parameter_count))
+                    if parameter_count
+                    else b"",
                 )
                 yield flight.Result(body=arrow.wrap(result)).SerializeToString()
             case "ClosePreparedStatement":
-                asked = arrow.unwrap(action.body)
-                if not isinstance(asked, sql.ActionClosePreparedStatementRequest):
+                command = arrow.unwrap(action.body)
+                if not isinstance(command, sql.ActionClosePreparedStatementRequest):
                     raise arrow.Unreadable("not a close of a prepared statement")
-                self.prepared.take(now, owner, asked.prepared_statement_handle)
+                self.prepared.take(now, owner, command.prepared_statement_handle)
             case "CancelFlightInfo":
                 info = arrow.read(flight.CancelFlightInfoRequest, action.body).info
                 status = flight.CancelFlightInfoResult(status=self.cancel(owner, now, info))
                 yield flight.Result(body=status.SerializeToString()).SerializeToString()
             case "CancelQuery":
-                asked = arrow.unwrap(action.body)
-                info = arrow.read(flight.FlightInfo, getattr(asked, "info", b""))
+                command = arrow.unwrap(action.body)
+                info = arrow.read(flight.FlightInfo, getattr(command, "info", b""))
                 result = sql.ActionCancelQueryResult(result=self.cancel(owner, now, info))
                 yield flight.Result(body=arrow.wrap(result)).SerializeToString()
             case other:
                 raise NotImplementedError(f"no action of the name {other[:40]!r}")
 
     def cancel(self, owner: str, now: int, info: flight.FlightInfo) -> int:
-        """Gives up what a FlightInfo's tickets run, or takes back tickets that were not used."""
+        """Cancels the calls that run a FlightInfo's tickets, and revokes its unused tickets."""
         done = flight.CANCEL_STATUS_NOT_CANCELLABLE
         for endpoint in info.endpoint:
             ticket = endpoint.ticket.ticket
@@ -479,64 +487,72 @@
                 done = flight.CANCEL_STATUS_CANCELLED
                 continue
             try:
-                asked = arrow.unwrap(ticket)
-                if isinstance(asked, sql.TicketStatementQuery):
-                    self.tickets.take(now, owner, asked.statement_handle)
+                command = arrow.unwrap(ticket)
+                if isinstance(command, sql.TicketStatementQuery):
+                    self.tickets.take(now, owner, command.statement_handle)
                     done = flight.CANCEL_STATUS_CANCELLED
-            except (NotHeld, arrow.Unreadable):
+            except (InvalidTokenError, arrow.Unreadable):
                 continue
         return done
 
     async def list_actions(self, data: bytes, context) -> AsyncIterator[bytes]:
-        self.owner(context)
-        for kind, words_of in catalog.ACTIONS.items():
-            yield flight.ActionType(type=kind, description=words_of).SerializeToString()
+        self.authenticate(context)
+        for kind, description in catalog.ACTION_DESCRIPTIONS.items():
+            yield flight.ActionType(type=kind, description=description).SerializeToString()
 
     # ---- answers ----------------------------------------------------------------------------------------
 
     def finish(self, number: int, rows: words.Rows) -> None:
         if call := self.calls.get(number):
             call.rows = rows
-            call.done.set()
+            call.answered.set()
 
     def begin(self, number: int, stream: words.Stream) -> None:
         if call := self.calls.get(number):
             call.stream = stream
-            call.done.set()
+            call.answered.set()
         else:
             stream.close()
 
-    def told(self, status: Status, number: int) -> None:
+    def set_status(self, status: Status, number: int) -> None:
         if call := self.calls.get(number):
             call.status = call.status or status
             if call.stream is not None:
                 call.stream.close()
-            call.done.set()
+            call.answered.set()
 
     def defer(self, number: int, after: int) -> None:
         text = "not run, trying again is harmless"
-        self.told(Status.of(answers.DEFERRED, text, after=after // 10), number)
+        self.set_status(Status.of(answers.DEFERRED, text, retry_after_ms=after // 10), number)
 
     def kill(self, number: int, why: str) -> None:
         kind = answers.MISREAD if why.startswith("field ") else answers.KILLED
-        self.told(Status.of(kind, why), number)
+        self.set_status(Status.of(kind, why), number)
 
     def cut(self, number: int, why: str) -> None:
-        self.told(Status.of(answers.CUT, why), number)
+        self.set_status(Status.of(answers.CUT, why), number)
 
 
-class Ended(Exception):
-    """The query of a call has ended with a status."""
+class CallEndedError(Exception):
+    """A call ends with a status."""
 
     def __init__(self, status: Status) -> None:
         self.status = status
 
 
-FAULTS = (Refused, NotHeld, Full, arrow.Unreadable, statements.Misread, NotImplementedError, Ended)
+CALL_ERRORS = (
+    AuthenticationError,
+    InvalidTokenError,
+    LimitReachedError,
+    arrow.Unreadable,
+    statements.Misread,
+    NotImplementedError,
+    CallEndedError,
+)
 
 
-def changed(rows: words.Rows) -> int:
-    """The count of records that an update's one row states, or the number of its rows."""
+def changed_count(rows: words.Rows) -> int:
+    """The count of changed records that the only row of a result states, or else its number of rows."""
     if len(rows) == 1 and rows[0][1] == words.CHANGED:
         return int(rows[0][0])
     return len(rows)
--- a/hillchute/fronts/flight/tickets.py
+++ b/hillchute/fronts/flight/tickets.py
@@ -1,7 +1,7 @@
-"""Tickets and prepared statements: what was handed out, to whom, until when.
+"""A bounded table of values that clients refer to by tokens: tickets and handles of prepared statements.
 
-Owns both tables and their bounds. Must never do I/O nor look at a clock. Guards against tickets that are made
-up, used twice, kept too long, or used by another client than the one that was given them.
+Rejects tokens that are forged, already used, expired, or issued to another user. Performs no I/O and reads no
+clock.
 """
 
 import hashlib
@@ -12,69 +12,70 @@
 
 from hillchute.decision.interface import Time
 
-Held = TypeVar("Held")
-NUMBER, PROOF = 8, 16  # bytes of a ticket: which one, and that it is ours
+Value = TypeVar("Value")
+NUMBER_BYTES, MAC_BYTES = 8, 16  # bytes of a token: its number, and a truncated HMAC of it
 
 
-class NotHeld(Exception):
-    """Why a ticket or a handle is no good; the text is the client's to see."""
+class InvalidTokenError(Exception):
+    """A token is not valid; the text is sent to the client."""
 
 
-class Full(Exception):
-    """No more can be held: the oldest are still good."""
+class LimitReachedError(Exception):
+    """A limit on open entries or calls is reached; the text is sent to the client."""
 
 
 @dataclass(slots=True)
-class Entry(Generic[Held]):
-    held: Held
+class Entry(Generic[Value]):
+    value: Value
     owner: str
-    until: Time
+    expires_at: Time
 
 
-class Table(Generic[Held]):
-    """Things handed out under numbers with a proof, the oldest first. `most` at once, each for `span`."""
+class Table(Generic[Value]):
+    """Up to `max_entries` entries, oldest first; they expire after `lifetime`, or never if it is None."""
 
-    def __init__(self, secret: bytes, most: int, span: Time | None) -> None:
-        self.secret, self.most, self.span = secret, most, span
-        self.entries: OrderedDict[int, Entry[Held]] = OrderedDict()
-        self.count = 0
+    def __init__(self, secret: bytes, max_entries: int, lifetime: Time | None) -> None:
+        self.secret, self.max_entries, self.lifetime = secret, max_entries, lifetime
+        self.entries: OrderedDict[int, Entry[Value]] = OrderedDict()
+        self.last_number = 0
 
-    def put(self, now: Time, owner: str, held: Held) -> bytes:
-        """The token under which it is held; raises Full."""
+    def put(self, now: Time, owner: str, value: Value) -> bytes:
+        """Stores a value and returns its token; raises LimitReachedError."""
         self.expire(now)
-        if len(self.entries) >= self.most:
-            raise Full(f"{self.most} are held already")
-        self.count += 1
-        until = now + self.span if self.span is not None else 2**63
-        self.entries[self.count] = Entry(held, owner, until)
-        return self.token(self.count)
+        if len(self.entries) >= self.max_entries:
+            raise LimitReachedError(f"{self.max_entries} are held already")
+        self.last_number += 1
+        expires_at = now + self.lifetime if self.lifetime is not None else 2**63
+        self.entries[self.last_number] = Entry(value, owner, expires_at)
+        return self.token(self.last_number)
 
     def token(self, number: int) -> bytes:
-        text = number.to_bytes(NUMBER, "big")
-        return text + hmac.new(self.secret, text, hashlib.sha256).digest()[:PROOF]
+        number_bytes = number.to_bytes(NUMBER_BYTES, "big")
+        return number_bytes + hmac.new(self.secret, number_bytes, hashlib.sha256).digest()[:MAC_BYTES]
 
-    def get(self, now: Time, owner: str, token: bytes) -> Held:
-        """What is held under a token; raises NotHeld."""
-        return self.entries[self.find(now, owner, token)].held
+    def get(self, now: Time, owner: str, token: bytes) -> Value:
+        """The value of a token; raises InvalidTokenError."""
+        return self.entries[self.find(now, owner, token)].value
 
-    def take(self, now: Time, owner: str, token: bytes) -> Held:
-        """The same, once: the token is used up."""
-        return self.entries.pop(self.find(now, owner, token)).held
+    def take(self, now: Time, owner: str, token: bytes) -> Value:
+        """Removes a token and returns its value; raises InvalidTokenError."""
+        return self.entries.pop(self.find(now, owner, token)).value
 
     def find(self, now: Time, owner: str, token: bytes) -> int:
-        number = int.from_bytes(token[:NUMBER], "big")
-        if not hmac.compare_digest(token, self.token(number & (1 << 8 * NUMBER) - 1)):
-            raise NotHeld("not one that was given out here")
+        """The number of the entry of a token; raises InvalidTokenError."""
+        number = int.from_bytes(token[:NUMBER_BYTES], "big")
+        if not hmac.compare_digest(token, self.token(number & (1 << 8 * NUMBER_BYTES) - 1)):
+            raise InvalidTokenError("not one that was given out here")
         entry = self.entries.get(number)
-        if entry is None or entry.until <= now:
-            raise NotHeld("used already, closed, or too old")
+        if entry is None or entry.expires_at <= now:
+            raise InvalidTokenError("used already, closed, or too old")
         if entry.owner != owner:
-            raise NotHeld("given to another client")
+            raise InvalidTokenError("given to another client")
         return number
 
     def expire(self, now: Time) -> None:
         while self.entries:
             number, entry = next(iter(self.entries.items()))
-            if entry.until > now:
+            if entry.expires_at > now:
                 return
             del self.entries[number]
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -152,7 +152,7 @@
         return False
 
     def pause(self, fault: OSError) -> None:
-        """Suspends accepting until sweep() for lack of descriptors or memory; connections wait in the kernel."""
+        """Suspends accepting for lack of descriptors or memory; sweep() resumes it."""
         self.paused = True
         self.poller.remove(self.listener)
         self.log.write("fault", **AcceptPausedError(str(fault), str(self.listener.getsockname())).log_fields)
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -1,4 +1,4 @@
-"""Flight SQL: the front's pure parts, then real clients and stand-in engines round a router in a process."""
+"""Flight SQL: the frontend's parts without I/O, then real clients and engine stand-ins with a router."""
 
 import datetime
 import socket
@@ -44,79 +44,85 @@
 from hillchute.settings import Settings
 from hillchute.statements import request as statements
 
-# The two deployments of this module learn from each query: their tests run in one worker, in their order.
+# Routers adapt to each query, so tests that share a deployment run in one worker, in order.
 pytestmark = pytest.mark.xdist_group("flight_deployments")
 
 # ---- tickets and users ----------------------------------------------------------------------------
 
 
-def test_ticket_is_good_once_for_its_owner_in_its_time():
+def test_ticket_is_valid_once_for_its_owner_until_it_expires():
     table = tickets.Table(b"k", 10, 100)
     token = table.put(0, "bi", "query")
     for owner, now, why in (("other", 0, "another client"), ("bi", 100, "too old")):
-        with pytest.raises(tickets.NotHeld, match=why):
+        with pytest.raises(tickets.InvalidTokenError, match=why):
             table.take(now, owner, token)
     assert table.take(99, "bi", token) == "query"
-    with pytest.raises(tickets.NotHeld, match="used already"):
+    with pytest.raises(tickets.InvalidTokenError, match="used already"):
         table.take(99, "bi", token)
 
 
 @pytest.mark.parametrize(
     "forge", [lambda t: b"", lambda t: t[:-1] + b"x", lambda t: b"\1" + t[1:], lambda t: t + b"x"]
 )
-def test_ticket_that_was_made_up_is_told_apart(forge):
+def test_forged_ticket_is_rejected(forge):
     table = tickets.Table(b"k", 10, 100)
     token = table.put(0, "bi", "query")
-    with pytest.raises(tickets.NotHeld, match="not one that was given out"):
+    with pytest.raises(tickets.InvalidTokenError, match="not one that was given out"):
         table.take(0, "bi", forge(token))
 
 
-def test_ten_thousand_open_tickets_are_a_bound_that_time_frees():
+def test_open_tickets_are_limited_and_expired_ones_make_room():
     table = tickets.Table(b"k", 10_000, 100)
     for n in range(10_000):
         table.put(n // 1000, "bi", n)
-    with pytest.raises(tickets.Full):
+    with pytest.raises(tickets.LimitReachedError):
         table.put(99, "bi", "one more")
     table.put(100, "bi", "the first thousand are too old now")
     assert len(table.entries) == 9_001
 
 
-def test_users_come_in_by_password_or_token_and_no_other_way():
-    gate = identity.Gate([{"name": "bi", "password": "p:w"}, {"name": "etl", "token": "secret"}], b"k")
+def test_users_authenticate_by_password_or_token_only():
+    authenticator = identity.Authenticator(
+        [{"name": "bi", "password": "p:w"}, {"name": "etl", "token": "secret"}], b"k"
+    )
     basic = identity.base64.b64encode(b"bi:p:w").decode()
-    given = gate.give(0, "bi")
-    assert gate.owner(0, f"Basic {basic}") == "bi"
-    assert gate.owner(0, "Bearer secret") == "etl"
-    assert gate.owner(identity.SPAN - 1, f"Bearer {given}") == "bi"
+    given = authenticator.issue_token(0, "bi")
+    assert authenticator.authenticate(0, f"Basic {basic}") == "bi"
+    assert authenticator.authenticate(0, "Bearer secret") == "etl"
+    assert authenticator.authenticate(identity.TOKEN_LIFETIME - 1, f"Bearer {given}") == "bi"
     wrong = identity.base64.b64encode(b"etl:").decode()
     for header in (None, "", f"Basic {wrong}", "Basic %", "Bearer x", "Bearer bi.9.9", f"Bearer {given}0"):
-        with pytest.raises(identity.Refused):
-            gate.owner(0, header)
-    with pytest.raises(identity.Refused):
-        gate.owner(identity.SPAN, f"Bearer {given}")
-    assert identity.Gate([], b"k").owner(0, None) == identity.ANYBODY
+        with pytest.raises(identity.AuthenticationError):
+            authenticator.authenticate(0, header)
+    with pytest.raises(identity.AuthenticationError):
+        authenticator.authenticate(identity.TOKEN_LIFETIME, f"Bearer {given}")
+    assert identity.Authenticator([], b"k").authenticate(0, None) == identity.ANONYMOUS
 
 
-def test_settings_that_move_under_load_are_moved_and_the_rest_is_named(tmp_path):
+def test_reload_applies_settings_and_names_those_that_need_a_restart(tmp_path):
     text = 'flight: {listen: "127.0.0.1:1", tickets: 5, users: [{name: "bi", token: "old"}]}'
     made = server.Server(reading.hold(text)["flight"], {}, Log("n", -1), lambda: 0, None)
-    given = made.gate.give(0, "bi")
+    given = made.authenticator.issue_token(0, "bi")
     text = text.replace("old", "new").replace(":1", ":2").replace("tickets: 5", "tickets: 1")
     assert made.renew(reading.hold(text)["flight"]) == ["listen"]
-    assert made.settings["listen"] == "127.0.0.1:1" and made.tickets.most == 1
-    assert made.gate.owner(0, "Bearer new") == made.gate.owner(0, f"Bearer {given}") == "bi"
-    with pytest.raises(identity.Refused):
-        made.gate.owner(0, "Bearer old")
+    assert made.settings["listen"] == "127.0.0.1:1" and made.tickets.max_entries == 1
+    assert (
+        made.authenticator.authenticate(0, "Bearer new")
+        == made.authenticator.authenticate(0, f"Bearer {given}")
+        == "bi"
+    )
+    with pytest.raises(identity.AuthenticationError):
+        made.authenticator.authenticate(0, "Bearer old")
     gone = text.replace('token: "new"', f'token_file: "{tmp_path}/none"')
     with pytest.raises(ValueError, match="flight.users"):
         made.renew(reading.hold(gone)["flight"])
-    assert made.gate.owner(0, "Bearer new") == "bi"
+    assert made.authenticator.authenticate(0, "Bearer new") == "bi"
 
 
 # ---- fields and parameters --------------------------------------------------------------------------
 
 
-def test_fields_come_from_headers_the_comment_or_the_operator_and_must_agree():
+def test_fields_come_from_headers_comment_or_defaults_and_must_not_repeat():
     text = b"/* route=report */ SELECT 1"
     beside = {"route": "report", "patience": "5"}
     read = statements.read(text, beside, {"trace": "a" * 16, "patience": "9"})
@@ -129,19 +135,19 @@
         statements.read(b"SELECT 1")
 
 
-def test_parameters_are_put_where_marks_stand_and_nowhere_else():
+def test_parameters_replace_question_marks_outside_strings_names_and_comments():
     text = "SELECT '?', `a?b`, \"?\" /* ? */ FROM t -- ?\nWHERE a=? AND b = ?"
-    assert catalog.marks(text) == 2
-    bound = catalog.bound(text, ["it's \\", None])
+    assert catalog.count_parameters(text) == 2
+    bound = catalog.bind_parameters(text, ["it's \\", None])
     assert bound == text.replace("a=? AND b = ?", "a='it''s \\\\' AND b = NULL")
     with pytest.raises(statements.Misread, match="2 are wanted, 1 are bound"):
-        catalog.bound(text, [1])
+        catalog.bind_parameters(text, [1])
 
 
 # ---- batches ------------------------------------------------------------------------------------------
 
 
-def test_rows_become_batches_and_rows_again():
+def test_rows_are_encoded_as_batches_and_decoded_again():
     rows = [[b"1", b"", "ü".encode()]] * (arrow.STEP + 1)
     reading = arrow.Reading()
     parts = [reading.take(part.SerializeToString()) for part in arrow.from_rows(rows)]
@@ -151,7 +157,7 @@
         list(arrow.from_rows([[b"\xff", b"", b""]]))
 
 
-def test_batches_that_do_not_fit_are_unreadable():
+def test_batches_that_do_not_match_the_schema_or_are_truncated_are_unreadable():
     whole = arrow.framed(arrow.PLAIN).SerializeToString()
     other = arrow.framed(pa.schema([("x", pa.int32())])).SerializeToString()
     batch = arrow.framed(pa.record_batch([["a"]] * 3, schema=arrow.PLAIN)).SerializeToString()
@@ -162,7 +168,7 @@
                 reading.take(part)
 
 
-def test_command_that_is_none_is_unreadable():
+def test_message_that_is_not_a_command_is_unreadable():
     for data in (b"\xff", b"", arrow.wrap(flight.Ticket(ticket=b"x"))):
         with pytest.raises(arrow.Unreadable):
             arrow.unwrap(data)
@@ -171,8 +177,8 @@
 # ---- streams in the reducer -----------------------------------------------------------------------
 
 
-class Held:
-    """Stands in for a stream."""
+class StreamStandIn:
+    """A stand-in for a result stream that records whether it was closed."""
 
     closed = False
 
@@ -180,8 +186,8 @@
         self.closed = True
 
 
-class Streaming:
-    """A reducer with one query whose result has begun."""
+class StreamingReducer:
+    """A reducer with one query whose result stream has started."""
 
     def __init__(self):
         catalog = CATALOG | {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load"))}
@@ -193,28 +199,28 @@
         self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (entry,))))
         asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
         (connect,) = self.do(events.Asked(1, asked, 0), kind=OpenConnection)
-        self.line, self.stream = connect.connection, Held()
+        self.line, self.stream = connect.connection, StreamStandIn()
         self.do(events.Connected(self.line))
-        self.begun = self.do(events.Said(self.line, words.Began("a" * 16, self.stream)), 10)
+        self.start_effects = self.do(events.Said(self.line, words.Began("a" * 16, self.stream)), 10)
 
     def do(self, event, now=0, kind=None):
         effects = self.reducer.reduce(event, now)
         return [e for e in effects if kind is None or isinstance(e, kind)]
 
-    def finals(self, event, now=20):
+    def final_effects(self, event, now=20):
         return self.do(event, now, SendResult | RejectQuery | FailQuery | AbortStream)
 
 
 @pytest.fixture
 def streaming():
-    return Streaming()
+    return StreamingReducer()
 
 
-def test_stream_that_ends_well_is_finished_once_its_client_has_it(streaming):
-    assert StartStream(1, streaming.stream) in streaming.begun
-    assert not streaming.finals(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
+def test_complete_stream_is_finished_once_it_is_delivered(streaming):
+    assert StartStream(1, streaming.stream) in streaming.start_effects
+    assert not streaming.final_effects(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
     assert streaming.reducer.unanswered
-    assert not streaming.finals(events.Passed(1)) and not streaming.reducer.queries
+    assert not streaming.final_effects(events.Passed(1)) and not streaming.reducer.queries
     assert streaming.reducer.answer_log.counts[("lookup", "served")][0] == 1
 
 
@@ -226,28 +232,28 @@
         lambda s: events.Spoilt(1, "noise"),
     ],
 )
-def test_stream_that_breaks_off_has_one_answer_and_no_further_submission(streaming, event):
-    assert [type(e) for e in streaming.finals(event(streaming))] == [AbortStream]
+def test_broken_stream_has_one_answer_and_no_retry(streaming, event):
+    assert [type(e) for e in streaming.final_effects(event(streaming))] == [AbortStream]
     assert streaming.stream.closed and not streaming.reducer.unanswered
     later = [streaming.do(events.AlarmDue(), now) for now in (SECOND, 5 * SECOND)]
     assert not [e for effects in later for e in effects if not isinstance(e, SetAlarm | WriteLog)]
 
 
-def test_client_that_leaves_a_stream_ends_its_run(streaming):
+def test_run_is_cancelled_when_its_client_leaves_the_stream(streaming):
     effects = streaming.do(events.Left(1), 20)
     assert SendCommand(streaming.line, words.GiveUp("a" * 16)) in effects and streaming.stream.closed
     assert not [e for e in effects if isinstance(e, AbortStream | FailQuery | RejectQuery)]
 
 
-def test_client_that_does_not_read_is_cut_at_its_end(streaming):
+def test_stream_that_is_not_read_is_aborted_at_the_deadline(streaming):
     streaming.do(events.Said(streaming.line, words.Ended("a" * 16, "finished")), 20)
     due = streaming.reducer.queries["a" * 16].deadline
-    assert not streaming.finals(events.AlarmDue(), due - 1)
-    assert [type(e) for e in streaming.finals(events.AlarmDue(), due)] == [AbortStream]
-    assert not streaming.finals(events.Passed(1), due + 1)
+    assert not streaming.final_effects(events.AlarmDue(), due - 1)
+    assert [type(e) for e in streaming.final_effects(events.AlarmDue(), due)] == [AbortStream]
+    assert not streaming.final_effects(events.Passed(1), due + 1)
 
 
-def test_call_that_is_cancelled_or_faulty_ends_its_own_task_alone():
+def test_call_that_is_cancelled_or_raises_ends_only_its_own_task():
     made = links.Links({}, Log("n", -1), None, 1, 1)
 
     async def cancelled():
@@ -282,8 +288,8 @@
 LOAD = "INSERT /* lab rows=1 ms=3 */ INTO sales_4.orders SELECT * FROM staging.orders"
 
 
-class Site:
-    """A toy deployment in the background, for clients that block."""
+class Deployment:
+    """A small deployment on a background event loop, for blocking clients."""
 
     def __init__(self, portal, fleet, router):
         self.portal, self.fleet, self.router = portal, fleet, router
@@ -297,9 +303,9 @@
         return adbc.connect(self.uri, db_kwargs=options, autocommit=True)
 
     def ask(self, *queries, front=Flight):
-        """Queries one after the other on one connection of the lab's own clients."""
+        """Sends queries one after the other on one connection of the lab's client; returns their outcomes."""
 
-        async def all_of_them():
+        async def send_all():
             port = self.router.flight_port if front is Flight else self.router.port
             client = (
                 Flight(self.fleet.world, port, "secret") if front is Flight else front(self.fleet.world, port)
@@ -308,44 +314,44 @@
                 await client.ask(q)
             await client.close()
 
-        self.portal.call(all_of_them)
+        self.portal.call(send_all)
         return [q.how for q in queries]
 
     def runs(self, q):
         return [r for r in self.fleet.world.ran if r.id == q.id]
 
 
-def site(engines):
+def run_deployment(engines):
     with anyio.from_thread.start_blocking_portal() as portal:
         made = deployed(engines, 3, USERS.replace("ENGINES", engines))
         with portal.wrap_async_context_manager(made) as (fleet, router):
-            yield Site(portal, fleet, router)
+            yield Deployment(portal, fleet, router)
             assert not router.faults()
 
 
 @pytest.fixture(scope="module")
 def on_flight():
-    yield from site("flight")
+    yield from run_deployment("flight")
 
 
 @pytest.fixture(scope="module")
 def on_line():
-    yield from site("line")
+    yield from run_deployment("line")
 
 
 @pytest.fixture(params=["flight", "line"])
-def either(request):
+def deployment(request):
     return request.getfixturevalue(f"on_{request.param}")
 
 
 @pytest.fixture(params=["flight", "line"])
-def fresh(request):
-    """A deployment of its own, for tests that end engines."""
-    yield from site(request.param)
+def own_deployment(request):
+    """A deployment that is not shared, for tests that stop engines."""
+    yield from run_deployment(request.param)
 
 
-def test_adbc_client_connects_lists_queries_and_updates(either):
-    with either.connect() as connection, connection.cursor() as cursor:
+def test_adbc_client_connects_lists_queries_and_updates(deployment):
+    with deployment.connect() as connection, connection.cursor() as cursor:
         assert connection.adbc_get_info()["vendor_name"] == "hillchute"
         assert connection.adbc_get_table_types() == ["RESOURCE GROUP"]
         objects = connection.adbc_get_objects(depth="tables").read_all().to_pylist()
@@ -358,8 +364,8 @@
         assert cursor.fetchall() == []
 
 
-def test_adbc_client_prepares_binds_and_runs_again(either):
-    with either.connect() as connection, connection.cursor() as cursor:
+def test_adbc_client_prepares_binds_and_runs_repeatedly(deployment):
+    with deployment.connect() as connection, connection.cursor() as cursor:
         for day in ("1", "2"):
             cursor.execute(f"{SELECT} WHERE day = ?", parameters=(day,))
             assert len(cursor.fetchall()) == 30
@@ -368,22 +374,22 @@
         assert len(cursor.fetchall()) == 30
 
 
-def test_adbc_update_runs_once_for_its_token(either):
+def test_adbc_update_has_its_effect_once_for_its_idempotency_key(deployment):
     headers = {"route": "event-load", "nonce": "ab" * 16, "entity": "0f" * 8}
-    with either.connect(**headers) as connection, connection.cursor() as cursor:
+    with deployment.connect(**headers) as connection, connection.cursor() as cursor:
         for _ in range(2):
             cursor.adbc_statement.set_sql_query(LOAD)
             assert cursor.adbc_statement.execute_update() == 1
-    effects = [r for r in either.fleet.world.ran if r.token == "ab" * 16 and r.effect]
+    effects = [r for r in deployment.fleet.world.ran if r.token == "ab" * 16 and r.effect]
     assert len(effects) == 1
 
 
-def test_adbc_errors_say_what_was_wrong(either):
-    with either.connect(route="nobody") as connection, connection.cursor() as cursor:
+def test_adbc_errors_name_the_invalid_field(deployment):
+    with deployment.connect(route="nobody") as connection, connection.cursor() as cursor:
         with pytest.raises(adbc.Error, match="route names no resource group"):
             cursor.execute(SELECT)
             cursor.fetchall()
-    with either.connect(patience="soon") as connection, connection.cursor() as cursor:
+    with deployment.connect(patience="soon") as connection, connection.cursor() as cursor:
         with pytest.raises(adbc.Error, match="patience is not a number"):
             cursor.execute(SELECT)
 
@@ -397,8 +403,8 @@
     wait_for(lambda: all(r.ended for r in on_flight.fleet.world.ran if r.result != "finished"))
 
 
-def test_pyarrow_client_with_a_password_reads_and_is_refused_with_a_wrong_one(either):
-    client = pa.flight.connect(either.uri)
+def test_pyarrow_client_is_served_with_its_password_and_rejected_with_a_wrong_one(deployment):
+    client = pa.flight.connect(deployment.uri)
     token = client.authenticate_basic_token(b"bi", b"pw")
     options = pa.flight.FlightCallOptions(headers=[token])
     command = arrow.command(sql.CommandStatementQuery(query=SELECT)).cmd
@@ -413,8 +419,8 @@
     client.close()
 
 
-def test_ticket_of_another_client_is_refused(either):
-    client = pa.flight.connect(either.uri)
+def test_ticket_of_another_client_is_refused(deployment):
+    client = pa.flight.connect(deployment.uri)
     mine, theirs = (
         pa.flight.FlightCallOptions(headers=[(b"authorization", b"Bearer " + token)])
         for token in (b"secret", b"other")
@@ -429,83 +435,84 @@
     client.close()
 
 
-def test_statement_over_the_bound_is_refused_before_it_is_read(on_flight):
+def test_statement_over_the_message_limit_is_rejected(on_flight):
     (how,) = on_flight.ask(Query("lookup", "SELECT '" + "x" * 100_000_000 + "'"))
     assert how == "unknown StatusCode.RESOURCE_EXHAUSTED"
     assert on_flight.ask(Query("lookup", SELECT)) == ["finished"]
 
 
 @pytest.mark.parametrize("front", [MySQL, Flight])
-def test_stream_cut_by_its_engine_has_one_answer_and_one_run(on_flight, front):
+def test_stream_aborted_by_its_engine_has_one_answer_and_one_run(on_flight, front):
     q = Query("report", "SELECT /* lab rows=30 batches=3 cut=2 */ day FROM sales_17.orders")
     assert on_flight.ask(q, front=front) == ["killed"]
     assert len(on_flight.runs(q)) == 1 and 0 < q.rows < 30
 
 
 @pytest.mark.parametrize("front", [MySQL, Flight])
-def test_spoilt_result_is_not_passed_on_as_finished(either, front):
+def test_corrupt_result_is_not_delivered_as_finished(deployment, front):
     q = Query("lookup", "SELECT /* lab rows=30 batches=3 spoilt=1 */ day FROM sales_17.orders", patience=900)
-    (how,) = either.ask(q, front=front)
-    undecoded = (front, either.fleet.protocol) == (Flight, "flight")
+    (how,) = deployment.ask(q, front=front)
+    undecoded = (front, deployment.fleet.protocol) == (Flight, "flight")
     assert how in (("unreadable",) if undecoded else ("killed", "deferred"))
 
 
 @pytest.mark.parametrize("front", [MySQL, Flight])
-def test_deadline_passes_in_the_middle_of_a_stream(on_flight, front):
+def test_deadline_aborts_a_stream(on_flight, front):
     slow = "SELECT /* lab rows=30 batches=30 pause=100 */ day FROM sales_17.orders"
     q = Query("report", slow, patience=1_500)
     assert on_flight.ask(q, front=front) == ["killed"]
     assert not rules.one_answer(q) and len(on_flight.runs(q)) == 1 and 0 < q.rows < 30
 
 
-def test_load_resent_over_the_other_front_has_its_effect_once(either):
+def test_load_retried_over_the_other_frontend_has_its_effect_once(deployment):
     token, key = "cd" * 16, "1e" * 8
-    light = {"key": key, "weight": 0.1}  # let in whatever the slow engines of the tests before are taken for
+    light = {"key": key, "weight": 0.1}  # admitted even if earlier tests made engines appear slow
     first, second = (Query("event-load", LOAD, token=token, **light) for _ in range(2))
-    assert either.ask(first, front=MySQL) + either.ask(second) == ["finished"] * 2
+    assert deployment.ask(first, front=MySQL) + deployment.ask(second) == ["finished"] * 2
     third, fourth = (Query("event-load", LOAD, token="ef" * 16, **light) for _ in range(2))
-    assert either.ask(third) + either.ask(fourth, front=MySQL) == ["finished"] * 2
-    assert not rules.broken(either.fleet.world, [first, second, third, fourth])
-    assert sum(r.effect for q in (first, second, third, fourth) for r in either.runs(q)) == 2
+    assert deployment.ask(third) + deployment.ask(fourth, front=MySQL) == ["finished"] * 2
+    assert not rules.broken(deployment.fleet.world, [first, second, third, fourth])
+    assert sum(r.effect for q in (first, second, third, fourth) for r in deployment.runs(q)) == 2
 
 
-def test_ways_in_which_calls_end_have_their_codes(either):
+def test_calls_that_are_not_served_have_their_status_codes(deployment):
     never = Query("lookup", "SELECT /* lab full=-1 */ day FROM sales_17.orders", patience=400)
     hangs = Query("lookup", "SELECT /* lab hang=1 */ day FROM sales_17.orders", patience=400)
     fails = Query("lookup", "SELECT /* lab error=-1 */ day FROM sales_17.orders")
-    assert either.ask(never, hangs, fails) == ["deferred"] * 3
-    status = answers.Status.of(answers.DEFERRED, "x", after=1500)
+    assert deployment.ask(never, hangs, fails) == ["deferred"] * 3
+    status = answers.Status.of(answers.DEFERRED, "x", retry_after_ms=1500)
     assert status.code is grpc.StatusCode.UNAVAILABLE
     assert reason([(DETAILS, status.details)]) == "DEFERRED"
 
 
-def test_engines_that_drain_or_end_get_nothing_more_and_lose_nothing(fresh):
-    number = fresh.portal.call(fresh.fleet.add)
+def test_draining_or_killed_engines_get_no_queries_and_no_query_is_lost(own_deployment):
+    number = own_deployment.portal.call(own_deployment.fleet.add)
     time.sleep(0.5)
-    assert fresh.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
-    fresh.portal.call(fresh.fleet.drain, number)
+    assert own_deployment.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
+    own_deployment.portal.call(own_deployment.fleet.drain, number)
     time.sleep(0.3)
-    fresh.fleet.world.ran.clear()
-    assert fresh.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
-    assert f"s-{number:08x}" not in {r.engine for r in fresh.fleet.world.ran}
-    fresh.portal.call(fresh.fleet.kill, 1)  # untold: a reset on one protocol, GOAWAY on the other
+    own_deployment.fleet.world.ran.clear()
+    assert own_deployment.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
+    assert f"s-{number:08x}" not in {r.engine for r in own_deployment.fleet.world.ran}
+    # The engine ends without notice: with a reset on one protocol, with GOAWAY on the other.
+    own_deployment.portal.call(own_deployment.fleet.kill, 1)
     queries = [Query("lookup", SELECT) for _ in range(20)]
-    assert fresh.ask(*queries) == ["finished"] * 20
-    assert not rules.broken(fresh.fleet.world, queries)
+    assert own_deployment.ask(*queries) == ["finished"] * 20
+    assert not rules.broken(own_deployment.fleet.world, queries)
 
 
-def wait_for(what, seconds=5):
+def wait_for(condition, seconds=5):
     end = time.monotonic() + seconds
-    while not what():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.05)
 
 
-# ---- keys -------------------------------------------------------------------------------------------
+# ---- TLS keys ---------------------------------------------------------------------------------------
 
 
 def make_keys(folder, days=1, name="key"):
-    """A self-signed pair of keys for the loopback address; paths of certificate and key."""
+    """Writes a self-signed certificate for localhost and its key; returns their paths."""
     from cryptography import x509
     from cryptography.hazmat.primitives import hashes, serialization
     from cryptography.hazmat.primitives.asymmetric import ec
@@ -534,11 +541,11 @@
     return folder / f"{name}.crt", folder / f"{name}.key"
 
 
-def secure(authority, port, mine=None):
-    """Whether a client that trusts this authority gets an answer there."""
+def tls_client_is_served(authority, port, client_keys=None):
+    """Whether a client that trusts `authority` gets an answer on a port."""
     pair = {}
-    if mine is not None:
-        pair = {"private_key": mine[1].read_bytes(), "certificate_chain": mine[0].read_bytes()}
+    if client_keys is not None:
+        pair = {"private_key": client_keys[1].read_bytes(), "certificate_chain": client_keys[0].read_bytes()}
     credentials = grpc.ssl_channel_credentials(authority.read_bytes(), **pair)
     options = [("grpc.use_local_subchannel_pool", 1)]
     with grpc.secure_channel(f"localhost:{port}", credentials, options=options) as channel:
@@ -550,7 +557,7 @@
             return False
 
 
-def test_keys_are_read_anew_and_expired_or_unknown_ones_get_no_answer(tmp_path):
+def test_tls_keys_are_reloaded_and_expired_or_unknown_ones_are_rejected(tmp_path):
     certificate, key = make_keys(tmp_path)
     client = make_keys(tmp_path, name="client")
     stranger = make_keys(tmp_path, name="stranger")
@@ -565,20 +572,22 @@
     with anyio.from_thread.start_blocking_portal() as portal:
         with portal.wrap_async_context_manager(deployed("line", 1, text)) as (_, router):
             port = router.flight_port
-            assert secure(certificate, port, client)
-            assert not secure(certificate, port) and not secure(certificate, port, stranger)
+            assert tls_client_is_served(certificate, port, client)
+            assert not tls_client_is_served(certificate, port) and not tls_client_is_served(
+                certificate, port, stranger
+            )
             old = certificate.read_bytes()
             make_keys(tmp_path, days=-1)
             time.sleep(0.3)
-            assert not secure(certificate, port, client)  # the new ones are expired
+            assert not tls_client_is_served(certificate, port, client)  # the reloaded certificate is expired
             make_keys(tmp_path)
             time.sleep(0.3)
-            assert secure(certificate, port, client)
+            assert tls_client_is_served(certificate, port, client)
             (tmp_path / "old.crt").write_bytes(old)
-            assert not secure(tmp_path / "old.crt", port, client)
+            assert not tls_client_is_served(tmp_path / "old.crt", port, client)
 
 
-def test_port_that_is_taken_ends_the_start_with_its_name():
+def test_start_fails_with_the_setting_name_if_the_port_is_taken():
     with socket.create_server(("127.0.0.1", 0)) as taken, anyio.from_thread.start_blocking_portal() as portal:
         text = f'flight: {{listen: "127.0.0.1:{taken.getsockname()[1]}"}}'
         with pytest.raises(BaseExceptionGroup) as fault:
