--- a/hillchute/protocol/__init__.py
+++ b/hillchute/protocol/__init__.py
@@ -1,2 +1,5 @@
-"""Published protobuf messages and what protoc makes of them (*_pb2.py: never edited; regenerate with
-`python -m hillchute.protocol.generate`, grpcio-tools installed). Imported only where Flight is on."""
+"""Protobuf definitions of Flight and Flight SQL, and the code that protoc generates from them.
+
+Do not edit *_pb2.py; regenerate them with `python -m hillchute.protocol.generate`, which needs grpcio-tools.
+The package is imported only if Flight is configured, since it depends on optional packages.
+"""
--- a/hillchute/protocol/generate.py
+++ b/hillchute/protocol/generate.py
@@ -1,4 +1,4 @@
-"""Makes the *_pb2.py of this package from its .proto files anew: python -m hillchute.protocol.generate."""
+"""Regenerates this package's *_pb2.py from its .proto files: python -m hillchute.protocol.generate."""
 
 import sys
 from importlib.resources import files
@@ -8,11 +8,11 @@
 
 
 def main() -> int:
-    here = Path(str(files(__package__)))
-    shipped = str(files("grpc_tools").joinpath("_proto"))
-    root = here.parent.parent
-    protos = [str(path) for path in sorted(here.glob("*.proto"))]
-    return protoc.main(["protoc", f"-I{root}", f"-I{shipped}", f"--python_out={root}", *protos])
+    package_directory = Path(str(files(__package__)))
+    bundled_protos = str(files("grpc_tools").joinpath("_proto"))
+    root = package_directory.parent.parent
+    protos = [str(path) for path in sorted(package_directory.glob("*.proto"))]
+    return protoc.main(["protoc", f"-I{root}", f"-I{bundled_protos}", f"--python_out={root}", *protos])
 
 
 if __name__ == "__main__":
--- a/hillchute/protocol/sql.py
+++ b/hillchute/protocol/sql.py
@@ -1,7 +1,6 @@
-"""Flight SQL's values: commands in their wrapping, schemas and batches as the protocol frames them.
+"""Encoding and decoding of Flight SQL messages, Arrow schemas and record batches, for servers and clients.
 
-Owns what both sides of Flight SQL need to put values into messages and take them out. Must never do I/O.
-A message that is only passed on is never taken apart here: see batches().
+Performs no I/O. FlightData messages that are only relayed are not decoded.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,47 +13,50 @@
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 
-Kind = TypeVar("Kind", bound=Message)
+MessageType = TypeVar("MessageType", bound=Message)
 
-NAMES = ("c1", "c2", "c3")  # the platform's results: three text columns
-PLAIN = pa.schema([(name, pa.string()) for name in NAMES])
+COLUMN_NAMES = ("c1", "c2", "c3")  # each result of the platform has three text columns
+PLAIN = pa.schema([(name, pa.string()) for name in COLUMN_NAMES])
 SERVICE = "/arrow.flight.protocol.FlightService/"
-LEAD = 8  # bytes of an encapsulated message ahead of its metadata: a marker and a length
-STEP = 8_192  # rows of one batch made of rows
+PREFIX_BYTES = 8  # of an encapsulated message before its metadata: continuation marker and metadata length
+STEP = 8_192  # maximum rows of a batch that is built from rows
 
 
 class Unreadable(Exception):
-    """Bytes that are not what the protocol says."""
+    """A message does not follow the Flight SQL protocol; the text may be sent to the client."""
 
 
 def wrap(message: Message) -> bytes:
+    """The message serialized in a protobuf Any, as Flight SQL carries its commands."""
     packed = Any()
     packed.Pack(message)
     return packed.SerializeToString()
 
 
 def unwrap(data: bytes) -> Message:
-    """The Flight SQL message in a descriptor's command, a ticket or an action's body."""
+    """The Flight SQL message in a descriptor's command, a ticket or an action's body; raises Unreadable."""
     packed = Any()
     try:
         packed.ParseFromString(data)
-        name = packed.type_url.rpartition("/")[2].rpartition(".")
-        kind = getattr(sql, name[2], None) if name[0] == "arrow.flight.protocol.sql" else None
-        if kind is None:
+        parts = packed.type_url.rpartition("/")[2].rpartition(".")
+        message_type = getattr(sql, parts[2], None) if parts[0] == "arrow.flight.protocol.sql" else None
+        if message_type is None:
             raise Unreadable(f"no Flight SQL command: {packed.type_url[:80]!r}")
-        return kind.FromString(packed.value)
+        return message_type.FromString(packed.value)
     except DecodeError:
         raise Unreadable("not a Flight SQL command") from None
 
 
-def read(kind: type[Kind], data: bytes) -> Kind:
+def read(message_type: type[MessageType], data: bytes) -> MessageType:
+    """Parses a message of the given type; raises Unreadable if the data is not one."""
     try:
-        return kind.FromString(data)
+        return message_type.FromString(data)
     except DecodeError:
-        raise Unreadable(f"not a {kind.DESCRIPTOR.name}") from None
+        raise Unreadable(f"not a {message_type.DESCRIPTOR.name}") from None
 
 
 def command(message: Message) -> flight.FlightDescriptor:
+    """The descriptor of a Flight SQL command."""
     return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=wrap(message))
 
 
@@ -62,35 +64,37 @@
 
 
 def schema_bytes(schema: pa.Schema) -> bytes:
-    """A schema as FlightInfo and SchemaResult hold it: one encapsulated message."""
+    """A schema as one encapsulated message, the form in FlightInfo and SchemaResult."""
     return schema.serialize().to_pybytes()
 
 
-def split(message: bytes) -> tuple[bytes, bytes]:
-    """An encapsulated message's metadata and body, as FlightData holds them."""
-    size = int.from_bytes(message[4:LEAD], "little")
-    return message[LEAD : LEAD + size], message[LEAD + size :]
+def split_message(message: bytes) -> tuple[bytes, bytes]:
+    """The metadata and the body of an encapsulated message, the two parts of a FlightData."""
+    size = int.from_bytes(message[4:PREFIX_BYTES], "little")
+    return message[PREFIX_BYTES : PREFIX_BYTES + size], message[PREFIX_BYTES + size :]
 
 
-def join(data: flight.FlightData) -> bytes:
-    """The encapsulated message in a FlightData."""
-    head = data.data_header
-    return b"\xff\xff\xff\xff" + len(head).to_bytes(4, "little") + head + data.data_body
+def join_message(data: flight.FlightData) -> bytes:
+    """The encapsulated message that a FlightData holds in two parts."""
+    metadata = data.data_header
+    return b"\xff\xff\xff\xff" + len(metadata).to_bytes(4, "little") + metadata + data.data_body
 
 
 def framed(part: pa.Schema | pa.RecordBatch) -> flight.FlightData:
-    head, body = split(part.serialize().to_pybytes())
-    return flight.FlightData(data_header=head, data_body=body)
+    """A schema or a record batch as one FlightData."""
+    metadata, body = split_message(part.serialize().to_pybytes())
+    return flight.FlightData(data_header=metadata, data_body=body)
 
 
 def batches(schema: pa.Schema, parts: Iterable[pa.RecordBatch]) -> Iterator[flight.FlightData]:
+    """A result as FlightData: its schema, then each record batch."""
     yield framed(schema)
     for part in parts:
         yield framed(part)
 
 
 def from_rows(rows: list[list[bytes]]) -> Iterator[flight.FlightData]:
-    """The platform's rows as batches of text columns; raises Unreadable where one is not UTF-8."""
+    """Rows of three text columns as FlightData, schema first; raises Unreadable if a value is not UTF-8."""
     yield framed(PLAIN)
     for start in range(0, len(rows), STEP):
         columns = zip(*rows[start : start + STEP], strict=True)
@@ -102,18 +106,21 @@
 
 
 class Reading:
-    """Batches out of FlightData, for a front that must take them apart."""
+    """Decodes the record batches of one stream of FlightData."""
 
     def __init__(self) -> None:
         self.schema: pa.Schema | None = None
 
     def take(self, raw: bytes) -> pa.RecordBatch | None:
-        """The batch in one message; None where it holds the schema, or nothing but metadata."""
+        """The record batch in one serialized FlightData; None if it holds the schema or only metadata.
+
+        Raises Unreadable if it is neither, or does not fit the schema that came before.
+        """
         data = read(flight.FlightData, raw)
         if not data.data_header:
             return None
         try:
-            message = pa.ipc.read_message(pa.py_buffer(join(data)))
+            message = pa.ipc.read_message(pa.py_buffer(join_message(data)))
             if message.type == "schema":
                 if self.schema is not None:
                     raise Unreadable("the schema changes between two batches")
@@ -129,12 +136,13 @@
 
 
 def to_rows(batch: pa.RecordBatch) -> Iterator[list[bytes | None]]:
-    """A batch's rows as text, the way the MySQL protocol gives values; None is NULL."""
-    columns = [[text(value) for value in column.to_pylist()] for column in batch.columns]
+    """The rows of a batch with values as text, the form of the MySQL protocol; None is NULL."""
+    columns = [[to_text(value) for value in column.to_pylist()] for column in batch.columns]
     return map(list, zip(*columns, strict=True))
 
 
-def text(value: object) -> bytes | None:
+def to_text(value: object) -> bytes | None:
+    """A value as text of the MySQL protocol; None is NULL."""
     match value:
         case None:
             return None
--- a/hillchute/protocol/status.py
+++ b/hillchute/protocol/status.py
@@ -1,6 +1,6 @@
-"""gRPC's richer statuses: details packed into a call's trailers, and the reason read out of them.
+"""gRPC statuses with error details, which are carried in a call's trailers.
 
-Owns that form alone. Must never say which code a query's end gets: see fronts/flight/answers.py.
+Encodes the details and reads the reason. Which status a query gets is decided in fronts/flight/answers.py.
 """
 
 from collections.abc import Iterable
@@ -10,22 +10,22 @@
 from google.protobuf.message import DecodeError, Message
 from google.rpc import error_details_pb2, status_pb2
 
-DETAILS = "grpc-status-details-bin"
-DOMAIN = "hillchute"
+DETAILS = "grpc-status-details-bin"  # name of the trailer
+DOMAIN = "hillchute"  # of the ErrorInfo in statuses that hillchute and its engines send
 
 
 def packed(code: grpc.StatusCode, text: str, details: Iterable[Message]) -> bytes:
-    """The value of the trailer DETAILS."""
+    """The value of the trailer DETAILS for a status with these details."""
     status = status_pb2.Status(code=code.value[0], message=text)
     for detail in details:
-        wrapped = Any()
-        wrapped.Pack(detail)
-        status.details.append(wrapped)
+        packed_detail = Any()
+        packed_detail.Pack(detail)
+        status.details.append(packed_detail)
     return status.SerializeToString()
 
 
 def reason(trailers: Iterable[tuple[str, str | bytes]] | None) -> str | None:
-    """The reason of the ErrorInfo in a call's trailers, if there is one that is ours."""
+    """The reason of the ErrorInfo with this DOMAIN in a call's trailers; None if there is none."""
     for name, value in trailers or ():
         if name != DETAILS:
             continue
--- a/hillchute/statements/__init__.py
+++ b/hillchute/statements/__init__.py
@@ -1,1 +1,1 @@
-"""What a statement is: request.py reads its fields and its table group."""
+"""Parsing of client statements: the fields in the leading comment and the table group."""
