--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Sends one query through a router with a usual MySQL client library: python examples/ask.py PORT."""
+"""Sends one query to a router with the MySQL client library PyMySQL: python examples/ask.py PORT."""
 
 import secrets
 import sys
--- a/examples/ask_flight.py
+++ b/examples/ask_flight.py
@@ -1,4 +1,4 @@
-"""Sends one query through a router with a usual Flight SQL client: python examples/ask_flight.py PORT."""
+"""Sends one query to a router with the ADBC driver for Flight SQL: python examples/ask_flight.py PORT."""
 
 import sys
 
--- a/hillchute/__main__.py
+++ b/hillchute/__main__.py
@@ -1,4 +1,4 @@
-"""python -m hillchute: the command line; see cli/."""
+"""Entry point of `python -m hillchute`; the verbs are in cli/commands.py."""
 
 import sys
 
--- a/hillchute/benchlink/__init__.py
+++ b/hillchute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator adapter: codec.py reads and writes lines, host.py runs one scheduler for each router."""
+"""The simulator adapter: runs one query scheduler per simulated router on the simulator's messages."""
--- a/hillchute/benchlink/__main__.py
+++ b/hillchute/benchlink/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Serves until the input ends. Exit code 2: malformed input; 1: nobody reads the output any more."""
+    """Serves until the input ends; exit code 2 means malformed input, 1 that the output was closed."""
     lines = (line.rstrip("\n") for line in sys.stdin)
     try:
         Host(sys.stdout).serve(lines)
--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -1,7 +1,7 @@
-"""Lines of the simulator's wire to plain values and back: spelling and units only.
+"""Decodes lines of the simulator's text protocol and encodes decisions as such lines.
 
-Nanoseconds become tenths of a millisecond. The clock and durations round up, a query's deadline rounds down,
-so that nothing waits too short and nothing is answered late.
+Nanoseconds are converted to tenths of a millisecond. The clock and durations are rounded up, so that no wait
+is too short; a query's deadline is rounded down, so that no answer is late.
 """
 
 from collections.abc import Callable
@@ -32,22 +32,22 @@
 
 Number = TypeVar("Number", int, float)
 Value = TypeVar("Value")
-Word = TypeVar("Word", bound=StrEnum)
+Member = TypeVar("Member", bound=StrEnum)
 
-ABSENT = "-"  # stands where a field has no value
-SHOWN_CHARACTERS = 40  # of a wrong value in a message
-RESULTS = {"completed": AttemptResult.SERVED}  # the wire's results that are not spelled as the enum's values
+ABSENT = "-"  # written for a field without a value
+MAX_SHOWN_CHARACTERS = 40  # of an invalid value in an error message
+RESULT_BY_NAME = {"completed": AttemptResult.SERVED}  # results that the wire spells unlike the enum's values
 
 
 class MalformedInputError(Exception):
-    """A line that is not what the wire allows; the text names the line and the field."""
+    """A line does not follow the simulator's protocol; the text names the line and the field."""
 
 
 class Fields:
-    """The fields of one line, read in order; each is read by the name that an error is to give it.
+    """The fields of one line, read in order. The name passed to a read is used in error messages only.
 
-    Reading raises MalformedInputError where a field is missing or not of its kind, and for a `required_` one
-    also where it is absent. `line_number` is the line's in the whole input, from 1.
+    Each read raises MalformedInputError if the line has no more fields or the value has the wrong type; reads
+    of fields that must have a value also raise it for ABSENT. `line_number` counts the input's lines from 1.
     """
 
     def __init__(self, line: str, line_number: int) -> None:
@@ -56,11 +56,11 @@
         self._next = 0
 
     def error(self, detail: str) -> MalformedInputError:
-        """An error of this line."""
+        """An error that names this line and its message."""
         return MalformedInputError(f"line {self.line_number}: {self.message}: {detail}")
 
     def text(self, field: str) -> str | None:
-        """The next field; None where its value is absent."""
+        """The next field as text; None if absent."""
         if self._next >= len(self._values):
             raise self.error(f"field {field} is missing")
         value = self._values[self._next]
@@ -68,67 +68,70 @@
         return None if value == ABSENT else value
 
     def required_text(self, field: str) -> str:
-        """The next field, which must have a value."""
+        """The next field as text; must have a value."""
         return self._required(self.text(field), field)
 
     def optional_integer(self, field: str) -> int | None:
-        """The next field, a whole number; None where its value is absent."""
+        """The next field as an integer; None if absent."""
         return self._number(field, int)
 
     def integer(self, field: str, default: int) -> int:
-        """The next field, a whole number; the default where its value is absent."""
+        """The next field as an integer; the default if absent."""
         value = self._number(field, int)
         return default if value is None else value
 
     def required_integer(self, field: str) -> int:
-        """The next field, a whole number that must have a value."""
+        """The next field as an integer; must have a value."""
         return self._required(self._number(field, int), field)
 
     def real(self, field: str, default: float) -> float:
-        """The next field, a number; the default where its value is absent."""
+        """The next field as a float; the default if absent."""
         value = self._number(field, float)
         return default if value is None else value
 
     def instant(self, field: str) -> Time:
-        """The next field, nanoseconds that must have a value, in tenths of a millisecond, rounded up."""
+        """The next field, nanoseconds, in tenths of a millisecond, rounded up; must have a value."""
         return round_up_to_time_units(self.required_integer(field))
 
     def deadline(self, field: str) -> Time:
-        """The next field, nanoseconds that must have a value, in tenths of a millisecond, rounded down."""
+        """The next field, nanoseconds, in tenths of a millisecond, rounded down; must have a value."""
         return round_down_to_time_units(self.required_integer(field))
 
     def duration(self, field: str) -> Time:
-        """The next field, nanoseconds, in tenths of a millisecond, rounded up; 0 where it is absent."""
+        """The next field, nanoseconds, in tenths of a millisecond, rounded up; 0 if absent."""
         return round_up_to_time_units(self.integer(field, 0))
 
-    def one_of(self, words: type[Word], field: str, default: Word | None = None) -> Word:
-        """The member of an enum whose value the field spells; it must have a value if there is no default."""
+    def one_of(self, members: type[Member], field: str, default: Member | None = None) -> Member:
+        """The next field as an enum member, by value; the default if absent.
+
+        Must have a value if there is no default.
+        """
         value = self.text(field)
         if value is None:
             return self._required(default, field)
         try:
-            return words(value)
+            return members(value)
         except ValueError:
-            shown = value[:SHOWN_CHARACTERS]
+            shown = value[:MAX_SHOWN_CHARACTERS]
             raise self.error(f"field {field} is not a word of the wire: {shown}") from None
 
     def load_report(self, field: str) -> dict[str, float] | None:
-        """The next field, figures by column; None where its value is absent."""
+        """The next field as a load report, values by column; None if absent."""
         value = self.text(field)
         if value is None:
             return None
         report = {}
         for pair in value.split(","):
-            column, _, figure = pair.partition(":")
+            column, _, value_text = pair.partition(":")
             try:
-                report[column] = float(figure)
+                report[column] = float(value_text)
             except ValueError:
-                shown = pair[:SHOWN_CHARACTERS]
+                shown = pair[:MAX_SHOWN_CHARACTERS]
                 raise self.error(f"field {field} is not name:value: {shown}") from None
         return report
 
     def listing(self) -> Listing:
-        """The whole line, one engine of a CENSUS."""
+        """The whole line as one engine of a CENSUS."""
         if self.message != "ENGINE":
             raise self.error("expected an ENGINE line of the CENSUS")
         kind = self.integer("kind", 0)
@@ -143,12 +146,12 @@
         )
 
     def catalog(self) -> dict[str, object]:
-        """All fields that remain, each `path=value`, as the plain catalog of settings."""
+        """All remaining fields, each `path=value`, as the catalog that Settings.from_catalog reads."""
         pairs: list[tuple[str, object]] = []
         for pair in self._values[self._next :]:
-            path, sign, value = pair.partition("=")
-            if not sign:
-                raise self.error(f"setting without a value: {path[:SHOWN_CHARACTERS]}")
+            path, separator, value = pair.partition("=")
+            if not separator:
+                raise self.error(f"setting without a value: {path[:MAX_SHOWN_CHARACTERS]}")
             pairs.append((path, parse_setting(value)))
         return translate_settings(pairs)
 
@@ -159,7 +162,7 @@
         try:
             return parse(value)
         except ValueError:
-            shown = value[:SHOWN_CHARACTERS]
+            shown = value[:MAX_SHOWN_CHARACTERS]
             raise self.error(f"field {field} is not a number: {shown}") from None
 
     def _required(self, value: Value | None, field: str) -> Value:
@@ -169,7 +172,7 @@
 
 
 def parse_setting(value: str) -> object:
-    """A setting's value: a list where it has commas, else a truth value, a number or a text."""
+    """A setting's value: a list if the text has commas, else a boolean, a number or the text itself."""
     if "," in value:
         return [parse_setting(part) for part in value.split(",")]
     if value in ("true", "false"):
@@ -183,18 +186,18 @@
 
 
 def attempt_result(value: str) -> AttemptResult:
-    """The result of an attempt, from the wire's spelling."""
+    """The result of an attempt by its name on the wire; raises MalformedInputError for an unknown name."""
     try:
-        return RESULTS.get(value) or AttemptResult(value)
+        return RESULT_BY_NAME.get(value) or AttemptResult(value)
     except ValueError:
-        raise MalformedInputError(f"no such result: {value[:SHOWN_CHARACTERS]}") from None
+        raise MalformedInputError(f"no such result: {value[:MAX_SHOWN_CHARACTERS]}") from None
 
 
 def health_check_result(value: str) -> AttemptResult:
-    """The result of a health check, from the wire's spelling.
+    """The result of a health check by its name on the wire.
 
-    The wire's description does not list the reasons of those that fail, and one that is not known says
-    nothing of the engine.
+    The protocol's description does not list the reasons of failed checks. An unknown reason tells nothing
+    about the engine, so it counts as a check that was not sent.
     """
     try:
         return attempt_result(value)
@@ -203,7 +206,7 @@
 
 
 def encode(decision: Decision) -> str:
-    """The line of a decision; ValueError if the wire has none for it."""
+    """The line for a decision; raises ValueError for a decision that the protocol has no message for."""
     match decision:
         case Submit(query, engine, time_limit):
             line = f"PASS_ON {query} {engine} {time_limit * NANOSECONDS_PER_TIME_UNIT}"
@@ -222,5 +225,5 @@
         case Wake(at, name):
             line = f"WAKE_ME {at * NANOSECONDS_PER_TIME_UNIT} {name}"
         case _:
-            raise ValueError(f"no wire form for decision {decision}")
+            raise ValueError(f"the simulator's protocol has no message for decision {decision}")
     return line
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -1,6 +1,6 @@
-"""The schedulers of a simulated deployment: batches of the simulator's messages in, lines of decisions out.
+"""Runs the schedulers of a simulated deployment: reads batches of messages and writes lines of decisions.
 
-Owns which routers run and what each was last given. Decides nothing.
+All decisions are made by the schedulers; this module only passes messages to them.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -30,7 +30,7 @@
 
 NumberedLines: TypeAlias = Iterator[tuple[int, str]]
 
-CORE_TIME_UNITS_PER_MILLISECOND = 4_096  # of the core time that the simulator says a query has used
+CORE_TIME_UNITS_PER_MILLISECOND = 4_096  # unit of `used_up`, the core time that a query has used
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,14 +44,14 @@
 class Host:
     """Runs one scheduler for each router that the simulator has started.
 
-    Raises MalformedInputError for input that the wire does not allow.
+    Raises MalformedInputError for input that does not follow the simulator's protocol.
     """
 
     def __init__(self, output: TextIO) -> None:
         self.output = output
         self.now: Time = 0
         self._routers: dict[int, SimulatedRouter] = {}
-        self._current: int | None = None  # number of the router that messages are for
+        self._current: int | None = None  # number of the router that messages are addressed to
         self._censuses: dict[int, list[Listing]] = {}  # by buffer number
         self._handlers: dict[str, Callable[[Fields], None]] = {
             "UP": self._on_up,
@@ -68,7 +68,7 @@
         }
 
     def serve(self, lines: Iterable[str]) -> None:
-        """Answers batch after batch, until the input ends."""
+        """Reads batches and answers each, until the input ends."""
         numbered = iter(enumerate(lines, 1))
         for line_number, line in numbered:
             head = Fields(line, line_number)
@@ -81,7 +81,7 @@
             self.output.flush()
 
     def _read_batch(self, numbered: NumberedLines) -> Iterable[int]:
-        """Takes in the messages of one batch; gives the routers that any was for, in order."""
+        """Handles the messages of one batch; returns the routers they address, in order of first message."""
         self._current = None
         touched: dict[int, None] = {}
         for line_number, line in numbered:
@@ -101,7 +101,7 @@
         raise MalformedInputError("input ended inside a batch")
 
     def _reply(self, touched: Iterable[int], batch: int) -> str:
-        """The decisions of these routers, as lines."""
+        """The lines with the decisions of these routers, and the line that ends the batch."""
         lines = []
         for number in touched:
             router = self._routers.get(number)
@@ -113,17 +113,17 @@
         return "\n".join(lines)
 
     def _decide(self, scheduler: Scheduler) -> list[str]:
-        """All that a router decides now, as lines."""
+        """The lines of all decisions that a scheduler has due."""
         lines = []
         try:
             while (decision := scheduler.next_decision(self.now)) is not None:
                 lines.append(encode(decision))
-        except Exception as error:  # noqa: BLE001  # the simulator wants it named, and the process to go on
+        except Exception as error:  # noqa: BLE001  # reported to the simulator; the process must continue
             lines.append(f"BUG {type(error).__name__}: {error}".replace("\n", " "))
         return lines
 
     def _router(self, fields: Fields) -> SimulatedRouter:
-        """The router that the message is for."""
+        """The router that the message is addressed to."""
         router = None if self._current is None else self._routers.get(self._current)
         if router is None:
             raise fields.error(f"instance {self._current} has not started")
@@ -149,7 +149,7 @@
             self._routers.pop(self._current, None)
 
     def _read_census(self, fields: Fields, numbered: NumberedLines) -> None:
-        """Reads a list of engines, one a line, which MEMBERSHIP then names by its buffer."""
+        """Reads a list of engines, one per line, to which a later MEMBERSHIP refers by buffer number."""
         buffer = fields.required_integer("buffer")
         listings = []
         for _ in range(fields.required_integer("records")):
@@ -224,11 +224,11 @@
 
     def _on_change(self, fields: Fields) -> None:
         query = fields.required_text("call")
-        figure = fields.real("x", 0.0)
+        value = fields.real("x", 0.0)
         fields.text("engine")
         topic = fields.integer("topic", 0)
         attempt = fields.integer("leg", 0)
-        self._scheduler(fields).on_progress(self.now, query, attempt, topic, figure)
+        self._scheduler(fields).on_progress(self.now, query, attempt, topic, value)
 
     def _on_started(self, fields: Fields) -> None:
         scheduler = self._scheduler(fields)
@@ -243,5 +243,5 @@
         scheduler.on_timer(self.now, fields.text("nonce") or "")
 
     def _on_memo(self, fields: Fields) -> None:
-        """Word from another router; nothing follows from it here, since these routers exchange nothing."""
+        """Ignores a message from another router, since simulated routers exchange none."""
         self._router(fields)
--- a/hillchute/cli/__init__.py
+++ b/hillchute/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: verbs, help and exit codes; no logic of any subsystem."""
+"""The command line: verbs, help texts and exit codes."""
--- a/hillchute/cli/commands.py
+++ b/hillchute/cli/commands.py
@@ -1,7 +1,7 @@
 """Verbs of `python -m hillchute`: route, check, lab up, lab parity, lab measure, lab slowloop, lab many.
 
-Owns the words of the command line and its exit codes: 0 done, 1 it ran and the answer is no, 2 it can't be
-run as asked. Must never hold logic of a subsystem.
+Exit codes: 0 success, 1 the command ran and its check failed, 2 the command could not run as given. The verbs
+only parse arguments and print results; the work is done in the subsystems that they call.
 """
 
 import sys
@@ -16,26 +16,28 @@
 
 from hillchute import __version__
 
-app = cyclopts.App(name="hillchute", version=__version__, help="A query gateway, its checks and its lab.")
-lab = cyclopts.App(name="lab", help="Stand-in engines and scripted workloads, on loopback only.")
+app = cyclopts.App(
+    name="hillchute", version=__version__, help="A query gateway, its operator file check and its lab."
+)
+lab = cyclopts.App(name="lab", help="Stand-in engines, scripted workloads and simulations; loopback only.")
 app.command(lab)
 
-Json = Annotated[bool, Parameter(name="--json", negative="", help="Print JSON for a machine to read.")]
+Json = Annotated[bool, Parameter(name="--json", negative="", help="Print JSON instead of text.")]
 
 
-def show(value: object) -> None:
+def print_json(value: object) -> None:
     sys.stdout.buffer.write(orjson.dumps(value, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     sys.stdout.flush()
 
 
 @app.command
 def route(operator: Path | None = None) -> int:
-    """Run a router, told what it needs by EDGE_NAME, EDGE_LISTEN and EDGE_CONFIG.
+    """Run a router, configured by the environment variables EDGE_NAME, EDGE_LISTEN and EDGE_CONFIG.
 
     Parameters
     ----------
     operator
-        The operator file; without it nothing beyond the platform's protocol is on.
+        The operator file; without one, only features of the platform's protocol are enabled.
     """
     from hillchute.router.__main__ import main as run
 
@@ -44,87 +46,92 @@
 
 @app.command
 def check(file: Path, *, json: Json = False, fields: Annotated[bool, Parameter(negative="")] = False) -> int:
-    """Check an operator file and print what holds after defaults.
+    """Check an operator file and print the settings in effect, defaults included.
 
     Parameters
     ----------
     file
         The operator file.
     fields
-        Also list every field with what it may be.
+        Also list every field with its allowed values and description.
     """
     from hillchute.operator import reading
     from hillchute.operator.records import OperatorFileError
 
     try:
         settings = reading.read(file)
-    except OperatorFileError as fault:
+    except OperatorFileError as error:
         if json:
-            show({"file": str(file), "faults": str(fault).split("\n")})
+            print_json({"file": str(file), "faults": str(error).split("\n")})
         else:
-            print(fault, file=sys.stderr)
+            print(error, file=sys.stderr)
         return 2
     if json:
-        show({"file": str(file), "settings": settings})
+        print_json({"file": str(file), "settings": settings})
         return 0
-    for path, value in flat(settings):
+    for path, value in flatten(settings):
         print(f"{path}: {orjson.dumps(value).decode()}")
     if fields:
-        for path, what, doc in reading.fields():
-            print(f"# {path}: {what}{'; ' + doc if doc else ''}")
+        for path, allowed, description in reading.fields():
+            print(f"# {path}: {allowed}{'; ' + description if description else ''}")
     return 0
 
 
-def flat(settings: dict[str, object], path: str = ""):
+def flatten(settings: dict[str, object], path: str = ""):
+    """Yields the dotted path and the value of each setting that is not a mapping."""
     for name, value in settings.items():
-        here = f"{path}.{name}" if path else name
+        full_path = f"{path}.{name}" if path else name
         if isinstance(value, dict):
-            yield from flat(value, here)
+            yield from flatten(value, full_path)
         else:
-            yield here, value
+            yield full_path, value
 
 
 @lab.command
 def parity(
     *, seed: int = 1, engines: Literal["flight", "line"] = "flight", queries: int = 2_000, json: Json = False
 ) -> int:
-    """Replay one scripted workload through MySQL, then Flight SQL clients; exit 0 only if they end alike.
+    """Run one scripted workload through MySQL clients, then Flight SQL clients, and compare the outcomes.
+
+    Exits with 0 only if all queries have the same outcome on both and no rule was broken.
 
     Parameters
     ----------
     seed
-        What the script is made from.
+        Seed of the generated script.
     engines
         The protocol that the stand-in engines speak.
     queries
-        How many queries the script has, about.
+        Approximate number of queries in the script.
     """
     from hillchute.lab.parity import compare
 
-    found = anyio.run(compare, seed, engines, queries)
+    comparison = anyio.run(compare, seed, engines, queries)
     if json:
-        show(found)
+        print_json(comparison)
     else:
         for front in ("mysql", "flight"):
-            print(f"{front}: " + ", ".join(f"{n} {how}" for how, n in found[front].items()))
-        print("equal" if found["equal"] else "NOT equal")
-        for fault in found["broken_rules"]:
-            print(f"broken: {fault}")
-    return int(not found["equal"] or bool(found["broken_rules"]))
+            print(f"{front}: " + ", ".join(f"{n} {outcome}" for outcome, n in comparison[front].items()))
+        print("equal" if comparison["equal"] else "NOT equal")
+        for violation in comparison["broken_rules"]:
+            print(f"broken: {violation}")
+    return int(not comparison["equal"] or bool(comparison["broken_rules"]))
 
 
 @lab.command
 def measure(*, seconds: float = 4.0) -> int:
-    """Measure what wide and small results cost the router on each pair of front and engine; prints JSON.
+    """Measure the router's CPU, memory and latency for large and small results; print JSON.
+
+    Covers each pair of client protocol and engine protocol.
 
     Parameters
     ----------
     seconds
-        How long each pair is measured.
+        Duration of the measurement of each pair.
     """
-    from hillchute.lab.measure import measure as taken
+    from hillchute.lab.measure import measure as run_measurement
 
-    show(anyio.run(taken, seconds))
+    print_json(anyio.run(run_measurement, seconds))
     return 0
 
 
@@ -141,83 +148,91 @@
     probe: float = 0.0,
     json: Json = False,
 ) -> int:
-    """Play many routers at once beside one mind that sees every engine late, on the same traffic; simulated.
+    """Simulate many routers, and one global scheduler that sees engine states late, on the same traffic.
 
     Parameters
     ----------
     form
-        What routers have of each other: nothing, the parts of the engines that their numbers give them, or
-        also what they tell each other.
+        What routers know of each other: nothing, the subsets of engines derived from router numbers, or also
+        the load signals that routers exchange.
     play
-        What happens: six engines in ten replaced, seven routers in ten killed, a zone cut off, the fleet
-        doubled and halved, or nothing.
+        The scenario: 60% of the engines replaced, 70% of the routers killed, one zone partitioned, the number
+        of routers doubled and halved, or no fault.
     seed
-        What traffic is drawn from.
+        Seed of the generated traffic.
     routers
-        How many.
+        Number of routers.
     engines
-        How many there are at first.
+        Number of engines at the start.
     load
-        Work asked for, as a part of what all engines can do.
+        Offered work as a fraction of the capacity of all engines.
     slow
-        Times the usual work, targets and patience.
+        Factor on the usual work, latency objectives and client timeouts.
     probe
-        What a probe a query costs, as a part of all worth, as the settings would say it.
+        Cost of a health check relative to the value of a served query; the setting costs.probe.
     """
     from hillchute.lab.plays import figures
 
-    found = figures(form, play, seed, routers, engines, load, slow, **{"costs.probe": probe})
+    results = figures(form, play, seed, routers, engines, load, slow, **{"costs.probe": probe})
     if json:
-        show(found)
+        print_json(results)
     else:
-        for name, figure in found.items():
-            print(f"{name}: {figure}")
+        for name, value in results.items():
+            print(f"{name}: {value}")
     return 0
 
 
 @lab.command
 def slowloop(*, seeds: int = 20, first: int = 1, times: float = 3.0, json: Json = False) -> int:
-    """Play a router whose core is full, under a played clock and sockets; exit 0 if the rules held.
+    """Simulate a router whose CPU core is saturated, with a simulated clock and sockets.
+
+    Exits with 0 if no rule was broken.
 
     Parameters
     ----------
     seeds
-        How many runs.
+        Number of runs, each with its own seed.
     first
-        The first seed.
+        Seed of the first run.
     times
-        How many times what the loop carries is offered.
+        Offered load as a multiple of what the event loop can handle.
     """
     from hillchute.lab.slowloop import play
 
-    broken: dict[int, list[str]] = {}
-    ends: Counter = Counter()
+    faults_by_seed: dict[int, list[str]] = {}
+    outcomes: Counter = Counter()
     for seed in range(first, first + seeds):
         rig = play(seed, times=times)
-        ends += rig.summary()
+        outcomes += rig.summary()
         if rig.faults:
-            broken[seed] = rig.faults
+            faults_by_seed[seed] = rig.faults
     if json:
-        show({"runs": seeds, "ends": dict(ends), "broken": {str(seed): f for seed, f in broken.items()}})
+        print_json(
+            {
+                "runs": seeds,
+                "ends": dict(outcomes),
+                "broken": {str(seed): f for seed, f in faults_by_seed.items()},
+            }
+        )
     else:
-        for seed, faults in broken.items():
+        for seed, faults in faults_by_seed.items():
             print(f"seed {seed}: {len(faults)} faults, the first: {faults[0]}")
-        print(f"{seeds} runs, {len(broken)} with a broken rule; {dict(ends)}")
-    return int(bool(broken))
+        print(f"{seeds} runs, {len(faults_by_seed)} with a broken rule; {dict(outcomes)}")
+    return int(bool(faults_by_seed))
 
 
 @lab.command
 def up(*, engines: Literal["line", "flight"] = "line", count: int = 2, operator: Path | None = None) -> int:
-    """Bring a toy deployment up, a router included, until Ctrl-C.
+    """Run a small local deployment of stand-in engines and one router until Ctrl-C.
 
     Parameters
     ----------
     engines
         The protocol that the stand-in engines speak.
     count
-        How many engines.
+        Number of engines.
     operator
-        An operator file for the router; by default Flight SQL is on beside MySQL.
+        An operator file for the router; by default both MySQL and Flight SQL are enabled.
     """
     from hillchute.lab.toy import bring_up
 
@@ -230,7 +245,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command line; a wrong word on it is told on standard error, with exit code 2."""
+    """Runs the command line and returns the exit code; usage errors go to standard error, with code 2."""
     try:
         result = app(arguments, exit_on_error=False, print_error=True, result_action="return_value")
     except cyclopts.CycloptsError:
