--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,11 +1,11 @@
 """Runs the test suite; tests that KNOWN-RED.txt lists must fail, all others must pass.
 
-KNOWN-RED.txt stands at the root and holds one line a test: its pytest id, the cause and the issue, separated
-by " | ". An absent file means none. A listed test that passes, is missing, or is one of more than three fails
-the run.
+KNOWN-RED.txt is in the repository's root and has one line per test: its pytest id, the cause of the failure
+and the issue, separated by " | ". Without the file, no test is listed. The run fails if a listed test passes
+or does not exist, or if more than three tests are listed.
 
-The module is also the pytest plugin that leaves the listed tests out: pytest-xdist's workers load it by name,
-from PYTHONPATH, and read the ids from an environment variable.
+The module is also the pytest plugin that deselects the listed tests: the workers of pytest-xdist load it by
+name, from PYTHONPATH, and read the ids from an environment variable.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class KnownRed(NamedTuple):
-    """One line of the file: a test's pytest id, why it fails, and the issue that is to mend it."""
+    """One line of the file: a test's pytest id, why it fails, and the issue that tracks the fix."""
 
     test: str
     cause: str
@@ -33,11 +33,11 @@
 
 
 class KnownRedFileError(ValueError):
-    """The file can't be used; its message names the line and what belongs there."""
+    """The file is malformed or lists too many tests; the message names the line and the expected form."""
 
 
 def read(root: Path) -> list[KnownRed]:
-    """The tests that the file under `root` lists; raises KnownRedFileError where it can't be used."""
+    """The tests that the file in `root` lists; raises KnownRedFileError if the file is invalid."""
     path = root / FILE
     if not path.exists():
         return []
@@ -55,21 +55,22 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Deselects tests by their whole ids; pytest's --deselect takes all that begin alike."""
+    """Deselects tests by exact id; pytest's --deselect matches by prefix."""
     excluded = set(json.loads(os.environ.get(EXCLUDED_TESTS, "[]")))
     config.hook.pytest_deselected(items=[item for item in items if item.nodeid in excluded])
     items[:] = [item for item in items if item.nodeid not in excluded]
 
 
 def run_one(root: Path, test: str) -> int:
-    """Runs one test in this one process; gives pytest's exit code."""
+    """Runs one test in one pytest process, without workers; returns pytest's exit code."""
     return subprocess.run([sys.executable, "-m", "pytest", "-q", test], cwd=root, check=False).returncode
 
 
 def run_all_but(root: Path, tests: list[str]) -> int:
-    """Runs all tests but the given ones: those marked real_time alone, then the others on all cores.
+    """Runs all tests except the given ones: those marked real_time in sequence, then the rest in parallel.
 
-    Gives the first exit code that is not 0."""
+    Returns the first exit code that is not 0.
+    """
     search_path = [str(Path(__file__).parent), *filter(None, [os.environ.get("PYTHONPATH")])]
     environment = os.environ | {EXCLUDED_TESTS: json.dumps(tests), "PYTHONPATH": os.pathsep.join(search_path)}
     codes = []
@@ -82,7 +83,7 @@
 
 
 def run(root: Path) -> int:
-    """Runs the listed tests, then all others; gives the exit code, 0 if only listed tests failed."""
+    """Runs the listed tests, then all others; returns the exit code, 0 if exactly the listed tests failed."""
     try:
         listed = read(root)
     except KnownRedFileError as error:
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -1,11 +1,11 @@
-"""Every message type of every codec, byte for byte as recorded in data/recorded_bytes.json.
-
-The recorded bytes are what routers, engines, clients and the simulator of other versions read and write: a
-difference here is a break of a wire or of a stored signature, never a reason to record anew. Each codec's
-examples are built in one function, so that a renamed class or field is followed in one place, and with
-keywords, so that two fields of one type that change places are seen. A new message type is recorded with
-`PYTHONPATH=. python tests/test_recorded_bytes.py`, which adds what is missing from the file and never
-changes what stands there.
+"""Compares the encoding of every message type of every codec with the bytes in data/recorded_bytes.json.
+
+Routers, engines, clients and the simulator of other versions read and write these bytes. A difference means
+that a wire format or a stored signature is no longer compatible; do not record the bytes again. Each codec's
+examples are built in one function, so that the rename of a class or field changes one place, and with keyword
+arguments, so that swapped fields of the same type are detected. To record a new message type, run
+`PYTHONPATH=. python tests/test_recorded_bytes.py`, which adds missing entries to the file and never changes
+existing ones.
 """
 
 import ast
@@ -54,7 +54,7 @@
 
 
 class Example(NamedTuple):
-    """A value and its two ways; `decode` is None where the project never reads what it writes."""
+    """A value with its encoder and decoder; `decode` is None for messages that the project only writes."""
 
     key: str
     value: object
@@ -62,7 +62,7 @@
     decode: Callable[[bytes], object] | None = None
 
 
-# ---- messages between routers ----------------------------------------------------------------------
+# ---- messages between routers -----------------------------------------------------------------------
 
 
 def gossip_examples() -> Iterator[Example]:
@@ -146,9 +146,12 @@
             ping_number=7,
         ),
     )
-    piece = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
+    fragment = fragmentation.Fragment(message_number=1, index=2, total=3, data=b"\x00piece\xff")
     yield Example(
-        "peers/fragment", piece, fragmentation.fragment_encoder.encode, fragmentation.fragment_decoder.decode
+        "peers/fragment",
+        fragment,
+        fragmentation.fragment_encoder.encode,
+        fragmentation.fragment_decoder.decode,
     )
 
 
@@ -181,23 +184,23 @@
         disk=True,
         lost="run",
     )
-    # Of the four flags each pair differs in one of the three policies.
+    # Any two of the four flags differ in one of the three policies, so that swapped flags are detected.
     customers = {
         "customer-c": msgspec.structs.replace(base, hold=False),
         "customer-d": msgspec.structs.replace(base, rows=False, replay=True),
     }
-    forgets = (
+    erasure_requests = (
         retention.ErasureRequest(before=91, customer="customer-f", ordering_key="key-f"),
         retention.ErasureRequest(before=92),
     )
-    book = retention.RetentionPolicies(
+    policies = retention.RetentionPolicies(
         number=81,
         copies=3,
         erase_ms=4000,
         founded=82,
         default=base,
         customers=customers,
-        erasure_requests=forgets,
+        erasure_requests=erasure_requests,
     )
     record = records.Record(
         customer="customer-r",
@@ -226,7 +229,7 @@
         claim_number=205,
         timeout=206,
     )
-    title = ownership_leases.OwnershipLease(number=301, owner="partner-t")
+    lease = ownership_leases.OwnershipLease(number=301, owner="partner-t")
 
     yield example("prepare", messages.PromiseRequest(view=one, adopted=two))
     yield example(
@@ -293,7 +296,7 @@
         ),
     )
     yield example("policies-request", messages.PoliciesRequest(above=431))
-    yield example("policies", messages.PoliciesUpdate(policies=book))
+    yield example("policies", messages.PoliciesUpdate(policies=policies))
     yield example(
         "policies, optional fields absent", messages.PoliciesUpdate(policies=retention.RetentionPolicies())
     )
@@ -336,10 +339,10 @@
         "fail": claim_decision.ClaimDecision.FAIL,
         "forward": claim_decision.ClaimDecision.FORWARD,
     }
-    for name, each in verdicts.items():
+    for name, decision in verdicts.items():
         yield example(
             f"claim-verdict, {name}, optional fields absent",
-            messages.ClaimReply(number=451, incarnation=452, decision=each.value, reason="a reason"),
+            messages.ClaimReply(number=451, incarnation=452, decision=decision.value, reason="a reason"),
         )
     yield example("run-ended", messages.Completion(view=one, record=record))
     states = {
@@ -367,7 +370,7 @@
             records=(record, bare),
             ages=(504, 505),
             lost=506,
-            lease=title,
+            lease=lease,
         ),
     )
     yield example(
@@ -378,11 +381,11 @@
         "slot-redirect",
         messages.SlotRedirect(view=one, slot=511, epoch=two, sources={"router-s": 512, "router-r": 513}),
     )
-    yield example("ownership-lease", messages.LeaseUpdate(view=one, slot=521, lease=title))
+    yield example("ownership-lease", messages.LeaseUpdate(view=one, slot=521, lease=lease))
     yield example("ownership-lease-acknowledgement", messages.LeaseReply(view=one, slot=531, number=532))
 
 
-# ---- partners: messages, and what is signed ----------------------------------------------------------
+# ---- partners: messages and signed values -----------------------------------------------------------
 
 
 def signed_values() -> tuple[offers.Offer, agreements.Agreement, agreements.TerminationNotice]:
@@ -400,7 +403,7 @@
     )
     owners = bytes(n % 2 for n in range(1024))
     shares, capacities = {"partner-b": 4000, "partner-a": 6000}, {"partner-b": 611, "partner-a": 612}
-    text = agreements.Agreement(
+    agreement = agreements.Agreement(
         number=613,
         shares=shares,
         capacities=capacities,
@@ -413,7 +416,7 @@
     )
     return (
         offer,
-        text,
+        agreement,
         agreements.TerminationNotice(partner="partner-a", agreement_number=621, effective_at=622),
     )
 
@@ -432,8 +435,8 @@
             value=bytes([number + 1]) * 64,
         )
 
-    offer, text, notice = signed_values()
-    later = agreements.Agreement(
+    offer, agreement, notice = signed_values()
+    bare_agreement = agreements.Agreement(
         number=631,
         shares={"p": 10_000},
         capacities={"p": 632},
@@ -443,7 +446,7 @@
         notice_period=636,
         owners=bytes(1024),
     )
-    early = offers.Offer(
+    bare_offer = offers.Offer(
         partner="partner-b",
         revision=641,
         capacity=642,
@@ -460,9 +463,9 @@
         partner_messages.Knowledge(
             offers=(
                 signatures.SignedOffer(offer, signature(11)),
-                signatures.SignedOffer(early, signature(13)),
+                signatures.SignedOffer(bare_offer, signature(13)),
             ),
-            agreements=(text, later),
+            agreements=(agreement, bare_agreement),
             signatures=(signature(15), signature(17)),
             notices=(signatures.SignedNotice(notice, signature(19)),),
             equivocations=(signatures.Equivocation(signature(21), signature(23)),),
@@ -515,7 +518,7 @@
 
 
 def signature_examples() -> Iterator[Example]:
-    """What is signed begins with the name of the kind, which other routers and kept files know."""
+    """Signed bytes begin with the name of the value's kind, on which routers and stored files depend."""
     for name, value, number in zip(("offer", "agreement", "notice"), signed_values(), (601, 613, 621)):
         kind = signatures.kind_of(value)
         yield Example(f"partners/signed-digest of {name}", value, signatures.content_digest)
@@ -535,7 +538,7 @@
         )
 
 
-# ---- engines, simulator, event bus, clients ----------------------------------------------------------
+# ---- engines, simulator, event bus, clients ---------------------------------------------------------
 
 
 def line_examples() -> Iterator[Example]:
@@ -577,7 +580,7 @@
 
 
 def mysql_examples() -> Iterator[Example]:
-    """Each is what a session writes, as its fourth packet where it does not say otherwise."""
+    """Packets that a session writes, with sequence number 3 unless the session sets another."""
 
     def example(name: str, write: Callable[[mysql.Session], bytes]) -> Example:
         def encode(write: Callable[[mysql.Session], bytes]) -> bytes:
@@ -588,7 +591,7 @@
 
         return Example(f"mysql/{name}", write, encode)
 
-    def read(payload: bytes) -> Callable[[mysql.Session], bytes]:
+    def reply_to(payload: bytes) -> Callable[[mysql.Session], bytes]:
         def write(session: mysql.Session) -> bytes:
             session.feed(len(payload).to_bytes(3, "little") + b"\x00" + payload)
             command, answer = session.command()
@@ -597,10 +600,10 @@
 
         return write
 
-    def log_in(payload: bytes) -> Callable[[mysql.Session], bytes]:
+    def login_reply(payload: bytes) -> Callable[[mysql.Session], bytes]:
         def write(session: mysql.Session) -> bytes:
             session.logged_in = False
-            return read(payload)(session)
+            return reply_to(payload)(session)
 
         return write
 
@@ -622,18 +625,18 @@
         ),
     )
     yield example("result, row by row", row_by_row)
-    yield example("login-answer, ok", log_in(login_packet(b"app", b"lake")))
-    yield example("login-answer, no database", log_in(login_packet(b"app", None)))
-    yield example("login-answer, wrong user", log_in(login_packet(b"other", b"lake")))
-    yield example("login-answer, wrong database", log_in(login_packet(b"app", b"other")))
-    yield example("login-answer, malformed", log_in(b"\x00"))
-    yield example("change-database-answer, ok", read(b"\x02lake"))
-    yield example("change-database-answer, unknown", read(b"\x02other"))
-    yield example("statistics-answer", read(b"\x09"))
-    yield example("set-option-answer", read(b"\x1b\x00\x00"))
-    yield example("reset-connection-answer", read(b"\x1f"))
-    yield example("unknown-command-answer", read(b"\x63"))
-    yield example("client-setting-answer", read(b"\x03SET autocommit=1"))
+    yield example("login-answer, ok", login_reply(login_packet(b"app", b"lake")))
+    yield example("login-answer, no database", login_reply(login_packet(b"app", None)))
+    yield example("login-answer, wrong user", login_reply(login_packet(b"other", b"lake")))
+    yield example("login-answer, wrong database", login_reply(login_packet(b"app", b"other")))
+    yield example("login-answer, malformed", login_reply(b"\x00"))
+    yield example("change-database-answer, ok", reply_to(b"\x02lake"))
+    yield example("change-database-answer, unknown", reply_to(b"\x02other"))
+    yield example("statistics-answer", reply_to(b"\x09"))
+    yield example("set-option-answer", reply_to(b"\x1b\x00\x00"))
+    yield example("reset-connection-answer", reply_to(b"\x1f"))
+    yield example("unknown-command-answer", reply_to(b"\x63"))
+    yield example("client-setting-answer", reply_to(b"\x03SET autocommit=1"))
     yield example("packet-too-large", oversized)
     for number in (0, 250, 251, 65_535, 65_536, 0xFFFFFF, 0x1000000):
         yield Example(f"mysql/length {number}", number, mysql.length)
@@ -675,26 +678,26 @@
     *signature_examples(),
 ]
 
-# ---- what each codec knows, so that no message type is forgotten -------------------------------------
+# ---- the message types of each codec, to detect a missing example -----------------------------------
 
 
 def mysql_error_kinds() -> dict[int, tuple[int, bytes]]:
-    """The error numbers that packets.py names."""
+    """The constants of packets.py for MySQL errors, by error number."""
     kinds = [kind for kind in vars(mysql).values() if isinstance(kind, tuple) and len(kind) == 2]
     return {number: (number, state) for number, state in kinds if isinstance(number, int)}
 
 
 def flight_status_kinds() -> dict[str, tuple]:
-    """The reasons that answers.py names."""
+    """The constants of answers.py for Flight statuses, by reason."""
     kinds = [kind for kind in vars(flight).values() if isinstance(kind, tuple) and len(kind) == 2]
     return {reason: (code, reason) for code, reason in kinds if hasattr(code, "value")}
 
 
 def simulator_decisions() -> set[str]:
-    """The kinds of decisions that the codec has a line for."""
+    """The names of the decision classes that the codec encodes."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(simulator.encode)))
     classes = (node.cls for node in ast.walk(tree) if isinstance(node, ast.MatchClass))
-    return {found.id for found in classes if isinstance(found, ast.Name)}
+    return {node.id for node in classes if isinstance(node, ast.Name)}
 
 
 EXAMPLES += [
@@ -711,12 +714,12 @@
 
 
 def record() -> None:
-    """Adds the bytes of examples that are not recorded; what is recorded stays."""
-    known = json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
+    """Adds the bytes of examples that are not recorded; existing entries do not change."""
+    entries = json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
     for example in EXAMPLES:
-        known.setdefault(example.key, example.encode(example.value).hex())
+        entries.setdefault(example.key, example.encode(example.value).hex())
     RECORDED.parent.mkdir(exist_ok=True)
-    RECORDED.write_text(json.dumps(known, indent=1) + "\n")
+    RECORDED.write_text(json.dumps(entries, indent=1) + "\n")
 
 
 def example_values(prefix: str) -> list[object]:
@@ -724,20 +727,20 @@
 
 
 @pytest.mark.parametrize("example", EXAMPLES, ids=[example.key for example in EXAMPLES])
-def test_message_is_written_as_recorded(example):
+def test_message_is_encoded_as_recorded(example):
     assert example.encode(example.value).hex() == recorded()[example.key]
 
 
-READ_BACK = [example for example in EXAMPLES if example.decode]
+DECODABLE = [example for example in EXAMPLES if example.decode]
 
 
-@pytest.mark.parametrize("example", READ_BACK, ids=[example.key for example in READ_BACK])
-def test_recorded_message_is_read_as_written(example):
-    found = example.decode(bytes.fromhex(recorded()[example.key]))
-    assert type(found) is type(example.value) and found == example.value
+@pytest.mark.parametrize("example", DECODABLE, ids=[example.key for example in DECODABLE])
+def test_recorded_message_is_decoded(example):
+    decoded = example.decode(bytes.fromhex(recorded()[example.key]))
+    assert type(decoded) is type(example.value) and decoded == example.value
 
 
-def test_examples_and_recorded_messages_are_the_same():
+def test_examples_and_recorded_messages_have_the_same_keys():
     keys = [example.key for example in EXAMPLES]
     assert len(set(keys)) == len(keys)
     assert set(keys) == set(recorded())
@@ -765,7 +768,7 @@
 def test_each_verdict_and_state_of_a_record_has_an_example():
     values = example_values("history/")
     verdicts = {value.decision for value in values if isinstance(value, messages.ClaimReply)}
-    assert verdicts == {each.value for each in claim_decision.ClaimDecision}
+    assert verdicts == {decision.value for decision in claim_decision.ClaimDecision}
     states = {value.record.state for value in values if isinstance(value, messages.Completion)}
     assert states == set(records.RecordState)
 
@@ -774,7 +777,7 @@
     assert {type(value) for value in example_values("engine-line/")} == set(get_args(line.Command))
 
 
-def test_each_decision_on_the_simulator_s_wire_has_an_example():
+def test_each_decision_that_the_simulator_receives_has_an_example():
     assert {type(value).__name__ for value in example_values("simulator/")} == simulator_decisions()
     assert simulator_decisions() == {kind.__name__ for kind in get_args(Decision)}
     assert len(simulator_decisions()) == 8
@@ -786,19 +789,19 @@
 
 
 def fields_at_default(value: object) -> Iterator[str]:
-    """Fields of a message, and of the values in it, that are at their default or absent."""
+    """The fields of a message and of the structs in it that are absent, empty or at their default."""
     if isinstance(value, msgspec.Struct):
         for field in msgspec.structs.fields(value):
-            given = getattr(value, field.name)
-            if given is None or given == field.default or given in ((), {}, b"", ""):
+            field_value = getattr(value, field.name)
+            if field_value is None or field_value == field.default or field_value in ((), {}, b"", ""):
                 yield f"{type(value).__name__}.{field.name}"
-            yield from fields_at_default(given)
+            yield from fields_at_default(field_value)
     if isinstance(value, tuple):
         for item in value[:1]:
             yield from fields_at_default(item)
 
 
-def optional_fields(kind: type) -> bool:
+def has_optional_fields(kind: type) -> bool:
     return any(
         not field.required or type(None) in get_args(field.type) for field in msgspec.structs.fields(kind)
     )
@@ -818,10 +821,10 @@
     bare = {type(example.value) for example in EXAMPLES if ", " in example.key}
     full = {type(example.value) for example in STRUCTS}
     signed = {type(value) for value in signed_values()}
-    assert {kind for kind in full - signed if optional_fields(kind)} <= bare
+    assert {kind for kind in full - signed if has_optional_fields(kind)} <= bare
 
 
-# ---- what is only read -------------------------------------------------------------------------------
+# ---- messages that are only decoded -----------------------------------------------------------------
 
 REPORT = b"rep=cpu:0.5;mem:7"
 ENGINE_ANSWERS = {
@@ -868,7 +871,7 @@
 
 
 @pytest.mark.parametrize("name", ENGINE_ANSWERS)
-def test_answer_of_an_engine_is_read_as_recorded(name):
+def test_answer_of_an_engine_is_decoded(name):
     data, answer = ENGINE_ANSWERS[name]
     assert list(line.Decoder().feed(data)) == [answer]
 
@@ -879,37 +882,39 @@
 
 
 BUS_RECORD = "01020304 0a010203 1f90 {state} 05 06 0007 000009c4 0000000000000064"
-BUS_READY, BUS_TERMINATING, BUS_NO_MORE = (BUS_RECORD.format(state=state) for state in ("00", "01", "02"))
-BUS_ENTRY = event_bus.Endpoint(
+READY_RECORD, TERMINATING_RECORD, GONE_RECORD = (
+    BUS_RECORD.format(state=state) for state in ("00", "01", "02")
+)
+BUS_ENDPOINT = event_bus.Endpoint(
     listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", nominal=2.5),
     host="10.1.2.3",
     port=8080,
 )
-BUS_GONE = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Gone"))
-BUS_LEAVING = BUS_ENTRY._replace(listing=BUS_ENTRY.listing._replace(state="Terminating"))
+BUS_GONE = BUS_ENDPOINT._replace(listing=BUS_ENDPOINT.listing._replace(state="Gone"))
+BUS_TERMINATING = BUS_ENDPOINT._replace(listing=BUS_ENDPOINT.listing._replace(state="Terminating"))
 BUS_FRAMES = {
     "nothing": (
         "00000009 0000000000000011 00",
         event_bus.WatchEvent(offset=17, kind="Nothing", endpoints=()),
     ),
     "complete": (
-        f"00000024 0000000000000012 01 {BUS_READY}",
-        event_bus.WatchEvent(offset=18, kind="Complete", endpoints=(BUS_ENTRY,)),
+        f"00000024 0000000000000012 01 {READY_RECORD}",
+        event_bus.WatchEvent(offset=18, kind="Complete", endpoints=(BUS_ENDPOINT,)),
     ),
     "partial": (
-        f"0000003f 0000000000000013 02 {BUS_TERMINATING} {BUS_NO_MORE}",
-        event_bus.WatchEvent(offset=19, kind="Partial", endpoints=(BUS_LEAVING, BUS_GONE)),
+        f"0000003f 0000000000000013 02 {TERMINATING_RECORD} {GONE_RECORD}",
+        event_bus.WatchEvent(offset=19, kind="Partial", endpoints=(BUS_TERMINATING, BUS_GONE)),
     ),
 }
 
 
 @pytest.mark.parametrize("name", BUS_FRAMES)
-def test_frame_of_the_event_bus_is_read_as_recorded(name):
+def test_frame_of_the_event_bus_is_decoded(name):
     data, update = BUS_FRAMES[name]
     assert list(event_bus.WatchEventDecoder().feed(bytes.fromhex(data))) == [update]
 
 
-def test_start_of_the_event_bus_is_read_as_recorded():
+def test_initial_state_of_the_event_bus_is_decoded():
     endpoint = {
         "name": "s-01020304",
         "address": "10.1.2.3:8080",
@@ -920,10 +925,10 @@
         "since_ms": "100",
         "weight": 2.5,
     }
-    least = {"name": "s-00000002", "address": "10.1.2.4:8081", "status": "Gone"}
+    endpoint_without_optional_fields = {"name": "s-00000002", "address": "10.1.2.4:8081", "status": "Gone"}
     batch = [
         {"offset": "17", "topology": {"snapshot": True, "endpoints": [endpoint]}},
-        {"offset": 18, "topology": {"endpoints": [least]}},
+        {"offset": 18, "topology": {"endpoints": [endpoint_without_optional_fields]}},
     ]
     first = event_bus.Endpoint(
         listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", nominal=2.5),
@@ -935,8 +940,8 @@
         host="10.1.2.4",
         port=8081,
     )
-    found = event_bus.initial_watch_events({"batch": batch}, ["north", "west", "east"], ["small", "large"])
-    assert list(found) == [
+    decoded = event_bus.initial_watch_events({"batch": batch}, ["north", "west", "east"], ["small", "large"])
+    assert list(decoded) == [
         event_bus.WatchEvent(offset=17, kind="Complete", endpoints=(first,)),
         event_bus.WatchEvent(offset=18, kind="Partial", endpoints=(second,)),
     ]
@@ -953,7 +958,7 @@
 
 
 @pytest.mark.parametrize("name", MYSQL_COMMANDS)
-def test_command_of_a_mysql_client_is_read_as_recorded(name):
+def test_command_of_a_mysql_client_is_decoded(name):
     payload, command = MYSQL_COMMANDS[name]
     session = mysql.Session(1, 1000)
     session.logged_in = True
@@ -962,18 +967,18 @@
     assert {type(command) for _, command in MYSQL_COMMANDS.values()} == set(get_args(mysql.Command))
 
 
-def test_recorded_signatures_are_taken():
+def test_recorded_signatures_are_valid():
     public = Ed25519PrivateKey.from_private_bytes(PRIVATE_KEY).public_key().public_bytes_raw()
-    check = signatures.ed25519_verifier({"partner-a": public})
+    verify = signatures.ed25519_verifier({"partner-a": public})
     for name in ("offer", "agreement", "notice"):
         signed = bytes.fromhex(recorded()[f"partners/signed-bytes of {name}"])
         signature = bytes.fromhex(recorded()[f"partners/signature of {name}"])
-        assert check("partner-a", signed, signature)
-        assert not check("partner-b", signed, signature)
-        assert not check("partner-a", signed + b"!", signature)
+        assert verify("partner-a", signed, signature)
+        assert not verify("partner-b", signed, signature)
+        assert not verify("partner-a", signed + b"!", signature)
 
 
-def test_recorded_ticket_is_taken():
+def test_recorded_ticket_is_accepted():
     table = tickets.Table(b"a secret", 9, 1000)
     table.put(0, "owner", "held")
     assert table.get(999, "owner", bytes.fromhex(recorded()["flight/ticket, first"])) == "held"
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: batches of messages in, lines of decisions out, and what it says of faulty input."""
+"""The simulator adapter: message batches, the decisions written for them, and errors for malformed input."""
 
 import io
 import subprocess
@@ -21,45 +21,45 @@
 
 
 def batch(number, *messages, clock=0):
-    """One batch of messages, as lines."""
+    """The lines of one batch of messages."""
     return [f"SYNC {clock * MS} {number}", *messages, "YOUR_TURN"]
 
 
-def answers(*lines):
-    """What the adapter writes, as lines."""
+def adapter_output(*lines):
+    """The lines that the adapter writes for these lines."""
     output = io.StringIO()
     Host(output).serve(lines)
     return output.getvalue().splitlines()
 
 
-def test_query_is_sent_and_its_result_ends_it():
-    first, *rest = answers(
+def test_query_is_sent_and_completed():
+    first, *rest = adapter_output(
         *batch(1, *START, *ENGINES, QUERY),
         *batch(2, "SWITCH_TO 0", "COMPLETED q1 1 completed - 4 - 0 inflight:1", clock=30),
         *batch(3, "SWITCH_TO 0", "MEMO anything", clock=40),
     )
     assert first == "ON_BEHALF 0"
-    (sent,) = [line for line in rest if line.startswith("PASS_ON")]
-    assert sent.split(" ")[1] == "q1" and sent.split(" ")[2] in ("4", "5")
-    ends = [line for line in rest if line.startswith("FINISHED")]
-    assert ends == ["FINISHED 1", "FINISHED 2", "FINISHED 3"]
-    assert rest.index(sent) < rest.index("FINISHED 1")
+    (submission,) = [line for line in rest if line.startswith("PASS_ON")]
+    assert submission.split(" ")[1] == "q1" and submission.split(" ")[2] in ("4", "5")
+    batch_ends = [line for line in rest if line.startswith("FINISHED")]
+    assert batch_ends == ["FINISHED 1", "FINISHED 2", "FINISHED 3"]
+    assert rest.index(submission) < rest.index("FINISHED 1")
 
 
-def test_router_that_has_exited_says_nothing():
-    assert answers(*batch(1, *START, *ENGINES, QUERY, "EXIT")) == ["FINISHED 1"]
+def test_router_that_has_exited_writes_no_decisions():
+    assert adapter_output(*batch(1, *START, *ENGINES, QUERY, "EXIT")) == ["FINISHED 1"]
 
 
-def test_list_that_could_not_be_read_needs_no_census():
-    assert answers(*batch(1, *START, "MEMBERSHIP Error - -"))[-1] == "FINISHED 1"
+def test_failed_endpoint_list_needs_no_census():
+    assert adapter_output(*batch(1, *START, "MEMBERSHIP Error - -"))[-1] == "FINISHED 1"
 
 
-def test_failed_decision_is_named_and_the_adapter_goes_on(monkeypatch):
+def test_exception_in_a_scheduler_is_reported_and_the_adapter_continues(monkeypatch):
     def fail(*_):
         raise KeyError("two\nlines")
 
     monkeypatch.setattr("hillchute.decision.scheduler.QueryScheduler.next_decision", fail)
-    lines = answers(*batch(1, *START, *ENGINES), *batch(2))
+    lines = adapter_output(*batch(1, *START, *ENGINES), *batch(2))
     assert lines == ["ON_BEHALF 0", "BUG KeyError: 'two\\nlines'", "FINISHED 1", "FINISHED 2"]
 
 
@@ -87,17 +87,17 @@
         (batch(1, *START, "COMPLETED q1 1 odd"), "no such result: odd"),
     ],
 )
-def test_faulty_input_is_named_by_line_and_field(lines, message):
+def test_error_for_malformed_input_names_line_and_field(lines, message):
     with pytest.raises(MalformedInputError) as error:
-        answers(*lines)
+        adapter_output(*lines)
     assert str(error.value) == message
 
 
-def test_absent_fields_of_an_engine_have_their_defaults():
+def test_absent_fields_of_an_engine_have_defaults():
     assert Fields("ENGINE - - - - - - 3", 1).listing() == Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)
 
 
-def test_times_round_so_that_nothing_waits_too_short_and_nothing_is_late():
+def test_clock_and_durations_are_rounded_up_and_deadlines_down():
     fields = Fields("X 100001 199999 1 -", 1)
     assert (fields.instant("clock"), fields.deadline("drop_dead_ns")) == (2, 1)
     assert (fields.duration("spent_ns"), fields.duration("spent_ns")) == (1, 0)
@@ -106,25 +106,25 @@
 @pytest.mark.parametrize(
     "text, value", [("5", 5), ("0.5", 0.5), ("true", True), ("std", "std"), ("1,b,", [1, "b", ""]), ("", "")]
 )
-def test_setting_has_the_kind_that_its_text_has(text, value):
+def test_setting_is_parsed_by_the_form_of_its_text(text, value):
     assert parse_setting(text) == value
 
 
-def test_reason_of_a_failed_health_check_that_is_not_known_says_nothing_of_the_engine():
+def test_health_check_with_an_unknown_result_counts_as_not_sent():
     assert health_check_result("odd") == AttemptResult.NOT_SENT
     assert health_check_result("completed") == AttemptResult.SERVED
 
 
 @pytest.mark.parametrize(
-    "given, code, said",
+    "input_bytes, exit_code, error_output",
     [
         (b"\n".join(line.encode() for line in batch(1)) + b"\n", 0, b""),
         (b"HELLO\n", 2, b"benchlink: line 1: HELLO: a batch begins with SYNC\n"),
         (b"\xff\n", 2, b"benchlink: input is not UTF-8 text\n"),
     ],
 )
-def test_program_says_by_its_exit_code_how_it_ended(given, code, said):
+def test_exit_code_and_error_output_of_the_program(input_bytes, exit_code, error_output):
     command = [sys.executable, "-m", "hillchute.benchlink"]
-    environ = {"PYTHONIOENCODING": "utf-8:strict"}  # in some locales Python lets any byte through
-    done = subprocess.run(command, input=given, capture_output=True, env=environ, timeout=60)
-    assert (done.returncode, done.stderr) == (code, said)
+    environ = {"PYTHONIOENCODING": "utf-8:strict"}  # in some locales Python accepts invalid UTF-8 by default
+    completed = subprocess.run(command, input=input_bytes, capture_output=True, env=environ, timeout=60)
+    assert (completed.returncode, completed.stderr) == (exit_code, error_output)
