--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -1,7 +1,7 @@
-"""A router's part in the fleet: fleet view, peers' node and transport, and what rests on them.
+"""The peer extension of a router: fleet view, node and transport, and the extensions that build on them.
 
-Its settings are the operator file's `peers`. Owns that wiring, what is logged of it, and what of it changes
-on a reload. Decides nothing; imported only where the operator file names peers.
+Configured by the operator file's `peers`. Connects these, logs their statistics, and applies reloads.
+Imported only if the operator file names peers.
 """
 
 from collections.abc import Callable, Mapping
@@ -39,12 +39,10 @@
     from hillchute.router.integrations.history import HistoryExtension
     from hillchute.router.integrations.partners import PartnerExtension
 
-HANDOVER_TIMEOUT: Time = (
-    80_000  # eight seconds, in which two views can follow: a router that ends waits so long
-)
+HANDOVER_TIMEOUT: Time = 80_000  # eight seconds: enough for two view changes while a router shuts down
 HANDOVER_POLL_INTERVAL = 0.05  # seconds
 MILLISECOND: Time = 10
-MAX_NAMES_LOGGED = 16  # in one line
+MAX_NAMES_LOGGED = 16  # in one log line
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -53,12 +51,12 @@
 
     name: str  # this router's
     listen: str  # host:port
-    keys: Mapping[str, bytes]  # by peer, of the pair with it
+    keys: Mapping[str, bytes]  # by peer: the key shared with it
     addresses: Mapping[str, Address]  # by peer
 
     @classmethod
     def from_operator_file(cls, section: Mapping[str, Any]) -> "PeerSettings":
-        """Raises ConfigurationError for an address that is none."""
+        """Converts the section `peers`. Raises ConfigurationError for an invalid address."""
         others = section["others"]
         return cls(
             name=section["name"],
@@ -78,7 +76,7 @@
 def fleet_settings(
     settings: PeerSettings, configuration: RouterConfiguration, *, has_partners: bool
 ) -> FleetSettings:
-    """What the fleet's view is built from, by the deployment's settings."""
+    """The settings of the fleet view, from the deployment's settings."""
     limits = [WARM_UP_LIMIT] if configuration.settings.warm_up.duration else []
     limits += map(tenant_limit, configuration.settings.tenants_with_quota)
     if has_partners:
@@ -94,16 +92,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterContext:
-    """The router, as its extensions see it."""
+    """What the router provides to its extensions."""
 
     configuration: RouterConfiguration
     log: Log
     handle: Callable[[Event], None]  # takes events for the reducer
-    clock: Callable[[], Time]  # of the reducer's events; another than the peers'
+    clock: Callable[[], Time]  # of the reducer's events; differs from the peers' clock
 
 
 class PeerExtension:
-    """A router among peers, with its history and its partners where they are on; implements
+    """The peers of one router and, if enabled, its answer history and partners; implements
     `interface.RouterExtension`."""
 
     def __init__(
@@ -113,9 +111,9 @@
         router: RouterContext,
         scheduler: QueryScheduler,
     ) -> None:
-        """`operator`: the operator file. The router's `handle` gets other routers' load reports, decisions on
-        claims, and queries that other partners' routers forwarded. Raises ConfigurationError for an address
-        that is none."""
+        """`operator`: the operator file. The router's `handle` receives other routers' load reports,
+        decisions on claims, and queries forwarded by other partners' routers. Raises ConfigurationError for
+        an invalid address."""
         self.settings = PeerSettings.from_operator_file(operator["peers"])
         self.router = router
         self.log = router.log
@@ -139,7 +137,7 @@
         if self.partners is not None:
             self.forwarded_queries = self.partners.forwarded_queries
         self.statistics_logged_at = now
-        self.known_peers: list[str] = []  # those that lived when this was last looked at
+        self.known_peers: list[str] = []  # the peers that were alive at the last check
 
     # ---- construction -------------------------------------------------------------------------------------
 
@@ -213,14 +211,14 @@
         )
         return FleetScheduler(scheduler=scheduler, fleet=fleet, pool=self._make_pool())
 
-    # ---- what the service calls ---------------------------------------------------------------------------
+    # ---- called by the service ----------------------------------------------------------------------------
 
     def connect_endpoint_list(self, offset: Callable[[], int]) -> None:
-        """`offset` gives the event that the endpoint list has reached; called before anything else."""
+        """`offset` returns the offset of the last applied watch event. Called before any other method."""
         self.fleet_scheduler.connect_endpoint_list(offset)
 
     def carry_out(self, effect: ExtensionEffect) -> None:
-        """Carries out one effect of the reducer. Raises ValueError for one of a part that is off."""
+        """Carries out one effect of the reducer. Raises ValueError if its extension is not enabled."""
         match effect:
             case ClaimQuery() if self.history is not None:
                 self.history.claim(effect)
@@ -231,36 +229,36 @@
             case CancelForward() if self.partners is not None:
                 self.partners.cancel(effect)
             case _:
-                raise ValueError(f"{type(effect).__name__} of a part that the operator file does not have")
+                raise ValueError(f"{type(effect).__name__} needs an extension that is not enabled")
 
     def open(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Opens the sockets and starts the loop that serves them; PeerListenError if an address is taken."""
+        """Opens the sockets and starts serving them; raises PeerListenError if an address is in use."""
         self.transport.open()
         tasks.start_soon(self.transport.run)
 
     def begin_shutdown(self) -> None:
-        """The router ends: it says farewell to its peers, and starts no more views."""
+        """Announces the shutdown of this router to its peers; it proposes no more views."""
         self.transport.leave()
         if self.history is not None:
             self.history.replica.prepare_to_leave()
 
     async def hand_over(self) -> None:
-        """Waits until others have the records that this router alone holds, and the results that it owes
-        them; HANDOVER_TIMEOUT at the most."""
+        """Waits, at most HANDOVER_TIMEOUT, until others have the records that only this router holds, and
+        have acknowledged the results sent to them."""
         if self.history is None:
             return
         deadline = self.clock() + HANDOVER_TIMEOUT
         while self.clock() < deadline:
-            owes_results = (
+            has_unacknowledged_results = (
                 self.partners is not None and self.partners.forwarded_queries.has_unacknowledged_results
             )
-            if self.history.is_handed_over and not owes_results:
+            if self.history.is_handed_over and not has_unacknowledged_results:
                 break
             await anyio.sleep(HANDOVER_POLL_INTERVAL)
 
     def reload(self, operator: Mapping[str, Any]) -> list[str]:
-        """Takes an operator file read again; returns the paths of what needs a restart. Raises
-        ConfigurationError for an address that is none; then nothing has changed."""
+        """Applies a reloaded operator file; returns the paths of the changes that need a restart. Raises
+        ConfigurationError for an invalid address; then nothing has changed."""
         settings = PeerSettings.from_operator_file(operator["peers"])
         restart = [
             f"peers.{key}"
@@ -286,22 +284,22 @@
         self.settings = settings
 
     def _reload_partners(self, section: Mapping[str, Any] | None, *, may_change: bool) -> list[str]:
-        """Paths of what needs a restart. `may_change`: nothing before needs one."""
+        """The paths of the changes that need a restart. `may_change`: no other section needs one."""
         if bool(section) != (self.partners is not None):
             return ["partners"]
         if self.partners is None or not section or not may_change:
             return []
         return self.partners.reload(section)
 
-    # ---- what the peers' part calls -----------------------------------------------------------------------
+    # ---- called by the transport and other extensions -----------------------------------------------------
 
     def schedule_messages(self) -> None:
-        """A channel has messages to send. Before the sockets are open they wait for the next tick."""
+        """Sends the channels' messages. Before the sockets are open they wait for the next tick."""
         if self.transport.tasks is not None:
             self.transport.send_messages()
 
     def on_change(self) -> None:
-        """Something has come from peers, or time has passed."""
+        """Handles what was received from peers and what is due; called after each read and each tick."""
         now = self.clock()
         live = self.node.live_peers()
         if live != self.known_peers:
@@ -320,7 +318,7 @@
     # ---- log ----------------------------------------------------------------------------------------------
 
     def log_statistics(self, now: Time) -> None:
-        """Writes figures on peers and quotas, and what is wrong with names or the clock."""
+        """Logs statistics on peers and quotas, and mismatches of names or of the clock."""
         quotas = self.fleet.quotas
         shares = {name: round(quotas.usable_share(name, now), 4) for name in quotas.limits}
         self.log.write(
@@ -333,9 +331,9 @@
             quota_shares=shares,
         )
         for name in sorted(self.fleet.differing_routers):
-            mismatch = PeerListMismatchError("other names under `peers`", name)
+            mismatch = PeerListMismatchError("lists other routers under `peers`", name)
             self.log.write("peers_differ", **mismatch.log_fields)
         behind = self.node.dropped[DropReason.TO_LATER_GENERATION]
         if behind:
-            error = ClockBehindError(f"{behind} datagrams to a later start of this router", self.node.name)
+            error = ClockBehindError(f"{behind} datagrams to a later generation of this one", self.node.name)
             self.log.write("peers_clock", **error.log_fields)
--- a/hillchute/router/integrations/pool_quota.py
+++ b/hillchute/router/integrations/pool_quota.py
@@ -1,7 +1,7 @@
 """The engines that partners share: what each partner contributes, and this router's quota of them.
 
-Owns when the quota leases' entitlement to the pool is confined to the floor. The division itself is
-partners/capacity_pool.py's, lending and borrowing coordination/quota_leases.py's.
+Decides when this router is confined to the floor of its entitlement. The pool is divided in
+partners/capacity_pool.py; lending and borrowing are in coordination/quota_leases.py.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,13 +17,13 @@
 from hillchute.router.integrations.partner_settings import PartnerMember
 from hillchute.settings import Settings
 
-# A router whose share grows by a new agreement waits for so long: by then all whose shares shrink use less.
+# A larger share under a new agreement takes effect after this time: by then all smaller shares are in effect.
 ENTITLEMENT_SETTLING_TIME: Time = int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineNames:
-    """Zones and kinds of engines by the numbers that the endpoint list gives, and each kind's cores."""
+    """Names of zones and kinds by their numbers in the endpoint list, and the cores of each kind."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -31,23 +31,23 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "EngineNames":
-        """By the deployment's settings."""
+        """The names and cores in the deployment's settings."""
         return cls(zones=settings.zone_names, kinds=settings.kind_names, cores=settings.cores_by_kind)
 
     def is_contributed_by(self, member: PartnerMember, engine: Listing) -> bool:
-        """Whether an engine is of the zones and kinds that a partner names as its own."""
+        """Whether an engine is in one of a partner's zones and of one of its kinds."""
         return _is_among(member.zones, self.zones, engine.zone) and _is_among(
             member.kinds, self.kinds, engine.kind
         )
 
 
 def _is_among(names: frozenset[str], known: tuple[str, ...], number: int) -> bool:
-    """Whether a number stands for one of the names; any does where none are given."""
+    """Whether a number stands for one of the names; always true if there are no names."""
     return not names or (number < len(known) and known[number] in names)
 
 
 class PoolQuota:
-    """This router's part of the pool; implements `fleet_scheduler.CapacityPool`."""
+    """This router's quota of the pool; implements `fleet_scheduler.CapacityPool`."""
 
     def __init__(
         self,
@@ -58,23 +58,23 @@
         negotiation: AgreementProtocol,
         views: ViewProtocol | None,
     ) -> None:
-        """`members`: as the operator file has them now. `views`: the answer history's; without one no
-        agreement is known to hold."""
+        """`members`: returns the partners in the current operator file. `views`: those of the answer history;
+        without them no agreement is known to be in force."""
         self.clock = clock
         self.members = members
         self.engine_names = engine_names
         self.negotiation = negotiation
         self.views = views
         self.allocations: dict[str, int] = {}  # units of the pool, by router
-        self.allocations_revision = 0  # of slot ownership, from which the allocations follow
+        self.allocations_revision = 0  # of the slot ownership that the allocations are computed from
 
     def on_endpoint_list(self, listings: Iterable[Listing]) -> None:
-        """The endpoint list has changed; these are all its entries."""
+        """Handles a change of the endpoint list; `listings` is the whole list."""
         capacities = self.contributed_cores(listings)
         self.negotiation.ownership.set_capacities(self.clock(), capacities)
 
     def contributed_cores(self, listings: Iterable[Listing]) -> dict[str, int]:
-        """Cores of the engines that are ready, by partner. An engine that fits several is the first one's."""
+        """Cores of the ready engines, by partner. An engine that matches several counts for the first."""
         members = list(self.members())
         cores = {member.name: 0 for member in members}
         for engine in listings:
@@ -86,10 +86,10 @@
         return cores
 
     def update_entitlement(self, quotas: QuotaLeases) -> None:
-        """Sets this router's entitlement to the pool, as the agreement in force gives it.
+        """Sets this router's entitlement to the pool by the agreement in force.
 
-        Where the agreement is not known to be in force, for want of a view or of the agreement that others
-        follow, the router is confined to the floor.
+        The router is confined to the floor if the agreement is not known to be in force, because it has no
+        valid view or not the agreement that others follow.
         """
         now = self.clock()
         ownership = self.negotiation.ownership
--- a/hillchute/router/integrations/rows_codec.py
+++ b/hillchute/router/integrations/rows_codec.py
@@ -1,4 +1,4 @@
-"""Results as bytes, as the answer history keeps them and partners' routers send them."""
+"""Encoding of results for the answer history and for forwarded queries."""
 
 import msgspec
 
@@ -9,10 +9,10 @@
 
 
 def encode_rows(rows: Rows) -> bytes:
-    """The bytes of a complete result."""
+    """The encoded bytes of a complete result."""
     return _encoder.encode(rows)
 
 
 def decode_rows(data: bytes) -> Rows:
-    """The result that `encode_rows` was given; raises msgspec.DecodeError for other bytes."""
+    """The inverse of `encode_rows`; raises msgspec.DecodeError for invalid bytes."""
     return _decoder.decode(data)
