--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,5 @@
-"""The endpoint list over an event bus that breaks, stalls and moves; what it does to engines' connections."""
+"""The watch of the endpoint list when the event bus fails, stalls or changes its address, and the effect of
+watch events on connections to engines."""
 
 import time
 
@@ -14,7 +15,7 @@
 
 KEEPALIVE = FRAME_HEADER.pack(9, 0, 0)
 FIRST, SECOND, THIRD = (("127.0.0.1", port) for port in (1, 2, 3))
-LONG = 60  # seconds: no test waits for it
+NEVER_REACHED = 60  # seconds, longer than any test
 
 
 def delta_frame(offset, state=0, engine=1):
@@ -23,16 +24,16 @@
 
 
 class Bus:
-    """Stands in for an event bus: what each connection says, and when connects come up."""
+    """A stand-in for an event bus, with scripted connections and controlled connects."""
 
     def __init__(self, monkeypatch):
         self.connects = []
         self.closed = []
         self.log = Kept()
-        self.events = []  # all that the watcher handed on
+        self.events = []  # all events that the watcher passed on
         self.subscription = None  # the last one sent
-        self.gates = {}  # address: an event that its connects wait for
-        self.scripts = {}  # address: lists of what one connection sends; then it falls silent or breaks
+        self.gates = {}  # by address: an event that connects wait for
+        self.scripts = {}  # by address: for each connection the steps that it sends, after which it is silent
         monkeypatch.setattr(watcher.anyio, "connect_tcp", self.connect)
         self.watcher = EndpointWatcher(
             self.log,
@@ -84,8 +85,8 @@
     return Bus(monkeypatch)
 
 
-def play(bus, done, *addresses):
-    """Watches the bus at one address after another until `done`."""
+def watch_until(bus, done, *addresses):
+    """Watches the event bus at one address after another until `done` returns True."""
 
     async def run():
         with anyio.fail_after(10):
@@ -103,49 +104,49 @@
 @pytest.mark.parametrize(
     "first",
     [
-        [KEEPALIVE],  # falls silent
-        [KEEPALIVE, delta_frame(1)[:20]],  # stops in the middle of a frame
-        [KEEPALIVE, *(bytes([byte]) for byte in delta_frame(1)[:30])],  # bytes, but no frame
+        [KEEPALIVE],  # silent afterwards
+        [KEEPALIVE, delta_frame(1)[:20]],  # an incomplete frame
+        [KEEPALIVE, *(bytes([byte]) for byte in delta_frame(1)[:30])],  # bytes without a complete frame
         [KEEPALIVE, OSError("reset")],
         [KEEPALIVE, anyio.EndOfStream()],
-        [KEEPALIVE, b"\xff" * 40],  # unreadable
+        [KEEPALIVE, b"\xff" * 40],  # an invalid frame
     ],
-    ids=["silent", "half a frame", "trickle", "reset", "closed", "unreadable"],
+    ids=["silent", "incomplete frame", "trickle", "reset", "closed", "invalid frame"],
 )
-def test_connection_that_tells_nothing_more_is_replaced_and_nothing_is_missed(bus, first):
+def test_dead_connection_is_replaced_without_losing_events(bus, first):
     bus.scripts[FIRST] = [first, [delta_frame(1), delta_frame(2, state=1)]]
-    play(bus, lambda: len(bus.events) >= 3)
+    watch_until(bus, lambda: len(bus.events) >= 3)
     assert [event.offset for event in bus.events if event.kind != "Nothing"] == [1, 2]
     assert bus.connects == [FIRST] * 2 and bus.subscription == event_bus.encode_subscription(0)
 
 
-def test_trickle_of_bytes_that_never_make_a_frame_is_left_in_time(bus):
-    async def slowly():
+def test_trickle_of_bytes_without_a_frame_times_out(bus):
+    async def wait_briefly():
         await anyio.sleep(0.01)
 
-    class Trickle(Stream):
+    class TrickleStream(Stream):
         async def receive(self, most):
-            await slowly()
+            await wait_briefly()
             return b"\0"
 
     bus.scripts[FIRST] = []
-    real = bus.connect
+    connect_normally = bus.connect
 
     async def connect(host, port):
         if not bus.connects:
             bus.connects.append((host, port))
-            return Trickle(bus, (host, port), [])
-        return await real(host, port)
+            return TrickleStream(bus, (host, port), [])
+        return await connect_normally(host, port)
 
     watcher.anyio.connect_tcp = connect
-    began = time.monotonic()
-    play(bus, lambda: len(bus.connects) >= 2)
-    assert time.monotonic() - began >= 0.04 and ("event_bus_lost" in [event for event, _ in bus.log.lines])
+    started = time.monotonic()
+    watch_until(bus, lambda: len(bus.connects) >= 2)
+    assert time.monotonic() - started >= 0.04 and ("event_bus_lost" in [event for event, _ in bus.log.lines])
 
 
-def test_addresses_in_quick_succession_while_connects_are_under_way_end_at_the_last(bus, monkeypatch):
-    """The second never comes up; the first is heard until the third is."""
-    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", LONG)
+def test_last_of_several_quick_address_changes_wins(bus, monkeypatch):
+    """The second address never connects; events come from the first until the third is connected."""
+    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", NEVER_REACHED)
 
     async def run():
         bus.gates[SECOND] = anyio.Event()
@@ -167,15 +168,15 @@
     assert bus.connects[-1] == THIRD
 
 
-def test_connection_that_breaks_as_a_newer_one_lets_it_go_ends_nothing_else(bus, monkeypatch):
-    """Both in one turn of the loop: the old one's end is on its way when its scope is cancelled."""
-    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", LONG)
+def test_connection_that_fails_while_it_is_replaced_does_not_end_the_new_watch(bus, monkeypatch):
+    """The newer watch removes the old scope in the loop iteration in which the old connection fails."""
+    monkeypatch.setattr(watcher, "IDLE_TIMEOUT", NEVER_REACHED)
 
-    async def let_go_and_break():
+    async def remove_scope_and_fail():
         bus.watcher.scopes.pop(0)
         raise OSError("reset")
 
-    bus.scripts = {FIRST: [[let_go_and_break]], SECOND: [[delta_frame(5)]]}
+    bus.scripts = {FIRST: [[remove_scope_and_fail]], SECOND: [[delta_frame(5)]]}
 
     async def run():
         async with anyio.create_task_group() as tasks:
@@ -199,13 +200,13 @@
     rig.close()
 
 
-def entry(rig, state, started=0, engine=1, kind=0):
+def endpoint(rig, state, started=0, engine=1, kind=0):
     return Endpoint(
         Listing(engine, kind, 0, 0, started, state, 1.0), "127.0.0.1", rig.listener.getsockname()[1]
     )
 
 
-def test_repeated_and_old_numbers_change_nothing_and_one_that_skips_counts(rig):
+def test_repeated_and_old_offsets_are_ignored_and_gaps_are_accepted(rig):
     rig.list(7, state=EndpointState.DRAINING)
     for number in (7, 3, 1):
         rig.list(number, state=EndpointState.READY)
@@ -214,43 +215,43 @@
     assert rig.service.reducer.scheduler.engines[1].ready and rig.service.reducer.pool.list_offset == 40
 
 
-def test_engine_that_drains_vanishes_and_returns_in_one_frame_is_a_new_process(rig):
+def test_engine_that_drains_goes_and_returns_in_one_event_is_a_new_process(rig):
     client = rig.connected()
     (old,) = rig.service.links.links.values()
-    started = rig.clock() - 200_000  # long enough ago to be warm
-    entries = [entry(rig, "Terminating"), entry(rig, "Gone"), entry(rig, "Ready", started)]
+    started = rig.clock() - 200_000  # long enough ago for the warm-up to be over
+    entries = [endpoint(rig, "Terminating"), endpoint(rig, "Gone"), endpoint(rig, "Ready", started)]
     rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", tuple(entries)))
     assert rig.service.reducer.scheduler.engines[1].ready
-    assert old.pipe.closed  # the process that it was open to is gone
+    assert old.pipe.closed  # its process no longer exists
     client.write(query(1))
     rig.until(lambda: len(client.answers()) == 2)
     assert client.answers()[1] == "served" and len(rig.talks) == 2
 
 
-def test_attempt_that_is_out_to_the_process_before_may_still_answer_and_takes_no_other_along(rig):
+def test_attempt_at_the_previous_process_may_still_answer_beside_a_new_one(rig):
     client, other = rig.connected(), rig.client()
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
     rig.service.endpoint_updates.on_watch_event(
-        WatchEvent(2, "Partial", (entry(rig, "Ready", rig.clock() - 200_000),))
+        WatchEvent(2, "Partial", (endpoint(rig, "Ready", rig.clock() - 200_000),))
     )
     other.write(query(2))
     rig.until(lambda: len(rig.wants) == 2)
-    assert len(rig.talks) == 2  # the new attempt went to the new process, on a connection of its own
+    assert len(rig.talks) == 2  # the new attempt uses a new connection to the new process
     rig.talks[0].serve(rig.wants[0])
     rig.talks[1].serve(rig.wants[1])
     rig.until(lambda: len(client.answers()) == 2 and other.answers())
     assert client.answers()[1] == "served" and other.answers() == ["served"]
 
 
-def test_address_of_one_that_has_gone_is_a_new_engines_own(rig):
+def test_address_of_a_gone_engine_can_be_reused_by_a_new_one(rig):
     client = rig.connected()
     rig.serving = False
     client.write(query(1))
     rig.until(lambda: rig.wants)
     rig.service.endpoint_updates.on_watch_event(
-        WatchEvent(2, "Partial", (entry(rig, "Gone"), entry(rig, "Ready", engine=2)))
+        WatchEvent(2, "Partial", (endpoint(rig, "Gone"), endpoint(rig, "Ready", engine=2)))
     )
     other = rig.client(LOGIN + query(2))
     rig.until(lambda: len(rig.wants) == 2)
@@ -261,7 +262,7 @@
     assert other.answers() == ["served"]
 
 
-def test_drain_in_the_same_round_as_the_query_is_kept(rig):
+def test_drain_in_the_same_loop_iteration_as_a_query_applies_to_it(rig):
     client = rig.connected()
     client.write(query(1))
     rig.list(2, state=EndpointState.DRAINING)
@@ -269,9 +270,9 @@
     assert rig.wants == []
 
 
-def test_engine_of_a_kind_that_the_settings_do_not_name_gets_nothing_and_the_rest_of_the_list_counts(rig):
+def test_engine_of_an_unknown_kind_is_unusable_and_the_rest_of_the_list_applies(rig):
     rig.service.endpoint_updates.on_watch_event(
-        WatchEvent(2, "Partial", (entry(rig, "Ready", engine=3, kind=9), entry(rig, "Terminating")))
+        WatchEvent(2, "Partial", (endpoint(rig, "Ready", engine=3, kind=9), endpoint(rig, "Terminating")))
     )
     engines = rig.service.reducer.scheduler.engines
     assert not engines[1].ready and not engines[3].ready
@@ -279,7 +280,7 @@
     assert line["error"] == "UnknownEngineKindError" and line["remedy"] and not rig.log.faults()
 
 
-def test_routers_that_lose_it_in_one_instant_do_not_come_back_in_one_instant():
+def test_routers_that_lose_the_event_bus_together_reconnect_at_different_times():
     waits = sorted(RetryDelays(seed).next_delay(watcher.RETRY_DELAY) for seed in range(200))
     tenth = watcher.RETRY_DELAY / 10
     assert max(sum(start <= wait < start + tenth for wait in waits) for start in waits) < 40
--- a/tests/test_load_signals.py
+++ b/tests/test_load_signals.py
@@ -1,4 +1,5 @@
-"""Observations between routers: merged in any order; what a lying router can move is bounded."""
+"""Exchange of observations between routers: the merge is independent of order, and the influence of a
+malicious router is bounded."""
 
 import random
 
@@ -40,9 +41,9 @@
 
 @pytest.fixture
 def signals():
-    found = LoadSignals(0, lambda witness, engine: witness in "abcdef")
-    found.on_endpoint_list(5, range(9))
-    return found
+    created = LoadSignals(0, lambda witness, engine: witness in "abcdef")
+    created.on_endpoint_list(5, range(9))
+    return created
 
 
 observations = st.builds(
@@ -61,59 +62,59 @@
 
 
 def merged(messages):
-    found = LoadSignals(0, lambda witness, engine: True)
-    found.on_endpoint_list(5, range(9))
+    created = LoadSignals(0, lambda witness, engine: True)
+    created.on_endpoint_list(5, range(9))
     for witness, message in messages:
-        found.on_observations(NOW, witness, message)
-    known = {e: (k.load_reports, k.failures, k.drains) for e, k in found.engines.items()}
+        created.on_observations(NOW, witness, message)
+    known = {e: (k.load_reports, k.failures, k.drains) for e, k in created.engines.items()}
     newest = {e: {w: at for w, (at, _) in loads.items()} for e, (loads, _, _) in known.items()}
-    rest = {e: (ills, drains) for e, (_, ills, drains) in known.items()}
+    rest = {e: (failures, drains) for e, (_, failures, drains) in known.items()}
     return (
         newest,
         rest,
-        found.admissions,
-        found.closed_engines(),
-        found.preferred_engines(NOW, frozenset(range(9))),
+        created.admissions,
+        created.closed_engines(),
+        created.preferred_engines(NOW, frozenset(range(9))),
     )
 
 
 @settings(max_examples=60, deadline=None)
 @given(received, st.randoms(use_true_random=False))
-def test_order_and_repeats_of_observations_do_not_matter(messages, chance):
-    again = messages + [message for message in messages if chance.random() < 0.5]
-    chance.shuffle(again)
-    assert merged(messages) == merged(again)
+def test_order_and_repeats_of_observations_do_not_matter(messages, rng):
+    repeated = messages + [message for message in messages if rng.random() < 0.5]
+    rng.shuffle(repeated)
+    assert merged(messages) == merged(repeated)
 
 
 def test_own_results_take_precedence_over_others_observations(signals):
     signals.on_own_result(NOW, 1, has_report=True)
     newer = Observations((LoadReport(1, 10, (5,)),))
-    assert not signals.on_observations(NOW + 20, "a", newer)  # the own report is fresh
+    assert not signals.on_observations(NOW + 20, "a", newer)  # the own report is still recent
     assert signals.on_observations(NOW + OWN_PRECEDENCE, "a", Observations((LoadReport(1, 20, (5,)),)))
     signals.on_observations(NOW, "a", Observations(failures=(EngineFailure(1, 0), EngineFailure(2, 0))))
-    assert signals.count_failure_witnesses(NOW, 1) == 0  # it returned a result here just now
+    assert signals.count_failure_witnesses(NOW, 1) == 0  # it has just returned a result to this router
     assert signals.count_failure_witnesses(NOW, 2) == 1
 
 
-def test_only_reports_newer_than_all_before_go_to_the_decision_module(signals):
-    fresh = [
-        signals.on_observations(NOW, who, Observations((LoadReport(3, age, (5,)),)))
-        for who, age in (("a", 100), ("b", 200), ("c", 50), ("c", 50), ("a", MAX_REPORT_AGE + 1))
+def test_only_the_newest_reports_are_relayed_to_the_scheduler(signals):
+    accepted = [
+        signals.on_observations(NOW, witness, Observations((LoadReport(3, age, (5,)),)))
+        for witness, age in (("a", 100), ("b", 200), ("c", 50), ("c", 50), ("a", MAX_REPORT_AGE + 1))
     ]
-    assert [len(loads) for loads in fresh] == [1, 0, 1, 0, 0]
+    assert [len(loads) for loads in accepted] == [1, 0, 1, 0, 0]
 
 
-def test_witness_counts_only_for_engines_of_its_subset(signals):
+def test_witness_is_accepted_only_for_engines_of_its_subset(signals):
     assert not signals.on_observations(
         NOW, "z", Observations((LoadReport(3, 0, (0,)),), (EngineFailure(3, 0),))
     )
     assert signals.implausible_reports == 1 and not signals.count_failure_witnesses(NOW, 3)
 
 
-def test_failing_engine_recovers_by_itself_for_one_router_after_another():
+def test_routers_return_to_a_failing_engine_one_after_another():
     ends = []
-    for me in range(50):
-        signals = LoadSignals(me, lambda witness, engine: True)
+    for router_number in range(50):
+        signals = LoadSignals(router_number, lambda witness, engine: True)
         signals.on_endpoint_list(1, [7])
         signals.on_observations(NOW, "a", Observations(failures=(EngineFailure(7, 0),)))
         ends.append(
@@ -124,7 +125,7 @@
             )
         )
     assert min(ends) >= FAILURE_BACKOFF and max(ends) <= FAILURE_BACKOFF + RECOVERY_SPREAD
-    parts = [
+    counts = [
         sum(
             FAILURE_BACKOFF + n * RECOVERY_SPREAD // 5
             <= end
@@ -133,24 +134,24 @@
         )
         for n in range(5)
     ]
-    assert max(parts) <= 50 // 5 + 3
+    assert max(counts) <= 50 // 5 + 3
 
 
-def test_one_witness_puts_a_drain_last_and_two_close_until_the_list_says(signals):
+def test_one_drain_witness_makes_an_engine_last_choice_and_two_close_it_until_the_list_does(signals):
     subset = frozenset(range(9))
     signals.on_observations(NOW, "a", Observations(drains=(DrainNotice(4, 8),)))
     assert not signals.closed_engines() and 4 not in signals.preferred_engines(NOW, subset)
     signals.on_observations(NOW, "b", Observations(drains=(DrainNotice(4, 8),)))
     assert signals.closed_engines() == {4}
     signals.on_endpoint_list(7, range(9))
-    assert signals.closed_engines() == {4}  # the list has not come so far
+    assert signals.closed_engines() == {4}  # the list has not reached event 8
     signals.on_endpoint_list(8, range(9))
     assert not signals.closed_engines() and signals.preferred_engines(NOW, subset) == subset
     signals.on_observations(NOW, "c", Observations(drains=(DrainNotice(4, 8),)))
     assert not signals.count_drain_witnesses(4)  # the list has reached that event
 
 
-def test_no_observation_of_others_opens_an_engine(signals):
+def test_observations_of_others_never_reopen_an_engine(signals):
     for witness in "ab":
         signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(4, 8),)))
     signals.on_own_result(NOW + 1, 4)
@@ -160,16 +161,16 @@
     assert signals.closed_engines() == {4}
 
 
-@pytest.mark.parametrize("liars", [1, 2, 5])
-def test_liars_never_close_all(signals, liars):
-    all = tuple(range(9))
-    lies = Observations(
-        (), tuple(EngineFailure(e, 0) for e in all), tuple(DrainNotice(e, 10**6) for e in all)
+@pytest.mark.parametrize("malicious_count", [1, 2, 5])
+def test_malicious_routers_never_close_all_engines(signals, malicious_count):
+    engines = tuple(range(9))
+    false_reports = Observations(
+        (), tuple(EngineFailure(e, 0) for e in engines), tuple(DrainNotice(e, 10**6) for e in engines)
     )
-    for witness in "abcdef"[:liars]:
-        signals.on_observations(NOW, witness, lies)
-    assert len(signals.closed_engines()) <= (int(9 * MAX_DISTRUSTED_SHARE) if liars > 1 else 0)
-    assert len(signals.preferred_engines(NOW, frozenset(all))) >= 9 - int(9 * MAX_DISTRUSTED_SHARE)
+    for witness in "abcdef"[:malicious_count]:
+        signals.on_observations(NOW, witness, false_reports)
+    assert len(signals.closed_engines()) <= (int(9 * MAX_DISTRUSTED_SHARE) if malicious_count > 1 else 0)
+    assert len(signals.preferred_engines(NOW, frozenset(engines))) >= 9 - int(9 * MAX_DISTRUSTED_SHARE)
 
 
 def test_drains_of_a_lost_router_are_dropped(signals):
@@ -184,7 +185,7 @@
     assert signals.rejected_share(0) == 0.0
 
 
-def test_warm_up_work_that_others_sent_is_added_up_over_the_window(signals):
+def test_warm_up_work_of_others_is_summed_over_the_window(signals):
     for at, total in ((0, 100), (5_000, 160), (4_000, 130), (10_000, 190)):
         signals.on_observations(NOW + at, "a", Observations(warm_up_work=(WarmUpWork(2, total),)))
     signals.on_observations(NOW + 9_000, "b", Observations(warm_up_work=(WarmUpWork(2, 50),)))
@@ -195,7 +196,7 @@
 
 # ---- digests --------------------------------------------------------------------------------------
 
-whole = st.integers(0, codec.COUNT_BOUND - 1)
+count_values = st.integers(0, codec.COUNT_BOUND - 1)
 digests = st.builds(
     Digest,
     st.integers(0, 2**32 - 1),
@@ -209,18 +210,20 @@
         max_size=4,
     ).map(tuple),
     st.lists(st.builds(EngineFailure, st.integers(0, 2**32 - 1), st.integers(0, 99)), max_size=3).map(tuple),
-    st.lists(st.builds(DrainNotice, whole, whole), max_size=3).map(tuple),
-    st.lists(st.builds(WarmUpWork, whole, whole), max_size=3).map(tuple),
-    st.lists(st.builds(AdmissionCounts, whole, st.just(7), st.integers(0, 7)), max_size=3).map(tuple),
-    st.dictionaries(st.text(min_size=1, max_size=9), st.builds(Demand, whole, whole), max_size=3),
+    st.lists(st.builds(DrainNotice, count_values, count_values), max_size=3).map(tuple),
+    st.lists(st.builds(WarmUpWork, count_values, count_values), max_size=3).map(tuple),
+    st.lists(st.builds(AdmissionCounts, count_values, st.just(7), st.integers(0, 7)), max_size=3).map(tuple),
+    st.dictionaries(
+        st.text(min_size=1, max_size=9), st.builds(Demand, count_values, count_values), max_size=3
+    ),
     st.dictionaries(
         st.text(min_size=1, max_size=9),
-        st.builds(LeaseRequest, whole, whole, whole, whole, whole),
+        st.builds(LeaseRequest, count_values, count_values, count_values, count_values, count_values),
         max_size=3,
     ),
     st.dictionaries(
         st.text(min_size=1, max_size=9),
-        st.builds(LeaseGrant, whole, whole, st.integers(0, LEASE_DURATION)),
+        st.builds(LeaseGrant, count_values, count_values, st.integers(0, LEASE_DURATION)),
         max_size=3,
     ),
 )
@@ -228,7 +231,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(digests)
-def test_digest_is_decoded_as_encoded_and_no_truncation_of_it_is_read(digest):
+def test_digest_round_trips_and_truncated_digests_are_rejected(digest):
     data = codec.encode(digest)
     assert codec.decode(data, "a") == digest
     for end in range(1, len(data)):
@@ -257,7 +260,7 @@
         ("lease_grants", {"x": LeaseGrant(1, 1, LEASE_DURATION + 1)}),
     ],
 )
-def test_field_out_of_bounds_is_dropped_and_never_sent(field, value):
+def test_field_out_of_bounds_is_rejected_by_encoder_and_decoder(field, value):
     digest = Digest(**{field: value})
     with pytest.raises(ValueError):
         codec.encode(digest)
@@ -275,39 +278,39 @@
 
 
 def fleet_views(count=40):
-    found = [fleet_view(name, NAMES[:count], ["inflight", "util"]) for name in NAMES[:count]]
-    for view in found:
+    created = [fleet_view(name, NAMES[:count], ["inflight", "util"]) for name in NAMES[:count]]
+    for view in created:
         view.on_endpoint_list(NOW, 1, ENGINES, ())
-    return found
+    return created
 
 
-def test_load_report_goes_to_all_with_its_engine_in_their_subsets_and_to_no_other():
+def test_load_report_is_sent_exactly_to_routers_with_its_engine_in_their_subsets():
     fleet = fleet_views()
     engine = min(fleet[0].subset)
     fleet[0].on_load_report(NOW, engine, {"inflight": 3, "util": 0.5})
-    said = fleet[0].due_digests(NOW + 200, NAMES)
-    circle = {f"n{router:02d}" for router, e in all_pairs(ENGINES, 40) if e == engine}
-    loads = {to for to, data in said if codec.decode(data, "n00").load_reports}
-    assert loads == circle - {"n00"}
-    to, data = said[0]
+    digests = fleet[0].due_digests(NOW + 200, NAMES)
+    serving = {f"n{router:02d}" for router, e in all_pairs(ENGINES, 40) if e == engine}
+    loads = {to for to, data in digests if codec.decode(data, "n00").load_reports}
+    assert loads == serving - {"n00"}
+    to, data = digests[0]
     listener = fleet[NAMES.index(to)]
     listener.on_digest(NOW + 210, "n00", data)
     assert listener.take_relayed_reports() == [(engine, {"inflight": 3.0, "util": 0.5}, 200)]
 
 
-def test_drain_goes_with_every_ping_until_the_engine_is_back():
+def test_drains_sent_with_pings_close_an_engine_until_the_own_list_contains_them():
     fleet = fleet_views()
     fleet[0].on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
-    for teller in fleet[:3]:
-        teller.on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
-        fleet[9].on_digest(NOW, teller.name, teller.ping_digest(NOW, "n09"))
+    for sender in fleet[:3]:
+        sender.on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
+        fleet[9].on_digest(NOW, sender.name, sender.ping_digest(NOW, "n09"))
     state = fleet[9].state(NOW, NAMES, {}, 1)
     assert state.closed == {120} and 120 not in state.subset
     fleet[9].on_endpoint_list(NOW, 2, [e for e in ENGINES if e != 120], [120])
-    assert not fleet[9].state(NOW, NAMES, {}, 1).closed  # now the list itself says so
+    assert not fleet[9].state(NOW, NAMES, {}, 1).closed  # now the list itself contains the drain
 
 
-def test_load_reports_keep_to_their_bytes_and_the_oldest_are_dropped():
+def test_load_reports_stay_within_their_rate_and_the_oldest_are_dropped():
     view = fleet_views(12)[0]
     sent = 0
     for step in range(100):
@@ -319,44 +322,44 @@
     assert len(view.relay.queue) < 60 * 12 * 10
 
 
-def test_warming_engine_that_got_enough_from_all_gets_no_more_permits():
+def test_warming_engine_with_enough_work_from_all_routers_is_excluded():
     fleet = fleet_views()
     engine = min(fleet[0].subset)
     other = next(c for c in fleet[1:] if engine in c.subset)
-    tips = {engine: 40_000.0}
+    overload_work = {engine: 40_000.0}
     for n in range(10):
         other.on_warm_up_work(NOW + n, engine, 1_000)
         fleet[0].on_warm_up_work(NOW + n, engine, 500)
         fleet[0].on_digest(NOW + n, other.name, other.ping_digest(NOW + n, "n00"))
-    assert engine not in fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares.excluded_engines
+    assert engine not in fleet[0].state(NOW + 10, NAMES, overload_work, 15_000).shares.excluded_engines
     for n in range(10):
         fleet[0].on_warm_up_work(NOW + n, engine, 700)
-    assert engine in fleet[0].state(NOW + 10, NAMES, tips, 15_000).shares.excluded_engines
-    assert engine not in fleet[0].state(NOW + 20_000, NAMES, tips, 15_000).shares.excluded_engines
+    assert engine in fleet[0].state(NOW + 10, NAMES, overload_work, 15_000).shares.excluded_engines
+    assert engine not in fleet[0].state(NOW + 20_000, NAMES, overload_work, 15_000).shares.excluded_engines
 
 
-def test_router_with_other_names_is_believed_but_lends_nothing():
+def test_router_configured_with_other_names_exchanges_no_leases():
     fleet = fleet_views()
-    stranger = fleet_view("n05", NAMES[:20], ["inflight"])
-    fleet[0].on_digest(NOW, "n05", stranger.ping_digest(NOW, "n00"))
+    misconfigured = fleet_view("n05", NAMES[:20], ["inflight"])
+    fleet[0].on_digest(NOW, "n05", misconfigured.ping_digest(NOW, "n00"))
     assert fleet[0].differing_routers == {"n05"} and not fleet[0].quotas.limits["cold"].demands
     fleet[0].on_digest(NOW, "n05", fleet[5].ping_digest(NOW, "n00"))
     assert not fleet[0].differing_routers
 
 
-def test_subset_is_computed_anew_when_the_operator_names_other_routers():
+def test_subset_is_recomputed_when_the_router_names_change():
     view = fleet_views(20)[0]
     before = view.subset
     view.set_router_names(NOW, NAMES)
-    fresh = fleet_views(40)[0]
-    assert view.subset == fresh.subset != before and view.serving_routers == fresh.serving_routers
+    expected = fleet_views(40)[0]
+    assert view.subset == expected.subset != before and view.serving_routers == expected.serving_routers
     assert view.signals.list_event == 1 and view.signals.engines.keys() == set(ENGINES)
     signals = view.signals
-    view.set_router_names(NOW, reversed(NAMES))  # the same again forgets nothing
+    view.set_router_names(NOW, reversed(NAMES))  # unchanged names keep the signals
     assert view.signals is signals
 
 
-def test_newcomer_gets_all_that_may_matter_to_it():
+def test_new_router_gets_all_relevant_observations():
     fleet = fleet_views()
     for engine in fleet[0].subset:
         fleet[0].on_load_report(NOW, engine, {"inflight": 3})
@@ -367,27 +370,29 @@
     digests = [codec.decode(data, "n00") for data in fleet[0].newcomer_digests(NOW, "n07")]
     assert {drain.engine for digest in digests for drain in digest.drains} == set(gone)
     seen = {load.engine for digest in digests for load in digest.load_reports}
-    assert seen == {e for e, circle in fleet[0].serving_routers.items() if "n07" in circle}
+    assert seen == {e for e, serving in fleet[0].serving_routers.items() if "n07" in serving}
 
 
-def test_liar_about_loads_reaches_the_engines_of_its_own_subset_alone():
-    """Stated: some SUBSET_SIZE of them all, and of those none that this router has looked at within
-    OWN_PRECEDENCE."""
-    fleet, chance = fleet_views(), random.Random(1)
-    liar = fleet[3]
-    lies = codec.encode(Digest(liar.membership_checksum, tuple(LoadReport(e, 0, (0, 0)) for e in ENGINES)))
+def test_false_load_reports_affect_only_engines_of_the_senders_subset():
+    """Its reports reach at most the SUBSET_SIZE or so engines of its subset, and none that reported to the
+    receiving router within OWN_PRECEDENCE."""
+    fleet, rng = fleet_views(), random.Random(1)
+    malicious = fleet[3]
+    false_reports = codec.encode(
+        Digest(malicious.membership_checksum, tuple(LoadReport(e, 0, (0, 0)) for e in ENGINES))
+    )
     reached = set()
     for view in fleet[:3] + fleet[4:]:
-        own = chance.choice(sorted(view.subset))
+        own = rng.choice(sorted(view.subset))
         view.on_load_report(NOW, own, {"inflight": 9})
-        view.on_digest(NOW + 100, "n03", lies)
-        news = {engine for engine, _, _ in view.take_relayed_reports()}
-        assert own not in news
-        reached |= news
-    assert reached <= set(liar.subset) and len(reached) < len(ENGINES) / 2
+        view.on_digest(NOW + 100, "n03", false_reports)
+        relayed = {engine for engine, _, _ in view.take_relayed_reports()}
+        assert own not in relayed
+        reached |= relayed
+    assert reached <= set(malicious.subset) and len(reached) < len(ENGINES) / 2
 
 
-def test_total_of_a_limit_is_a_million_units():
+def test_shares_of_a_limit_sum_to_at_most_one():
     fleet = fleet_views()
-    parts = [view.state(NOW, NAMES, {}, 1).shares.warm_up for view in fleet]
-    assert sum(parts) <= 1 and all(part >= 1 / LIMIT_UNITS for part in parts)
+    shares = [view.state(NOW, NAMES, {}, 1).shares.warm_up for view in fleet]
+    assert sum(shares) <= 1 and all(part >= 1 / LIMIT_UNITS for part in shares)
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -1,4 +1,4 @@
-"""Partners on routers that run: the reducer's side, the operator file, shares of the pool, the wiring."""
+"""The partner extension of a router: forwarded queries, the operator file, shares of the pool."""
 
 from types import SimpleNamespace
 
@@ -44,7 +44,7 @@
 
 
 class Rig:
-    """A reducer among partners."""
+    """A reducer with partners, whose claims are decided by the test."""
 
     def __init__(self):
         settings = Settings.from_catalog(CATALOG | NAMES | {"limits.open_cap": 100})
@@ -53,86 +53,91 @@
         self.reducer.claims_idempotent = self.reducer.claims_non_idempotent = True
         self.count = 0
 
-    def ask(self, group, token=None, session=None, now=0):
+    def submit(self, group, token=None, session=None, now=0):
         self.count += 1
-        id = f"{self.count:016x}"
+        query_id = f"{self.count:016x}"
         key = "cd" if token else None
-        request = Request(id, group, 5 * SECOND, b"UPDATE x_3.t SET a = 1", token, 1000, 1.0, key, "a")
+        request = Request(query_id, group, 5 * SECOND, b"UPDATE x_3.t SET a = 1", token, 1000, 1.0, key, "a")
         session = self.count if session is None else session
-        return id, self.reducer.reduce(events.Asked(session, request, now), now)
+        return query_id, self.reducer.reduce(events.Asked(session, request, now), now)
 
-    def judged(self, id, verdict, why="why", rows=None, now=10):
-        number = self.reducer.queries[id].number
-        return self.reducer.reduce(events.ClaimDecided(id, number, verdict, why, rows), now)
+    def decide(self, query_id, verdict, reason="why", rows=None, now=10):
+        number = self.reducer.queries[query_id].number
+        return self.reducer.reduce(events.ClaimDecided(query_id, number, verdict, reason, rows), now)
 
 
-def of(effects, *kinds):
+def of_type(effects, *kinds):
     return [e for e in effects if isinstance(e, kinds)]
 
 
-def test_mutating_query_asks_for_its_table_group_and_a_read_only_one_asks_nobody():
+def test_mutating_query_claims_its_table_group_and_a_read_only_one_makes_no_claim():
     rig = Rig()
-    id, said = rig.ask("write")
-    (claim,) = of(said, ClaimQuery)
-    assert claim.once and not claim.ordered and (claim.customer, claim.token) == ("", id)
-    assert claim.key == "\0tables 3" and id not in rig.scheduler.queries
-    rig.judged(id, "RUN")
-    assert id in rig.scheduler.queries
-    id, said = rig.ask("lookup")
-    assert not of(said, ClaimQuery) and id in rig.scheduler.queries
+    query_id, effects = rig.submit("write")
+    (claim,) = of_type(effects, ClaimQuery)
+    assert claim.once and not claim.ordered and (claim.customer, claim.token) == ("", query_id)
+    assert claim.key == "\0tables 3" and query_id not in rig.scheduler.queries
+    rig.decide(query_id, "RUN")
+    assert query_id in rig.scheduler.queries
+    query_id, effects = rig.submit("lookup")
+    assert not of_type(effects, ClaimQuery) and query_id in rig.scheduler.queries
     rig.reducer.claims_non_idempotent = False
-    id, said = rig.ask("write")
-    assert not of(said, ClaimQuery) and id in rig.scheduler.queries
+    query_id, effects = rig.submit("write")
+    assert not of_type(effects, ClaimQuery) and query_id in rig.scheduler.queries
 
 
-def test_query_of_anothers_slot_is_passed_on_and_its_answer_is_the_answer():
+def test_query_of_another_partners_slot_is_forwarded_and_answered_with_its_result():
     rig = Rig()
-    id, _ = rig.ask("load", "ab")
-    (passed,) = of(rig.judged(id, "FORWARD", "b"), ForwardQuery)
-    assert (passed.query, passed.owner, passed.request.token) == (id, "b", "ab")
-    assert 0 < passed.time_left <= 5 * SECOND and id not in rig.scheduler.queries
-    said = rig.judged(id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
-    assert [(e.session, e.rows) for e in of(said, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
-    assert not of(said, CancelForward) and id not in rig.reducer.queries
-    assert [(e.query, e.outcome) for e in of(said, EndClaim)] == [
-        (id, "not_run")
-    ]  # the next of its key may go
+    query_id, _ = rig.submit("load", "ab")
+    (forwarded,) = of_type(rig.decide(query_id, "FORWARD", "b"), ForwardQuery)
+    assert (forwarded.query, forwarded.owner, forwarded.request.token) == (query_id, "b", "ab")
+    assert 0 < forwarded.time_left <= 5 * SECOND and query_id not in rig.scheduler.queries
+    effects = rig.decide(query_id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
+    assert [(e.session, e.rows) for e in of_type(effects, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
+    assert not of_type(effects, CancelForward) and query_id not in rig.reducer.queries
+    # The next query of its key may run.
+    assert [(e.query, e.outcome) for e in of_type(effects, EndClaim)] == [(query_id, "not_run")]
 
 
 @pytest.mark.parametrize(("verdict", "effect"), [("REJECT", RejectQuery), ("FAIL", FailQuery)])
-def test_query_that_was_passed_on_ends_once_as_it_ended_there(verdict, effect):
+def test_forwarded_query_ends_once_with_the_outcome_at_its_owner(verdict, effect):
     rig = Rig()
-    id, _ = rig.ask("write")
-    rig.judged(id, "FORWARD", "b")
-    assert len(of(rig.judged(id, verdict), effect)) == 1 and id not in rig.reducer.queries
+    query_id, _ = rig.submit("write")
+    rig.decide(query_id, "FORWARD", "b")
+    assert len(of_type(rig.decide(query_id, verdict), effect)) == 1 and query_id not in rig.reducer.queries
 
 
-def test_there_is_no_second_hop():
+def test_forwarded_query_is_not_forwarded_again():
     rig = Rig()
-    id, _ = rig.ask("load", "ab", session=FIRST_GUEST + 1)
-    said = rig.judged(id, "FORWARD", "c")
-    assert not of(said, ForwardQuery) and len(of(said, RejectQuery)) == 1
+    query_id, _ = rig.submit("load", "ab", session=FIRST_GUEST + 1)
+    effects = rig.decide(query_id, "FORWARD", "c")
+    assert not of_type(effects, ForwardQuery) and len(of_type(effects, RejectQuery)) == 1
 
 
-def test_query_that_was_passed_on_has_failed_when_no_answer_comes_in_time():
+def test_forwarded_query_without_an_answer_in_time_has_failed():
     rig = Rig()
-    id, _ = rig.ask("load", "ab")
-    rig.judged(id, "FORWARD", "b")
-    said = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
-    assert len(of(said, FailQuery)) == 1 and not of(said, RejectQuery)  # it may have run
-    assert [(e.query, e.number) for e in of(said, CancelForward)] == [(id, 1)] or of(said, CancelForward)
+    query_id, _ = rig.submit("load", "ab")
+    rig.decide(query_id, "FORWARD", "b")
+    effects = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
+    assert len(of_type(effects, FailQuery)) == 1 and not of_type(effects, RejectQuery)  # it may have run
+    assert [(e.query, e.number) for e in of_type(effects, CancelForward)] == [(query_id, 1)] or of_type(
+        effects, CancelForward
+    )
 
 
-def test_client_that_leaves_takes_back_what_was_passed_on():
+def test_forwarded_query_is_cancelled_when_its_client_leaves():
     rig = Rig()
-    id, _ = rig.ask("load", "ab")
-    rig.judged(id, "FORWARD", "b")
-    said = rig.reducer.reduce(events.Left(rig.count), 10)
-    assert [e.query for e in of(said, CancelForward)] == [id] == [e.query for e in of(said, EndClaim)]
-    assert not of(rig.reducer.reduce(events.ClaimDecided(id, 1, "REPLAY", "", []), 20), SendResult)
+    query_id, _ = rig.submit("load", "ab")
+    rig.decide(query_id, "FORWARD", "b")
+    effects = rig.reducer.reduce(events.Left(rig.count), 10)
+    assert (
+        [e.query for e in of_type(effects, CancelForward)]
+        == [query_id]
+        == [e.query for e in of_type(effects, EndClaim)]
+    )
+    assert not of_type(rig.reducer.reduce(events.ClaimDecided(query_id, 1, "REPLAY", "", []), 20), SendResult)
 
 
-def test_place_in_the_history_is_the_keys_or_the_table_groups():
+def test_history_key_is_the_ordering_key_or_the_table_group():
     about = "id", "g", 1, b"UPDATE x_7.t SET a = 1"
     assert history_key(Request(*about, token="ab", key="cd", customer="a")) == ("a", "cd", "ab")
     assert history_key(Request(*about, token="ab", customer="a")) == ("a", "ab", "ab")
@@ -147,7 +152,7 @@
 PEERS = """peers: {name: "r0", listen: "127.0.0.1:1",
   others: [{name: "r1", address: "127.0.0.1:2", key: "0123456789abcdef"}]}"""
 HISTORY = "history: {number: 1, default: {}}"
-ALONE = f'members: [{{name: "a", key: "{KEYS["a"]}", routers: ["r0"]}}]'
+SINGLE_MEMBER = f'members: [{{name: "a", key: "{KEYS["a"]}", routers: ["r0"]}}]'
 QUOTED_A, QUOTED_B = '"a"', '"b"'
 OFFER = "offer: {turn: 1, capacity: 8, want: 5000, least: 1000, most: 9000, begins_ms: 0, ends_ms: 9}"
 
@@ -159,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    ("partners", "more", "said"),
+    ("partners", "overrides", "message"),
     [
         (f'own: "a", {MEMBERS}', {"history": ""}, "expected `history`"),
         (f'own: "b", {MEMBERS}', {}, "partners.own: router r0 is a's"),
@@ -184,26 +189,26 @@
         (f'own: "a", {OFFER}, key_file: "none", marks_file: "m", {MEMBERS}', {}, "partners.key_file: none"),
     ],
 )
-def test_faulty_partners_are_named_by_their_path(partners, more, said):
+def test_invalid_partner_settings_are_reported_with_their_path(partners, overrides, message):
     with pytest.raises(OperatorFileError) as fault:
-        reading.hold(text(partners, **more), "o.cue")
-    assert said in str(fault.value) and "o.cue" in str(fault.value)
+        reading.hold(text(partners, **overrides), "o.cue")
+    assert message in str(fault.value) and "o.cue" in str(fault.value)
 
 
-def test_key_that_is_none_is_said(tmp_path):
+def test_invalid_private_key_is_reported(tmp_path):
     (tmp_path / "k").write_text("00ff")
-    own = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
+    section = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
     with pytest.raises(OperatorFileError, match="64 hex digits"):
-        reading.hold(text(own))
+        reading.hold(text(section))
 
 
-def test_key_is_not_among_what_holds(tmp_path, capsysbinary):
+def test_private_key_is_not_printed_with_the_settings(tmp_path, capsysbinary):
     (tmp_path / "k").write_text(private("a").hex())
-    own = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
-    (tmp_path / "o.cue").write_text(text(own))
+    section = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
+    (tmp_path / "o.cue").write_text(text(section))
     assert commands.main(["check", str(tmp_path / "o.cue"), "--json"]) == 0
-    said = capsysbinary.readouterr().out
-    assert b'"offer"' in said and private("a").hex().encode() not in said
+    output = capsysbinary.readouterr().out
+    assert b'"offer"' in output and private("a").hex().encode() not in output
 
 
 class Log:
@@ -214,69 +219,71 @@
         self.lines.append((event, fields))
 
 
-def partner_extension(tmp_path, marks=True, handle=lambda event: None, **changed):
+def partner_extension(tmp_path, signs=True, handle=lambda event: None, **changed):
     (tmp_path / "k").write_text(private("a").hex())
-    own = f'own: "a", {MEMBERS}'
-    if marks:
-        own += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
-    stated = reading.hold(text(own))["partners"] | changed
+    section = f'own: "a", {MEMBERS}'
+    if signs:
+        section += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
+    settings_section = reading.hold(text(section))["partners"] | changed
     node = Node(RouterIdentity("r0", EPOCH // 10), {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
     log = Log()
     context = ExtensionContext(
         node=node, clock=lambda: EPOCH, log=log, handle=handle, schedule_messages=lambda: None
     )
-    extension = PartnerExtension(settings=stated, context=context, seed=1, router_clock=lambda: EPOCH)
-    return extension, log, stated
+    extension = PartnerExtension(
+        settings=settings_section, context=context, seed=1, router_clock=lambda: EPOCH
+    )
+    return extension, log, settings_section
 
 
-def test_offer_of_the_operator_file_is_known_and_a_lower_turn_is_said(tmp_path):
-    held, log, stated = partner_extension(tmp_path)
-    (offer, _) = held.negotiation.ledger.offers["a"]
+def test_offer_of_the_operator_file_is_made_and_a_lower_revision_is_logged(tmp_path):
+    extension, log, settings_section = partner_extension(tmp_path)
+    (offer, _) = extension.negotiation.ledger.offers["a"]
     assert (offer.partner, offer.desired_share, offer.ends_at) == ("a", 5000, 90)
-    held.reload(stated | {"offer": stated["offer"] | {"turn": 3, "want": 6000}})
-    assert held.negotiation.ledger.offers["a"][0].desired_share == 6000
-    held.reload(stated | {"offer": stated["offer"] | {"turn": 2}})
+    extension.reload(settings_section | {"offer": settings_section["offer"] | {"turn": 3, "want": 6000}})
+    assert extension.negotiation.ledger.offers["a"][0].desired_share == 6000
+    extension.reload(settings_section | {"offer": settings_section["offer"] | {"turn": 2}})
     assert [fields["error"] for event, fields in log.lines if "error" in fields] == ["InvalidAgreementError"]
-    assert held.reload(stated | {"own": "b"}) == ["partners.own"]
+    assert extension.reload(settings_section | {"own": "b"}) == ["partners.own"]
 
 
-def test_router_without_the_key_marks_nothing_and_a_bad_file_of_marks_is_said(tmp_path):
-    held, _, _ = partner_extension(tmp_path, marks=False)
-    assert held.negotiation.signer is None and not held.negotiation.ledger.offers
+def test_router_without_a_key_signs_nothing_and_an_invalid_journal_is_logged(tmp_path):
+    extension, _, _ = partner_extension(tmp_path, signs=False)
+    assert extension.negotiation.signer is None and not extension.negotiation.ledger.offers
     (tmp_path / "m").write_text("what\n")
-    held, log, _ = partner_extension(tmp_path)
-    assert held.negotiation.signer is None
+    extension, log, _ = partner_extension(tmp_path)
+    assert extension.negotiation.signer is None
     assert [fields["error"] for _, fields in log.lines] == ["SignatureJournalError"]
 
 
-def test_engine_is_the_partners_whose_zones_and_kinds_it_fits(tmp_path):
-    held, _, _ = partner_extension(tmp_path)
+def test_engine_counts_for_the_partner_with_its_zone_and_kind(tmp_path):
+    extension, _, _ = partner_extension(tmp_path)
     listings = [
-        Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: a's
-        Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: b's
-        Listing(3, 1, 0, 1, 0, EndpointState.READY, 1.0),  # both: the first's
-        Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # neither's
+        Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: belongs to a
+        Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: belongs to b
+        Listing(3, 1, 0, 1, 0, EndpointState.READY, 1.0),  # matches both: belongs to the first
+        Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # matches neither
         Listing(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
     ]
     catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
     pool = PoolQuota(
         clock=lambda: EPOCH,
-        members=lambda: held.settings.members,
+        members=lambda: extension.settings.members,
         engine_names=EngineNames.from_settings(Settings.from_catalog(catalog)),
-        negotiation=held.negotiation,
+        negotiation=extension.negotiation,
         views=None,
     )
     pool.on_endpoint_list(listings)
-    assert held.negotiation.ownership.capacities == {"a": 40, "b": 32}
+    assert extension.negotiation.ownership.capacities == {"a": 40, "b": 32}
 
 
-def test_nobody_of_the_owner_lives_so_the_query_is_deferred(tmp_path):
-    told = []
-    held, _, _ = partner_extension(tmp_path, handle=told.append)
-    held.forward(ForwardQuery("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50))
+def test_query_is_rejected_if_no_router_of_its_owner_is_alive(tmp_path):
+    events_handled = []
+    extension, _, _ = partner_extension(tmp_path, handle=events_handled.append)
+    extension.forward(ForwardQuery("id", 1, "b", Request("id", "g", 9, b"UPDATE x_7.t SET a = 1"), 50))
     reason = "no router of its slot's owner is known to live"
-    assert told == [events.ClaimDecided("id", 1, events.ClaimVerdict.REJECT, reason, None)]
-    assert told[0].verdict == "REJECT"
+    assert events_handled == [events.ClaimDecided("id", 1, events.ClaimVerdict.REJECT, reason, None)]
+    assert events_handled[0].verdict == "REJECT"
 
 
 @pytest.mark.parametrize(
@@ -332,7 +339,7 @@
     assert limit.settling_time == ENTITLEMENT_SETTLING_TIME
     shares["a"] = 3000
     pool.update_entitlement(quotas)
-    assert limit.entitlement == 350_000  # the shares are read anew with another revision
+    assert limit.entitlement == 350_000  # the shares are read again only with another revision
     ownership.revision = 2
     pool.update_entitlement(quotas)
     assert limit.entitlement == 250_000
@@ -341,8 +348,8 @@
 # ---- shares of the pool ----
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"]}
-EVERYBODY = [name for some in ROUTERS.values() for name in some]
-WHOLE = 1_000_000
+ALL_ROUTERS = [name for some in ROUTERS.values() for name in some]
+TOTAL = 1_000_000
 
 
 class Pool(partners.Pool):
@@ -351,50 +358,52 @@
 
     def step(self):
         super().step()
-        assert sum(self.may_use(name) for name in EVERYBODY) <= WHOLE
+        assert sum(self.may_use(name) for name in ALL_ROUTERS) <= TOTAL
 
 
-def test_each_has_its_share_while_all_want_theirs_and_borrows_what_others_do_not_want():
+def test_partners_get_their_shares_and_borrow_what_others_do_not_request():
     pool = Pool({"a": 7000, "b": 3000})
-    pool.wants = dict.fromkeys(EVERYBODY, WHOLE)
+    pool.wants = dict.fromkeys(ALL_ROUTERS, TOTAL)
     pool.play(20)
-    assert abs(pool.of("a") / WHOLE - 0.7) < 0.02 and abs(pool.of("b") / WHOLE - 0.3) < 0.02
+    assert abs(pool.of("a") / TOTAL - 0.7) < 0.02 and abs(pool.of("b") / TOTAL - 0.3) < 0.02
     pool.wants |= {"a0": 100_000, "a1": 100_000}
     pool.play(20)
-    lent = pool.of("b")
-    assert lent > 0.5 * WHOLE and pool.may_use("a0") >= 100_000
-    pool.wants |= {"a0": WHOLE, "a1": WHOLE}
-    pool.play(1 + LENDER_HOLD / SECOND + 1)  # what was lent is back within a loan's time and an ask's
-    assert pool.of("a") / WHOLE > 0.68
+    used_by_b = pool.of("b")
+    assert used_by_b > 0.5 * TOTAL and pool.may_use("a0") >= 100_000
+    pool.wants |= {"a0": TOTAL, "a1": TOTAL}
+    pool.play(1 + LENDER_HOLD / SECOND + 1)  # lent units are returned within a lease duration and a request
+    assert pool.of("a") / TOTAL > 0.68
 
 
-def test_new_shares_never_add_up_to_more_though_routers_hear_of_them_one_after_another():
+def test_changed_shares_never_exceed_the_total_while_routers_learn_of_them_one_by_one():
     pool = Pool({"a": 8000, "b": 2000})
-    pool.wants = dict.fromkeys(EVERYBODY, WHOLE)
+    pool.wants = dict.fromkeys(ALL_ROUTERS, TOTAL)
     pool.play(15)
-    new = {"a": 1000, "b": 9000}
-    pool.told_of |= {"b0": new, "a0": new}
-    pool.play(4)  # a lease: by then who has not heard of it is confined
+    new_shares = {"a": 1000, "b": 9000}
+    pool.told_of |= {"b0": new_shares, "a0": new_shares}
+    pool.play(4)  # a view lease: by then routers that do not know the new shares are confined
     pool.confined = {"a1"}
     pool.play(10)
-    pool.told_of, pool.confined = dict.fromkeys(EVERYBODY, new), set()
+    pool.told_of, pool.confined = dict.fromkeys(ALL_ROUTERS, new_shares), set()
     pool.play(15)
-    assert pool.of("b") / WHOLE > 0.85
+    assert pool.of("b") / TOTAL > 0.85
 
 
 @settings(max_examples=25, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(EVERYBODY), st.integers(0, WHOLE)), max_size=12), st.integers(0, 9))
-def test_whatever_is_wanted_parts_add_up_to_no_more_than_the_whole(wants, share):
+@given(
+    st.lists(st.tuples(st.sampled_from(ALL_ROUTERS), st.integers(0, TOTAL)), max_size=12), st.integers(0, 9)
+)
+def test_usable_units_never_exceed_the_total_for_any_requests(requests, share):
     pool = Pool({"a": share * 1000, "b": 10_000 - share * 1000})
-    for name, units in wants:
+    for name, units in requests:
         pool.wants[name] = units
         pool.play(2)
     pool.play(10)
 
 
-def test_greedy_partner_gets_nothing_that_others_want():
-    """It asks for all and says that it has nothing."""
+def test_greedy_partner_gets_no_units_that_others_request():
+    """It requests all units and reports that it has none."""
     pool = Pool({"a": 5000, "b": 5000})
-    pool.wants = {"a0": WHOLE, "a1": WHOLE, "b0": 250_000, "b1": 250_000}
+    pool.wants = {"a0": TOTAL, "a1": TOTAL, "b0": 250_000, "b1": 250_000}
     pool.play(30)
-    assert pool.of("b") / WHOLE > 0.48
+    assert pool.of("b") / TOTAL > 0.48
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: what is accepted and what is dropped; which routers live, as others find out."""
+"""Acceptance of datagrams between routers, and failure detection on a simulated network."""
 
 import itertools
 import random
@@ -53,11 +53,11 @@
 
 @settings(max_examples=100, deadline=None)
 @given(any_datagram)
-def test_datagram_comes_back_as_it_went(datagram):
+def test_datagram_round_trips(datagram):
     assert decode(encode(datagram, KEY), "n2", {datagram.sender: KEY}) == datagram
 
 
-def test_datagram_cut_anywhere_or_with_any_bit_turned_is_dropped():
+def test_truncated_datagram_and_any_flipped_bit_are_dropped():
     data = encode(PING, KEY)
     for end in range(len(data)):
         assert drop_reason(data[:end])
@@ -67,19 +67,19 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=1400))
-def test_noise_is_dropped(data):
+def test_random_bytes_are_dropped(data):
     assert drop_reason(data)
     assert drop_reason(bytes([datagrams.VERSION]) + data)
 
 
-def test_each_fault_has_its_own_reason():
+def test_each_kind_of_invalid_datagram_has_its_own_drop_reason():
     data = encode(PING, KEY)
     assert drop_reason(data + b"\0" * 1200) == "too long"
     assert drop_reason(b"\2" + data[1:]) == "unknown version"
     assert drop_reason(data, {"n3": KEY}) == "unknown peer"
     assert drop_reason(encode(PING, OTHER_KEY)) == "wrong tag"
-    turned = msgspec.structs.replace(PING, sender="n3")
-    assert drop_reason(encode(turned, KEY)) == "wrong tag"  # n1 speaks as n3 with the key of its own pair
+    impersonating = msgspec.structs.replace(PING, sender="n3")
+    assert drop_reason(encode(impersonating, KEY)) == "wrong tag"  # n1 impersonates n3 with its own key
     assert drop_reason(encode(msgspec.structs.replace(PING, receiver="n9"), KEY)) == "other receiver"
 
 
@@ -100,7 +100,7 @@
         ("subject", "a" * 65),
     ],
 )
-def test_field_out_of_bounds_under_a_valid_tag_is_dropped_and_never_sent(field, value):
+def test_authentic_datagram_with_a_field_out_of_bounds_is_dropped_and_never_sent(field, value):
     wrong = msgspec.structs.replace(PING, **{field: value})
     body = datagrams.encoder.encode(wrong)
     assert drop_reason(bytes([1]) + datagrams.authentication_tag(KEY, body) + body).startswith("field")
@@ -108,9 +108,9 @@
         encode(wrong, KEY)
 
 
-def test_field_too_many_or_too_few_under_a_valid_tag_is_dropped():
-    whole = msgspec.msgpack.decode(datagrams.encoder.encode(PING))
-    for fields in (whole[:6], [*whole, 1], {"sender": "n1"}, 5, [whole]):
+def test_authentic_datagram_with_a_wrong_number_of_fields_is_dropped():
+    values = msgspec.msgpack.decode(datagrams.encoder.encode(PING))
+    for fields in (values[:6], [*values, 1], {"sender": "n1"}, 5, [values]):
         body = msgspec.msgpack.encode(fields)
         assert drop_reason(bytes([1]) + datagrams.authentication_tag(KEY, body) + body) == "unreadable"
 
@@ -123,80 +123,83 @@
 # ---- generations and replays ------------------------------------------------------------------------
 
 
-def sent(sequence, generation=1000, receiver_generation=2000):
+def datagram_with(sequence, generation=1000, receiver_generation=2000):
     return msgspec.structs.replace(
         PING, sequence=sequence, generation=generation, receiver_generation=receiver_generation
     )
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_each_datagram_counts_once_in_whatever_order_they_come(seed):
-    chance = random.Random(seed)
+def test_each_datagram_is_accepted_once_in_any_order(seed):
+    rng = random.Random(seed)
     window = ReplayWindow()
     accepted = []
-    line = [n for n in range(300) for _ in range(chance.choice((1, 1, 2, 3)))]
-    line = [n for _, n in sorted((n + chance.uniform(0, 40), n) for n in line)]  # 40 late at the most
-    for number in line:
+    deliveries = [n for n in range(300) for _ in range(rng.choice((1, 1, 2, 3)))]
+    deliveries = [n for _, n in sorted((n + rng.uniform(0, 40), n) for n in deliveries)]  # at most 40 late
+    for number in deliveries:
         try:
-            accepted.append(number) if window.accept(sent(number), 2000) else None
+            accepted.append(number) if window.accept(datagram_with(number), 2000) else None
         except InvalidDatagramError as fault:
             assert fault.detail == "replayed" and number in accepted
     assert sorted(accepted) == list(range(300))
 
 
-def test_number_far_behind_is_a_repeat_whether_it_came_or_not():
+def test_sequence_number_far_behind_counts_as_replayed():
     window = ReplayWindow()
-    assert window.accept(sent(500), 2000)
+    assert window.accept(datagram_with(500), 2000)
     for number in (500, 500 - ReplayWindow.SPAN, 0):
         with pytest.raises(InvalidDatagramError, match="replayed"):
-            window.accept(sent(number), 2000)
-    assert window.accept(sent(500 - ReplayWindow.SPAN + 1), 2000)
+            window.accept(datagram_with(number), 2000)
+    assert window.accept(datagram_with(500 - ReplayWindow.SPAN + 1), 2000)
 
 
-def test_both_sides_of_a_restart_hear_of_each_other_and_nothing_old_is_believed():
-    """n2 restarts. What n1 sent to its earlier generation is not believed, whoever sends it again."""
-    old = sent(41, receiver_generation=2000)
+def test_peers_learn_of_a_restart_and_drop_datagrams_of_earlier_generations():
+    """n2 restarts. Datagrams of n1 to its earlier generation are dropped, whoever replays them."""
+    old = datagram_with(41, receiver_generation=2000)
     window = ReplayWindow()
     with pytest.raises(InvalidDatagramError, match="to earlier generation"):
         window.accept(old, 3000)
-    assert window.known_generation == 1000  # goes back to n1, which then knows the new generation
-    assert window.accept(sent(42, receiver_generation=3000), 3000)
-    for again in (old, sent(41, generation=900, receiver_generation=2000)):
+    assert window.known_generation == 1000  # sent back to n1, which then knows the new generation
+    assert window.accept(datagram_with(42, receiver_generation=3000), 3000)
+    for again in (old, datagram_with(41, generation=900, receiver_generation=2000)):
         with pytest.raises(InvalidDatagramError, match="earlier generation"):
             window.accept(again, 3000)
-    restarted = sent(43, generation=1500, receiver_generation=0)  # n1, which has heard of nobody yet
+    # n1 has restarted and does not know any generation yet.
+    restarted = datagram_with(43, generation=1500, receiver_generation=0)
     assert not window.accept(restarted, 3000)
     assert window.known_generation == 1500
-    assert window.accept(sent(0, generation=1500, receiver_generation=3000), 3000)
+    assert window.accept(datagram_with(0, generation=1500, receiver_generation=3000), 3000)
     with pytest.raises(InvalidDatagramError, match="from earlier generation"):
-        window.accept(sent(44, receiver_generation=3000), 3000)
+        window.accept(datagram_with(44, receiver_generation=3000), 3000)
 
 
-def test_error_says_what_where_and_what_to_do():
+def test_error_names_fault_location_and_remedy():
     assert issubclass(InvalidDatagramError, HillchuteError)
-    told = InvalidDatagramError("wrong tag", "n1").log_fields
-    assert told["error"] == "InvalidDatagramError" and told["where"] == "n1" and "peers" in told["remedy"]
+    fields = InvalidDatagramError("wrong tag", "n1").log_fields
+    assert (
+        fields["error"] == "InvalidDatagramError" and fields["where"] == "n1" and "peers" in fields["remedy"]
+    )
 
 
-# ---- who lives ------------------------------------------------------------------------------------------
+# ---- failure detection ----------------------------------------------------------------------------------
 
 
-def fleet(seed=1, count=24, **known):
-    net = PeerNetwork(seed, count, **known)
+def fleet(seed=1, count=24, **options):
+    net = PeerNetwork(seed, count, **options)
     assert net.seconds_until_agreed(60) is not None
     return net
 
 
 @pytest.mark.parametrize("loss_rate, repeat_rate", [(0.0, 0.0), (0.05, 0.1)])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_all_find_each_other_and_stay(seed, loss_rate, repeat_rate):
+def test_all_routers_find_each_other_and_stay_alive(seed, loss_rate, repeat_rate):
     net = fleet(seed, loss_rate=loss_rate, repeat_rate=repeat_rate)
     net.play(30)
     assert net.agreed()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_dead_router_is_found_by_all_and_comes_back_under_its_name(seed):
+def test_dead_router_is_detected_by_all_and_can_restart(seed):
     net = fleet(seed)
     net.kill("n5")
     assert net.seconds_until_agreed(40) is not None
@@ -204,35 +207,35 @@
     assert net.seconds_until_agreed(40) is not None
 
 
-def test_seven_in_ten_die_at_once_and_return():
+def test_two_thirds_of_the_routers_die_at_once_and_restart():
     net = fleet(4)
-    gone = net.names[:16]
-    for name in gone:
+    killed = net.names[:16]
+    for name in killed:
         net.kill(name)
     assert net.seconds_until_agreed(90) is not None
-    for name in gone:
+    for name in killed:
         net.start(name)
     assert net.seconds_until_agreed(90) is not None
 
 
-def test_router_that_leaves_is_gone_at_once_and_no_one_suspects_it():
+def test_leaving_router_is_removed_without_suspicion():
     net = fleet(5)
     net.leave("n3")
     assert net.seconds_until_agreed(8) is not None
     assert all(detector.peers["n3"].state == PeerState.LEFT for detector in net.detectors.values())
 
 
-def test_both_sides_of_a_cut_know_their_own_and_all_meet_again():
+def test_both_sides_of_a_partition_agree_and_merge_after_it():
     net = fleet(6)
-    some, others = net.names[:8], net.names[8:]
-    net.cut(some, others)
+    one_side, other_side = net.names[:8], net.names[8:]
+    net.cut(one_side, other_side)
     net.play(60)
-    assert net.agreed(some) and net.agreed(others)
+    assert net.agreed(one_side) and net.agreed(other_side)
     net.heal()
     assert net.seconds_until_agreed(90) is not None
 
 
-def test_paused_process_is_suspected_and_speaks_for_itself_when_it_goes_on():
+def test_suspended_process_refutes_the_suspicion_after_resumption():
     net = fleet(7)
     net.paused.add("n2")
     net.play(3)
@@ -241,7 +244,7 @@
     assert net.detectors["n2"].peers["n3"].state == PeerState.ALIVE
 
 
-def test_way_that_is_broken_between_two_kills_neither():
+def test_broken_path_between_two_routers_makes_neither_dead():
     net = fleet(8)
     net.cut(["n1"], ["n2"])
     states = set()
@@ -252,36 +255,38 @@
 
 
 @pytest.mark.parametrize("state", [PeerState.SUSPECT, PeerState.DEAD, PeerState.LEFT])
-def test_liar_that_calls_all_others_dead_ends_nobody(state):
+def test_false_rumours_of_one_router_make_no_other_dead(state):
     net = fleet(9)
-    lies = tuple(Rumour(n, state, net.now // 10 + 1000, w) for n in net.names[1:12] for w in ("n0", "n20"))
-    net.lies["n0"] = lies[: datagrams.MAX_RUMOURS // 2]
+    false_rumours = tuple(
+        Rumour(n, state, net.now // 10 + 1000, w) for n in net.names[1:12] for w in ("n0", "n20")
+    )
+    net.lies["n0"] = false_rumours[: datagrams.MAX_RUMOURS // 2]
     for _ in range(60):
         net.play(0.5)
         for name in net.names[1:]:
             assert len(set(net.detectors[name].live_peers()) - {"n0"}) == len(net.names) - 2
 
 
-def test_liar_does_not_keep_the_dead_alive():
+def test_false_rumours_do_not_keep_a_dead_router_alive():
     net = fleet(10)
     net.kill("n7")
     net.lies["n0"] = (Rumour("n7", PeerState.ALIVE, net.now // 10 + 500_000, "n7"),)
     net.play(60)
-    believe = [n for n in net.names if n not in ("n7", "n0") and "n7" in net.detectors[n].live_peers()]
-    assert not believe
+    believers = [n for n in net.names if n not in ("n7", "n0") and "n7" in net.detectors[n].live_peers()]
+    assert not believers
 
 
 def test_incarnation_far_ahead_of_the_clock_is_ignored():
     net = fleet(11, 6)
     detector = net.detectors["n1"]
     far_ahead = 1 << 60
-    lies = tuple(Rumour(name, PeerState.DEAD, far_ahead, "n0") for name in ("n2", "n1"))
-    lie = Datagram("n0", "n1", 1, 1, 1, DatagramKind.PING, 1, rumours=lies)
-    detector.receive(net.now, lie)
+    false_rumours = tuple(Rumour(name, PeerState.DEAD, far_ahead, "n0") for name in ("n2", "n1"))
+    false_datagram = Datagram("n0", "n1", 1, 1, 1, DatagramKind.PING, 1, rumours=false_rumours)
+    detector.receive(net.now, false_datagram)
     assert detector.peers["n2"].incarnation < 1 << 60 and detector.incarnation < 1 << 60
 
 
-def test_what_a_router_sends_grows_no_faster_than_the_logarithm():
+def test_traffic_of_a_router_grows_at_most_logarithmically():
     rates = {}
     for count in (8, 32, 96):
         net = fleet(12, count)
@@ -296,7 +301,7 @@
     assert rates[96][1] < 3 * rates[8][1] and rates[96][1] < 2_000
 
 
-def test_same_seed_gives_the_same_run():
+def test_simulation_is_reproducible():
     def run():
         net = fleet(13, 12, loss_rate=0.1)
         net.kill("n4")
