--- a/hillchute/coordination/jitter.py
+++ b/hillchute/coordination/jitter.py
@@ -1,6 +1,6 @@
 """Jitter for expensive actions that every router has to take, so that their sum at any time stays bounded.
 
-Stateless: uses no clock and never waits for another router.
+Stateless: uses no clock and never waits for another router. A position that no router uses costs nothing.
 
 Routers are spread over a time window in one of two ways. By number, if all learn of an event at the same
 instant: a router's position follows from its number by steps of the golden ratio (a Weyl sequence), so that
