--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures for tests of the query scheduler: a settings catalog and a scheduler with three engines."""
+
 from itertools import count
 
 import pytest
@@ -14,7 +16,7 @@
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.settings import Settings
 
-LOOKUP, REPORT, LOAD, WRITE = range(4)
+LOOKUP, REPORT, LOAD, WRITE = range(4)  # indices of the resource groups in CATALOG
 
 CATALOG = {
     "groups.count": 4,
@@ -50,35 +52,40 @@
 
 
 class SchedulerHarness:
-    """A scheduler with engines 1 to 3 in zones 0 to 2, and short ways to put a state together."""
+    """A scheduler with engines 1 to 3 in zones 0 to 2, and methods that set up queries, attempts and load.
+
+    Keyword arguments override entries of CATALOG; a double underscore stands for a dot in the entry's name.
+    """
 
-    def __init__(self, **changed):
-        catalog = CATALOG | {name.replace("__", "."): value for name, value in changed.items()}
+    def __init__(self, **overrides):
+        catalog = CATALOG | {name.replace("__", "."): value for name, value in overrides.items()}
         self.router = QueryScheduler(7, Settings.from_catalog(catalog), 0)
         self.list_engines(1, 2, 3)
         self.names = (f"q{n}" for n in count())
 
     def list_engines(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
+        """Passes an endpoint list of these engines to the scheduler."""
         listings = [Listing(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
         self.router.on_endpoint_list(self.router.now, mode, listings)
 
-    def arrive(self, group, now=0, cost=1000, deadline=7 * SECOND, **known):
+    def arrive(self, group, now=0, cost=1000, deadline=7 * SECOND, **fields):
+        """Adds a query at time `now` and returns its state in the scheduler."""
         name = next(self.names)
-        self.router.on_query(now, NewQuery(name, group, deadline, cost=cost, **known))
+        self.router.on_query(now, NewQuery(name, group, deadline, cost=cost, **fields))
         return self.router.queries[name]
 
-    def attempted(self, group, engine=1, sent=0, result=None, **known):
-        """A query with one attempt behind it, in no line."""
-        q = self.arrive(group, **known)
-        for line in (self.router.queues.teams, self.router.queues.dashboards):
-            if q in line:
-                line.remove(q)
+    def attempted(self, group, engine=1, sent=0, result=None, **fields):
+        """Adds a query that has had one attempt and waits in no queue."""
+        q = self.arrive(group, **fields)
+        for queue in (self.router.queues.teams, self.router.queues.dashboards):
+            if q in queue:
+                queue.remove(q)
         q.place = QueryPlace.RUNNING
         self.attempt(q, engine, sent, result)
         return q
 
     def attempt(self, q, engine, sent=0, result=None):
-        """One more attempt of a query, with its ending if there is one."""
+        """Adds an attempt to a query; where `result` is given, the attempt ends with it at once."""
         q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.threads))
         e = self.router.engines[engine]
         e.attempt_started(sent, q.threads, q.memory_mb)
@@ -88,16 +95,16 @@
             self.router.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
 
     def fill(self, engine, attempts, threads=4):
-        """So many attempts of other queries are out on an engine."""
+        """Adds a number of in-flight attempts of other queries to an engine."""
         for _ in range(attempts):
             engine.attempt_started(self.router.now, threads, 0.0)
 
     def decisions(self, now=0):
-        """All decisions at this time."""
-        said = []
+        """Returns all decisions that the scheduler makes at time `now`, in order."""
+        decisions = []
         while (decision := self.router.next_decision(now)) is not None:
-            said.append(decision)
-        return said
+            decisions.append(decision)
+        return decisions
 
 
 @pytest.fixture
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -1,6 +1,7 @@
-"""A router on real sockets whose rounds are driven by hand, with clients and an engine in the same thread.
+"""A router on real sockets whose event loop is stepped by the test, with clients and an engine in one thread.
 
-Every step is forced: nothing runs between two calls of turn(), so that a test can let two events cross.
+Nothing runs between two calls of turn(), so a test decides the order of events and can make two of them
+arrive in the same round.
 """
 
 import socket
@@ -21,23 +22,27 @@
 from hillchute.router.lifecycle import Phase
 from hillchute.router.service import Service
 
-MILLISECOND = 10  # tenths of a millisecond
-PATIENCE = 3_000
-WAIT = 10.0  # seconds until a test that waits for something gives up
-TURN_TIME = 500_000  # nanoseconds of a turn, where the router's time goes on by turns alone
+MILLISECOND = 10  # in the router's time unit, 0.1 ms
+DEFAULT_CLIENT_TIMEOUT_MS = 3_000
+WAIT_SECONDS = 10.0  # until() fails after this time
+ROUND_NS = 500_000  # by which the router's clock advances each round where `time_by_turns` is set
 SELECT = "SELECT 1 FROM sales_17.orders"
 
 
-def short_deadlines(longest, table):
-    """The table with no deadline longer than so many milliseconds."""
-    for kind in table["settings"]["classes"]:
-        kind["deadline_ns"] = min(longest, kind["deadline_ns"] // 10**6) * 10**6
-        kind["goal_time_ns"] = min(kind["goal_time_ns"], kind["deadline_ns"])
-    table["settings"]["classes"][0]["deadline_ns"] = longest * 10**6
+def short_deadlines(max_ms, table):
+    """Limits all deadlines of a platform configuration to `max_ms`; changes the table in place.
+
+    The first resource group's deadline becomes exactly `max_ms`.
+    """
+    for group in table["settings"]["classes"]:
+        group["deadline_ns"] = min(max_ms, group["deadline_ns"] // 10**6) * 10**6
+        group["goal_time_ns"] = min(group["goal_time_ns"], group["deadline_ns"])
+    table["settings"]["classes"][0]["deadline_ns"] = max_ms * 10**6
     return table
 
 
 def packet(number, payload):
+    """Returns a MySQL packet with the given sequence number."""
     return len(payload).to_bytes(3, "little") + bytes([number]) + payload
 
 
@@ -46,27 +51,30 @@
 PING = packet(0, b"\x0e")
 
 
-def query(id, route="lookup", patience=PATIENCE, **fields):
-    """COM_QUERY as a client writes it."""
-    more = "".join(f",{name}={value}" for name, value in fields.items())
-    text = f"/* route={route},trace={id:016x},patience={patience},weight=20.0,mb=1{more} */ {SELECT}"
+def query(id, route="lookup", patience=DEFAULT_CLIENT_TIMEOUT_MS, **fields):
+    """Returns a COM_QUERY packet whose comment carries the statement's fields; `patience` is in ms."""
+    extra = "".join(f",{name}={value}" for name, value in fields.items())
+    text = f"/* route={route},trace={id:016x},patience={patience},weight=20.0,mb=1{extra} */ {SELECT}"
     return packet(0, b"\x03" + text.encode())
 
 
 def tcp_info(received_ms_ago=0):
-    """The kernel's struct tcp_info as the router reads it: when bytes last came."""
+    """Returns the kernel's struct tcp_info for a connection that last received bytes so long ago."""
     return TCP_INFO.pack(0, received_ms_ago).ljust(TCP_INFO_SIZE, b"\0")
 
 
 class JustReceived(SystemCalls):
-    """Bytes have always come just now: the kernel's idle times go by the machine's clock."""
+    """System calls where each connection has received bytes just now.
+
+    The kernel counts idle times by the machine's clock, which may differ from the router's clock in a test.
+    """
 
     def tcp_info(self, sock):
         return tcp_info()
 
 
 class Signals:
-    """Stands in for the receiver of signals."""
+    """Stand-in for anyio's signal receiver: delivers the given signals in order and ends."""
 
     def __init__(self, *numbers):
         self.numbers = numbers
@@ -83,7 +91,7 @@
 
 
 class Kept(Log):
-    """A log whose lines a test can look through."""
+    """A log that keeps its lines in memory as pairs of event and fields."""
 
     def __init__(self):
         super().__init__("n1", -1)
@@ -93,10 +101,13 @@
         self.lines.append((event, fields))
 
     def faults(self):
+        """Returns the fields of the fault lines that have a trace."""
         return [fields for event, fields in self.lines if event == "fault" and "trace" in fields]
 
 
 class Client:
+    """A MySQL client's side of one connection to the router."""
+
     def __init__(self, rig):
         self.rig, self.heard, self.ended, self.was_reset = rig, b"", False, False
         self.sock = socket.create_connection(rig.address)
@@ -107,6 +118,7 @@
         self.sock.sendall(data)
 
     def hear(self):
+        """Reads what has arrived without waiting; returns the payloads of all complete packets so far."""
         with suppress(BlockingIOError):
             try:
                 while data := self.sock.recv(65_536):
@@ -117,27 +129,30 @@
         return self.payloads()
 
     def payloads(self):
-        found, rest = [], self.heard
+        payloads, rest = [], self.heard
         while len(rest) >= 4 and len(rest) >= 4 + int.from_bytes(rest[:3], "little"):
             size = int.from_bytes(rest[:3], "little")
-            found.append(rest[4 : 4 + size])
+            payloads.append(rest[4 : 4 + size])
             rest = rest[4 + size :]
-        return found
+        return payloads
 
     def answers(self):
-        """The answers to queries so far: served, an error's number, or ok."""
-        found, ends = [], 0
-        for payload in self.hear()[1:]:  # the greeting is the first
+        """Returns the answers to queries so far: "served" for a result set, else the number of the error.
+
+        A result set has two EOF packets: after its columns and after its rows. OK packets are not listed.
+        """
+        answers, eof_packets = [], 0
+        for payload in self.hear()[1:]:  # the first packet is the greeting
             if payload[:1] == b"\xff":
-                found.append(int.from_bytes(payload[1:3], "little"))
+                answers.append(int.from_bytes(payload[1:3], "little"))
             elif payload == packets.EOF:
-                ends += 1
-                if ends % 2 == 0:
-                    found.append("served")
-        return found
+                eof_packets += 1
+                if eof_packets % 2 == 0:
+                    answers.append("served")
+        return answers
 
     def reset(self):
-        """Closes so that the router is sent RST."""
+        """Closes the connection with RST instead of FIN."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
@@ -145,37 +160,38 @@
         self.sock.close()
 
 
-class Talk:
-    """The engine's side of one connection."""
+class EngineConnection:
+    """The engine's side of one connection of the line protocol."""
 
     def __init__(self, sock):
         sock.setblocking(False)
-        self.sock, self.rest, self.ended = sock, b"", False
+        self.sock, self.unparsed, self.ended = sock, b"", False
 
     def commands(self):
-        """What has come whole since the last call, as (verb, words, statement)."""
+        """Returns the complete commands since the last call, each as (verb, words, statement)."""
         with suppress(BlockingIOError):
             try:
                 while data := self.sock.recv(65_536):
-                    self.rest += data
+                    self.unparsed += data
                 self.ended = True
             except ConnectionError:
                 self.ended = True
-        found = []
-        while (end := self.rest.find(b"\r\n")) >= 0:
-            verb, *words = self.rest[:end].decode().split(" ")
-            stop = end + 2
+        commands = []
+        while (line_end := self.unparsed.find(b"\r\n")) >= 0:
+            verb, *words = self.unparsed[:line_end].decode().split(" ")
+            command_end = line_end + 2
             statement = b""
             if verb == "want":
-                statement = self.rest[stop : stop + int(words[2])]
-                stop += int(words[2]) + 2
-                if len(self.rest) < stop:
+                statement = self.unparsed[command_end : command_end + int(words[2])]
+                command_end += int(words[2]) + 2
+                if len(self.unparsed) < command_end:
                     break
-            self.rest = self.rest[stop:]
-            found.append((verb, words, statement))
-        return found
+            self.unparsed = self.unparsed[command_end:]
+            commands.append((verb, words, statement))
+        return commands
 
     def serve(self, id):
+        """Answers an attempt with a result of one row."""
         self.sock.sendall(f"{id} ACK work=20.0,peak=1.0 8\r\na\tb\tccc\n\r\n".encode())
 
     def close(self):
@@ -183,13 +199,16 @@
 
 
 class Rig:
-    """One router and one engine. `self.wants` are the attempts that have come to the engine, in order."""
+    """One router and one engine. `self.wants` has the ids of the attempts the engine received, in order."""
 
     def __init__(
         self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None, time_by_turns=False
     ):
-        """`time_by_turns`: the router's time goes on by TURN_TIME with each turn and by pass_time, never by
-        itself, so that a pause of the machine changes nothing."""
+        """Starts the router's service and lists the engine as endpoint 1.
+
+        With `time_by_turns` the router's clock advances only by ROUND_NS each round and by pass_time, so that
+        a pause of the machine does not affect the test.
+        """
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -198,36 +217,38 @@
         table["settings"]["limits"]["probes"] = False
         self.configuration = config.parse_configuration(table, {})
         self.log, self.system = Kept(), system
-        self.ahead = 0  # nanoseconds by which this router's time is ahead of the machine's
-        self.turn_time, start = (TURN_TIME if time_by_turns else 0), time.monotonic_ns()
+        self.ahead = 0  # nanoseconds by which the router's clock is ahead of its base clock
+        self.round_ns, start = (ROUND_NS if time_by_turns else 0), time.monotonic_ns()
         self.clock = clock or Clock(lambda: (start if time_by_turns else time.monotonic_ns()) + self.ahead)
         self.service = Service(self.configuration, self.log, poller=Poller(system), clock=self.clock)
         self.service.attach_tasks(None)
         self.service.door.open(self.door)
         self.service.lifecycle.enter(Phase.SERVING)
         self.talks, self.wants, self.clients = [], [], []
-        self.fields = {}  # of each attempt that came to the engine
-        self.serving = True
+        self.fields = {}  # by attempt id: the fields of the command that started it
+        self.serving = True  # the engine answers each attempt as soon as it reads it
         self.list(1)
 
-    def list(self, number, state=EndpointState.READY, started=0, engine=1, port=None):
+    def list(self, offset, state=EndpointState.READY, started=0, engine=1, port=None):
+        """Delivers a partial endpoint list with one engine to the router, as the watch event at `offset`."""
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
         self.service.endpoint_updates.on_watch_event(
-            WatchEvent(number, "Partial", (Endpoint(listing, "127.0.0.1", port),))
+            WatchEvent(offset, "Partial", (Endpoint(listing, "127.0.0.1", port),))
         )
 
     def client(self, data=LOGIN):
+        """Connects a client, which writes `data` at once."""
         client = Client(self)
         self.clients.append(client)
         client.write(data)
         return client
 
     def engine(self):
-        """The engine's turn: takes connections, reads, and serves what it is asked unless told not to."""
+        """Runs the engine once: accepts connections, reads commands, answers attempts if `self.serving`."""
         with suppress(BlockingIOError):
             while True:
-                self.talks.append(Talk(self.listener.accept()[0]))
+                self.talks.append(EngineConnection(self.listener.accept()[0]))
         for talk in [talk for talk in self.talks if talk.sock.fileno() >= 0]:
             for verb, words, statement in talk.commands():
                 if verb == "want":
@@ -239,41 +260,47 @@
                             talk.serve(words[0])
 
     def pass_time(self, seconds):
-        """The router's clock goes on by so much at once."""
+        """Advances the router's clock by `seconds`."""
         self.ahead += int(seconds * 1e9)
 
     def pass_turn_time(self):
-        """The time of one turn goes by, where the router's time goes on by turns."""
-        self.ahead += self.turn_time
+        """Advances the router's clock by the time of one round, which is 0 without `time_by_turns`."""
+        self.ahead += self.round_ns
 
     def turn(self, rounds=1):
+        """Runs the event loop and then the engine, `rounds` times."""
         for _ in range(rounds):
             self.pass_turn_time()
             self.service.event_loop.round()
             self.engine()
 
     def until(self, done):
-        end = time.monotonic() + WAIT
+        """Runs rounds until `done()` holds; fails after WAIT_SECONDS."""
+        end = time.monotonic() + WAIT_SECONDS
         while not done():
-            assert time.monotonic() < end, "nothing came of it"
+            assert time.monotonic() < end, f"condition not met within {WAIT_SECONDS} s"
             self.turn()
             self.service.door.sweep()
             time.sleep(0.0005)
 
     def connected(self):
-        """A connection to the engine is up, and one client is logged in."""
-        patience = self.configuration.settings.groups[0].queue_timeout // MILLISECOND
-        client = self.client(LOGIN + query(0xFFFF, patience=patience))
+        """Returns a logged-in client after one served query, so that a connection to the engine is open.
+
+        That query is not listed in `self.wants`.
+        """
+        client_timeout_ms = self.configuration.settings.groups[0].queue_timeout // MILLISECOND
+        client = self.client(LOGIN + query(0xFFFF, patience=client_timeout_ms))
         self.until(lambda: client.answers() == ["served"])
         self.wants.clear()
         return client
 
     def closing(self, end):
+        """Starts the graceful shutdown, in which each query must be answered by time `end`."""
         self.service.handle(events.ShutdownStarted(end))
 
     def close(self):
-        for thing in (*self.clients, *self.talks, self.listener):
-            thing.close()
+        for resource in (*self.clients, *self.talks, self.listener):
+            resource.close()
         self.service.door.close()
         for client in list(self.service.door.clients.values()):
             client.pipe.close()
