--- a/tests/cpu_limit.py
+++ b/tests/cpu_limit.py
@@ -4,12 +4,12 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-EXAMPLE_CPU_SECONDS = 0.2  # Hypothesis' own deadline, which counts the machine's other work as well
+EXAMPLE_CPU_SECONDS = 0.2  # as Hypothesis' default deadline, which counts wall-clock time
 
 
 @contextmanager
 def cpu_limit(seconds: float = EXAMPLE_CPU_SECONDS) -> Iterator[None]:
-    """Fails where what is done inside takes more processor time of this thread."""
-    began = time.thread_time()
+    """Fails if the body uses more than `seconds` of this thread's processor time."""
+    start = time.thread_time()
     yield
-    assert time.thread_time() - began <= seconds
+    assert time.thread_time() - start <= seconds
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,8 +1,7 @@
-"""Pairs of events that cross in one round or on one connection: docs/architecture.md lists them by these
-tests.
+"""Tests of race conditions: two events that arrive in one round of the event loop or on one connection.
 
-Each crossing is forced: both events are ready before the round that finds them, or one is written from
-within the step that it must hit.
+docs/architecture.md lists the pairs with the names of these tests. Each race is forced: both events are ready
+before the round that handles them, or one is sent from within the step that it races with.
 """
 
 import errno
@@ -17,9 +16,9 @@
 from hillchute.lab.faulty_system import FaultySystemCalls
 from hillchute.router import config
 
-KEYED = {"route": "event-load", "entity": "ab", "patience": 8_000}
-ANSWERS = {"served", REFUSED[0], FAILED[0]}
-ACK = "{id} ACK work=20.0,peak=1.0 8\r\na\tb\tccc\n\r\n"
+ORDERED_LOAD = {"route": "event-load", "entity": "ab", "patience": 8_000}
+VALID_ANSWERS = {"served", REFUSED[0], FAILED[0]}
+ACK_ANSWER = "{id} ACK work=20.0,peak=1.0 8\r\na\tb\tccc\n\r\n"
 
 
 @pytest.fixture
@@ -30,19 +29,21 @@
 
 
 def ids(*numbers):
+    """Returns the attempt ids, as the engine receives them, of queries with these trace numbers."""
     return [f"{number:016x}" for number in numbers]
 
 
-def out(rig, number=1, **about):
-    """A query whose attempt is out; the engine says nothing until it is told to."""
+def client_with_query_in_flight(rig, number=1, **fields):
+    """Returns a client whose query the engine has received; the engine answers only when the test says so."""
     client = rig.connected()
     rig.serving = False
-    client.write(query(number, **about))
+    client.write(query(number, **fields))
     rig.until(lambda: rig.wants)
     return client
 
 
-def go_past(rig, time):
+def advance_clock_past(rig, time):
+    """Advances the router's clock to just after `time`, if it is not later already."""
     rig.pass_time(max(0, time - rig.clock() + 1) / 10_000)
 
 
@@ -55,12 +56,12 @@
     rig.serving = False
     client.write(query(1, patience=patience))
     rig.service.event_loop.round()
-    asked = list(rig.service.reducer.unanswered.values())
-    for q in asked:
+    queries = list(rig.service.reducer.unanswered.values())
+    for q in queries:
         assert q.deadline <= q.received_at + patience * MILLISECOND
-        go_past(rig, q.deadline)
+        advance_clock_past(rig, q.deadline)
     rig.turn(2)
-    assert len(client.answers()) == 2 and client.answers()[1] in ANSWERS
+    assert len(client.answers()) == 2 and client.answers()[1] in VALID_ANSWERS
     for fields in rig.fields.values():
         assert int(fields["ttl"]) <= max(3_000, patience)
     if ids(1)[0] in rig.fields:
@@ -68,10 +69,10 @@
 
 
 def test_engine_is_given_no_more_than_what_the_client_has_left_after_a_wait_for_its_turn(rig):
-    first = out(rig, 1, nonce="01", **KEYED)
-    second = rig.client(LOGIN + query(2, nonce="02", **KEYED))
+    first = client_with_query_in_flight(rig, 1, nonce="01", **ORDERED_LOAD)
+    second = rig.client(LOGIN + query(2, nonce="02", **ORDERED_LOAD))
     rig.until(lambda: len(rig.service.reducer.unanswered) == 2)
-    rig.pass_time(0.6)  # behind the first of its key
+    rig.pass_time(0.6)  # the second query waits for the first of its ordering key
     rig.talks[0].serve(ids(1)[0])
     rig.until(lambda: len(rig.wants) == 2)
     assert int(rig.fields[ids(2)[0]]["ttl"]) <= 7_400
@@ -81,19 +82,19 @@
 
 
 def test_answer_that_comes_in_the_look_after_its_deadline_is_no_second_answer(rig):
-    client = out(rig)
+    client = client_with_query_in_flight(rig)
     (q,) = rig.service.reducer.unanswered.values()
     rig.talks[0].serve(ids(1)[0])
-    go_past(rig, q.deadline)
+    advance_clock_past(rig, q.deadline)
     rig.turn(5)
-    assert len(client.answers()) == 2  # that of connected() and one more
+    assert len(client.answers()) == 2  # the answer of connected() and one more
 
 
 def test_unsafe_attempt_whose_time_is_up_as_its_connection_breaks_is_answered_failed_once(rig):
-    client = out(rig, 1, route="change", patience=6_000)
+    client = client_with_query_in_flight(rig, 1, route="change", patience=6_000)
     (q,) = rig.service.reducer.unanswered.values()
     rig.talks[0].close()
-    go_past(rig, q.deadline)
+    advance_clock_past(rig, q.deadline)
     rig.turn(5)
     assert client.answers()[1:] == [FAILED[0]] and rig.wants == ids(1)
 
@@ -101,13 +102,13 @@
 # ---- answers ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("later", [False, True], ids=["in one piece", "a round later"])
-def test_second_answer_of_an_engine_is_passed_over(rig, later):
-    client = out(rig)
-    answer = ACK.format(id=ids(1)[0]).encode()
-    rig.talks[0].sock.sendall(answer if later else 2 * answer)
+@pytest.mark.parametrize("in_later_round", [False, True], ids=["in one piece", "a round later"])
+def test_second_answer_of_an_engine_is_passed_over(rig, in_later_round):
+    client = client_with_query_in_flight(rig)
+    answer = ACK_ANSWER.format(id=ids(1)[0]).encode()
+    rig.talks[0].sock.sendall(answer if in_later_round else 2 * answer)
     rig.turn(3)
-    if later:
+    if in_later_round:
         rig.talks[0].sock.sendall(answer)
     client.write(query(2))
     rig.until(lambda: len(rig.wants) == 2)
@@ -117,29 +118,29 @@
 
 
 def test_answer_and_cancel_in_one_look_are_one_answer(rig):
-    client = out(rig)
-    number = int.from_bytes(client.hear()[0].split(b"\0", 1)[1][:4], "little")
+    client = client_with_query_in_flight(rig)
+    session_id = int.from_bytes(client.hear()[0].split(b"\0", 1)[1][:4], "little")
     other = rig.client()
     rig.turn(2)
-    other.write(packet(0, b"\x03KILL QUERY %d" % number))
+    other.write(packet(0, b"\x03KILL QUERY %d" % session_id))
     rig.talks[0].serve(ids(1)[0])
     rig.turn(5)
     assert len(client.answers()) <= 2 and not rig.service.reducer.unanswered
-    client.write(query(2))  # the session goes on where the cancel came after the answer
+    client.write(query(2))  # the session stays usable if the cancel came after the answer
     rig.turn(3)
     assert not rig.log.faults()
 
 
-@pytest.mark.parametrize("how", ["close", "reset"])
-def test_client_that_leaves_as_its_answer_is_written_ends_nothing_else(rig, monkeypatch, how):
-    client = out(rig)
+@pytest.mark.parametrize("disconnect", ["close", "reset"])
+def test_client_that_leaves_as_its_answer_is_written_ends_nothing_else(rig, monkeypatch, disconnect):
+    client = client_with_query_in_flight(rig)
     finish = rig.service.door.finish
 
-    def leave_first(session, rows):
-        getattr(client, how)()
+    def disconnect_then_finish(session, rows):
+        getattr(client, disconnect)()
         finish(session, rows)
 
-    monkeypatch.setattr(rig.service.door, "finish", leave_first)
+    monkeypatch.setattr(rig.service.door, "finish", disconnect_then_finish)
     rig.talks[0].serve(ids(1)[0])
     rig.turn(3)
     monkeypatch.undo()
@@ -151,35 +152,35 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\xff\xfe\r\n",
         b"{id} ACK parts=2,work=1 4\r\nab\tc\r\n",
         b"{id} ACK parts=-5 0\r\n\r\n",
         b"{id} ACK work=1 8\r\nno rows!\r\n",
-        b"x" * 10_000,  # a line without an end
-        b"{id} ACK work=1 6000\r\n" + b"y" * 9_000,  # a body without an end
+        b"x" * 10_000,  # a line without a terminator
+        b"{id} ACK work=1 6000\r\n" + b"y" * 9_000,  # a body that exceeds its stated length
     ],
     ids=["not ASCII", "wrong length", "no number", "no rows", "endless line", "endless body"],
 )
 @pytest.mark.parametrize("route", ["lookup", "change"])
-def test_answer_that_cannot_be_read_frees_no_query_of_its_answer(rig, spoilt, route):
-    client = out(rig, 1, route=route)
+def test_answer_that_cannot_be_read_frees_no_query_of_its_answer(rig, malformed, route):
+    client = client_with_query_in_flight(rig, 1, route=route)
     rig.serving = True
-    rig.talks[0].sock.sendall(spoilt.replace(b"{id}", ids(1)[0].encode()))
+    rig.talks[0].sock.sendall(malformed.replace(b"{id}", ids(1)[0].encode()))
     rig.until(lambda: len(client.answers()) == 2)
     assert client.answers()[1] == ("served" if route == "lookup" else FAILED[0])
     assert rig.wants.count(ids(1)[0]) == (2 if route == "lookup" else 1)
 
 
 def test_engine_that_writes_without_end_holds_up_no_other_query(rig):
-    client = out(rig)
+    client = client_with_query_in_flight(rig)
     other = rig.client(LOGIN)
-    note = f"{ids(1)[0]} EVENT why=advance,value=0.5 0\r\n\r\n".encode()
+    progress = f"{ids(1)[0]} EVENT why=advance,value=0.5 0\r\n\r\n".encode()
     rig.talks[0].sock.settimeout(0)
     for n in range(40):
         try:
-            rig.talks[0].sock.sendall(500 * note)
+            rig.talks[0].sock.sendall(500 * progress)
         except OSError:
             break
         if n == 20:
@@ -188,7 +189,7 @@
     rig.turn(3)
     assert other.answers() == [FAILED[0]] and len(client.answers()) == 1
     (q,) = rig.service.reducer.unanswered.values()
-    go_past(rig, q.deadline)
+    advance_clock_past(rig, q.deadline)
     rig.turn(3)
     assert len(client.answers()) == 2
 
@@ -204,13 +205,16 @@
     rig.turn(5)
     assert rig.wants == [] and len(rig.service.reducer.unanswered) == 1
     (q,) = rig.service.reducer.unanswered.values()
-    go_past(rig, q.deadline)
+    advance_clock_past(rig, q.deadline)
     rig.turn(2)
     assert client.answers() == [REFUSED[0]]
 
 
 def test_connect_that_would_come_up_late_is_given_up_and_nothing_is_written_on_it():
-    """The engine's machine answers no more connects until its process accepts those it has."""
+    """Guards against a connection that is used after its connect timeout.
+
+    The listen backlog is full, so the kernel completes no further connect until the engine accepts.
+    """
     rig = Rig(backlog=0)
     fillers = [socket.socket() for _ in range(4)]
     for filler in fillers:
@@ -220,18 +224,18 @@
     while not rig.service.links.links:
         rig.service.event_loop.round()
     (link,) = rig.service.links.links.values()
-    late = link.sock
+    connecting = link.sock
     rig.service.event_loop.round()
-    assert late.fileno() >= 0 and link.pipe is None  # under way
+    assert connecting.fileno() >= 0 and link.pipe is None  # the connect is in progress
     rig.pass_time(rig.service.reducer.pool.connect_timeout / 10_000 + 0.01)
     rig.service.event_loop.round()
-    assert late.fileno() < 0  # closed before it could come up
+    assert connecting.fileno() < 0  # closed before the connect completed
     for filler in fillers:
         filler.close()
     (q,) = rig.service.reducer.unanswered.values()
-    go_past(rig, q.deadline)
+    advance_clock_past(rig, q.deadline)
     rig.until(lambda: client.answers())
-    assert rig.wants in (ids(1), []) and client.answers()[0] in ANSWERS
+    assert rig.wants in (ids(1), []) and client.answers()[0] in VALID_ANSWERS
     rig.close()
 
 
@@ -247,14 +251,14 @@
 
 
 def test_next_query_of_a_key_waits_out_the_attempt_whose_connection_broke(rig):
-    first = out(rig, 1, nonce="01", **KEYED)
-    second = rig.client(LOGIN + query(2, nonce="02", **KEYED))
+    first = client_with_query_in_flight(rig, 1, nonce="01", **ORDERED_LOAD)
+    second = rig.client(LOGIN + query(2, nonce="02", **ORDERED_LOAD))
     rig.until(lambda: len(rig.service.reducer.unanswered) == 2)
-    first.close()  # nobody waits for the first any more, but it may be running
+    first.close()  # the first client is gone, but its attempt may still be running
     rig.talks[0].close()
     rig.serving = True
     rig.turn(3)
-    assert rig.wants == ids(1)  # the key rests
+    assert rig.wants == ids(1)  # no attempt of this ordering key may start during the order pause
     rig.pass_time(rig.service.reducer.claims.order_pause / 10_000 + 0.01)
     rig.until(lambda: second.answers())
     assert rig.wants == ids(1, 2) and second.answers() == ["served"]
@@ -281,28 +285,28 @@
 
 def test_idle_session_that_has_just_asked_is_not_the_one_that_gives_way(rig):
     door = rig.service.door
-    waiting = [rig.client() for _ in range(door.seats.most)]
+    idle = [rig.client() for _ in range(door.seats.most)]
     rig.until(lambda: len(door.clients) == door.seats.most and not door.seats.steps)
-    asking = waiting[0]  # it has rested longest
-    asking.write(query(1))  # not read yet when the newcomer is accepted
-    newcomer = rig.client(LOGIN + query(2))
+    asking = idle[0]  # it has been idle longest
+    asking.write(query(1))  # not read yet when the new client is accepted
+    new_client = rig.client(LOGIN + query(2))
     door.accept(1)
-    rig.until(lambda: newcomer.answers() and asking.answers())
-    assert newcomer.answers() == ["served"] and asking.answers() == ["served"]
-    assert [client.ended for client in waiting].count(True) == 0 and len(door.clients) <= door.seats.most
+    rig.until(lambda: new_client.answers() and asking.answers())
+    assert new_client.answers() == ["served"] and asking.answers() == ["served"]
+    assert [client.ended for client in idle].count(True) == 0 and len(door.clients) <= door.seats.most
 
 
 def test_client_that_never_reads_keeps_its_result_to_itself_and_is_dropped_in_time(rig):
-    client = out(rig)
+    client = client_with_query_in_flight(rig)
     session = next(iter(rig.service.door.clients.values()))
     send = rig.system.send
 
-    def full(sock, data):
+    def send_with_full_buffer(sock, data):
         if sock is session.pipe.sock:
-            raise BlockingIOError(errno.EAGAIN, "full")
+            raise BlockingIOError(errno.EAGAIN, "send buffer full")
         return send(sock, data)
 
-    rig.system.send = full
+    rig.system.send = send_with_full_buffer
     rig.talks[0].serve(ids(1)[0])
     rig.turn(3)
     assert session.pipe.unsent and not rig.service.reducer.unanswered
@@ -316,18 +320,18 @@
 
 
 def test_error_of_a_late_step_is_read_though_bytes_came_as_it_was_written(rig, monkeypatch):
-    """A close over unread bytes would reset the connection and take the error away."""
+    """Closing a socket with unread bytes would send RST, and the client would lose the error message."""
     client = rig.client(LOGIN[:9])
     rig.turn(2)
     (session,) = rig.service.door.clients.values()
     rig.pass_time(seats.STEP / 10_000)
-    put = session.pipe.write
+    write = session.pipe.write
 
-    def cross(data):
+    def write_after_client(data):
         client.write(LOGIN[9:12])
-        return put(data)
+        return write(data)
 
-    session.pipe.write = cross
+    session.pipe.write = write_after_client
     rig.service.door.sweep()
     rig.turn(3)
     client.hear()
@@ -335,11 +339,11 @@
 
 
 def test_reload_under_an_open_query_changes_nothing_for_it(rig, monkeypatch):
-    client = out(rig)
-    moved_bus = rig.configuration._replace(event_bus_address=("127.0.0.1", 9))
-    monkeypatch.setattr(config, "read_configuration", lambda: moved_bus)
-    monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda *about: None)
-    rig.talks[0].serve(ids(1)[0])  # its answer is on its way as the signal comes
+    client = client_with_query_in_flight(rig)
+    changed_configuration = rig.configuration._replace(event_bus_address=("127.0.0.1", 9))
+    monkeypatch.setattr(config, "read_configuration", lambda: changed_configuration)
+    monkeypatch.setattr(rig.service.endpoint_watcher, "watch", lambda *args: None)
+    rig.talks[0].serve(ids(1)[0])  # the answer has been sent but not read when the reload runs
     rig.service.reloader.reload(rig.service.tasks)
     rig.turn(2)
     assert client.answers() == ["served", "served"]
@@ -350,28 +354,28 @@
     busy = [rig.client() for _ in range(door.seats.most)]
     rig.until(lambda: len(door.clients) == door.seats.most)
     for client in busy:
-        client.write(query(99)[:30])  # all have unread bytes: nobody gives way
-    late = rig.client(LOGIN + query(1))
+        client.write(query(99)[:30])  # all have unread bytes, so none is closed to make room
+    excess = rig.client(LOGIN + query(1))
     door.accept(1)
     rig.turn(2)
-    late.hear()
-    assert late.payloads()[0][:1] == b"\xff"
-    assert int.from_bytes(late.payloads()[0][1:3], "little") == REFUSED[0]
+    excess.hear()
+    assert excess.payloads()[0][:1] == b"\xff"
+    assert int.from_bytes(excess.payloads()[0][1:3], "little") == REFUSED[0]
     assert SELECT and not rig.log.faults()
 
 
 def test_fault_of_ours_in_one_answer_keeps_no_other_query_from_its_own(rig, monkeypatch):
     first, second = rig.connected(), rig.client()
     rig.until(lambda: len(rig.service.door.clients) == 2 and not rig.service.door.seats.steps)
-    kill, broken = rig.service.door.kill, min(rig.service.door.clients)
+    kill, failing_session = rig.service.door.kill, min(rig.service.door.clients)
 
-    def kill_all_but_one(session, why):
-        if session == broken:
-            raise IndexError("a fault of ours")
-        kill(session, why)
+    def kill_or_raise(session, reason):
+        if session == failing_session:
+            raise IndexError("injected programming error")
+        kill(session, reason)
 
-    monkeypatch.setattr(rig.service.door, "kill", kill_all_but_one)
+    monkeypatch.setattr(rig.service.door, "kill", kill_or_raise)
     first.write(query(1, route="nobody"))
-    second.write(query(2, route="nobody"))  # both are taken in one round
+    second.write(query(2, route="nobody"))  # both queries are handled in one round
     rig.until(lambda: second.answers() and rig.log.faults())
     assert second.answers() == [FAILED[0]] and len(rig.log.faults()) == 1
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,6 +1,8 @@
-"""Names that the pages under docs/ put in backquotes exist: files on the disk, names in the code.
+"""Checks that the files and identifiers named in backquotes on the pages under docs/ exist.
 
-Pages that tell of earlier states are left out: the roadmap, the record of figures and the incidents.
+Guards against pages that go out of date after a rename. Pages on earlier states are left out: the roadmap,
+the record of figures and the incidents. Also checks the imports between packages against the diagram of
+layers in docs/architecture.md.
 """
 
 import ast
@@ -14,19 +16,19 @@
 DOCS = ROOT / "docs"
 
 PAGES = sorted(page for page in DOCS.glob("*.md") if page.name not in {"standing.md", "ROADMAP.md"})
-"""The pages that describe the program as it is."""
+"""The pages that describe the present state of the program."""
 
 CODE_FOLDERS = ("hillchute", "tests", "deploy", "examples")
 TEXT_SUFFIXES = {".toml", ".cue", ".lark", ".proto", ".json", ".sh", ".txt"}
 
 LISTS_OF_NAMES = {"external_names.txt"}
-"""Files that repeat names of the code for a check of their own: a name that only they hold does not exist."""
+"""Files that list names of the code for another check; a name that occurs only in them counts as missing."""
 
 OUTSIDE_NAMES = {"epoll_ctl"}
-"""Names of other programs that pages may name and that the code has no reason to contain."""
+"""Names of other programs that pages may use although the code does not contain them."""
 
 MAX_WORDS_OF_A_NAME = 4
-"""Text values of more words are sentences; what is written in them proves no name."""
+"""Text values with more words are taken as sentences; their words are no evidence that a name exists."""
 
 FENCED_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
 BACKQUOTED = re.compile(r"`([^`\n]+)`")
@@ -37,7 +39,7 @@
 
 
 def code_words(source: str) -> set[str]:
-    """Return the words of a module that are code: names and text values, but no comments or docstrings."""
+    """Return the words of a module's identifiers and text values, without comments and docstrings."""
     tree = ast.parse(source)
     words: set[str] = set()
     documented = ast.Module | ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef
@@ -62,7 +64,7 @@
 
 @cache
 def known_words() -> dict[Path, set[str]]:
-    """Return the words of each file of the code; this file counts for nothing."""
+    """Return the words of each file of the code, except this file."""
     words: dict[Path, set[str]] = {}
     for folder in CODE_FOLDERS:
         for path in sorted((ROOT / folder).rglob("*")):
@@ -77,7 +79,7 @@
 
 @cache
 def bare_file_names() -> set[str]:
-    """Return the names of all files under the folders of the code and docs/, and of those at the root."""
+    """Return the names of all files in the code's folders, docs/ and journal/, and of those at the root."""
     folders = [ROOT / name for name in (*CODE_FOLDERS, "docs", "journal")]
     return {path.name for folder in folders for path in folder.rglob("*")} | {
         path.name for path in ROOT.iterdir()
@@ -85,12 +87,12 @@
 
 
 def backquoted(text: str) -> list[str]:
-    """Return what a page has in backquotes, outside of fenced blocks."""
+    """Return the texts in backquotes outside of fenced blocks."""
     return BACKQUOTED.findall(FENCED_BLOCK.sub("", text))
 
 
 def is_path(name: str) -> bool:
-    """Return whether this names a file or folder of the repository."""
+    """Return whether the text has the form of a path to a file or folder of the repository."""
     if not PATH.fullmatch(name):
         return False
     if name in PATH_SUFFIXES or name.startswith("/"):
@@ -99,21 +101,24 @@
 
 
 def path_exists(name: str, package: Path) -> bool:
-    """Return whether the root, hillchute/ or the page's package has the path; a bare name may be anywhere."""
+    """Return whether the path exists in the root, hillchute/ or the page's package.
+
+    A file name without a folder may be in any folder.
+    """
     if "/" not in name:
         return name in bare_file_names()
     return any((folder / name).exists() for folder in (ROOT, ROOT / "hillchute", package))
 
 
 def name_exists(name: str) -> bool:
-    """Return whether one file of the code has all parts of a dotted name, each as a whole word."""
+    """Return whether a single file of the code contains all parts of a dotted name as whole words."""
     parts = set(name.split("."))
     return any(parts <= words for words in known_words().values())
 
 
-def gone_names(text: str, package: Path = ROOT) -> list[str]:
-    """Return what a page puts in backquotes and the repository does not have."""
-    gone = []
+def missing_names(text: str, package: Path = ROOT) -> list[str]:
+    """Return the paths and identifiers in backquotes that the repository does not have."""
+    missing = []
     for quoted in backquoted(text):
         name = quoted.removesuffix("()")
         if is_path(name):
@@ -123,14 +128,14 @@
         else:
             continue
         if not exists:
-            gone.append(quoted)
-    return gone
+            missing.append(quoted)
+    return missing
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_page_names_only_what_exists(page: Path) -> None:
     package = ROOT / "hillchute" / page.stem
-    assert gone_names(page.read_text(), package) == []
+    assert missing_names(page.read_text(), package) == []
 
 
 @pytest.mark.parametrize(
@@ -144,25 +149,25 @@
         "gone/",
     ],
 )
-def test_name_that_is_gone_is_found(quoted: str) -> None:
-    assert gone_names(f"see `{quoted}` here") == [quoted]
+def test_missing_name_is_reported(quoted: str) -> None:
+    assert missing_names(f"see `{quoted}` here") == [quoted]
 
 
 @pytest.mark.parametrize(
     "quoted", ["decision/scheduler.py", "docs/design.md", "Scheduler", "HillchuteError.remedy", "GET /status"]
 )
-def test_name_that_exists_is_passed_over(quoted: str) -> None:
-    assert gone_names(f"see `{quoted}` here") == []
+def test_existing_name_is_not_reported(quoted: str) -> None:
+    assert missing_names(f"see `{quoted}` here") == []
 
 
 # ---- the diagram of packages ----------------------------------------------------------------------
 
 LAYERS = re.compile(r"^```text\nlayers, top to bottom\n(.*?)^```", re.MULTILINE | re.DOTALL)
-"""The fenced block of docs/architecture.md that has one row of packages a layer, the highest first."""
+"""The fenced block of docs/architecture.md with one row of packages for each layer, the highest first."""
 
 
 def layers(page: str) -> dict[str, int]:
-    """Return the layer of each package or module that the diagram names: 0 is the highest."""
+    """Return the layer of each package or module in the diagram; 0 is the highest."""
     block = LAYERS.search(page)
     assert block is not None, "docs/architecture.md has no diagram of layers"
     rows = [WORD.findall(line.split("..")[0]) for line in block[1].splitlines()]
@@ -170,7 +175,7 @@
 
 
 def imported_parts(source: str) -> set[str]:
-    """Return the packages and modules directly under hillchute/ that a module imports, wherever it does."""
+    """Return the packages and modules directly under hillchute/ that a module imports, also in functions."""
     parts: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -184,7 +189,7 @@
 
 
 def upward_imports(page: str) -> list[str]:
-    """Return the imports from a layer to itself or to a higher one."""
+    """Return the imports from a package to another one in the same or a higher layer."""
     layer = layers(page)
     found: set[str] = set()
     package = ROOT / "hillchute"
@@ -209,6 +214,6 @@
     assert upward_imports(ARCHITECTURE) == []
 
 
-def test_import_upwards_is_found() -> None:
+def test_upward_import_is_reported() -> None:
     page = ARCHITECTURE.replace("\n  cli\n", "\n  X\n").replace("  settings  net", "  cli  settings  net")
     assert upward_imports(page) == ["cli -> lab", "cli -> operator", "cli -> router"]
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,6 +1,6 @@
-"""Names that other programs, stored files and operators know: each must stand in the file it is listed for.
+"""Checks that names used by other programs, stored files or operators occur in the files they are listed for.
 
-Guards against a rename or a reworded text that changes a wire, a setting, a stored file or the log.
+Guards against a rename or a reworded text that changes a wire format, a setting, a stored file or the log.
 The list is data/external_names.txt.
 """
 
@@ -18,7 +18,7 @@
 
 
 class ExternalName(NamedTuple):
-    """One entry of the list: the path of a file, and a name that it must contain."""
+    """One entry of the list: the path of a file and a name that the file must contain."""
 
     path: str
     name: str
@@ -38,7 +38,7 @@
 
 
 def docstring_ids(tree: ast.Module) -> set[int]:
-    """The nodes of texts that stand alone as statements."""
+    """Returns the ids of the constant nodes that are statements of their own, such as docstrings."""
     return {
         id(node.value)
         for node in ast.walk(tree)
@@ -47,14 +47,14 @@
 
 
 def texts_and_fields(source: str) -> Iterator[str]:
-    """What Python code can write out: constants, names of fields, members, classes and parameters."""
+    """Yields what Python code can write out: constants, names of fields, members, classes, parameters."""
     tree = ast.parse(source)
-    skipped = docstring_ids(tree)
+    docstrings = docstring_ids(tree)
     for node in ast.walk(tree):
         match node:
-            case ast.Constant(value=str() as text) if id(node) not in skipped:
+            case ast.Constant(value=str() as text) if id(node) not in docstrings:
                 yield text
-            case ast.Constant(value=bytes() as data) if id(node) not in skipped:
+            case ast.Constant(value=bytes() as data) if id(node) not in docstrings:
                 yield data.decode("latin-1")
             case ast.Constant(value=int() as number):
                 yield str(number)
@@ -67,11 +67,12 @@
 
 
 def searchable_text(path: str, source: str) -> str:
+    """Returns the text that is searched: Python files without comments and docstrings, others whole."""
     return "\n".join(texts_and_fields(source)) if path.endswith(".py") else source
 
 
 def contains(text: str, name: str) -> bool:
-    """Whether a name stands in a text as a whole word."""
+    """Returns whether the text contains the name as a whole word."""
     return re.search(rf"(?<!\w){re.escape(name)}(?!\w)", text) is not None
 
 
