--- a/hillchute/lab/__init__.py
+++ b/hillchute/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, rigs and checkers of the rules. Never imported by anything that serves."""
+"""Stand-in engines, simulations, fault injection and rule checkers. Nothing that serves imports it."""
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -1,12 +1,13 @@
-"""Many routers, each a module instance, against one simple model of engines, in simulated time.
+"""Discrete-time simulation of many routers, each with its own scheduler, against a simple model of engines.
 
-Owns the clock, the traffic, the faults and the engines of a play: what takes the fleet's bench minutes takes
-seconds here, and shows the same habits. Figures from here are simulated. Must never be imported by what
-serves, nor know how a decision is made. Times are whole tenths of a millisecond, work is core time.
+Provides the clock, the traffic, the faults and the engines of a simulated scenario. A scenario takes seconds
+where the fleet's benchmark takes minutes, and shows the same effects. All figures are simulated. The
+simulation does not depend on how schedulers decide. Times are integers in tenths of a millisecond; work is
+core time.
 
-A fleet has a form: `alone`, each router for itself; `subset`, each with the engines in sight that
-coordination/subsetting.py gives it. `Seeing` is what both are held against: one mind that sends every
-query, and sees the true state of every engine late.
+The form of a fleet is how its routers coordinate: in `alone` they do not; in `subset` each uses the engines
+that coordination/subsetting.py selects for it; in `shared` they also exchange datagrams. `DelayedOracle` is
+the baseline for all forms: one central dispatcher that sees the true state of every engine with a delay.
 """
 
 import random
@@ -41,26 +42,26 @@
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.settings import Settings
 
-STEP: Time = 250  # 25 ms between two looks at everything
-REPORT_AGE: Time = 3_000  # a report tells what was 0.3 s ago
-HOLDS = 8  # queries a core that an engine takes; beyond, it refuses as full
-KNEE = 1.75  # threads a core beyond which less work is done in all
+STEP: Time = 250  # 25 ms, the simulation's time step
+REPORT_DELAY: Time = 3_000  # load reports show the state of 0.3 s ago
+MAX_QUERIES_PER_CORE = 8  # an engine rejects further queries as overloaded
+SATURATION_THREADS_PER_CORE = 1.75  # with more threads per core, total throughput falls
 CORES = 16
-ZONES = 3  # a cut parts one of them from the others
-PATIENCE: Time = 8 * SECOND
-UNHEARD: Time = 2_500  # a probe that nothing answers is over after this
+ZONES = 3  # a network partition separates one zone from the others
+CLIENT_TIMEOUT: Time = 8 * SECOND
+HEALTH_CHECK_TIMEOUT: Time = 2_500  # a health check without an answer has failed after this time
 CUSTOMERS = 6
-SILENT: Time = 15_000  # a connection on which nothing comes is cut after this
+CONNECTION_TIMEOUT: Time = 15_000  # a connection that receives nothing is closed after this time
 LOOKUP, REPORT = 0, 1
-MEAN = (3_000, 40_000)  # work of a query of each group
-SHARE = 0.14  # of the queries are reports: a lookup and a seventh of a report come to 0.86 s of work
-A_QUERY = ((1 - SHARE) * MEAN[LOOKUP] + SHARE * MEAN[REPORT]) / SECOND
+MEAN_WORK = (3_000, 40_000)  # work of a lookup and of a report
+REPORT_SHARE = 0.14  # fraction of queries that are reports; the mean query then has 0.82 s of work
+CORE_SECONDS_PER_QUERY = ((1 - REPORT_SHARE) * MEAN_WORK[LOOKUP] + REPORT_SHARE * MEAN_WORK[REPORT]) / SECOND
 FORMS = ("alone", "subset", "shared")
-LOST = 0.01  # part of the datagrams between routers
-HEADERS = 28  # bytes of IP and UDP about a datagram
-TICK: Time = 1_000  # a router's peers are looked at this often
-KEY = b"lab" * 8
-EPOCH: Time = 17_000_000_000_000  # where the routers' Unix clock stands as a play begins
+DATAGRAM_LOSS = 0.01  # fraction of the datagrams between routers that is lost
+DATAGRAM_HEADER_BYTES = 28  # IP and UDP headers
+PEER_TICK: Time = 1_000  # interval at which a router processes its peers' state
+PEER_KEY = b"lab" * 8
+EPOCH: Time = 17_000_000_000_000  # the routers' Unix time at the start of a simulation
 CATALOG = {
     "groups.count": 2,
     "groups.0.target_runtime": 15_000,
@@ -88,92 +89,108 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """One query as its client knows it."""
+    """One query with its client's view of it."""
 
     id: str
     router: int
     group: int
-    tables: int
-    came: Time
-    counts_until: Time  # an ending after this earns nothing
+    table_group: int
+    arrived_at: Time
+    useful_until: Time  # a result after this time has no value
     cost: Time  # as estimated
-    work: Time  # what it truly is
+    work: Time  # actual work
 
     @property
     def customer(self) -> int:
-        """Whose it is: the first asks for as much as all others together."""
+        """Number of the customer; customer 0 sends about as many queries as all others together."""
         return max(0, crc32(self.id.encode()) % (2 * CUSTOMERS) - CUSTOMERS)
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One submission on an engine."""
+    """One attempt that runs on an engine."""
 
     query: Query
-    leg: int
-    sent: Time
-    width: int
-    left: float
+    attempt: int
+    sent_at: Time
+    threads: int
+    remaining_work: float
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """One engine: its threads share its cores; past the knee it does less in all; new ones are cold."""
+    """One engine. Its threads share its cores, it does less work in total above the saturation point, and it
+    starts cold."""
 
     id: int
-    started: Time = 0  # 0: warm from the start
+    started: Time = 0  # 0 means warm from the beginning
     draining: bool = False
     runs: list[Run] = field(default_factory=list)
-    sent: list[tuple[Time, Time]] = field(default_factory=list)  # (time, work) of all that came
-    told: deque[tuple[Time, int, int]] = field(default_factory=deque)  # (time, queries held, threads)
-
-    def able(self, now: Time) -> float:
+    submitted: list[tuple[Time, Time]] = field(
+        default_factory=list
+    )  # (time, work) of all attempts that were started here
+    load_history: deque[tuple[Time, int, int]] = field(
+        default_factory=deque
+    )  # (time, queries in flight, threads)
+
+    def usable_cores(self, now: Time) -> float:
+        """Return the cores that the engine can use; fewer while it warms up."""
         if not self.started:
             return CORES
-        warmth = min(1.0, (now - self.started) / SETTINGS.warm_up.duration)
-        least = SETTINGS.warm_up.initial_share
-        return CORES * (least + (1 - least) * warmth)
+        elapsed_share = min(1.0, (now - self.started) / SETTINGS.warm_up.duration)
+        initial_share = SETTINGS.warm_up.initial_share
+        return CORES * (initial_share + (1 - initial_share) * elapsed_share)
 
     def step(self, now: Time) -> list[Run]:
-        """Does a step's work; those that end in it."""
-        threads = sum(run.width for run in self.runs)
+        """Do the work of one time step and return the runs that end in it."""
+        threads = sum(run.threads for run in self.runs)
         if threads:
-            crowd = threads / CORES
-            rate = min(self.able(now), threads) * min(1.0, KNEE / crowd)
+            threads_per_core = threads / CORES
+            rate = min(self.usable_cores(now), threads) * min(
+                1.0, SATURATION_THREADS_PER_CORE / threads_per_core
+            )
             for run in self.runs:
-                run.left -= STEP * rate * run.width / threads
-        ended = [run for run in self.runs if run.left <= 0]
-        self.runs = [run for run in self.runs if run.left > 0]
-        self.told.append((now, len(self.runs), sum(run.width for run in self.runs)))
-        while len(self.told) > 1 and self.told[1][0] <= now - REPORT_AGE:
-            self.told.popleft()
+                run.remaining_work -= STEP * rate * run.threads / threads
+        ended = [run for run in self.runs if run.remaining_work <= 0]
+        self.runs = [run for run in self.runs if run.remaining_work > 0]
+        self.load_history.append((now, len(self.runs), sum(run.threads for run in self.runs)))
+        while len(self.load_history) > 1 and self.load_history[1][0] <= now - REPORT_DELAY:
+            self.load_history.popleft()
         return ended
 
     def report(self) -> dict[str, float]:
-        return {"inflight": self.told[0][1] if self.told else 0}
+        """Return the load report, which is REPORT_DELAY old."""
+        return {"inflight": self.load_history[0][1] if self.load_history else 0}
+
+    def recent_work(self, now: Time) -> float:
+        """Return the work that was submitted within the last warm-up budget window."""
+        return sum(work for at, work in self.submitted if at > now - SETTINGS.warm_up.budget_window)
 
-    def within(self, now: Time) -> float:
-        """Work that came within the last span that counts for tipping it over."""
-        return sum(work for at, work in self.sent if at > now - SETTINGS.warm_up.budget_window)
+    def peak_overload_fraction(self) -> float:
+        """Return the most work submitted in one budget window, as a fraction of what overloads the engine.
 
-    def most_of_what_tips(self) -> float:
-        """The largest part of what tips it that came within one span, for what it could do as that began."""
-        span, tips = SETTINGS.warm_up.budget_window, SETTINGS.warm_up.budget_multiple
-        most = within = first = 0
-        for at, work in self.sent:
+        Counts the warm-up only. The capacity is the engine's at the start of the window.
+        """
+        span, multiple = SETTINGS.warm_up.budget_window, SETTINGS.warm_up.budget_multiple
+        peak = window_work = first = 0
+        for at, work in self.submitted:
             if at > self.started + SETTINGS.warm_up.duration:
-                break  # it is warm
-            within += work
-            while self.sent[first][0] <= at - span:
-                within -= self.sent[first][1]
+                break  # from here on the engine is warm
+            window_work += work
+            while self.submitted[first][0] <= at - span:
+                window_work -= self.submitted[first][1]
                 first += 1
-            most = max(most, within / (tips * span * self.able(self.sent[first][0])))
-        return most
+            peak = max(peak, window_work / (multiple * span * self.usable_cores(self.submitted[first][0])))
+        return peak
 
 
-class World:
-    """Clients and engines. `load`: work asked for, as a part of all engines' cores; `low`: true work over the
-    estimate; `slow`: times the usual work, targets and patience, at so much fewer queries."""
+class Simulation:
+    """Clients and engines, without routers.
+
+    `load` is the requested work as a fraction of all engines' cores, `work_factor` the ratio of actual to
+    estimated work. `slowdown` multiplies work, target runtimes and client timeouts, and divides the query
+    rate.
+    """
 
     def __init__(
         self,
@@ -181,196 +198,209 @@
         routers: int = 60,
         engines: int = 20,
         load: float = 0.7,
-        low: float = 1.0,
-        slow: float = 1.0,
-        **changed: object,
+        work_factor: float = 1.0,
+        slowdown: float = 1.0,
+        **overrides: object,
     ) -> None:
-        self.chance, self.asking, self.now = random.Random(seed), random.Random(f"{seed} asks"), 0
-        self.low, self.slow, self.seed = low, slow, seed
-        settings = Settings.from_catalog(CATALOG | {"n_instances": routers} | changed)
+        self.rng, self.traffic_rng, self.now = random.Random(seed), random.Random(f"{seed} asks"), 0
+        self.work_factor, self.slowdown, self.seed = work_factor, slowdown, seed
+        settings = Settings.from_catalog(CATALOG | {"n_instances": routers} | overrides)
         groups = tuple(
-            replace(group, target_runtime=int(usual.target_runtime * slow))
+            replace(group, target_runtime=int(usual.target_runtime * slowdown))
             for group, usual in zip(settings.groups, SETTINGS.groups, strict=True)
         )
         self.settings = replace(settings, groups=groups)
         self.engines = {n: Engine(n) for n in range(engines)}
-        self.asked_s = load * engines * CORES / A_QUERY / slow
-        self.weights = [self.asking.lognormvariate(0, 0.8) for _ in range(routers)]
-        self.later: list[tuple[Time, int, Callable[[], None]]] = []
-        self.order = count()
-        self.number = self.counted_from = 0
+        self.arrival_rate = load * engines * CORES / CORE_SECONDS_PER_QUERY / slowdown
+        self.router_weights = [self.traffic_rng.lognormvariate(0, 0.8) for _ in range(routers)]
+        self.timers: list[tuple[Time, int, Callable[[], None]]] = []
+        self.timer_numbers = count()
+        self.query_count = self.counted_from = 0
         self.queries: dict[str, Query] = {}
         self.asked, self.served = Counter(), Counter()  # by (router, group)
-        self.asked_by, self.served_by = Counter(), Counter()  # by (customer, group)
-        self.deferred = Counter()  # by (group, why)
-        self.silent: set[int] = set()  # zones that are parted from the others
+        self.asked_by_customer, self.served_by_customer = Counter(), Counter()  # by (customer, group)
+        self.rejected = Counter()  # by (group, reason)
+        self.isolated_zones: set[int] = set()  # zones that the network partition separates from the others
 
-    # ---- what happens -----------------------------------------------------------------------------
+    # ---- faults and changes -----------------------------------------------------------------------
 
-    def replace(self, count: int) -> None:
-        """So many of the oldest engines drain, as many new ones start; all routers are told at once."""
+    def replace_engines(self, count: int) -> None:
+        """Drain the `count` oldest engines and start as many new ones; all routers learn of it at once."""
         for engine in [engine for engine in self.engines.values() if not engine.draining][:count]:
             engine.draining = True
         first = max(self.engines) + 1
         for n in range(first, first + count):
             self.engines[n] = Engine(n, started=self.now)
 
-    def restart(self, part: float) -> None:
-        """So many of the routers at once; what they held is gone, what is out runs on unheard."""
-        for n in self.chance.sample(range(len(self.weights)), int(part * len(self.weights))):
-            self.forgets(n)
+    def restart_routers(self, part: float) -> None:
+        """Restart a fraction of the routers at once. They lose their state, and their runs on engines end."""
+        for n in self.rng.sample(range(len(self.router_weights)), int(part * len(self.router_weights))):
+            self.lose_router_state(n)
             for engine in self.engines.values():
                 engine.runs = [run for run in engine.runs if run.query.router != n]
 
-    def forgets(self, router: int) -> None:
-        """What one router held is gone."""
+    def lose_router_state(self, router: int) -> None:
+        """Drop the state of one router."""
 
-    def cut(self, zone: int) -> None:
-        """One zone's routers and engines and all others hear nothing of each other."""
-        self.silent.add(zone)
+    def partition_zone(self, zone: int) -> None:
+        """Cut the network between one zone's routers and engines and all others."""
+        self.isolated_zones.add(zone)
 
-    def mend(self) -> None:
-        self.silent.clear()
+    def heal_partition(self) -> None:
+        self.isolated_zones.clear()
 
-    def parted(self, router: int, engine: int) -> bool:
+    def is_partitioned(self, router: int, engine: int) -> bool:
         zones = {router % ZONES, engine % ZONES}
-        return len(zones) > 1 and bool(zones & self.silent)
+        return len(zones) > 1 and bool(zones & self.isolated_zones)
 
     def resize(self, routers: int) -> None:
-        """The fleet grows, or those past the number get no more queries; the same traffic over it."""
-        while len(self.weights) < routers:
-            self.weights.append(self.asking.lognormvariate(0, 0.8))
-        for n in range(routers, len(self.weights)):
-            self.weights[n] = 0.0
+        """Grow the fleet, or send no more queries to routers beyond the number. The total traffic stays."""
+        while len(self.router_weights) < routers:
+            self.router_weights.append(self.traffic_rng.lognormvariate(0, 0.8))
+        for n in range(routers, len(self.router_weights)):
+            self.router_weights[n] = 0.0
 
-    # ---- time goes on -----------------------------------------------------------------------------
+    # ---- time steps -------------------------------------------------------------------------------
 
-    def play(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.step()
 
-    def drain(self, seconds: float) -> None:
-        """Nothing more is asked; what is out may end."""
-        self.asked_s = 0.0
-        self.play(seconds)
+    def run_without_traffic(self, seconds: float) -> None:
+        """Send no more queries and let those in flight end."""
+        self.arrival_rate = 0.0
+        self.run_for(seconds)
 
-    def at(self, after: Time, call: Callable[[], None]) -> None:
-        heappush(self.later, (self.now + after, next(self.order), call))
+    def call_after(self, after: Time, call: Callable[[], None]) -> None:
+        heappush(self.timers, (self.now + after, next(self.timer_numbers), call))
 
     def step(self) -> None:
         self.now += STEP
-        while self.later and self.later[0][0] <= self.now:
-            heappop(self.later)[2]()
+        while self.timers and self.timers[0][0] <= self.now:
+            heappop(self.timers)[2]()
         for engine in self.engines.values():
             for run in engine.step(self.now):
-                self.ended(run, engine)
-        for query in self.asks():
-            self.taken(query)
-        self.decided()
-
-    def asks(self) -> Iterator[Query]:
-        """What all clients ask in this step: the same for every form, whatever the routers do."""
-        whole = sum(self.weights)
-        for router, weight in enumerate(self.weights):
-            mean = self.asked_s * weight / whole * STEP / SECOND
-            while self.asking.random() < mean / (1 + mean):
-                self.number += 1
-                group = REPORT if self.asking.random() < SHARE else LOOKUP
-                cost = max(1, int(MEAN[group] * self.slow * self.asking.lognormvariate(-0.4, 0.9)))
-                goal = self.settings.groups[group]
-                stretched = int(goal.target_stretch * cost * self.low / self.width(group))
-                end = self.now + goal.target_runtime + stretched
-                tables, work = self.asking.randrange(40), int(cost * self.low)
-                q = Query(f"q{self.number}", router, group, tables, self.now, end, cost, work)
+                self.on_run_ended(run, engine)
+        for query in self.new_queries():
+            self.on_arrival(query)
+        self.apply_decisions()
+
+    def new_queries(self) -> Iterator[Query]:
+        """Draw the queries of this step. They are the same for every form, whatever the routers do."""
+        total_weight = sum(self.router_weights)
+        for router, weight in enumerate(self.router_weights):
+            mean = self.arrival_rate * weight / total_weight * STEP / SECOND
+            while self.traffic_rng.random() < mean / (1 + mean):
+                self.query_count += 1
+                group = REPORT if self.traffic_rng.random() < REPORT_SHARE else LOOKUP
+                cost = max(
+                    1, int(MEAN_WORK[group] * self.slowdown * self.traffic_rng.lognormvariate(-0.4, 0.9))
+                )
+                group_settings = self.settings.groups[group]
+                stretch_time = int(
+                    group_settings.target_stretch * cost * self.work_factor / self.threads_of(group)
+                )
+                end = self.now + group_settings.target_runtime + stretch_time
+                table_group, work = self.traffic_rng.randrange(40), int(cost * self.work_factor)
+                q = Query(f"q{self.query_count}", router, group, table_group, self.now, end, cost, work)
                 self.queries[q.id] = q
                 self.asked[router, group] += 1
-                self.asked_by[q.customer, group] += 1
+                self.asked_by_customer[q.customer, group] += 1
                 yield q
 
-    def width(self, group: int) -> int:
+    def threads_of(self, group: int) -> int:
         return SETTINGS.groups[group].threads
 
-    def ended(self, run: Run, engine: Engine) -> None:
+    def on_run_ended(self, run: Run, engine: Engine) -> None:
         query = run.query
-        if query.came >= self.counted_from:
-            self.served[query.router, query.group] += self.now <= query.counts_until
-            self.served_by[query.customer, query.group] += self.now <= query.counts_until
+        if query.arrived_at >= self.counted_from:
+            self.served[query.router, query.group] += self.now <= query.useful_until
+            self.served_by_customer[query.customer, query.group] += self.now <= query.useful_until
 
-    def taken(self, query: Query) -> None:
+    def on_arrival(self, query: Query) -> None:
         raise NotImplementedError
 
-    def decided(self) -> None:
+    def apply_decisions(self) -> None:
         raise NotImplementedError
 
-    def begin(self, engine: Engine, query: Query, leg: int) -> None:
-        engine.sent.append((self.now, query.work))
-        engine.runs.append(Run(query, leg, self.now, self.width(query.group), query.work))
+    def start_run(self, engine: Engine, query: Query, attempt: int) -> None:
+        engine.submitted.append((self.now, query.work))
+        engine.runs.append(Run(query, attempt, self.now, self.threads_of(query.group), query.work))
 
-    # ---- what came of it --------------------------------------------------------------------------
+    # ---- results ----------------------------------------------------------------------------------
 
-    def forget(self) -> None:
-        """What was asked until now does not count: the start of a play is no steady state."""
+    def reset_counts(self) -> None:
+        """Exclude all queries until now from the counts, because the start-up phase is no steady state."""
         self.counted_from = self.now + 1
-        for counts in (self.asked, self.served, self.asked_by, self.served_by, self.deferred):
+        for counts in (
+            self.asked,
+            self.served,
+            self.asked_by_customer,
+            self.served_by_customer,
+            self.rejected,
+        ):
             counts.clear()
 
-    def cold(self) -> list[Engine]:
+    def replacement_engines(self) -> list[Engine]:
         return [engine for engine in self.engines.values() if engine.started]
 
-    def value(self, counts: Counter, router: int | None = None) -> float:
+    def total_value(self, counts: Counter, router: int | None = None) -> float:
         values = [SETTINGS.groups[group].weight for group in (LOOKUP, REPORT)]
         return sum(values[g] * n for (r, g), n in counts.items() if router in (None, r))
 
-    def worth(self) -> float:
-        """The value served in time over the value asked for."""
-        return self.value(self.served) / self.value(self.asked)
+    def served_value_ratio(self) -> float:
+        """Return the value of the queries served in time over that of all queries."""
+        return self.total_value(self.served) / self.total_value(self.asked)
 
     def jain(self) -> float:
-        """Jain's index of what is served over what is asked, over the routers that were asked."""
-        return self.even(self.asked, self.served)
+        """Return Jain's fairness index, over the routers, of the fraction of the value that was served."""
+        return self.jain_index(self.asked, self.served)
 
     def jain_customers(self) -> float:
-        """The same over the customers."""
-        return self.even(self.asked_by, self.served_by)
+        """Return the same index over the customers."""
+        return self.jain_index(self.asked_by_customer, self.served_by_customer)
 
-    def even(self, asked: Counter, served: Counter) -> float:
-        shares = [self.value(served, who) / self.value(asked, who) for who in {who for who, _ in asked}]
+    def jain_index(self, asked: Counter, served: Counter) -> float:
+        shares = [
+            self.total_value(served, who) / self.total_value(asked, who) for who in {who for who, _ in asked}
+        ]
         return sum(shares) ** 2 / (len(shares) * sum(share**2 for share in shares) or 1)
 
 
 @lru_cache(maxsize=2048)
-def order(engine: int, routers: int) -> tuple[int, ...]:
-    """An engine's order of all routers."""
+def router_order(engine: int, routers: int) -> tuple[int, ...]:
+    """Return all routers in the order that the subsetting gives them for an engine."""
     return subsetting.first_routers(engine, routers, routers)
 
 
-# What each router works out alone is worked out once for all that play here.
-fleet_view.first_routers = lambda engine, routers, width: order(engine, routers)[:width]
+# Every router computes the same order; the simulation computes it once for all of them.
+fleet_view.first_routers = lambda engine, routers, width: router_order(engine, routers)[:width]
 
 
-class Many(World):
-    """Each router decides by its own module."""
+class Many(Simulation):
+    """A fleet in which each router decides with its own scheduler."""
 
-    def __init__(self, seed: int, *sizes: float, form: str = "alone", **changed: object) -> None:
-        super().__init__(seed, *sizes, **changed)
-        self.form, self.probes, self.ages = form, 0, []
-        self.events = 1  # of the list of engines
-        self.moved: list[float] = []  # at each change of the list: pairs moved over all pairs
-        self.sights: list[Subset] = []
-        self.near: list[frozenset[int]] = []
+    def __init__(self, seed: int, *sizes: float, form: str = "alone", **overrides: object) -> None:
+        super().__init__(seed, *sizes, **overrides)
+        self.form, self.health_checks, self.report_ages = form, 0, []
+        self.list_version = 1  # of the endpoint list
+        # For each change of the endpoint list, the fraction of (router, engine) pairs that changed.
+        self.moved_fractions: list[float] = []
+        self.subsets: list[Subset] = []
+        self.visible_engines: list[frozenset[int]] = []
         self.routers: list[QueryScheduler] = []
         self.nodes: list[Node] = []
-        self.companies: list[FleetView] = []
-        self.post: list[tuple[int, str, bytes]] = []  # datagrams on their way: from whom, to whom
-        self.bytes = 0
-        self.name_all()
+        self.fleet_views: list[FleetView] = []
+        self.datagrams: list[tuple[int, str, bytes]] = []  # in transit: (sender, receiver, content)
+        self.bytes_sent = 0
+        self.assign_peer_keys()
         for n in range(self.settings.routers):
-            self.start(n)
-        self.acquaint()
+            self.start_router(n)
+        self.introduce_peers()
 
-    def acquaint(self) -> None:
-        """All nodes know each other, as in a fleet that has been up for long."""
+    def introduce_peers(self) -> None:
+        """Make all nodes known to each other as alive, as in a fleet that has run for a long time."""
         for node in self.nodes:
             for other in self.nodes:
                 if other is not node:
@@ -380,115 +410,141 @@
                     node.replay_windows[other.name].generation = other.generation
             node.known_live = frozenset(node.live_peers())
         for n in range(len(self.nodes)):
-            self.stands(n)
+            self.update_subset(n)
 
-    def start(self, n: int) -> None:
-        """A router's module that knows the list and nothing else."""
-        router = QueryScheduler(self.chance.getrandbits(60), replace(self.settings, router=n), self.now)
-        sight = Subset(n, self.settings.routers)
+    def start_router(self, n: int) -> None:
+        """Start or restart a router, which then knows the endpoint list and nothing else."""
+        router = QueryScheduler(self.rng.getrandbits(60), replace(self.settings, router=n), self.now)
+        subset = Subset(n, self.settings.routers)
         if n == len(self.routers):
             self.routers.append(router)
-            self.sights.append(sight)
-            self.near.append(frozenset())
-        self.routers[n], self.sights[n] = router, sight
+            self.subsets.append(subset)
+            self.visible_engines.append(frozenset())
+        self.routers[n], self.subsets[n] = router, subset
         if self.form == "shared":
-            now, seed = EPOCH + self.now, self.chance.getrandbits(30)
+            now, seed = EPOCH + self.now, self.rng.getrandbits(30)
             settings = FleetSettings(
-                name=self.name(n), router_names=self.keys, columns=["inflight"], limits=["cold"], seed=seed
+                name=self.router_name(n),
+                router_names=self.peer_keys,
+                columns=["inflight"],
+                limits=["cold"],
+                seed=seed,
+            )
+            view = FleetView(settings, now)
+            node = Node(
+                RouterIdentity(self.router_name(n), now // 10),
+                self.peer_keys,
+                seed,
+                now,
+                view,
             )
-            company = FleetView(settings, now)
-            node = Node(RouterIdentity(self.name(n), now // 10), self.keys, seed, now, company)
-            self.nodes[n:], self.companies[n:] = (
+            self.nodes[n:], self.fleet_views[n:] = (
                 [node, *self.nodes[n + 1 :]],
-                [company, *self.companies[n + 1 :]],
+                [view, *self.fleet_views[n + 1 :]],
             )
-        self.tell(n)
+        self.announce_endpoints(n)
 
-    def name(self, n: int) -> str:
+    def router_name(self, n: int) -> str:
         return f"r{n:04d}"
 
-    def name_all(self) -> None:
-        self.keys = {self.name(n): KEY for n in range(self.settings.routers)}
+    def assign_peer_keys(self) -> None:
+        self.peer_keys = {self.router_name(n): PEER_KEY for n in range(self.settings.routers)}
 
-    def tell(self, n: int) -> None:
+    def announce_endpoints(self, n: int) -> None:
         router = self.routers[n]
         router.on_endpoint_list(self.now, ListMode.COMPLETE, self.listings())
         if self.form == "subset":
-            self.near[n] = self.sights[n].select([e.id for e in self.engines.values() if not e.draining])
-            router.on_subset(self.now, self.near[n])
+            self.visible_engines[n] = self.subsets[n].select(
+                [e.id for e in self.engines.values() if not e.draining]
+            )
+            router.on_subset(self.now, self.visible_engines[n])
         elif self.form == "shared":
             ready = [e.id for e in self.engines.values() if not e.draining]
             closed = [e.id for e in self.engines.values() if e.draining]
-            self.companies[n].on_endpoint_list(EPOCH + self.now, self.events, ready, closed)
-            self.stands(n)
+            self.fleet_views[n].on_endpoint_list(EPOCH + self.now, self.list_version, ready, closed)
+            self.update_subset(n)
 
-    def stands(self, n: int) -> None:
-        """What a router's module is told of the others."""
-        living = self.nodes[n].live_peers()
+    def update_subset(self, n: int) -> None:
+        """Pass a router its subset of the engines and its shares of the limits."""
+        live_peers = self.nodes[n].live_peers()
         router, span = self.routers[n], SETTINGS.warm_up.budget_window
         warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
-        tips = {e.id: SETTINGS.warm_up.budget_multiple * span * e.usable_cores(self.now) for e in warming}
-        standing = self.companies[n].state(EPOCH + self.now, living, tips, span)
-        self.near[n] = standing.subset
-        self.routers[n].on_subset(self.now, standing.subset, standing.routers, standing.shares)
-
-    def talk(self) -> None:
-        """Datagrams come a step after they went, but for those that are lost or cut off."""
-        now, post, self.post = EPOCH + self.now, self.post, []
-        for sender, to, data in post:
+        overload_work = {
+            e.id: SETTINGS.warm_up.budget_multiple * span * e.usable_cores(self.now) for e in warming
+        }
+        state = self.fleet_views[n].state(EPOCH + self.now, live_peers, overload_work, span)
+        self.visible_engines[n] = state.subset
+        self.routers[n].on_subset(self.now, state.subset, state.routers, state.shares)
+
+    def exchange_datagrams(self) -> None:
+        """Deliver the datagrams of the previous step, except those lost or cut off, and collect new ones."""
+        now, datagrams, self.datagrams = EPOCH + self.now, self.datagrams, []
+        for sender, to, data in datagrams:
             n = int(to[1:])
             zones = {sender % ZONES, n % ZONES}
-            if self.chance.random() < LOST or len(zones) > 1 and zones & self.silent or n >= len(self.nodes):
+            if (
+                self.rng.random() < DATAGRAM_LOSS
+                or len(zones) > 1
+                and zones & self.isolated_zones
+                or n >= len(self.nodes)
+            ):
                 continue
-            self.says(n, self.nodes[n].receive(now, data))
-        for n, (node, company) in enumerate(zip(self.nodes, self.companies)):
-            if self.now % TICK == n % (TICK // STEP) * STEP:
-                self.says(n, node.tick(now))
-                self.wants_cold(n)
-                self.stands(n)
-            if company.relay.queue or company.lease_messages or self.now % TICK == 0:
-                said = company.due_digests(now, node.live_peers())
-                self.says(n, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)])
-            for engine, report, age in company.take_relayed_reports():
+            self.send_datagrams(n, self.nodes[n].receive(now, data))
+        for n, (node, view) in enumerate(zip(self.nodes, self.fleet_views)):
+            if self.now % PEER_TICK == n % (PEER_TICK // STEP) * STEP:
+                self.send_datagrams(n, node.tick(now))
+                self.request_warm_up_quota(n)
+                self.update_subset(n)
+            if view.relay.queue or view.lease_messages or self.now % PEER_TICK == 0:
+                payloads = view.due_digests(now, node.live_peers())
+                self.send_datagrams(
+                    n,
+                    [
+                        datagram
+                        for to, payload in payloads
+                        for datagram in node.payload_datagrams(to, payload)
+                    ],
+                )
+            for engine, report, age in view.take_relayed_reports():
                 self.routers[n].on_load_report(self.now, engine, report, age)
 
-    def wants_cold(self, n: int) -> None:
+    def request_warm_up_quota(self, n: int) -> None:
         router = self.routers[n]
         warming = [e for e in router.engines.values() if e.ready and e.is_warming_up(self.now)]
-        able = sum(e.usable_cores(self.now) for e in warming)
-        rate = router.light_query_rate(self.now) if able else 0
-        self.companies[n].quotas.set_requested(
-            "cold", int(LIMIT_UNITS * rate / able / WARM_UP_BUDGET_SHARE) if able else 0
+        usable_cores = sum(e.usable_cores(self.now) for e in warming)
+        rate = router.light_query_rate(self.now) if usable_cores else 0
+        self.fleet_views[n].quotas.set_requested(
+            "cold", int(LIMIT_UNITS * rate / usable_cores / WARM_UP_BUDGET_SHARE) if usable_cores else 0
         )
 
-    def says(self, n: int, said: list[tuple[str, bytes]]) -> None:
-        self.bytes += sum(HEADERS + len(data) for _, data in said)
-        self.post += [(n, to, data) for to, data in said]
+    def send_datagrams(self, n: int, outgoing: list[tuple[str, bytes]]) -> None:
+        self.bytes_sent += sum(DATAGRAM_HEADER_BYTES + len(data) for _, data in outgoing)
+        self.datagrams += [(n, to, data) for to, data in outgoing]
 
-    def forgets(self, router: int) -> None:
-        self.start(router)
+    def lose_router_state(self, router: int) -> None:
+        self.start_router(router)
 
-    def replace(self, count: int) -> None:
-        super().replace(count)
-        self.events += 1
-        before = list(self.near)
+    def replace_engines(self, count: int) -> None:
+        super().replace_engines(count)
+        self.list_version += 1
+        before = list(self.visible_engines)
         for n in range(len(self.routers)):
-            self.tell(n)
+            self.announce_endpoints(n)
         if pairs := sum(map(len, before)):
-            self.moved.append(sum(len(b - a) for a, b in zip(before, self.near)) / pairs)
+            self.moved_fractions.append(sum(len(b - a) for a, b in zip(before, self.visible_engines)) / pairs)
 
     def resize(self, routers: int) -> None:
-        """Those that start know the new number; the others were told the old one as they started."""
+        """Resize the fleet. New routers are configured with the new size; running ones keep the old one."""
         self.settings = replace(self.settings, routers=routers)
         super().resize(routers)
-        self.name_all()
-        for n, (node, company) in enumerate(zip(self.nodes, self.companies)):
-            node.set_keys(self.keys, EPOCH + self.now)
-            company.set_router_names(EPOCH + self.now, self.keys)
-            self.tell(n)
-        del self.nodes[routers:], self.companies[routers:]
+        self.assign_peer_keys()
+        for n, (node, view) in enumerate(zip(self.nodes, self.fleet_views)):
+            node.set_keys(self.peer_keys, EPOCH + self.now)
+            view.set_router_names(EPOCH + self.now, self.peer_keys)
+            self.announce_endpoints(n)
+        del self.nodes[routers:], self.fleet_views[routers:]
         for n in range(len(self.routers), routers):
-            self.start(n)
+            self.start_router(n)
 
     def listings(self) -> list[Listing]:
         return [
@@ -504,129 +560,149 @@
             for e in self.engines.values()
         ]
 
-    def taken(self, q: Query) -> None:
+    def on_arrival(self, q: Query) -> None:
         router = self.routers[q.router]
         if router.admits(self.now, q.group, 0.0):
-            due = self.now + int(PATIENCE * self.slow)
-            router.on_query(self.now, NewQuery(q.id, q.group, due, table_group=q.tables, cost=q.cost))
+            deadline = self.now + int(CLIENT_TIMEOUT * self.slowdown)
+            router.on_query(
+                self.now, NewQuery(q.id, q.group, deadline, table_group=q.table_group, cost=q.cost)
+            )
 
-    def ended(self, run: Run, engine: Engine) -> None:
-        if self.parted(run.query.router, engine.id):
-            return  # its answer never comes
-        super().ended(run, engine)
-        self.tells(run.query, run.leg, AttemptResult.SERVED, True, self.now - run.sent, cost=run.query.work)
+    def on_run_ended(self, run: Run, engine: Engine) -> None:
+        if self.is_partitioned(run.query.router, engine.id):
+            return  # the partition drops the answer
+        super().on_run_ended(run, engine)
+        self.deliver_result(
+            run.query, run.attempt, AttemptResult.SERVED, True, self.now - run.sent_at, cost=run.query.work
+        )
 
-    def tells(
+    def deliver_result(
         self,
         q: Query,
-        leg: int,
+        attempt: int,
         result: AttemptResult,
         final: bool,
-        took: Time,
+        duration: Time,
         cost: Time | None = None,
     ) -> None:
         router = self.routers[q.router]
         attempts = router.queries[q.id].attempts if q.id in router.queries else []
-        router.on_attempt_ended(self.now, AttemptEnded(q.id, leg, result, final, took, cost))
-        if leg < len(attempts) and result == AttemptResult.CONNECTION_LOST:
-            self.failed(q.router, router, attempts[leg].engine)
+        router.on_attempt_ended(self.now, AttemptEnded(q.id, attempt, result, final, duration, cost))
+        if attempt < len(attempts) and result == AttemptResult.CONNECTION_LOST:
+            self.report_failure(q.router, router, attempts[attempt].engine)
 
-    def decided(self) -> None:
+    def apply_decisions(self) -> None:
         if self.form == "shared":
-            self.talk()
+            self.exchange_datagrams()
         for n, router in enumerate(self.routers):
-            while (said := router.next_decision(self.now)) is not None:
-                match said:
+            while (decision := router.next_decision(self.now)) is not None:
+                match decision:
                     case Submit(id, engine):
                         self.submit(router, self.queries[id], self.engines[engine])
                     case HealthCheck(engine):
-                        self.probe(n, router, self.engines[engine])
-                    case Reject(id, _, why):
-                        self.deferred[self.queries[id].group, why] += 1
-
-    def probe(self, n: int, router: QueryScheduler, engine: Engine) -> None:
-        self.probes += 1
-        if self.parted(n, engine.id):
-            self.at(UNHEARD, lambda: self.unheard(n, router, engine))
+                        self.check_health(n, router, self.engines[engine])
+                    case Reject(id, _, reason):
+                        self.rejected[self.queries[id].group, reason] += 1
+
+    def check_health(self, n: int, router: QueryScheduler, engine: Engine) -> None:
+        self.health_checks += 1
+        if self.is_partitioned(n, engine.id):
+            self.call_after(HEALTH_CHECK_TIMEOUT, lambda: self.on_health_check_timeout(n, router, engine))
             return
         report = engine.report()
         router.on_health_check(self.now, engine.id, AttemptResult.SERVED, report)
-        if n < len(self.companies):
-            self.companies[n].on_load_report(EPOCH + self.now, engine.id, report)
+        if n < len(self.fleet_views):
+            self.fleet_views[n].on_load_report(EPOCH + self.now, engine.id, report)
 
-    def unheard(self, n: int, router: QueryScheduler, engine: Engine) -> None:
+    def on_health_check_timeout(self, n: int, router: QueryScheduler, engine: Engine) -> None:
         router.on_health_check(self.now, engine.id, AttemptResult.TIMED_OUT, None)
-        self.failed(n, router, engine.id)
+        self.report_failure(n, router, engine.id)
 
-    def failed(self, n: int, router: QueryScheduler, engine: int) -> None:
-        if n < len(self.companies) and engine in router.engines and router.engines[engine].failures > 1:
-            self.companies[n].on_failure(EPOCH + self.now, engine)
+    def report_failure(self, n: int, router: QueryScheduler, engine: int) -> None:
+        if n < len(self.fleet_views) and engine in router.engines and router.engines[engine].failures > 1:
+            self.fleet_views[n].on_failure(EPOCH + self.now, engine)
 
     def submit(self, router: QueryScheduler, q: Query, engine: Engine) -> None:
-        leg = len(router.queries[q.id].attempts) - 1
-        self.ages.append(self.now - router.engines[engine.id].reported_at)
-        if self.parted(q.router, engine.id):
-            self.at(SILENT, lambda: self.tells(q, leg, AttemptResult.CONNECTION_LOST, False, SILENT))
-        elif engine.draining or len(engine.runs) >= HOLDS * CORES:
-            self.tells(q, leg, AttemptResult.OVERLOADED, False, 0)
+        attempt = len(router.queries[q.id].attempts) - 1
+        self.report_ages.append(self.now - router.engines[engine.id].reported_at)
+        if self.is_partitioned(q.router, engine.id):
+            self.call_after(
+                CONNECTION_TIMEOUT,
+                lambda: self.deliver_result(
+                    q, attempt, AttemptResult.CONNECTION_LOST, False, CONNECTION_TIMEOUT
+                ),
+            )
+        elif engine.draining or len(engine.runs) >= MAX_QUERIES_PER_CORE * CORES:
+            self.deliver_result(q, attempt, AttemptResult.OVERLOADED, False, 0)
         else:
-            self.begin(engine, q, leg)
-            if q.router < len(self.companies) and router.engines[engine.id].is_warming_up(self.now):
-                self.companies[q.router].on_warm_up_work(EPOCH + self.now, engine.id, q.cost)
+            self.start_run(engine, q, attempt)
+            if q.router < len(self.fleet_views) and router.engines[engine.id].is_warming_up(self.now):
+                self.fleet_views[q.router].on_warm_up_work(EPOCH + self.now, engine.id, q.cost)
+
+    def reset_counts(self) -> None:
+        super().reset_counts()
+        self.health_checks = self.bytes_sent = 0
+        self.report_ages.clear()
+
+    def median_report_age_ms(self) -> float:
+        """Return the median age, in milliseconds, of an engine's load report when a query was sent to it.
 
-    def forget(self) -> None:
-        super().forget()
-        self.probes = self.bytes = 0
-        self.ages.clear()
+        Each age counts as at most a minute.
+        """
+        return median(min(age, 60 * SECOND) for age in self.report_ages) / 10
 
-    def report_age(self) -> float:
-        """Milliseconds, the median: what was known of an engine as a query went there; at most a minute."""
-        return median(min(age, 60 * SECOND) for age in self.ages) / 10
 
+class DelayedOracle(Simulation):
+    """A central dispatcher for all routers, the baseline for their results.
 
-class Seeing(World):
-    """One mind for all routers: it knows what it sent, and all else as it was a report's age ago. The dearest
-    work for its value waits, each query goes where most is free, and what can't be in time is dropped."""
+    It knows its own submissions at once and all other load with a delay of REPORT_DELAY. It takes queries in
+    the order of their cost per value, sends each to the least loaded engine, and drops those that cannot end
+    in time by their actual work.
+    """
 
-    def __init__(self, *sizes: float, **changed: object) -> None:
-        super().__init__(*sizes, **changed)
-        self.line: list[Query] = []
+    def __init__(self, *sizes: float, **overrides: object) -> None:
+        super().__init__(*sizes, **overrides)
+        self.waiting: list[Query] = []
 
-    def taken(self, query: Query) -> None:
-        self.line.append(query)
+    def on_arrival(self, query: Query) -> None:
+        self.waiting.append(query)
 
-    def forgets(self, router: int) -> None:
-        self.line = [q for q in self.line if q.router != router]
+    def lose_router_state(self, router: int) -> None:
+        self.waiting = [q for q in self.waiting if q.router != router]
 
-    def decided(self) -> None:
+    def apply_decisions(self) -> None:
         ready = [engine for engine in self.engines.values() if not engine.draining]
         loads = {}
         for engine in ready:
-            since = [run.width for run in engine.runs if run.sent > self.now - REPORT_AGE]
-            gone = engine.told[0][2] if engine.told else 0
-            loads[engine] = gone + sum(since)
+            since = [run.threads for run in engine.runs if run.sent_at > self.now - REPORT_DELAY]
+            delayed_load = engine.load_history[0][2] if engine.load_history else 0
+            loads[engine] = delayed_load + sum(since)
         values = [SETTINGS.groups[group].weight for group in (LOOKUP, REPORT)]
-        self.line.sort(key=lambda q: q.cost / values[q.group])
-        waits = []
-        for q in self.line:
-            alone = q.work // self.width(q.group)
-            if self.now + alone > q.counts_until:
+        self.waiting.sort(key=lambda q: q.cost / values[q.group])
+        still_waiting = []
+        for q in self.waiting:
+            run_time = q.work // self.threads_of(q.group)
+            if self.now + run_time > q.useful_until:
                 continue
-            if not self.place(q, loads):
-                waits.append(q)
-        self.line = waits
-
-    def place(self, q: Query, loads: dict[Engine, float]) -> bool:
-        width, span = self.width(q.group), SETTINGS.warm_up.budget_window
-        for engine in sorted(loads, key=lambda engine: loads[engine] / engine.able(self.now)):
-            able = engine.able(self.now)
-            if loads[engine] + width > KNEE * able:
+            if not self.start_on_best_engine(q, loads):
+                still_waiting.append(q)
+        self.waiting = still_waiting
+
+    def start_on_best_engine(self, q: Query, loads: dict[Engine, float]) -> bool:
+        width, span = self.threads_of(q.group), SETTINGS.warm_up.budget_window
+        for engine in sorted(loads, key=lambda engine: loads[engine] / engine.usable_cores(self.now)):
+            usable_cores = engine.usable_cores(self.now)
+            if loads[engine] + width > SATURATION_THREADS_PER_CORE * usable_cores:
                 return False
-            tips = SETTINGS.warm_up.budget_multiple * able * span
+            overload_work = SETTINGS.warm_up.budget_multiple * usable_cores * span
             cold = engine.started and self.now < engine.started + SETTINGS.warm_up.duration
-            if self.parted(q.router, engine.id) or cold and engine.within(self.now) + q.work > tips / 2:
+            if (
+                self.is_partitioned(q.router, engine.id)
+                or cold
+                and engine.recent_work(self.now) + q.work > overload_work / 2
+            ):
                 continue
             loads[engine] += width
-            self.begin(engine, q, 0)
+            self.start_run(engine, q, 0)
             return True
         return False
