--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -1,9 +1,10 @@
-"""A router whose core is full, under a clock and sockets that are not real: one seed, one run.
+"""Deterministic simulation of a router under CPU overload; each seed gives one run.
 
-The real service, door, links, reducer and module run here; only the kernel, the clients, the engines and the
-time are played. Every call of the kernel and every event costs played time, so that more can be offered than
-the loop carries, and stalls stop the clock's owner at any point. Owns that world and the check of rules 1, 2
-and 5 on what crossed the sockets. Must never use a real socket, a real clock or a random number without seed.
+The service, the MySQL front end, the engine connections, the reducer and the scheduler are the real ones. The
+kernel, the clients, the engines and the clock are simulated. Each system call and each event takes simulated
+time, so that the offered load can exceed what the event loop can do, and stalls stop the process at random
+points. After a run, rules 1, 2 and 5 are checked on the data that crossed the sockets. Uses no real socket,
+no real clock and no unseeded random number.
 
     python -m hillchute lab slowloop --seeds 200
 """
@@ -31,18 +32,28 @@
 from hillchute.router.shutdown import ShutdownStep
 
 START = 17_000_000_000_000  # tenths of a millisecond on the Unix clock
-CALL, PARSE, EVENT, SEND = 15, 180, 450, 450  # microseconds: a kernel call, a read, an event, a submission
-LENGTH = 5_000  # of the load, in tenths of a millisecond
-STALLS = (600, 2_000, 6_000)
-NET = 3  # one way between client and router
-NEAR, FAR = 62_000, 252_000  # µs between queries of one key, on an open and after one on a new connection
-LONGEST = 30_000  # the longest patience of a client
-HANGS = 0.05  # share of what engines run that never ends
-KILL_AFTER = 7_000  # SIGKILL: the longest queue timeout (3 s at most) and so much after SIGTERM
-COMING, ON_OPEN = 3_000, 2_000  # after SIGTERM new connections come so long, then queries on open ones
-DEPARTED = 100_000  # µs after its client left in which an attempt may still begin
-TOLERANCE = 500  # the protocol's, on each time limit
-TEXT = "/* route={group},trace={id},patience={patience},weight=20.0,mb=1{more} */ SELECT 1 FROM sales_{key}.t"
+# CPU time of a system call, of reading a query, of any other event, and of submitting a query to an engine.
+SYSTEM_CALL_US, QUERY_US, EVENT_US, SUBMISSION_US = 15, 180, 450, 450
+# Times without a unit in their names are in tenths of a millisecond.
+LOAD_DURATION = 5_000  # clients send queries for this long
+STALLS = (600, 2_000, 6_000)  # lengths of stalls of the process
+NETWORK_DELAY = 3  # one way
+# Least time between two queries of one ordering key, after one on an open and after one on a new connection.
+KEY_INTERVAL_US, KEY_INTERVAL_NEW_CONNECTION_US = 62_000, 252_000
+MAX_CLIENT_TIMEOUT = 30_000
+HANGS = 0.05  # fraction of the runs on engines that never end
+SIGKILL_MARGIN = (
+    7_000  # SIGKILL follows SIGTERM after the longest queue timeout (at most 3 s) and this margin
+)
+# After SIGTERM clients open connections for the first of these times, then use only open ones for the second.
+NEW_CONNECTIONS_AFTER_SIGTERM, QUERIES_AFTER_SIGTERM = 3_000, 2_000
+MAX_START_DELAY_AFTER_DISCONNECT_US = (
+    100_000  # an attempt may still begin this long after its client has left
+)
+TOLERANCE = 500  # the protocol's tolerance on each time limit
+QUERY_TEXT = (
+    "/* route={group},trace={id},patience={patience},weight=20.0,mb=1{more} */ SELECT 1 FROM sales_{key}.t"
+)
 LOGIN = struct.pack("<IIB23x", 0x8 | 0x200 | 0x8000, 1 << 24, 45) + b"app\0\0lake\0"
 
 
@@ -55,64 +66,68 @@
 
 
 class World:
-    """The clock, what comes when, and the kernel's side of every socket."""
+    """The clock, the queue of future events and the readiness of sockets."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.us = START * 100
-        self.coming: list[tuple[int, int, object, tuple]] = []  # heap of (time in µs, order, call, values)
-        self.count = 0
-        self.ready: dict[Sock, None] = {}  # in the order in which they became ready
-        self.stalls: list[tuple[int, int]] = []  # (when, how long) in µs
-        self.stalled: list[tuple[int, int]] = []
-
-    def time(self) -> Clock:
-        """The played time as the router's clock."""
+        self.coming: list[
+            tuple[int, int, object, tuple]
+        ] = []  # heap of (time in µs, order, function, arguments)
+        self.event_count = 0
+        self.ready: dict[SimulatedSocket, None] = {}  # sockets in the order in which they became ready
+        self.stalls: list[tuple[int, int]] = []  # future stalls: (time, duration) in µs
+        self.past_stalls: list[tuple[int, int]] = []
+
+    def clock(self) -> Clock:
+        """Return the simulated time as the router's clock."""
         return Clock(lambda: self.us * 1_000, lambda: self.us * 1_000)
 
     def spend(self, us: int) -> None:
+        """Advance the clock by CPU time and by the stalls that begin in it."""
         self.us += us
         while self.stalls and self.stalls[0][0] <= self.us:
             _, length = self.stalls.pop(0)
-            self.stalled.append((self.us, length))
+            self.past_stalls.append((self.us, length))
             self.us += length
 
     def at(self, us: int, call, *values) -> None:
-        self.count += 1
-        heappush(self.coming, (us, self.count, call, values))
+        """Schedule `call(us, *values)` at an absolute time in µs."""
+        self.event_count += 1
+        heappush(self.coming, (us, self.event_count, call, values))
 
-    def pass_time(self) -> None:
-        """What was under way until now has come."""
+    def run_due_events(self) -> None:
+        """Run the events that were due until now."""
         while self.coming and self.coming[0][0] <= self.us:
             when, _, call, values = heappop(self.coming)
             call(when, *values)
 
 
-class Sock:
+class SimulatedSocket:
     """The router's side of a connection."""
 
     numbers = 0
 
     def __init__(self, world: World, peer) -> None:
-        Sock.numbers += 1
-        self.number, self.world, self.peer = Sock.numbers, world, peer
-        self.inbox, self.last, self.began = bytearray(), world.us, world.us
-        self.ended = self.closed = self.shut = self.taken = False
+        SimulatedSocket.numbers += 1
+        self.number, self.world, self.peer = SimulatedSocket.numbers, world, peer
+        self.inbox, self.last_received, self.opened_at = bytearray(), world.us, world.us
+        self.ended = self.closed = self.shut_down = self.accepted = False
 
-    def came(self, when: int, data: bytes) -> None:
+    def deliver(self, when: int, data: bytes) -> None:
         if self.closed:
-            self.peer.reset(when)
+            self.peer.on_reset(when)
             return
-        self.last = when
+        self.last_received = when
         self.inbox += data
         self.world.ready[self] = None
 
-    def end(self, when: int) -> None:
+    def end_of_stream(self, when: int) -> None:
         self.ended = True
         self.world.ready[self] = None
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        self.world.spend(CALL)
+        self.world.spend(SYSTEM_CALL_US)
         if not self.inbox and not self.ended:
             raise would_block()
         data = bytes(self.inbox[:size])
@@ -121,23 +136,25 @@
         return data
 
     def send(self, data: bytes) -> int:
-        self.world.at(self.world.us + NET * 100, self.peer.hear, bytes(data))
-        self.world.spend(CALL)  # a stall strikes before the call or after it
+        self.world.at(self.world.us + NETWORK_DELAY * 100, self.peer.receive, bytes(data))
+        self.world.spend(SYSTEM_CALL_US)  # a stall can begin before the call or after it
         return len(data)
 
     def getsockopt(self, *_) -> bytes:
-        self.world.spend(CALL)
-        sent, came = ((self.world.us - t) // 1000 for t in (self.began, self.last))
-        return struct.pack("=44xI4xI8x", sent, came)
+        self.world.spend(SYSTEM_CALL_US)
+        ms_since_send, ms_since_receive = (
+            (self.world.us - t) // 1000 for t in (self.opened_at, self.last_received)
+        )
+        return struct.pack("=44xI4xI8x", ms_since_send, ms_since_receive)
 
     def shutdown(self, _) -> None:
-        self.shut = True
-        self.world.at(self.world.us + NET * 100, self.peer.hung_up)
+        self.shut_down = True
+        self.world.at(self.world.us + NETWORK_DELAY * 100, self.peer.on_close)
 
     def close(self) -> None:
         self.closed = True
         self.world.ready.pop(self, None)
-        self.world.at(self.world.us, self.peer.reset if self.inbox else self.peer.hung_up)
+        self.world.at(self.world.us, self.peer.on_reset if self.inbox else self.peer.on_close)
 
     def fileno(self) -> int:
         return -1 if self.closed else self.number
@@ -148,199 +165,202 @@
     setsockopt = lambda self, *_: None  # noqa: E731
 
 
-class Listener(Sock):
+class ListeningSocket(SimulatedSocket):
+    """The router's listening socket with its backlog."""
+
     def __init__(self, world: World) -> None:
         super().__init__(world, None)
-        self.waiting: deque[Sock] = deque()
+        self.waiting: deque[SimulatedSocket] = deque()
 
-    def knock(self, when: int, client: "Client") -> None:
+    def add_connection(self, when: int, client: "Client") -> None:
         if self.closed:
-            client.reset(when)
+            client.on_reset(when)
             return
-        client.sock = sock = Sock(self.world, client)
-        sock.began = sock.last = when
+        client.sock = sock = SimulatedSocket(self.world, client)
+        sock.opened_at = sock.last_received = when
         self.waiting.append(sock)
         self.world.ready[self] = None
-        client.connected(when)
+        client.on_connected(when)
 
-    def accept(self) -> tuple[Sock, None]:
-        self.world.spend(4 * CALL)
+    def accept(self) -> tuple[SimulatedSocket, None]:
+        self.world.spend(4 * SYSTEM_CALL_US)
         if not self.waiting:
             self.world.ready.pop(self, None)
             raise would_block()
         sock = self.waiting.popleft()
-        sock.taken = True
+        sock.accepted = True
         return sock, None
 
     def close(self) -> None:
         self.closed = True
         for sock in self.waiting:
-            sock.peer.reset(self.world.us)
+            sock.peer.on_reset(self.world.us)
 
 
-class Calls(SystemCalls):
-    """Connections to engines are up at once; everything else goes to the played sockets as it is."""
+class SimulatedSystemCalls(SystemCalls):
+    """Connects to engines at once; all other calls go to the simulated sockets unchanged."""
 
     def __init__(self, rig: "Rig") -> None:
         self.rig = rig
 
-    def open_stream(self, family: int) -> Sock:
+    def open_stream(self, family: int) -> SimulatedSocket:
         engine = Engine(self.rig)
-        engine.sock = Sock(self.rig.world, engine)
+        engine.sock = SimulatedSocket(self.rig.world, engine)
         return engine.sock
 
-    def connect(self, sock: Sock, address: tuple[str, int]) -> None:
+    def connect(self, sock: SimulatedSocket, address: tuple[str, int]) -> None:
         pass
 
 
-class Poller:
-    """In place of the kernel's list: who is ready, in the order in which they became so."""
+class SimulatedPoller:
+    """Replaces epoll: reports ready sockets in the order in which they became ready."""
 
     def __init__(self, rig: "Rig") -> None:
-        self.world, self.owners, self.system = rig.world, {}, Calls(rig)
+        self.world, self.owners, self.system = rig.world, {}, SimulatedSystemCalls(rig)
 
-    def add(self, sock: Sock, owner, writing: bool = False) -> None:
+    def add(self, sock: SimulatedSocket, owner, writing: bool = False) -> None:
         self.owners[sock.number] = owner
 
-    def watch_writing(self, sock: Sock, on: bool) -> None:
-        raise AssertionError("these sockets take all bytes")
+    def watch_writing(self, sock: SimulatedSocket, on: bool) -> None:
+        raise AssertionError("simulated sockets accept all bytes of a send")
 
-    def watch_reading(self, sock: Sock, on: bool) -> None:
+    def watch_reading(self, sock: SimulatedSocket, on: bool) -> None:
         pass
 
     def resume(self) -> None:
         pass
 
-    def remove(self, sock: Sock) -> None:
+    def remove(self, sock: SimulatedSocket) -> None:
         self.owners.pop(sock.number, None)
 
     def poll(self) -> list[ReadySocket]:
-        self.world.spend(CALL)
-        self.world.pass_time()
-        still = [s for s in self.world.ready if s.inbox or s.ended or getattr(s, "waiting", None)]
-        self.world.ready = dict.fromkeys(still)
+        self.world.spend(SYSTEM_CALL_US)
+        self.world.run_due_events()
+        ready = [s for s in self.world.ready if s.inbox or s.ended or getattr(s, "waiting", None)]
+        self.world.ready = dict.fromkeys(ready)
         return [
-            ReadySocket(self.owners[s.number], True, False, s.ended) for s in still if s.number in self.owners
+            ReadySocket(self.owners[s.number], True, False, s.ended) for s in ready if s.number in self.owners
         ]
 
 
 @dataclass
 class Asked:
-    """One query as its client knows it; times in tenths of a millisecond."""
+    """One query with its client's view of it; times in tenths of a millisecond."""
 
     id: str
     group: str
     patience: int
     key: str | None
-    fresh: bool | None = None  # on a new connection, or on an open one; None: whichever
+    fresh: bool | None = None  # whether it needs a new connection or an open one; None: either
     sent: int | None = None
     answers: list[tuple[int, str]] = field(default_factory=list)
-    excused: bool = False  # its connection ended while it was on its way, or there was none
-    nobody: bool = False  # its client is gone
-    left: int | None = None  # when it went, in µs
+    excluded: bool = False  # not checked: its connection closed while it was in transit, or never opened
+    abandoned: bool = False  # its client has disconnected
+    left_at: int | None = None  # time of the disconnect, in µs
 
 
 class Client:
-    """One connection of a client: writes its query along with the login, later ones when it is answered."""
+    """A client's connection. Sends its first query along with the login, and one further query at a time."""
 
     def __init__(self, rig: "Rig") -> None:
-        self.rig, self.sock, self.open, self.over = rig, None, [], False
-        self.heard, self.state, self.ends = bytearray(), "greeting", 0
+        self.rig, self.sock, self.in_flight, self.closed = rig, None, [], False
+        self.buffer, self.state, self.eof_packets = bytearray(), "greeting", 0
         self.first: Asked | None = None
 
-    def connected(self, when: int) -> None:
+    def on_connected(self, when: int) -> None:
         self.write(when, packet(1, LOGIN), self.first)
 
-    def write(self, when: int, ahead: bytes, asked: Asked) -> None:
+    def write(self, when: int, prefix: bytes, asked: Asked) -> None:
         asked.sent = -(-when // 100)
-        self.open.append(asked)
-        text = TEXT.format(
+        self.in_flight.append(asked)
+        text = QUERY_TEXT.format(
             group=asked.group,
             id=asked.id,
             patience=asked.patience // 10,
             key=int(asked.key, 16) if asked.key else 1,
             more=f",nonce={asked.id},entity={asked.key}" if asked.key else "",
         )
-        self.sock.came(when, ahead + packet(0, b"\x03" + text.encode()))
+        self.sock.deliver(when, prefix + packet(0, b"\x03" + text.encode()))
 
-    def ask(self, when: int, asked: Asked) -> None:
-        """A further query on this connection; one that is gone or busy sends it on a new one."""
-        if self.over or self.open or self.state != "idle":
-            self.rig.knock(when, asked)
+    def send_query(self, when: int, asked: Asked) -> None:
+        """Send a further query on this connection, or on a new one if this one is closed or busy."""
+        if self.closed or self.in_flight or self.state != "idle":
+            self.rig.open_connection(when, asked)
         else:
             self.state = "result"
             self.write(when, b"", asked)
 
-    def leave(self, when: int) -> None:
-        for asked in self.open:
-            asked.nobody, asked.left = True, when
+    def disconnect(self, when: int) -> None:
+        for asked in self.in_flight:
+            asked.abandoned, asked.left_at = True, when
         if self.sock and not self.sock.closed:
-            self.sock.end(when)
-        self.over = True
+            self.sock.end_of_stream(when)
+        self.closed = True
 
-    def hear(self, when: int, data: bytes) -> None:
-        if self.over:
+    def receive(self, when: int, data: bytes) -> None:
+        if self.closed:
             return
-        self.heard += data
-        while len(self.heard) >= 4:
-            size = int.from_bytes(self.heard[:3], "little")
-            if len(self.heard) < 4 + size:
+        self.buffer += data
+        while len(self.buffer) >= 4:
+            size = int.from_bytes(self.buffer[:3], "little")
+            if len(self.buffer) < 4 + size:
                 break
-            payload = bytes(self.heard[4 : 4 + size])
-            del self.heard[: 4 + size]
-            self.packet(when, payload)
+            payload = bytes(self.buffer[4 : 4 + size])
+            del self.buffer[: 4 + size]
+            self.handle_packet(when, payload)
 
-    def packet(self, when: int, payload: bytes) -> None:
+    def handle_packet(self, when: int, payload: bytes) -> None:
         if payload[:1] == b"\xff":
             number = int.from_bytes(payload[1:3], "little")
-            refused = number == packets.REFUSED[0]
-            self.answered(when, "deferred" if refused else "killed")
+            rejected = number == packets.REFUSED[0]
+            self.on_answer(when, "deferred" if rejected else "killed")
         elif self.state == "greeting":
             self.state = "login"
         elif self.state == "login":
-            self.state = "result" if self.open else "idle"
+            self.state = "result" if self.in_flight else "idle"
         elif payload == packets.EOF:
-            self.ends += 1
-            if self.ends == 2:
-                self.answered(when, "finished")
-
-    def answered(self, when: int, how: str) -> None:
-        self.ends, self.state = 0, "idle"
-        if not self.open and self.first is None:
-            return  # one of a crowd that says nothing is turned away
-        if not self.open:
-            self.rig.faults.append(f"an answer that nobody asked for: {how}")
+            self.eof_packets += 1
+            if self.eof_packets == 2:
+                self.on_answer(when, "finished")
+
+    def on_answer(self, when: int, outcome: str) -> None:
+        self.eof_packets, self.state = 0, "idle"
+        if not self.in_flight and self.first is None:
+            return  # the router rejected a connection that sends nothing
+        if not self.in_flight:
+            self.rig.faults.append(f"answer without a query: {outcome}")
             return
-        asked = self.open.pop(0)
-        asked.answers.append((-(-when // 100), how))
+        asked = self.in_flight.pop(0)
+        asked.answers.append((-(-when // 100), outcome))
 
-    def reset(self, when: int) -> None:
-        self.rig.resets += bool(self.open)
-        self.hung_up(when)
+    def on_reset(self, when: int) -> None:
+        self.rig.resets += bool(self.in_flight)
+        self.on_close(when)
 
-    def hung_up(self, when: int) -> None:
-        """The router ended the connection: what was written within 50 ms of that goes on another one."""
-        if self.over:
+    def on_close(self, when: int) -> None:
+        """The router closed the connection; queries that were sent within the last 50 ms are not checked."""
+        if self.closed:
             return
-        self.over = True
-        # The protocol also excuses the first query of a connection that is taken and closed without a word.
-        unheard = self.state == "greeting" and self.sock is not None and self.sock.taken
-        for asked in self.open:
-            if unheard or when - asked.sent * 100 <= 50_000:
-                asked.excused = True
+        self.closed = True
+        # By the protocol, the first query of a connection that is accepted and then closed without any data
+        # needs no answer either.
+        closed_unanswered = self.state == "greeting" and self.sock is not None and self.sock.accepted
+        for asked in self.in_flight:
+            if closed_unanswered or when - asked.sent * 100 <= 50_000:
+                asked.excluded = True
         if self.first is not None and self.first.sent is None:
-            self.first.excused = True
+            self.first.excluded = True
         if self.sock and not self.sock.closed:
-            self.sock.end(when)
+            self.sock.end_of_stream(when)
 
 
 class Engine:
-    """Runs what it is sent, each for a time of its own; knows which keys ran when."""
+    """An engine. Each run takes a random time; starts and ends are recorded by ordering key."""
 
     def __init__(self, rig: "Rig") -> None:
-        self.rig, self.sock, self.buffer, self.given_up = rig, None, b"", set()
+        self.rig, self.sock, self.buffer, self.cancelled = rig, None, b"", set()
 
-    def hear(self, when: int, data: bytes) -> None:
+    def receive(self, when: int, data: bytes) -> None:
         self.buffer += data
         while (end := self.buffer.find(b"\r\n")) >= 0:
             words = self.buffer[:end].decode().split(" ")
@@ -349,48 +369,54 @@
                 stop += int(words[3]) + 2
                 if len(self.buffer) < stop:
                     return
-                self.want(when, words[1])
+                self.start_run(when, words[1])
             elif words[0] == "busy":
-                self.say(when + 2_000, f"{words[1]} READY rep=util:0.3;inflight:4 0\r\n\r\n")
+                self.send(when + 2_000, f"{words[1]} READY rep=util:0.3;inflight:4 0\r\n\r\n")
             elif words[0] == "never_mind":
-                self.give_up(when, words[1])
+                self.cancel_run(when, words[1])
             self.buffer = self.buffer[stop:]
 
-    def want(self, when: int, id: str) -> None:
+    def start_run(self, when: int, id: str) -> None:
         asked = self.rig.asked[id]
-        if asked.left is not None and when - asked.left > DEPARTED:
-            self.rig.faults.append(f"{id} began {(when - asked.left) // 1000} ms after its client had left")
+        if asked.left_at is not None and when - asked.left_at > MAX_START_DELAY_AFTER_DISCONNECT_US:
+            self.rig.faults.append(
+                f"{id} started {(when - asked.left_at) // 1000} ms after its client had disconnected"
+            )
         key = asked.key
         if key:
             self.rig.runs.setdefault(key, []).append((when, "start", id))
-        chance = self.rig.world.chance
-        if chance.random() >= HANGS:
-            self.rig.world.at(when + int(1_000 * chance.choice((20, 40, 80, 300))), self.done, id)
+        rng = self.rig.world.rng
+        if rng.random() >= HANGS:
+            self.rig.world.at(when + int(1_000 * rng.choice((20, 40, 80, 300))), self.finish_run, id)
 
-    def give_up(self, when: int, id: str) -> None:
-        self.given_up.add(id)
+    def cancel_run(self, when: int, id: str) -> None:
+        self.cancelled.add(id)
         key = self.rig.asked[id].key
         if key:
             self.rig.runs[key].append((when, "given up", id))
 
-    def done(self, when: int, id: str) -> None:
+    def finish_run(self, when: int, id: str) -> None:
         key = self.rig.asked[id].key
-        if id not in self.given_up:
+        if id not in self.cancelled:
             if key:
                 self.rig.runs[key].append((when, "end", id))
-            self.say(when, f"{id} ACK work=20.0,peak=1.0 8\r\na\tb\t{'c' * 3}\n\r\n")
+            self.send(when, f"{id} ACK work=20.0,peak=1.0 8\r\na\tb\t{'c' * 3}\n\r\n")
 
-    def say(self, when: int, text: str) -> None:
-        self.rig.world.at(when + NET * 100, lambda at: self.sock.came(at, text.encode()))
+    def send(self, when: int, text: str) -> None:
+        self.rig.world.at(when + NETWORK_DELAY * 100, lambda at: self.sock.deliver(at, text.encode()))
 
-    def hung_up(self, when: int) -> None:
+    def on_close(self, when: int) -> None:
         pass
 
-    reset = hung_up
+    on_reset = on_close
 
 
 class Rig:
-    """One run: clients' traffic at `times` what the loop carries, stalls and an end, all from the seed."""
+    """One simulation run.
+
+    Clients offer `times` the load that the event loop can handle. Traffic, stalls and the time of SIGTERM (if
+    `term`) are drawn from the seed.
+    """
 
     def __init__(self, seed: int, times: float = 3.0, term: bool = True) -> None:
         self.world = World(seed)
@@ -400,134 +426,146 @@
         self.resets = 0
         self.clients: list[Client] = []
         self.configuration = config.parse_configuration(deployment.table(engines=4, sockets=256), {})
-        clock = self.world.time()
-        self.service = Service(self.configuration, Log("rig", -1), poller=Poller(self), clock=clock)
-        self.listener = Listener(self.world)
+        clock = self.world.clock()
+        self.service = Service(self.configuration, Log("rig", -1), poller=SimulatedPoller(self), clock=clock)
+        self.listener = ListeningSocket(self.world)
         self.service.door.open(self.listener)
-        self.told: int | None = None
-        self.gone: int | None = None
-        self.late: list[int] = []
-        self.script(times, term)
-        self.charge()
-
-    def charge(self) -> None:
-        """Lets events and reads cost their time, where the real ones do."""
+        self.sigterm_at: int | None = None
+        self.exited_at: int | None = None
+        self.query_delays: list[int] = []
+        self.schedule_traffic(times, term)
+        self.charge_costs()
+
+    def charge_costs(self) -> None:
+        """Make each event of the reducer take its simulated CPU time, and record the delays of queries."""
         world, reduce = self.world, self.service.reducer.reduce
-        took = self.service.reducer.loop_lag.record_query_delay
+        record_query_delay = self.service.reducer.loop_lag.record_query_delay
 
-        def reduce_at_a_price(event, now):
+        def reduce_at_cost(event, now):
             effects = reduce(event, now)
-            world.spend(EVENT if type(event) is not events.Asked else PARSE)
-            world.spend(SEND * sum(isinstance(e, SendCommand) for e in effects))
+            world.spend(EVENT_US if type(event) is not events.Asked else QUERY_US)
+            world.spend(SUBMISSION_US * sum(isinstance(e, SendCommand) for e in effects))
             return effects
 
-        def took_late(now, by):
-            self.late.append(by)
-            took(now, by)
+        def record_delay(now, delay):
+            self.query_delays.append(delay)
+            record_query_delay(now, delay)
 
-        self.service.reducer.reduce = reduce_at_a_price
-        self.service.reducer.loop_lag.record_query_delay = took_late
+        self.service.reducer.reduce = reduce_at_cost
+        self.service.reducer.loop_lag.record_query_delay = record_delay
 
-    # ---- the script -------------------------------------------------------------------------------
+    # ---- traffic ----------------------------------------------------------------------------------
 
-    def script(self, times: float, term: bool) -> None:
-        chance, start = self.world.chance, self.world.us
-        carried = 1e6 / (PARSE + 2 * EVENT + SEND + 12 * CALL)
-        count = int(times * carried * LENGTH / 10_000)
+    def schedule_traffic(self, times: float, term: bool) -> None:
+        rng, start = self.world.rng, self.world.us
+        capacity = 1e6 / (QUERY_US + 2 * EVENT_US + SUBMISSION_US + 12 * SYSTEM_CALL_US)
+        count = int(times * capacity * LOAD_DURATION / 10_000)
         at = 0.0
-        keys: dict[str, int] = {}
+        key_free_at: dict[str, int] = {}
         for n in range(count):
-            at += chance.expovariate(count / LENGTH)
+            at += rng.expovariate(count / LOAD_DURATION)
             when = start + int(at * 100)
             id = f"{n:016x}"
-            group = chance.choices(("lookup", "report", "event-load"), (75, 10, 15))[0]
-            key = fresh = None
+            group = rng.choices(("lookup", "report", "event-load"), (75, 10, 15))[0]
+            key = new_connection = None
             if group == "event-load":
-                free = [f"{k:016x}" for k in range(1, 20) if keys.get(f"{k:016x}", 0) <= when]
-                if not free:
+                free_keys = [f"{k:016x}" for k in range(1, 20) if key_free_at.get(f"{k:016x}", 0) <= when]
+                if not free_keys:
                     continue
-                key = chance.choice(free)
-                fresh = chance.random() < 0.3
-                keys[key] = when + (FAR if fresh else NEAR)
-            patience = int(chance.choice((1_400, 2_000, 3_000))) * 10
-            asked = self.asked[id] = Asked(id, group, patience, key, fresh=fresh)
+                key = rng.choice(free_keys)
+                new_connection = rng.random() < 0.3
+                key_free_at[key] = when + (
+                    KEY_INTERVAL_NEW_CONNECTION_US if new_connection else KEY_INTERVAL_US
+                )
+            patience = int(rng.choice((1_400, 2_000, 3_000))) * 10
+            asked = self.asked[id] = Asked(id, group, patience, key, fresh=new_connection)
             self.world.at(when, self.come, asked)
-        for _ in range(chance.choice((0, 1, 2))):
-            self.world.at(start + int(chance.uniform(0, LENGTH) * 100), self.crowd, chance.randint(20, 150))
-        when = start + int(chance.uniform(0, LENGTH) * 100)
-        while when < start + (LENGTH + LONGEST) * 100:
-            self.world.stalls.append((when, chance.choice(STALLS) * 100))
-            when += int(chance.uniform(1.2, 3) * max(STALLS) * 100)
+        for _ in range(rng.choice((0, 1, 2))):
+            self.world.at(
+                start + int(rng.uniform(0, LOAD_DURATION) * 100),
+                self.open_silent_connections,
+                rng.randint(20, 150),
+            )
+        when = start + int(rng.uniform(0, LOAD_DURATION) * 100)
+        while when < start + (LOAD_DURATION + MAX_CLIENT_TIMEOUT) * 100:
+            self.world.stalls.append((when, rng.choice(STALLS) * 100))
+            when += int(rng.uniform(1.2, 3) * max(STALLS) * 100)
         if term:
-            self.world.at(start + int(chance.uniform(0.1, 1.2) * LENGTH * 100), self.terminate)
+            self.world.at(start + int(rng.uniform(0.1, 1.2) * LOAD_DURATION * 100), self.terminate)
 
     def come(self, when: int, asked: Asked) -> None:
-        """A client asks: mostly on a connection that it has, else on a new one."""
-        after = None if self.told is None else when - self.told
-        if after is not None and after > (COMING + ON_OPEN) * 100:
+        """Send a query, mostly on an open connection, else on a new one; drop it if neither is possible."""
+        since_sigterm = None if self.sigterm_at is None else when - self.sigterm_at
+        if (
+            since_sigterm is not None
+            and since_sigterm > (NEW_CONNECTIONS_AFTER_SIGTERM + QUERIES_AFTER_SIGTERM) * 100
+        ):
             del self.asked[asked.id]
             return
-        idle = [c for c in self.clients if not c.over and not c.open and c.state == "idle"]
-        new = self.world.chance.random() < 0.2 if asked.fresh is None else asked.fresh
+        idle = [c for c in self.clients if not c.closed and not c.in_flight and c.state == "idle"]
+        new = self.world.rng.random() < 0.2 if asked.fresh is None else asked.fresh
         if idle and not new:
-            self.world.chance.choice(idle).ask(when, asked)
-        elif asked.fresh is not False and (after is None or after <= COMING * 100):
-            self.knock(when, asked)
+            self.world.rng.choice(idle).send_query(when, asked)
+        elif asked.fresh is not False and (
+            since_sigterm is None or since_sigterm <= NEW_CONNECTIONS_AFTER_SIGTERM * 100
+        ):
+            self.open_connection(when, asked)
         else:
             del self.asked[asked.id]
-        if self.world.chance.random() < 0.01 and self.clients:
-            self.world.chance.choice(self.clients).leave(when)
+        if self.world.rng.random() < 0.01 and self.clients:
+            self.world.rng.choice(self.clients).disconnect(when)
 
-    def knock(self, when: int, asked: Asked) -> None:
+    def open_connection(self, when: int, asked: Asked) -> None:
         client = Client(self)
         client.first = asked
-        self.clients = [c for c in self.clients if not c.over]
+        self.clients = [c for c in self.clients if not c.closed]
         self.clients.append(client)
-        self.listener.knock(when, client)
+        self.listener.add_connection(when, client)
 
-    def crowd(self, when: int, many: int) -> None:
-        """Many connect at once and say nothing."""
-        for _ in range(many):
+    def open_silent_connections(self, when: int, count: int) -> None:
+        """Open many connections at once that send nothing."""
+        for _ in range(count):
             client = Client(self)
-            client.connected = lambda when: None
-            self.listener.knock(when, client)
+            client.on_connected = lambda when: None
+            self.listener.add_connection(when, client)
 
     def terminate(self, when: int) -> None:
-        """SIGTERM; the program hears of it when its loop next turns."""
-        self.told = when
+        """Send SIGTERM; the router handles it in the next round of its event loop."""
+        self.sigterm_at = when
 
-    # ---- the run ----------------------------------------------------------------------------------
+    # ---- run --------------------------------------------------------------------------------------
 
     async def play(self) -> "Rig":
+        """Run the simulation and check the rules; return self."""
         service, world = self.service, self.world
         async with anyio.create_task_group() as tasks:
             service.attach_tasks(tasks)
-            for news in self.configuration.initial_watch_events:
-                service.handle(events.EndpointsChanged(news))
+            for watch_event in self.configuration.initial_watch_events:
+                service.handle(events.EndpointsChanged(watch_event))
             service.lifecycle.enter(Phase.SERVING)
-            sweep = world.us
-            while self.gone is None:
+            last_sweep = world.us
+            while self.exited_at is None:
                 await anyio.lowlevel.checkpoint()
-                if self.told is not None and service.shutdown.schedule is None:
+                if self.sigterm_at is not None and service.shutdown.schedule is None:
                     service.lifecycle.enter(Phase.CLOSING)
                     service.shutdown.begin()
                 if service.shutdown.schedule is None:
                     service.event_loop.round()
                 elif service.shutdown.advance() is ShutdownStep.EXIT:
-                    self.gone = world.us
-                if world.us - sweep >= 100_000:
-                    sweep = world.us
+                    self.exited_at = world.us
+                if world.us - last_sweep >= 100_000:
+                    last_sweep = world.us
                     service.door.sweep()
                 if service.rounds.idle and not world.ready:
-                    self.sleep()
-                if service.shutdown.schedule is None and world.us - START * 100 > LENGTH * 100 * 12:
+                    self.advance_clock()
+                if service.shutdown.schedule is None and world.us - START * 100 > LOAD_DURATION * 100 * 12:
                     break
             tasks.cancel_scope.cancel()
         self.check()
         return self
 
-    def sleep(self) -> None:
-        """Nothing is ready: the clock goes on to the next thing that comes."""
+    def advance_clock(self) -> None:
+        """Advance the clock to the next event or alarm, by 10 ms at most."""
         world = self.world
         times = [world.us + 10_000]
         if world.coming:
@@ -536,39 +574,43 @@
             times.append(self.service.alarm.due_at * 100)
         world.us = max(world.us, min(times))
 
-    # ---- the check of the rules -------------------------------------------------------------------
+    # ---- checks -----------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Rules 1 and 2 for every query that came whole, rule 5 for every key."""
+        """Check rules 1 and 2 for every query that was received completely, and rule 5 for every key."""
         for asked in self.asked.values():
-            if asked.sent is None or asked.nobody or asked.excused:
+            if asked.sent is None or asked.abandoned or asked.excluded:
                 continue
-            end = asked.sent + asked.patience + TOLERANCE
+            latest = asked.sent + asked.patience + TOLERANCE
             if len(asked.answers) != 1:
                 self.faults.append(f"{asked.id} {asked.group} got {len(asked.answers)} answers")
-            elif asked.answers[0][0] > end:
-                self.faults.append(f"{asked.id} {asked.group} answered {asked.answers[0][0] - end} too late")
-        if self.told is not None and self.gone is not None:
-            took = (self.gone - self.told) // 100
-            if took > self.configuration.longest_shutdown + KILL_AFTER:
-                self.faults.append(f"the end took {took}")
-        for key, seen in self.runs.items():
-            self.check_key(key, sorted(seen))
-
-    def check_key(self, key: str, seen: list[tuple[int, str, str]]) -> None:
+            elif asked.answers[0][0] > latest:
+                self.faults.append(
+                    f"{asked.id} {asked.group} answered {asked.answers[0][0] - latest} tenths of a ms too late"
+                )
+        if self.sigterm_at is not None and self.exited_at is not None:
+            shutdown_time = (self.exited_at - self.sigterm_at) // 100
+            if shutdown_time > self.configuration.longest_shutdown + SIGKILL_MARGIN:
+                self.faults.append(f"the shutdown took {shutdown_time} tenths of a ms")
+        for key, history in self.runs.items():
+            self.check_key(key, sorted(history))
+
+    def check_key(self, key: str, history: list[tuple[int, str, str]]) -> None:
         running: set[str] = set()
         started: list[str] = []
-        rests = 0
-        for when, what, id in seen:
-            if what != "start":
+        pause_until = 0
+        for when, event, id in history:
+            if event != "start":
                 running.discard(id)
-                if what == "given up":
-                    rests = when + self.configuration.settings.retries.order_pause * 100
+                if event == "given up":
+                    pause_until = when + self.configuration.settings.retries.order_pause * 100
                 continue
-            if when < rests - TOLERANCE * 100:
-                self.faults.append(f"key {key}: {id} began {(rests - when) // 100} before its rest was over")
+            if when < pause_until - TOLERANCE * 100:
+                self.faults.append(
+                    f"key {key}: {id} started {(pause_until - when) // 100} tenths of a ms before the end of a pause"
+                )
             if running:
-                self.faults.append(f"key {key}: {id} began beside {sorted(running)}")
+                self.faults.append(f"key {key}: {id} started while {sorted(running)} ran")
             if id in started:
                 self.faults.append(f"key {key}: {id} ran twice")
             if started and self.asked[id].sent < self.asked[started[-1]].sent:
@@ -577,8 +619,10 @@
             started.append(id)
 
     def summary(self) -> Counter:
+        """Return the number of queries by outcome."""
         return Counter(a.answers[0][1] for a in self.asked.values() if a.answers)
 
 
 def play(seed: int, **known) -> Rig:
+    """Run the simulation of a seed; the finished Rig has the results."""
     return anyio.run(Rig(seed, **known).play)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seed, work_factor, restarted", [(1, 1.0, 0.0), (2, 1.5, 0.0), (3, 1.0, 0.7)])
 def test_cold_engines_are_used_but_stay_far_from_overload(seed, work_factor, restarted):
-    """All routers learn of the engines at once, estimates are too low, or 70 % of the routers lose their state."""
+    """All routers learn of new engines at once. Estimates are too low, or 70 % of the routers restart."""
     fleet = Many(seed, routers=200, engines=10, load=0.6, work_factor=work_factor)
     fleet.run_for(5)
     fleet.replace_engines(6)
