--- a/hillchute/lab/clients.py
+++ b/hillchute/lab/clients.py
@@ -1,7 +1,6 @@
-"""Clients of both fronts for the lab: one query in, how it ended out.
+"""Test clients of the MySQL and the Flight SQL front end; each runs a query and records its outcome.
 
-Owns the client's side of MySQL's packets and of Flight SQL's calls, as far as a workload needs them. Must
-never know what a router is expected to do.
+Implements the client side of both protocols as far as the workloads need it.
 """
 
 import secrets
@@ -27,67 +26,72 @@
 
 @dataclass
 class Query:
-    """One query of a workload, with what its client saw."""
+    """One query of a workload with its client's record of it."""
 
     group: str
     statement: str
     patience: int = 5_000  # milliseconds
     token: str | None = None
     key: str | None = None
-    leaves: float | None = None  # seconds after which its client gives up
-    weight: float = 20.0  # milliseconds of work, as estimated
+    leaves: float | None = None  # seconds after which its client cancels it
+    weight: float = 20.0  # estimated work in milliseconds
     id: str = field(default_factory=lambda: secrets.token_hex(8))
-    router: str = ""  # where it was sent
+    router: str = ""  # name of the router that it was sent to
     sent: float = 0.0
     answered: list[tuple[float, str]] = field(default_factory=list)
     rows: int = 0
 
     @property
     def fields(self) -> dict[str, str]:
-        known = {"route": self.group, "trace": self.id, "patience": str(self.patience)}
-        known |= {"weight": f"{self.weight:.1f}", "mb": "1"}
-        known |= {"nonce": self.token} if self.token else {}
-        return known | ({"entity": self.key} if self.key else {})
+        """The protocol's fields of the query, by name."""
+        fields = {"route": self.group, "trace": self.id, "patience": str(self.patience)}
+        fields |= {"weight": f"{self.weight:.1f}", "mb": "1"}
+        fields |= {"nonce": self.token} if self.token else {}
+        return fields | ({"entity": self.key} if self.key else {})
 
     @property
     def text(self) -> str:
+        """The statement with its fields as a leading comment."""
         pairs = ",".join(f"{name}={value}" for name, value in self.fields.items())
         return f"/* {pairs} */ {self.statement}"
 
     @property
     def how(self) -> str:
+        """The outcome; `lost` without an answer, `twice` with more than one."""
         return self.answered[0][1] if len(self.answered) == 1 else "lost" if not self.answered else "twice"
 
 
 class Client(Protocol):
+    """A client of either protocol."""
+
     async def ask(self, query: Query) -> None: ...
 
     async def close(self) -> None: ...
 
 
 class MySQL:
-    """One session; it is opened anew where it has ended."""
+    """One MySQL session, reopened by the next query if it was closed."""
 
     def __init__(self, world: World, port: int) -> None:
         self.world, self.port = world, port
         self.stream: anyio.abc.SocketStream | None = None
-        self.rest = b""
+        self.buffer = b""
 
-    async def packet(self) -> bytes:
-        while len(self.rest) < 4 or len(self.rest) < 4 + int.from_bytes(self.rest[:3], "little"):
-            self.rest += await self.stream.receive()
-        size = int.from_bytes(self.rest[:3], "little")
-        payload, self.rest = self.rest[4 : 4 + size], self.rest[4 + size :]
+    async def read_packet(self) -> bytes:
+        while len(self.buffer) < 4 or len(self.buffer) < 4 + int.from_bytes(self.buffer[:3], "little"):
+            self.buffer += await self.stream.receive()
+        size = int.from_bytes(self.buffer[:3], "little")
+        payload, self.buffer = self.buffer[4 : 4 + size], self.buffer[4 + size :]
         return payload
 
-    async def write(self, number: int, payload: bytes) -> None:
+    async def write_packet(self, number: int, payload: bytes) -> None:
         await self.stream.send(len(payload).to_bytes(3, "little") + bytes([number]) + payload)
 
     async def open(self) -> None:
-        self.stream, self.rest = await anyio.connect_tcp("127.0.0.1", self.port), b""
-        await self.packet()
-        await self.write(1, LOGIN)
-        await self.packet()
+        self.stream, self.buffer = await anyio.connect_tcp("127.0.0.1", self.port), b""
+        await self.read_packet()
+        await self.write_packet(1, LOGIN)
+        await self.read_packet()
 
     async def ask(self, query: Query) -> None:
         try:
@@ -95,27 +99,27 @@
                 await self.open()
             query.sent = self.world.clock()
             with anyio.move_on_after(query.leaves) as scope:
-                await self.write(0, b"\x03" + query.text.encode())
-                how = await self.result(query)
+                await self.write_packet(0, b"\x03" + query.text.encode())
+                outcome = await self.read_result(query)
             if scope.cancelled_caught:
                 await self.close()
                 return
-            query.answered.append((self.world.clock(), how))
+            query.answered.append((self.world.clock(), outcome))
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
             await self.close()
 
-    async def result(self, query: Query) -> str:
-        ends = 0
+    async def read_result(self, query: Query) -> str:
+        eof_packets = 0
         while True:
-            payload = await self.packet()
+            payload = await self.read_packet()
             if payload[:1] == b"\xff":
                 number = int.from_bytes(payload[1:3], "little")
                 return "deferred" if number == packets.REFUSED[0] else "killed"
             if payload[:1] == b"\xfe" and len(payload) == 5:
-                ends += 1
-                if ends == 2:
+                eof_packets += 1
+                if eof_packets == 2:
                     return "finished"
-            elif ends == 1:
+            elif eof_packets == 1:
                 query.rows += 1
 
     async def close(self) -> None:
@@ -125,7 +129,7 @@
 
 
 class Flight:
-    """One channel."""
+    """A Flight SQL client on one gRPC channel."""
 
     def __init__(self, world: World, port: int, token: str | None = None) -> None:
         self.world, self.token = world, token
@@ -133,39 +137,39 @@
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
 
     def metadata(self, query: Query) -> list[tuple[str, str]]:
-        known = [(f"x-hillchute-{name}", value) for name, value in query.fields.items()]
-        return known + ([("authorization", f"Bearer {self.token}")] if self.token else [])
+        headers = [(f"x-hillchute-{name}", value) for name, value in query.fields.items()]
+        return headers + ([("authorization", f"Bearer {self.token}")] if self.token else [])
 
     async def ask(self, query: Query) -> None:
         query.sent = self.world.clock()
         try:
             with anyio.move_on_after(query.leaves) as scope:
-                await (self.put if query.token else self.get)(query)
+                await (self.run_update if query.token else self.run_select)(query)
             if not scope.cancelled_caught:
                 query.answered.append((self.world.clock(), "finished"))
         except arrow.Unreadable:
             query.answered.append((self.world.clock(), "unreadable"))
-        except grpc.aio.AioRpcError as fault:
-            said = reason(fault.trailing_metadata())
-            how = "deferred" if said in DEFERRED else "killed" if said else f"unknown {fault.code()}"
-            query.answered.append((self.world.clock(), how))
+        except grpc.aio.AioRpcError as error:
+            code = reason(error.trailing_metadata())
+            outcome = "deferred" if code in DEFERRED else "killed" if code else f"unknown {error.code()}"
+            query.answered.append((self.world.clock(), outcome))
 
-    async def get(self, query: Query) -> None:
-        ask = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
+    async def run_select(self, query: Query) -> None:
+        get_info = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
         command = arrow.command(sql.CommandStatementQuery(query=query.statement))
-        raw = await ask(command.SerializeToString(), metadata=self.metadata(query))
+        raw = await get_info(command.SerializeToString(), metadata=self.metadata(query))
         ticket = flight.FlightInfo.FromString(raw).endpoint[0].ticket
         query.sent = self.world.clock()
-        fetch = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
-        reading = arrow.Reading()
-        async for raw in fetch(ticket.SerializeToString(), metadata=self.metadata(query)):
-            batch = reading.take(raw)
+        do_get = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
+        reader = arrow.Reading()
+        async for raw in do_get(ticket.SerializeToString(), metadata=self.metadata(query)):
+            batch = reader.take(raw)
             query.rows += batch.num_rows if batch is not None else 0
 
-    async def put(self, query: Query) -> None:
-        put = self.channel.stream_stream(f"{arrow.SERVICE}DoPut")
+    async def run_update(self, query: Query) -> None:
+        do_put = self.channel.stream_stream(f"{arrow.SERVICE}DoPut")
         command = arrow.command(sql.CommandStatementUpdate(query=query.statement))
-        call = put(metadata=self.metadata(query))
+        call = do_put(metadata=self.metadata(query))
         await call.write(flight.FlightData(flight_descriptor=command).SerializeToString())
         await call.done_writing()
         async for raw in call:
--- a/hillchute/lab/cpu_ratio.py
+++ b/hillchute/lab/cpu_ratio.py
@@ -1,11 +1,11 @@
-"""CPU time of two source trees on the same seeds of the slow loop, measured in alternating turns.
+"""CPU time of two source trees in the overload simulation (slowloop.py), measured in alternating turns.
 
     python -m hillchute.lab.cpu_ratio OLD_TREE NEW_TREE --seeds 1 2 3 --turns 5
 
 A tree is a directory that holds the package `hillchute`. Each turn runs one process per tree, one after the
 other, and the tree that goes first changes with each turn, so that a drift of the machine's speed falls on
-both. What is measured is user and system time of the plays alone; the start of the interpreter and imports do
-not count.
+both. Measured is the user and system time of the simulations alone, without the start of the interpreter and
+imports.
 """
 
 import argparse
@@ -49,9 +49,9 @@
 
 
 def cpu_seconds(tree: Path, seeds: Iterable[int]) -> float:
-    """User and system time in seconds that one process needs to play all seeds with the code of a tree.
+    """User and system time in seconds that one process needs to simulate all seeds with the code of a tree.
 
-    Raises subprocess.CalledProcessError if the tree cannot be played; the reason is on standard error.
+    Raises subprocess.CalledProcessError if the simulation fails; the reason is on standard error.
     """
     command = [sys.executable, "-c", PROGRAM, " ".join(MODULES), " ".join(map(str, seeds))]
     # One hash seed for both trees; no other path before the tree itself.
@@ -81,10 +81,14 @@
 def main(arguments: list[str] | None = None) -> int:
     """Print the comparison as JSON."""
     parser = argparse.ArgumentParser(prog="cpu_ratio", description=__doc__.splitlines()[0])
-    parser.add_argument("old", type=Path, help="source tree that the other is compared to")
-    parser.add_argument("new", type=Path, help="source tree whose cost is in question")
-    parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3], help="played in each turn")
-    parser.add_argument("--turns", type=int, default=5, help="how often each tree plays all seeds")
+    parser.add_argument("old", type=Path, help="source tree to compare with")
+    parser.add_argument("new", type=Path, help="source tree to measure against it")
+    parser.add_argument(
+        "--seeds", type=int, nargs="+", default=[1, 2, 3], help="seeds to simulate in each turn"
+    )
+    parser.add_argument(
+        "--turns", type=int, default=5, help="number of turns; each tree simulates all seeds once per turn"
+    )
     options = parser.parse_args(arguments)
     print(json.dumps(compare(options.old, options.new, options.seeds, options.turns)))
     return 0
--- a/hillchute/lab/deployment.py
+++ b/hillchute/lab/deployment.py
@@ -1,22 +1,22 @@
-"""The toy deployment's configuration, as a router is told it: three resource groups, a few engines.
-
-Owns the figures of the stand-ins' world. Must never be read by anything that serves.
-"""
+"""Router configuration of the toy deployment: three resource groups and a few engines."""
 
 MS = 1_000_000  # nanoseconds
 
 
 def table(
-    routers: int = 1, engines: int = 0, sockets: int = 1024, mutating: bool = False, **changed: object
+    routers: int = 1, engines: int = 0, sockets: int = 1024, mutating: bool = False, **overrides: object
 ) -> dict[str, object]:
-    """A configuration as JSON would give it; `engines` are listed as ready, at ports from 1 on. `mutating`:
-    with a fourth group, of queries without a token that change something."""
+    """Return a configuration as parsed from JSON.
+
+    `engines` are listed as ready, at ports from 1 on. `mutating` adds a fourth group, whose queries change
+    data and have no idempotency token.
+    """
     endpoints = [
         {"name": f"s-{n:08x}", "address": f"127.0.0.1:{n}", "status": "Ready", "type": "std", "zone": "here"}
         for n in range(1, engines + 1)
     ]
     batch = [{"offset": 1, "topology": {"snapshot": True, "endpoints": endpoints}}] if engines else []
-    more = [group("change", 1_000, 3.0, 6_000, "once", 2.0)] if mutating else []
+    extra_groups = [group("change", 1_000, 3.0, 6_000, "once", 2.0)] if mutating else []
     return {
         "name": "toy",
         "listen": "127.0.0.1:7306",
@@ -36,14 +36,14 @@
                 group("report", 1_000, 2.5, 6_000, "repeatable", 5.0),
                 group("event-load", 2_000, 3.0, 9_000, "by_key", 4.0)
                 | {"group": "all", "window_ns": 25_000 * MS, "keep_order": True},
-                *more,
+                *extra_groups,
             ],
             "domain": {
                 "kind_cores": [8],
                 "ram_of_kind_mb": [16384],
-                "width_by_class": [1, 4, 2, *(2 for _ in more)],
-                "class_load": [False, False, True, *(False for _ in more)],
-                "yields_to_loads": [True, False, False, *(False for _ in more)],
+                "width_by_class": [1, 4, 2, *(2 for _ in extra_groups)],
+                "class_load": [False, False, True, *(False for _ in extra_groups)],
+                "yields_to_loads": [True, False, False, *(False for _ in extra_groups)],
                 "ranks_heeded": True,
                 "tells_every_ns": 1_000 * MS,
             },
@@ -65,14 +65,16 @@
                 "drain_grace_ns": 1_000 * MS,
             },
         },
-    } | changed
+    } | overrides
 
 
-def group(name: str, goal: int, stretch: float, timeout: int, effect: str, value: float) -> dict[str, object]:
-    """One resource group; times in milliseconds."""
+def group(
+    name: str, target_runtime: int, stretch: float, timeout: int, effect: str, value: float
+) -> dict[str, object]:
+    """Return one resource group; times are in milliseconds."""
     return {
         "name": name,
-        "goal_time_ns": goal * MS,
+        "goal_time_ns": target_runtime * MS,
         "aim_stretch": stretch,
         "deadline_ns": timeout * MS,
         "semantics": effect,
--- a/hillchute/lab/faulty_system.py
+++ b/hillchute/lab/faulty_system.py
@@ -1,7 +1,6 @@
-"""System calls that fail as Linux documents: chosen calls of a run, by name and number.
+"""Fault injection into system calls: chosen calls of a run, by name and number, fail as Linux documents.
 
-Owns the list of errno that each call may give and the count of calls made. Must never change what a call does
-where it is not chosen.
+All other calls are passed to the kernel unchanged.
 """
 
 import errno
@@ -46,7 +45,7 @@
     "epoll_remove": ("ENOENT",),
     "epoll_wait": ("EINTR",),
 }
-"""By the name of SystemCalls' method: the names of the errno that its manual page lists."""
+"""Names of the errno values that the manual page lists, by the name of SystemCalls' method."""
 
 
 @dataclass(frozen=True)
@@ -61,18 +60,18 @@
     count: int = 1
     """How many calls fail, from `first` on."""
     max_bytes: int = 0
-    """The most bytes that a receive or a send transfers; 0 stands for an error instead."""
+    """Most bytes that a receive or a send transfers; 0 means that the call fails."""
 
 
 class FaultySystemCalls(SystemCalls):
-    """The kernel's calls, of which those that `fault` chooses fail; `fault` may be changed at any time."""
+    """System calls of which those chosen by `fault` fail; `fault` may be changed at any time."""
 
     def __init__(self, fault: Fault | None = None) -> None:
         self.fault = fault
         self.calls: Counter[str] = Counter()
         """Calls made, by name."""
         self.triggered = False
-        """Whether the run came to the fault at all."""
+        """Whether the fault has occurred."""
 
     def open_stream(self, family: int) -> socket.socket:
         """Fail before any socket is opened."""
@@ -90,7 +89,7 @@
         super().prepare(sock)
 
     def connect(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """Fail; a connect that is interrupted goes on, as connect(2) has it."""
+        """Fail; after EINTR the connection is still being established, as connect(2) says."""
         fault = self._choose("connect")
         if fault is not None and fault.errno_name != "EINTR":
             raise os_error(fault)
@@ -178,6 +177,6 @@
 
 
 def os_error(fault: Fault) -> OSError:
-    """Make the error that Python raises for this errno: of the subclass that belongs to it."""
+    """Make the OSError of the subclass that Python raises for this errno."""
     number = errno_number(fault)
     return OSError(number, os.strerror(number))
--- a/hillchute/lab/fleet.py
+++ b/hillchute/lab/fleet.py
@@ -1,7 +1,4 @@
-"""A toy deployment on loopback: stand-in engines of either protocol, an event bus, a router in a process.
-
-Owns their start and end. Must never decide what a router is expected to do.
-"""
+"""Toy deployment on loopback: stand-in engines of either protocol, an event bus and a router process."""
 
 import os
 import random
@@ -23,25 +20,27 @@
 from hillchute.lab.line_engine import LineEngine
 from hillchute.lab.world import Engine, World
 
-FRAME = struct.Struct(">IQB")
-RECORD = struct.Struct(">I4sHBBBHIQ")
-PORTS = (20_000, 30_000)  # the kernel's own begin above
-given: set[int] = set()  # by this process
-STATES = {"Ready": 0, "Terminating": 1, "Gone": 2}
+FRAME_HEADER = struct.Struct(">IQB")
+ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
+PORT_RANGE = (20_000, 30_000)  # below the kernel's range of ephemeral ports
+allocated_ports: set[int] = set()  # ports that this process has handed out
+STATE_CODES = {"Ready": 0, "Terminating": 1, "Gone": 2}
 
 
 class Bus:
-    """The event bus: every event in order to whoever subscribes, an empty frame each second."""
+    """The event bus: sends all events in order to each subscriber, and an empty frame per idle second."""
 
     def __init__(self) -> None:
         self.events: list[tuple[int, int, bytes]] = []
         self.changed = anyio.Event()
         self.port = 0
 
-    def tell(self, mode: int, records: list[tuple[int, int, str]]) -> None:
-        """`mode` 1 the whole list, 2 changes; records of (engine, port, state)."""
+    def publish(self, mode: int, records: list[tuple[int, int, str]]) -> None:
+        """Publish a complete list (`mode` 1) or changes (`mode` 2); records are (engine, port, state)."""
         payload = b"".join(
-            RECORD.pack(engine, socket.inet_aton("127.0.0.1"), port, STATES[state], 0, 0, 0, 1000, 0)
+            ENDPOINT_RECORD.pack(
+                engine, socket.inet_aton("127.0.0.1"), port, STATE_CODES[state], 0, 0, 0, 1000, 0
+            )
             for engine, port, state in records
         )
         self.events.append((len(self.events) + 1, mode, payload))
@@ -52,43 +51,44 @@
         async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
             self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
             task_status.started()
-            await listener.serve(self.subscriber)
+            await listener.serve(self.serve_subscriber)
 
-    async def subscriber(self, stream: anyio.abc.SocketStream) -> None:
+    async def serve_subscriber(self, stream: anyio.abc.SocketStream) -> None:
         try:
             async with stream:
                 (last,) = struct.unpack(">Q", await stream.receive(8))
                 while True:
                     for number, mode, payload in self.events[last:]:
-                        await stream.send(FRAME.pack(9 + len(payload), number, mode) + payload)
+                        await stream.send(FRAME_HEADER.pack(9 + len(payload), number, mode) + payload)
                         last = number
                     changed = self.changed
-                    with anyio.move_on_after(1) as quiet:
+                    with anyio.move_on_after(1) as idle:
                         await changed.wait()
-                    if quiet.cancelled_caught:
-                        await stream.send(FRAME.pack(9, last, 0))
+                    if idle.cancelled_caught:
+                        await stream.send(FRAME_HEADER.pack(9, last, 0))
         except (anyio.BrokenResourceError, anyio.EndOfStream, anyio.ClosedResourceError):
             return
 
 
 class Fleet:
-    """Engines of one protocol, numbered from 1, with the bus that lists them."""
+    """Engines of one protocol, numbered from 1, with the event bus that lists them."""
 
-    def __init__(self, world: World, protocol: str, tasks: anyio.abc.TaskGroup, **known) -> None:
-        self.world, self.protocol, self.tasks, self.known = world, protocol, tasks, known
+    def __init__(self, world: World, protocol: str, tasks: anyio.abc.TaskGroup, **engine_options) -> None:
+        self.world, self.protocol, self.tasks, self.engine_options = world, protocol, tasks, engine_options
         self.bus = Bus()
         self.servers: dict[int, object] = {}
-        self.scopes: dict[int, anyio.CancelScope] = {}
+        self.cancel_scopes: dict[int, anyio.CancelScope] = {}
 
     async def start(self, engines: int) -> None:
         await self.tasks.start(self.bus.serve)
         for _ in range(engines):
-            await self.add(tell=False)
-        self.bus.tell(1, [(n, server.port, "Ready") for n, server in self.servers.items()])
+            await self.add(publish=False)
+        self.bus.publish(1, [(n, server.port, "Ready") for n, server in self.servers.items()])
 
-    async def add(self, tell: bool = True) -> int:
+    async def add(self, publish: bool = True) -> int:
+        """Start an engine and return its number."""
         number = len(self.servers) + 1
-        engine = Engine(self.world, f"s-{number:08x}", **self.known)
+        engine = Engine(self.world, f"s-{number:08x}", **self.engine_options)
         if self.protocol == "flight":
             from hillchute.lab.flight_engine import FlightEngine
 
@@ -96,29 +96,30 @@
             await server.open()
         else:
             server = LineEngine(engine)
-            scope = self.scopes[number] = anyio.CancelScope()
+            scope = self.cancel_scopes[number] = anyio.CancelScope()
 
-            async def served(*, task_status) -> None:
+            async def run_server(*, task_status) -> None:
                 with scope:
                     await server.serve(task_status=task_status)
 
-            await self.tasks.start(served)
+            await self.tasks.start(run_server)
         self.servers[number] = server
-        if tell:
-            self.bus.tell(2, [(number, server.port, "Ready")])
+        if publish:
+            self.bus.publish(2, [(number, server.port, "Ready")])
         return number
 
     def drain(self, number: int) -> None:
+        """Announce that an engine is terminating."""
         self.world.drained[f"s-{number:08x}"] = self.world.clock()
-        self.bus.tell(2, [(number, self.servers[number].port, "Terminating")])
+        self.bus.publish(2, [(number, self.servers[number].port, "Terminating")])
 
     async def kill(self, number: int) -> None:
-        """The engine's process dies: its connections are reset, its port refuses."""
+        """Stop an engine without notice: its connections are closed and its port refuses new ones."""
         server = self.servers[number]
         if self.protocol == "flight":
             await server.close(None)
         else:
-            self.scopes[number].cancel()
+            self.cancel_scopes[number].cancel()
 
     async def close(self) -> None:
         for number in self.servers:
@@ -126,32 +127,35 @@
 
 
 def free_port() -> int:
-    """A port that nobody holds, by UDP and TCP, below those that the kernel gives by itself. Guards against a
-    connection or a relay of the same run that gets it before the router does, or while it is down."""
-    chance = random.SystemRandom()
+    """Return a port that is free for UDP and TCP.
+
+    It is below the kernel's ephemeral ports. Otherwise another connection of the same test could get the port
+    before the router binds it, or while the router is down.
+    """
+    rng = random.SystemRandom()
     for _ in range(1000):
-        port = chance.randrange(*PORTS)
-        with socket.socket() as stream, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams:
+        port = rng.randrange(*PORT_RANGE)
+        with socket.socket() as tcp_socket, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
             try:
-                stream.bind(("127.0.0.1", port))
-                datagrams.bind(("127.0.0.1", port))
+                tcp_socket.bind(("127.0.0.1", port))
+                udp_socket.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        if port not in given:
-            given.add(port)
+        if port not in allocated_ports:
+            allocated_ports.add(port)
             return port
-    raise RuntimeError("no port is free")
+    raise RuntimeError(f"no free port found in {PORT_RANGE}")
 
 
 class Router:
-    """A router in a process of its own, told to end when the context does."""
+    """A router in its own process, and its files in `folder`."""
 
-    def __init__(self, folder: Path, bus: int, operator: str | None = None, **changed) -> None:
+    def __init__(self, folder: Path, bus: int, operator: str | None = None, **overrides) -> None:
         self.folder = folder
         self.port, self.flight_port = free_port(), free_port()
-        table = deployment.table(**changed)
-        table |= {"listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
-        (folder / "router.json").write_bytes(orjson.dumps(table))
+        configuration = deployment.table(**overrides)
+        configuration |= {"listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
+        (folder / "router.json").write_bytes(orjson.dumps(configuration))
         self.arguments = [sys.executable, "-m", "hillchute.router"]
         self.environ = os.environ | {"EDGE_CONFIG": str(folder / "router.json"), "EDGE_NAME": "lab"}
         if operator is not None:
@@ -161,6 +165,7 @@
         self.process: subprocess.Popen | None = None
 
     async def start(self) -> None:
+        """Start the process and wait until it serves; raise RuntimeError with the log's end if it exits."""
         log = (self.folder / "router.log").open("wb")
         self.process = subprocess.Popen(self.arguments, env=self.environ, stdout=log, stderr=log)
         with anyio.fail_after(20):
@@ -170,6 +175,7 @@
                 await anyio.sleep(0.05)
 
     async def stop(self) -> int:
+        """Send SIGTERM, then SIGKILL after 15 s; return the exit code."""
         self.process.send_signal(signal.SIGTERM)
         with anyio.move_on_after(15):
             while self.process.poll() is None:
@@ -179,25 +185,25 @@
         return self.process.wait()
 
     def faults(self) -> list[dict]:
-        """The faults in its log."""
+        """Return the fault events in the router's log."""
         lines = (self.folder / "router.log").read_bytes().splitlines()
-        told = [orjson.loads(line) for line in lines if line.startswith(b"{")]
-        return [line for line in told if line["event"] == "fault"]
+        entries = [orjson.loads(line) for line in lines if line.startswith(b"{")]
+        return [line for line in entries if line["event"] == "fault"]
 
 
 @asynccontextmanager
 async def deployed(
-    protocol: str, engines: int = 3, operator: str | None = None, seed: int = 1, **known
+    protocol: str, engines: int = 3, operator: str | None = None, seed: int = 1, **engine_options
 ) -> AsyncIterator[tuple[Fleet, Router]]:
-    """A running toy deployment."""
+    """Run a toy deployment for the length of the context."""
     with tempfile.TemporaryDirectory(prefix="hillchute-") as folder:
         async with anyio.create_task_group() as tasks:
-            fleet = Fleet(World(seed=seed), protocol, tasks, **known)
+            fleet = Fleet(World(seed=seed), protocol, tasks, **engine_options)
             await fleet.start(engines)
             router = Router(Path(folder), fleet.bus.port, operator)
             await router.start()
             try:
-                await anyio.sleep(0.3)  # the list of engines is told
+                await anyio.sleep(0.3)  # the router receives the endpoint list
                 yield fleet, router
             finally:
                 with anyio.CancelScope(shield=True):
--- a/hillchute/lab/line_engine.py
+++ b/hillchute/lab/line_engine.py
@@ -1,6 +1,6 @@
-"""A stand-in engine on the platform's line protocol, from its published page.
+"""Stand-in engine that serves the platform's line protocol as published.
 
-Owns that protocol's server side on sockets. Must never know what a router is expected to do.
+Shares no code with the router's client side of the protocol.
 """
 
 import re
@@ -8,16 +8,18 @@
 import anyio
 import anyio.abc
 
-from hillchute.lab.world import Engine, Failed, Full, Plan
+from hillchute.lab.world import Engine, EngineFullError, RunFailedError, StatementBehaviour
 
-PAGE = 6_000  # bytes of a page, by the protocol
+PAGE_BYTES = 6_000  # most bytes of a result page in the protocol
 COMMAND = re.compile(rb"([a-z_]+) ([^\r\n]*)\r\n")
 
 
 class LineEngine:
-    def __init__(self, engine: Engine, notes: float = 0.5) -> None:
-        """`notes`: seconds between two notes of a submission that is not over."""
-        self.engine, self.notes = engine, notes
+    """The server of one engine."""
+
+    def __init__(self, engine: Engine, progress_interval: float = 0.5) -> None:
+        """`progress_interval` is in seconds between two progress events of a run."""
+        self.engine, self.progress_interval = engine, progress_interval
         self.streams: set[anyio.abc.SocketStream] = set()
         self.port = 0
 
@@ -25,19 +27,19 @@
         async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
             self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
             task_status.started()
-            await listener.serve(self.connection)
+            await listener.serve(self.serve_connection)
 
-    async def connection(self, stream: anyio.abc.SocketStream) -> None:
+    async def serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         self.streams.add(stream)
         world = self.engine.world
-        world.talked += 1
-        number = world.talked
+        world.connection_count += 1
+        number = world.connection_count
         world.talks[number] = stream.extra(anyio.abc.SocketAttribute.remote_port)
-        talk = Talk(self, stream, number)
+        connection = Connection(self, stream, number)
         try:
-            async with anyio.create_task_group() as talk.tasks:
-                await talk.hear()
-                talk.tasks.cancel_scope.cancel()
+            async with anyio.create_task_group() as connection.tasks:
+                await connection.read_commands()
+                connection.tasks.cancel_scope.cancel()
         except* (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
             pass
         finally:
@@ -47,114 +49,116 @@
                 await stream.aclose()
 
 
-class Talk:
-    """One connection: what is open on it, and its pages."""
+class Connection:
+    """One connection with its runs and the result pages that were not fetched yet."""
 
     def __init__(self, server: LineEngine, stream: anyio.abc.SocketStream, number: int) -> None:
         self.server, self.engine, self.stream, self.number = server, server.engine, stream, number
-        self.lock = anyio.Lock()  # answers of several submissions must not run into one another
-        self.open: dict[str, anyio.CancelScope] = {}
+        self.lock = anyio.Lock()  # keeps the answers of concurrent runs from interleaving
+        self.running: dict[str, anyio.CancelScope] = {}
         self.pages: dict[str, list[bytes]] = {}
         self.tasks: anyio.abc.TaskGroup
 
-    async def say(self, text: str, body: bytes = b"") -> None:
+    async def send(self, text: str, body: bytes = b"") -> None:
         async with self.lock:
             await self.stream.send(f"{text} {len(body)}\r\n".encode() + body + b"\r\n")
 
-    async def hear(self) -> None:
-        rest = b""
+    async def read_commands(self) -> None:
+        buffer = b""
         while True:
-            while found := COMMAND.match(rest):
-                words = found[2].decode().split(" ")
-                end = found.end()
+            while command := COMMAND.match(buffer):
+                words = command[2].decode().split(" ")
+                end = command.end()
                 body = b""
-                if found[1] == b"want":
+                if command[1] == b"want":
                     stop = end + int(words[2])
-                    if len(rest) < stop + 2:
+                    if len(buffer) < stop + 2:
                         break
-                    body, end = rest[end:stop], stop + 2
-                rest = rest[end:]
-                await self.command(found[1], words, body)
+                    body, end = buffer[end:stop], stop + 2
+                buffer = buffer[end:]
+                await self.handle_command(command[1], words, body)
             try:
-                rest += await self.stream.receive()
+                buffer += await self.stream.receive()
             except anyio.EndOfStream:
                 return
 
-    async def command(self, verb: bytes, words: list[str], body: bytes) -> None:
+    async def handle_command(self, verb: bytes, words: list[str], body: bytes) -> None:
         match verb:
             case b"want":
                 fields = dict(pair.split("=") for pair in words[1].split(","))
-                self.tasks.start_soon(self.want, words[0], fields, body)
+                self.tasks.start_soon(self.run_statement, words[0], fields, body)
             case b"never_mind":
-                if words[0] in self.open:
-                    self.open[words[0]].cancel()
+                if words[0] in self.running:
+                    self.running[words[0]].cancel()
             case b"turn":
-                await self.turn(words[0], int(words[1]))
+                await self.send_page(words[0], int(words[1]))
             case b"shut":
                 self.pages.pop(words[0], None)
             case b"busy":
-                await self.say(f"{words[0]} READY rep={self.reported()}")
+                await self.send(f"{words[0]} READY rep={self.encode_report()}")
 
-    def reported(self) -> str:
+    def encode_report(self) -> str:
         return ";".join(f"{name}:{value:g}" for name, value in self.engine.report().items())
 
-    async def turn(self, id: str, page: int) -> None:
+    async def send_page(self, id: str, page: int) -> None:
         pages = self.pages.get(id, [])
         if page >= len(pages):
-            await self.say(f"{id} EIO -")
+            await self.send(f"{id} EIO -")
             return
-        await self.say(f"{id} BLOCK part_no={page}", pages[page])
+        await self.send(f"{id} BLOCK part_no={page}", pages[page])
         if page == len(pages) - 1:
             del self.pages[id]
 
-    async def want(self, id: str, fields: dict[str, str], statement: bytes) -> None:
-        plan = Plan.of(statement)
+    async def run_statement(self, id: str, fields: dict[str, str], statement: bytes) -> None:
+        behaviour = StatementBehaviour.from_statement(statement)
         try:
-            self.engine.admit(id, plan)
-        except Full:
-            await self.say(f"{id} AGAIN rep={self.reported()}")
+            self.engine.admit(id, behaviour)
+        except EngineFullError:
+            await self.send(f"{id} AGAIN rep={self.encode_report()}")
             return
-        scope = self.open[id] = anyio.CancelScope()
+        scope = self.running[id] = anyio.CancelScope()
         with scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.note, id)
+                tasks.start_soon(self.send_progress, id)
                 try:
-                    about = id, fields["lane"], fields.get("dedupe"), plan, self.number
-                    work = await self.engine.run(*about)
-                except Failed:
-                    await self.say(f"{id} EIO rep={self.reported()}")
+                    arguments = id, fields["lane"], fields.get("dedupe"), behaviour, self.number
+                    work = await self.engine.run(*arguments)
+                except RunFailedError:
+                    await self.send(f"{id} EIO rep={self.encode_report()}")
                     scope.cancel()
                 tasks.cancel_scope.cancel()
-        self.open.pop(id, None)
+        self.running.pop(id, None)
         if not scope.cancel_called:
-            await self.answer(id, plan, work)
+            await self.send_result(id, behaviour, work)
 
-    async def note(self, id: str) -> None:
+    async def send_progress(self, id: str) -> None:
         while True:
-            await anyio.sleep(self.server.notes)
-            await self.say(f"{id} EVENT -")
+            await anyio.sleep(self.server.progress_interval)
+            await self.send(f"{id} EVENT -")
 
-    async def answer(self, id: str, plan: Plan, work: float) -> None:
-        """The result in pages of whole rows."""
+    async def send_result(self, id: str, behaviour: StatementBehaviour, work: float) -> None:
+        """Send the result's first page and keep all until the last is fetched; pages hold whole rows."""
         lines = [
-            "\t".join(row).encode() + b"\n" for number in range(plan.batches) for row in plan.batch(number)
+            "\t".join(row).encode() + b"\n"
+            for number in range(behaviour.batches)
+            for row in behaviour.batch(number)
         ]
         pages, page = [], b""
         for line in lines:
-            if len(page) + len(line) > PAGE:
+            if len(page) + len(line) > PAGE_BYTES:
                 pages.append(page)
                 page = b""
             page += line
         pages.append(page)
-        head = f"{id} ACK work={work:.1f},peak=1.0,parts={len(pages)},rep={self.reported()}"
-        if plan.spoilt:
-            await self.say(head, b"no rows at all")
-        elif plan.cut >= 0:
+        header = f"{id} ACK work={work:.1f},peak=1.0,parts={len(pages)},rep={self.encode_report()}"
+        if behaviour.spoilt:
+            await self.send(header, b"no rows at all")
+        elif behaviour.cut >= 0:
             async with self.lock:
-                await self.stream.send(f"{head} {len(pages[0])}\r\n".encode() + pages[0][:10])
+                await self.stream.send(f"{header} {len(pages[0])}\r\n".encode() + pages[0][:10])
             await self.stream.aclose()
         else:
             self.pages[id] = pages
-            await self.say(head, pages[0])
+            await self.send(header, pages[0])
             if len(pages) == 1:
                 self.pages.pop(id, None)
--- a/hillchute/lab/measure.py
+++ b/hillchute/lab/measure.py
@@ -1,7 +1,7 @@
-"""What results cost the router on each pair of front and engine: rows, bytes, CPU, memory, times.
+"""Measures the cost of results in the router for each pair of front end and engine protocol.
 
-Owns the measurement and its table. Must never be part of CI: its seconds are the machine's. Engines and
-clients share one process beside the router's; what is told of CPU and memory is the router's alone.
+Engines and clients share one process. CPU time and memory are those of the router's process. The figures
+depend on the machine, so this is not part of CI.
 """
 
 import statistics
@@ -18,21 +18,21 @@
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
 
-TICKS = 100  # of a process's CPU time a second, on Linux
-LINE_ROWS = 400  # rows of about 100 bytes: a result of the line protocol holds 48,000 bytes at most
-WIDE_ROWS, WIDE_BATCHES = 400_000, 100  # of one wide result over Flight
-SLOW = 64  # clients that read slowly at once
+CLOCK_TICKS_PER_SECOND = 100  # of CPU times in /proc on Linux
+LINE_ROWS = 400  # of about 100 bytes each; a line protocol result has at most 48,000 bytes
+WIDE_ROWS, WIDE_BATCHES = 400_000, 100  # of a wide result over Flight SQL
+SLOW_CLIENTS = 64  # number of clients that read slowly at the same time
 PAIRS = (("mysql", "line"), ("flight", "line"), ("mysql", "flight"), ("flight", "flight"))
 
 
-def cpu(router: Router) -> float:
-    """Seconds of CPU that the router has used."""
+def cpu_seconds(router: Router) -> float:
+    """Return the CPU time that the router has used, in seconds."""
     fields = Path(f"/proc/{router.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
-def memory(router: Router, name: str) -> float:
-    """VmRSS or VmHWM, in MB."""
+def memory_mb(router: Router, name: str) -> float:
+    """Return the router's VmRSS or VmHWM in MB."""
     text = Path(f"/proc/{router.process.pid}/status").read_text()
     return int(text.partition(f"{name}:")[2].split()[0]) / 1024
 
@@ -42,143 +42,148 @@
     return Query(group, text, patience, weight=1.0)
 
 
-def kind_of(front: str, fleet, router: Router) -> Callable[[], MySQL | Flight]:
+def client_factory(front: str, fleet, router: Router) -> Callable[[], MySQL | Flight]:
     if front == "mysql":
         return lambda: MySQL(fleet.world, router.port)
-    return lambda: Raw(fleet.world, router.flight_port)
+    return lambda: ByteCountingFlight(fleet.world, router.flight_port)
 
 
-class Raw(Flight):
-    """A Flight client that counts bytes and takes no batch apart, so that it is not what is measured."""
+class ByteCountingFlight(Flight):
+    """A Flight SQL client that counts bytes and does not decode batches, to keep its own cost low."""
 
     bytes = 0
     pause = 0.0
 
-    async def get(self, query: Query) -> None:
-        ask = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
+    async def run_select(self, query: Query) -> None:
+        get_info = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
         command = arrow.command(sql.CommandStatementQuery(query=query.statement))
-        raw = await ask(command.SerializeToString(), metadata=self.metadata(query))
+        raw = await get_info(command.SerializeToString(), metadata=self.metadata(query))
         ticket = flight.FlightInfo.FromString(raw).endpoint[0].ticket
-        fetch = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
-        async for raw in fetch(ticket.SerializeToString(), metadata=self.metadata(query)):
+        do_get = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
+        async for raw in do_get(ticket.SerializeToString(), metadata=self.metadata(query)):
             self.bytes += len(raw)
             if self.pause:
                 await anyio.sleep(self.pause)
 
 
-async def wide(front: str, engines: str, seconds: float) -> dict[str, float]:
-    """Wide results, four clients at once, for some seconds."""
+async def measure_wide(front: str, engines: str, seconds: float) -> dict[str, float]:
+    """Measure wide results for some seconds, with four clients on line engines and one on Flight engines."""
     rows, batches = (LINE_ROWS, 1) if engines == "line" else (WIDE_ROWS, WIDE_BATCHES)
-    done: list[Query] = []
+    queries: list[Query] = []
     async with deployed(engines, 2, operator(engines)) as (fleet, router):
-        make = kind_of(front, fleet, router)
-        await one(make(), query(rows, batches, 84))
-        used, began = cpu(router), time.monotonic()
+        make_client = client_factory(front, fleet, router)
+        await run_query(make_client(), query(rows, batches, 84))
+        cpu_used, started_at = cpu_seconds(router), time.monotonic()
 
-        async def work() -> None:
-            client = make()
-            while time.monotonic() - began < seconds:
+        async def run_client() -> None:
+            client = make_client()
+            while time.monotonic() - started_at < seconds:
                 q = query(rows, batches, 84)
                 await client.ask(q)
-                done.append(q)
+                queries.append(q)
             await client.close()
 
         async with anyio.create_task_group() as tasks:
             for _ in range(4 if engines == "line" else 1):
-                tasks.start_soon(work)
-        took, used = time.monotonic() - began, cpu(router) - used
-        peak = memory(router, "VmHWM")
-    finished = sum(q.how == "finished" for q in done)
+                tasks.start_soon(run_client)
+        duration, cpu_used = time.monotonic() - started_at, cpu_seconds(router) - cpu_used
+        peak_mb = memory_mb(router, "VmHWM")
+    finished = sum(q.how == "finished" for q in queries)
     megabytes = finished * rows * 100 / 1e6
     return {
-        "rows_a_second": round(finished * rows / took),
-        "megabytes_a_second": round(megabytes / took, 1),
-        "cpu_ms_a_megabyte": round(1000 * used / max(megabytes, 1e-9), 2),
-        "rows_a_cpu_second": round(finished * rows / max(used, 1e-9)),
-        "peak_mb": round(peak, 1),
-        "not_finished": len(done) - finished,
+        "rows_a_second": round(finished * rows / duration),
+        "megabytes_a_second": round(megabytes / duration, 1),
+        "cpu_ms_a_megabyte": round(1000 * cpu_used / max(megabytes, 1e-9), 2),
+        "rows_a_cpu_second": round(finished * rows / max(cpu_used, 1e-9)),
+        "peak_mb": round(peak_mb, 1),
+        "not_finished": len(queries) - finished,
     }
 
 
-async def one(client: MySQL | Flight, q: Query) -> None:
+async def run_query(client: MySQL | Flight, q: Query) -> None:
     await client.ask(q)
     await client.close()
 
 
-async def small(front: str, count: int) -> dict[str, float]:
-    """Small lookups one after the other, on line engines."""
+async def measure_small(front: str, count: int) -> dict[str, float]:
+    """Measure small lookups one after the other, on line engines."""
     times = []
     async with deployed("line", 2, operator("line")) as (fleet, router):
-        client = kind_of(front, fleet, router)()
-        used = 0.0
+        client = client_factory(front, fleet, router)()
+        cpu_used = 0.0
         for n in range(count + 20):
             if n == 20:
-                used = cpu(router)
+                cpu_used = cpu_seconds(router)
             q = query(5, 1, 8, group="lookup")
-            began = time.monotonic()
+            started_at = time.monotonic()
             await client.ask(q)
             if n >= 20 and q.how == "finished":
-                times.append(1000 * (time.monotonic() - began))
-        used = cpu(router) - used
+                times.append(1000 * (time.monotonic() - started_at))
+        cpu_used = cpu_seconds(router) - cpu_used
         await client.close()
     return {
         "median_ms": round(statistics.median(times), 2),
         "p95_ms": round(statistics.quantiles(times, n=20)[18], 2),
-        "cpu_ms": round(1000 * used / count, 2),
+        "cpu_ms": round(1000 * cpu_used / count, 2),
     }
 
 
-async def slow(count: int, batches: int) -> dict[str, float]:
-    """Clients that read a wide result a batch at a time with pauses between."""
-    async with deployed("flight", 2, operator("flight"), most=2 * count) as (fleet, router):
-        before = memory(router, "VmRSS")
-        asked = [query(batches * 4_000, batches, 84) for _ in range(count)]
+async def measure_slow_clients(count: int, batches: int) -> dict[str, float]:
+    """Measure the router's memory with clients that pause after each batch of a wide result."""
+    async with deployed("flight", 2, operator("flight"), max_runs=2 * count) as (fleet, router):
+        before_mb = memory_mb(router, "VmRSS")
+        queries = [query(batches * 4_000, batches, 84) for _ in range(count)]
 
         async def read(q: Query) -> None:
-            client = Raw(fleet.world, router.flight_port)
+            client = ByteCountingFlight(fleet.world, router.flight_port)
             client.pause = 0.1
-            await one(client, q)
+            await run_query(client, q)
 
         async with anyio.create_task_group() as tasks:
-            for q in asked:
+            for q in queries:
                 tasks.start_soon(read, q)
-        peak = memory(router, "VmHWM")
+        peak_mb = memory_mb(router, "VmHWM")
     return {
         "clients": count,
         "megabytes_each": round(batches * 4_000 * 100 / 1e6, 1),
-        "before_mb": round(before, 1),
-        "peak_mb": round(peak, 1),
-        "finished": sum(q.how == "finished" for q in asked),
+        "before_mb": round(before_mb, 1),
+        "peak_mb": round(peak_mb, 1),
+        "finished": sum(q.how == "finished" for q in queries),
     }
 
 
-async def gigabyte(megabytes: int) -> dict[str, float]:
-    """One result of so many megabytes through one router, whose client reads as fast as it can."""
+async def measure_large_result(megabytes: int) -> dict[str, float]:
+    """Measure one result of this size, read as fast as possible."""
     batches = megabytes * 1_000_000 // 400_000
     async with deployed("flight", 1, operator("flight")) as (fleet, router):
-        q, client = query(batches * 4_000, batches, 84, patience=6_000), Raw(fleet.world, router.flight_port)
-        before, began, used = memory(router, "VmRSS"), time.monotonic(), cpu(router)
-        await one(client, q)
+        q, client = (
+            query(batches * 4_000, batches, 84, patience=6_000),
+            ByteCountingFlight(fleet.world, router.flight_port),
+        )
+        before_mb, started_at, cpu_used = memory_mb(router, "VmRSS"), time.monotonic(), cpu_seconds(router)
+        await run_query(client, q)
         return {
             "megabytes": round(client.bytes / 1e6),
-            "seconds": round(time.monotonic() - began, 2),
-            "cpu_ms_a_megabyte": round(1000 * (cpu(router) - used) / max(client.bytes / 1e6, 1e-9), 2),
-            "before_mb": round(before, 1),
-            "peak_mb": round(memory(router, "VmHWM"), 1),
+            "seconds": round(time.monotonic() - started_at, 2),
+            "cpu_ms_a_megabyte": round(
+                1000 * (cpu_seconds(router) - cpu_used) / max(client.bytes / 1e6, 1e-9), 2
+            ),
+            "before_mb": round(before_mb, 1),
+            "peak_mb": round(memory_mb(router, "VmHWM"), 1),
             "how": q.how,
         }
 
 
 async def measure(seconds: float) -> dict[str, object]:
-    """Everything, pair by pair, in one run."""
-    pairs = {f"{front} to {engines}": await wide(front, engines, seconds) for front, engines in PAIRS}
-    lookups = {front: await small(front, 300) for front in ("mysql", "flight")}
+    """Run all measurements; return their figures."""
+    pairs = {f"{front} to {engines}": await measure_wide(front, engines, seconds) for front, engines in PAIRS}
+    lookups = {front: await measure_small(front, 300) for front in ("mysql", "flight")}
     base = pairs["mysql to line"]["rows_a_second"]
     return {
         "wide": pairs,
         "flight_to_flight_over_mysql_to_line": round(pairs["flight to flight"]["rows_a_second"] / base, 1),
         "small_lookups": lookups,
         "flight_over_mysql": round(lookups["flight"]["median_ms"] / lookups["mysql"]["median_ms"], 2),
-        "slow_clients": await slow(SLOW, 8),
-        "one_gigabyte": await gigabyte(1_000),
+        "slow_clients": await measure_slow_clients(SLOW_CLIENTS, 8),
+        "one_gigabyte": await measure_large_result(1_000),
     }
--- a/hillchute/lab/parity.py
+++ b/hillchute/lab/parity.py
@@ -1,8 +1,8 @@
-"""One scripted workload through MySQL clients, then through Flight SQL clients, on engines of the same kind.
+"""Runs one scripted workload through MySQL clients, then through Flight SQL clients, and compares outcomes.
 
-Owns the script: what is asked, what becomes of it on the engines, what happens to the engines meanwhile.
-Fates follow from the script and not from the machine's speed: no query is left to a race between its patience
-and its work, and as few are out at once as engines take with ease. Must never look into the router.
+The script determines the queries, their behaviour on the engines and the changes to the engines. Outcomes do
+not depend on the machine's speed: client timeouts are far from the work of queries, and so few queries run at
+once that the engines are never overloaded.
 """
 
 import random
@@ -22,22 +22,23 @@
 }
 engines: protocol_here
 """
-CLIENTS = 6  # all on one engine at once are no crowd there
+CLIENTS = 6  # few enough not to overload a single engine
 ENGINES = 4
-WORK = 10  # milliseconds: well above what a busy machine adds, so that nothing looks slow
-SPACED = 0.08  # seconds between two queries of one key
-FATES = ("finished", "deferred", "killed")
+WORK_MS = 10  # well above the delays of a busy machine, so that no engine looks slow
+KEY_INTERVAL_SECONDS = 0.08  # between two queries of one ordering key
+OUTCOMES = ("finished", "deferred", "killed")
 
 
 def operator(engines: str) -> str:
+    """Return the text of an operator file that turns Flight SQL on; `engines` is the engines' protocol."""
     return OPERATOR.replace("protocol_here", f'{{protocol: "{engines}"}}')
 
 
 class Script:
-    """The phases of one run; each is a list of queries, run by a few clients at once."""
+    """The phases of one run. Each has a list of queries per client; the clients run at the same time."""
 
     def __init__(self, seed: int, count: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.tokens = 0
         self.phases: list[tuple[str, list[list[Query]]]] = []
         self.build(count)
@@ -46,83 +47,84 @@
         self.tokens += 1
         return f"{self.tokens:032x}"
 
-    def query(self, group: str, patience: int = 5_000, **figures: float) -> Query:
-        figures = {"ms": WORK} | figures
-        known = " ".join(f"{name}={value}" for name, value in figures.items())
-        tables = self.chance.randint(1, 9)
+    def query(self, group: str, patience: int = 5_000, **script: float) -> Query:
+        """Make a query whose behaviour on the engine is `script`, with the keys of world.py."""
+        script = {"ms": WORK_MS} | script
+        comment = " ".join(f"{name}={value}" for name, value in script.items())
+        table_group = self.rng.randint(1, 9)
         if group == "event-load":
-            tables += 100
-            text = f"INSERT /* lab {known} */ INTO sales_{tables}.orders SELECT * FROM staging.orders"
+            table_group += 100
+            text = f"INSERT /* lab {comment} */ INTO sales_{table_group}.orders SELECT * FROM staging.orders"
             return Query(
                 group,
                 text,
                 patience,
                 token=self.token(),
-                key=f"{self.chance.getrandbits(60):016x}",
-                weight=figures["ms"],
+                key=f"{self.rng.getrandbits(60):016x}",
+                weight=script["ms"],
             )
-        text = f"SELECT /* lab {known} */ day, count(*) FROM sales_{tables}.orders GROUP BY day"
-        return Query(group, text, patience, weight=figures["ms"])
-
-    def usual(self) -> Query:
-        """One that finishes."""
-        group = self.chance.choices(("lookup", "report", "event-load"), (78, 15, 7))[0]
-        ms = self.chance.randint(WORK, 2 * WORK)
-        rows = self.chance.randint(0, 60) if group != "event-load" else 1
-        return self.query(group, ms=ms, rows=rows, batches=self.chance.randint(1, 4))
-
-    def odd(self) -> Query:
-        """One whose fate the script bends."""
-        kind = self.chance.choice(("full", "never", "error", "errors", "hang", "cut", "misread", "empty"))
-        group = self.chance.choice(("lookup", "report"))
+        text = f"SELECT /* lab {comment} */ day, count(*) FROM sales_{table_group}.orders GROUP BY day"
+        return Query(group, text, patience, weight=script["ms"])
+
+    def normal(self) -> Query:
+        """Make a query that finishes."""
+        group = self.rng.choices(("lookup", "report", "event-load"), (78, 15, 7))[0]
+        ms = self.rng.randint(WORK_MS, 2 * WORK_MS)
+        rows = self.rng.randint(0, 60) if group != "event-load" else 1
+        return self.query(group, ms=ms, rows=rows, batches=self.rng.randint(1, 4))
+
+    def faulty(self) -> Query:
+        """Make a query with a random fault."""
+        kind = self.rng.choice(("full", "never", "error", "errors", "hang", "cut", "misread", "empty"))
+        group = self.rng.choice(("lookup", "report"))
         match kind:
-            case "full":  # refused as full once, then run
+            case "full":  # rejected by a full engine once, then run
                 return self.query(group, full=1)
-            case "never":  # refused wherever it goes
+            case "never":  # rejected by every engine
                 return self.query(group, patience=400, full=-1)
-            case "error":  # fails once, runs elsewhere
+            case "error":  # fails once, then runs on another engine
                 return self.query(group, error=1)
-            case "errors":  # fails wherever it goes
+            case "errors":  # fails on every engine
                 return self.query(group, error=-1)
             case "hang":  # never ends
                 return self.query(group, patience=400, hang=1)
-            case "cut":  # the stream breaks halfway
+            case "cut":  # the result stream breaks off halfway
                 return self.query(group, rows=40, batches=4, cut=2)
             case "misread":
-                odd = self.query(group)
-                odd.group = "nobody"
-                return odd
+                faulty = self.query(group)
+                faulty.group = "nobody"
+                return faulty
         return self.query(group, rows=0)
 
     def build(self, count: int) -> None:
-        """Lists of queries by client: what one client asks goes in its order."""
-        self.phase("usual", [self.usual() for _ in range(count * 6 // 10)])
-        self.phase("odd", [self.odd() for _ in range(count // 10)])
+        """Make the phases; a client sends its queries in order."""
+        self.phase("usual", [self.normal() for _ in range(count * 6 // 10)])
+        self.phase("odd", [self.faulty() for _ in range(count // 10)])
         self.phase("keys", *self.keys())
-        self.phase("resent", *self.resent())
-        self.phase("leave", *[[self.leaver() for _ in range(8)] for _ in range(3)])
-        self.phase("drain", [self.usual() for _ in range(count // 8)])
-        self.phase("death", [self.usual() for _ in range(count // 8)])
-        done = sum(len(line) for _, lines in self.phases for line in lines)
-        self.phase("after", [self.usual() for _ in range(max(40, count - done))])
+        self.phase("resent", *self.resends())
+        self.phase("leave", *[[self.cancelled() for _ in range(8)] for _ in range(3)])
+        self.phase("drain", [self.normal() for _ in range(count // 8)])
+        self.phase("death", [self.normal() for _ in range(count // 8)])
+        done = sum(len(client_queries) for _, query_lists in self.phases for client_queries in query_lists)
+        self.phase("after", [self.normal() for _ in range(max(40, count - done))])
 
     def phase(self, name: str, *queries: list[Query]) -> None:
-        """One list is dealt out to all clients; several are kept as they are, a client each."""
-        lines = list(queries) if len(queries) > 1 else [queries[0][n::CLIENTS] for n in range(CLIENTS)]
-        self.phases.append((name, lines))
+        """Add a phase. A single list is divided among all clients; of several, each gets its own client."""
+        query_lists = list(queries) if len(queries) > 1 else [queries[0][n::CLIENTS] for n in range(CLIENTS)]
+        self.phases.append((name, query_lists))
 
     def keys(self) -> list[list[Query]]:
-        """Loads of few keys, from clients of their own."""
-        lines = []
+        """Make bulk loads of a few ordering keys, with one client per key."""
+        query_lists = []
         for n in range(6):
-            line = [self.query("event-load") for _ in range(8)]
-            for q in line:
+            client_queries = [self.query("event-load") for _ in range(8)]
+            for q in client_queries:
                 q.key = f"{n + 1:016x}"
-            lines.append(line)
-        return lines
+            query_lists.append(client_queries)
+        return query_lists
 
-    def resent(self) -> list[list[Query]]:
-        """Loads whose client, once answered, asks again under a new id, the token the same."""
+    def resends(self) -> list[list[Query]]:
+        """Make bulk loads that the client repeats after the answer, with a new id and the same token."""
         pairs = []
         for _ in range(20):
             q = self.query("event-load")
@@ -131,18 +133,19 @@
             )
         return pairs
 
-    def leaver(self) -> Query:
-        q = self.query("lookup", ms=5 * WORK)
-        q.leaves = 3 * WORK / 1000
+    def cancelled(self) -> Query:
+        """Make a query whose client cancels it."""
+        q = self.query("lookup", ms=5 * WORK_MS)
+        q.leaves = 3 * WORK_MS / 1000
         return q
 
     @property
     def queries(self) -> list[Query]:
-        return [q for _, lines in self.phases for line in lines for q in line]
+        return [q for _, query_lists in self.phases for client_queries in query_lists for q in client_queries]
 
 
-async def happen(name: str, fleet: Fleet) -> None:
-    """What befalls the engines ahead of a phase."""
+async def change_engines(name: str, fleet: Fleet) -> None:
+    """Change the engines as the phase needs: drain one, or stop one and add another."""
     if name == "drain":
         fleet.drain(1)
         await anyio.sleep(0.3)
@@ -153,23 +156,26 @@
 
 
 async def play(script: Script, fleet: Fleet, client: Callable[[], Client]) -> None:
-    for name, lines in script.phases:
-        await happen(name, fleet)
+    """Run all phases in order."""
+    for name, query_lists in script.phases:
+        await change_engines(name, fleet)
         async with anyio.create_task_group() as tasks:
-            for line in lines:
-                tasks.start_soon(work, client(), line, SPACED if name == "keys" else 0.0)
+            for client_queries in query_lists:
+                tasks.start_soon(
+                    run_queries, client(), client_queries, KEY_INTERVAL_SECONDS if name == "keys" else 0.0
+                )
 
 
-async def work(client: Client, line: list[Query], spaced: float) -> None:
-    for q in line:
+async def run_queries(client: Client, client_queries: list[Query], interval: float) -> None:
+    for q in client_queries:
         await client.ask(q)
-        if spaced:
-            await anyio.sleep(spaced)
+        if interval:
+            await anyio.sleep(interval)
     await client.close()
 
 
-async def once(seed: int, front: str, engines: str, count: int) -> tuple[Counter, list[str]]:
-    """The workload through one front: how queries ended, and the rules that were broken."""
+async def run_front(seed: int, front: str, engines: str, count: int) -> tuple[Counter, list[str]]:
+    """Run the workload through one front end; return the number of queries by outcome and violations."""
     script = Script(seed, count)
     async with deployed(engines, ENGINES, operator(engines), seed) as (fleet, router):
         kind = MySQL if front == "mysql" else Flight
@@ -177,18 +183,18 @@
         await play(script, fleet, lambda: kind(fleet.world, port))
         await anyio.sleep(0.2)
         faults = rules.broken(fleet.world, script.queries)
-        faults += [f"the router logged a fault: {line}"[:300] for line in router.faults()]
-    ends = Counter(q.how for q in script.queries if q.leaves is None)
-    return ends, faults
+        faults += [f"the router logged a fault: {entry}"[:300] for entry in router.faults()]
+    outcomes = Counter(q.how for q in script.queries if q.leaves is None)
+    return outcomes, faults
 
 
 async def compare(seed: int, engines: str = "flight", count: int = 2_000) -> dict[str, object]:
-    """Both fronts on the same script; see main() for the keys."""
-    found, faults = {}, []
+    """Run the script through both front ends; return the outcomes of each, and all rule violations."""
+    results, faults = {}, []
     for front in ("mysql", "flight"):
-        ends, broken = await once(seed, front, engines, count)
-        found[front] = {how: ends.get(how, 0) for how in FATES}
-        others = {how: n for how, n in ends.items() if how not in FATES}
-        faults += [f"{front}: {fault}" for fault in broken]
-        faults += [f"{front}: rule 1: {n} queries {how}" for how, n in others.items()]
-    return {**found, "equal": found["mysql"] == found["flight"], "broken_rules": faults}
+        outcomes, violations = await run_front(seed, front, engines, count)
+        results[front] = {outcome: outcomes.get(outcome, 0) for outcome in OUTCOMES}
+        others = {outcome: n for outcome, n in outcomes.items() if outcome not in OUTCOMES}
+        faults += [f"{front}: {fault}" for fault in violations]
+        faults += [f"{front}: rule 1: {n} queries {outcome}" for outcome, n in others.items()]
+    return {**results, "equal": results["mysql"] == results["flight"], "broken_rules": faults}
--- a/hillchute/lab/skewed.py
+++ b/hillchute/lab/skewed.py
@@ -1,6 +1,6 @@
-"""A router whose clock is off: python -m hillchute.lab.skewed SECONDS, for the rig of processes.
+"""Run a router with a skewed wall clock: python -m hillchute.lab.skewed SECONDS.
 
-Owns the one change to the clock, before anything else is imported. Must never be used by what serves.
+The clock is changed before the router's modules are imported.
 """
 
 import sys
@@ -8,6 +8,7 @@
 
 
 def skew(seconds: float) -> None:
+    """Shift time.time() and time.time_ns() by some seconds."""
     now, now_ns = time.time, time.time_ns
     time.time = lambda: now() + seconds
     time.time_ns = lambda: now_ns() + int(seconds * 1e9)
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -42,14 +42,12 @@
 KEY_INTERVAL_US, KEY_INTERVAL_NEW_CONNECTION_US = 62_000, 252_000
 MAX_CLIENT_TIMEOUT = 30_000
 HANGS = 0.05  # fraction of the runs on engines that never end
-SIGKILL_MARGIN = (
-    7_000  # SIGKILL follows SIGTERM after the longest queue timeout (at most 3 s) and this margin
-)
+# SIGKILL follows SIGTERM after the longest queue timeout (at most 3 s) and this margin.
+SIGKILL_MARGIN = 7_000
 # After SIGTERM clients open connections for the first of these times, then use only open ones for the second.
 NEW_CONNECTIONS_AFTER_SIGTERM, QUERIES_AFTER_SIGTERM = 3_000, 2_000
-MAX_START_DELAY_AFTER_DISCONNECT_US = (
-    100_000  # an attempt may still begin this long after its client has left
-)
+# An attempt may still start this long after its client has disconnected.
+MAX_START_DELAY_AFTER_DISCONNECT_US = 100_000
 TOLERANCE = 500  # the protocol's tolerance on each time limit
 QUERY_TEXT = (
     "/* route={group},trace={id},patience={patience},weight=20.0,mb=1{more} */ SELECT 1 FROM sales_{key}.t"
@@ -586,7 +584,8 @@
                 self.faults.append(f"{asked.id} {asked.group} got {len(asked.answers)} answers")
             elif asked.answers[0][0] > latest:
                 self.faults.append(
-                    f"{asked.id} {asked.group} answered {asked.answers[0][0] - latest} tenths of a ms too late"
+                    f"{asked.id} {asked.group} answered "
+                    f"{asked.answers[0][0] - latest} tenths of a ms too late"
                 )
         if self.sigterm_at is not None and self.exited_at is not None:
             shutdown_time = (self.exited_at - self.sigterm_at) // 100
@@ -607,7 +606,8 @@
                 continue
             if when < pause_until - TOLERANCE * 100:
                 self.faults.append(
-                    f"key {key}: {id} started {(pause_until - when) // 100} tenths of a ms before the end of a pause"
+                    f"key {key}: {id} started "
+                    f"{(pause_until - when) // 100} tenths of a ms before the end of a pause"
                 )
             if running:
                 self.faults.append(f"key {key}: {id} started while {sorted(running)} ran")
--- a/hillchute/lab/toy.py
+++ b/hillchute/lab/toy.py
@@ -1,4 +1,4 @@
-"""The toy deployment that `lab up` brings up, and the words that tell how to use it."""
+"""The toy deployment that `lab up` starts, and its printed instructions."""
 
 import anyio
 
@@ -7,6 +7,7 @@
 
 
 async def bring_up(engines: str, count: int, text: str | None) -> None:
+    """Run engines and a router until cancelled; `text` is the operator file's content, if any."""
     async with deployed(engines, count, text or operator(engines)) as (_, router):
         print(f"{count} engines that speak {engines}; the router takes")
         print(f"  MySQL      127.0.0.1:{router.port}   user app, no password, database lake")
--- a/hillchute/lab/world.py
+++ b/hillchute/lab/world.py
@@ -1,15 +1,16 @@
-"""What stand-in engines are made of, whichever protocol they speak: one small model of work, and its record.
+"""The stand-in engines' model of work, independent of the protocol, and the record of their runs.
 
-Owns cores that are shared, table groups that are warm, loads that hold theirs, tokens whose repeats are
-dropped, refusals, cold starts and faults by script. Must never speak a protocol. A statement says itself what
-is to become of it, in a comment that routers pass on unchanged:
+Models shared cores, cached (warm) table groups, bulk loads that lock a table group, idempotency tokens,
+rejections, cold starts and injected faults. A statement states its own behaviour in a comment, which routers
+pass on unchanged:
 
     SELECT /* lab ms=5 rows=40 batches=4 full=1 */ day FROM sales_17.orders
 
-`ms` work on one core, `rows` and `batches` of its result, `full` so many first submissions that are refused
-as full (-1: all), `error` so many that fail, `hang` any that never end, `cut` batches after which the
-connection breaks, `spoilt` a result that can't be read, `pause` milliseconds between two batches, `wide`
-bytes a value.
+Keys: `ms` is the work on one core; `rows` and `batches` are those of the result; `full` is how many of the
+first submissions are rejected because the engine is full (-1: all) and `error` how many of them fail; `hang`
+is non-zero if a run never ends; `cut` is the number of batches after which the connection is closed; `spoilt`
+is non-zero for a malformed result; `pause` is in milliseconds between two batches; `wide` is in bytes per
+value.
 """
 
 import random
@@ -20,28 +21,28 @@
 
 import anyio
 
-LAB = re.compile(rb"/\*\s*lab\s+(.*?)\*/", re.DOTALL)
-GROUP = re.compile(rb"_([0-9]+)\s*\.")
-WARM = 4  # table groups that an engine keeps warm
-COLD_READ = 1.4  # times the work where the group is not warm
-FIGURES = ("ms", "rows", "batches", "full", "error", "hang", "cut", "spoilt", "pause", "wide")
+BEHAVIOUR_COMMENT = re.compile(rb"/\*\s*lab\s+(.*?)\*/", re.DOTALL)
+TABLE_GROUP = re.compile(rb"_([0-9]+)\s*\.")
+WARM_TABLE_GROUPS = 4  # table groups in an engine's cache
+COLD_READ_FACTOR = 1.4  # factor on the work of a query whose table group is not cached
+BEHAVIOUR_KEYS = ("ms", "rows", "batches", "full", "error", "hang", "cut", "spoilt", "pause", "wide")
 
 
-class Full(Exception):
-    """The engine refuses; nothing ran."""
+class EngineFullError(Exception):
+    """The engine is full and rejects the submission; nothing ran."""
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """The run failed; it may have had its effect."""
 
 
-class Cut(Exception):
-    """The connection breaks here, by script."""
+class ConnectionCutError(Exception):
+    """The connection is closed here as an injected fault."""
 
 
 @dataclass
-class Plan:
-    """What a statement is to become."""
+class StatementBehaviour:
+    """How a statement behaves on an engine, by the comment in its text; see the module's docstring."""
 
     ms: float = 5.0
     rows: int = 1
@@ -53,30 +54,30 @@
     spoilt: int = 0
     pause: float = 0.0
     wide: int = 8
-    tables: int | None = None
+    table_group: int | None = None
 
     @classmethod
-    def of(cls, statement: bytes) -> "Plan":
-        plan = cls()
-        found = LAB.search(statement)
-        for pair in found[1].split() if found else ():
+    def from_statement(cls, statement: bytes) -> "StatementBehaviour":
+        behaviour = cls()
+        comment = BEHAVIOUR_COMMENT.search(statement)
+        for pair in comment[1].split() if comment else ():
             name, _, value = pair.partition(b"=")
-            if name.decode() in FIGURES:
-                kind = type(getattr(plan, name.decode()))
-                setattr(plan, name.decode(), kind(float(value)))
-        group = GROUP.search(LAB.sub(b"", statement))
-        plan.tables = int(group[1]) if group else None
-        return plan
+            if name.decode() in BEHAVIOUR_KEYS:
+                value_type = type(getattr(behaviour, name.decode()))
+                setattr(behaviour, name.decode(), value_type(float(value)))
+        group = TABLE_GROUP.search(BEHAVIOUR_COMMENT.sub(b"", statement))
+        behaviour.table_group = int(group[1]) if group else None
+        return behaviour
 
     def batch(self, number: int) -> list[tuple[str, str, str]]:
-        """The rows of one batch, from 0."""
+        """Return the rows of one batch; batches are numbered from 0."""
         first, last = (self.rows * n // max(1, self.batches) for n in (number, number + 1))
         return [(f"{n}", f"{n * 7919 % 1000}", "x" * self.wide) for n in range(first, last)]
 
 
 @dataclass
 class Ran:
-    """One submission as an engine saw it; times in seconds on the Unix clock."""
+    """One run on an engine, as the engine recorded it; times are Unix times in seconds."""
 
     id: str
     group: str
@@ -85,78 +86,82 @@
     began: float
     ended: float | None = None
     result: str = "open"
-    effect: bool = False  # it changed something, or would have
-    talk: int = 0  # the connection that it came by
+    effect: bool = False  # whether it changed data
+    talk: int = 0  # number of the connection that submitted it
 
 
 @dataclass
 class World:
-    """What all stand-in engines of one run share: the record, and what their scripts have used up."""
+    """State shared by all stand-in engines of a test: the record of runs, tokens and applied faults."""
 
     seed: int = 1
-    window: float = 25.0  # seconds for which a token's repeats are dropped
+    dedupe_window: float = 25.0  # seconds for which an engine drops repeats of an idempotency token
     ran: list[Ran] = field(default_factory=list)
     tokens: dict[str, float] = field(default_factory=dict)
-    used: Counter = field(default_factory=Counter)
-    drained: dict[str, float] = field(default_factory=dict)  # engine: when it was told
-    talks: dict[int, int] = field(default_factory=dict)  # connections that are open: the other end's port
-    talked: int = 0  # how many there ever were
+    faults_applied: Counter = field(default_factory=Counter)
+    drained: dict[str, float] = field(default_factory=dict)  # time of the drain notice, by engine
+    talks: dict[int, int] = field(default_factory=dict)  # port of the peer, by number of the open connection
+    connection_count: int = 0  # connections ever opened
 
     def clock(self) -> float:
         return time.time()
 
-    def next_of(self, kind: str, id: str, most: int) -> bool:
-        """Whether this submission of a query is one that the script spoils."""
-        if most < 0:
+    def fault_applies(self, kind: str, id: str, limit: int) -> bool:
+        """Return whether a fault applies to this submission: to the first `limit`, or to all if negative."""
+        if limit < 0:
             return True
-        self.used[kind, id] += 1
-        return self.used[kind, id] <= most
+        self.faults_applied[kind, id] += 1
+        return self.faults_applied[kind, id] <= limit
 
 
 class Engine:
-    """One engine's work, for whichever server speaks for it."""
-
-    def __init__(self, world: World, name: str, cores: int = 8, most: int = 64, cold: float = 0.0) -> None:
-        """`most`: submissions held; `cold`: seconds from its start with a third of its speed."""
-        self.world, self.name, self.cores, self.most = world, name, cores, most
-        self.started, self.cold = world.clock(), cold
-        self.held: dict[str, Ran] = {}
-        self.threads = 0
-        self.warm: OrderedDict[int, None] = OrderedDict()
-        self.holding: dict[int, anyio.Event] = {}  # table groups that a load holds
-        self.chance = random.Random(f"{world.seed}:{name}")
+    """One engine's work, used by the server of either protocol."""
+
+    def __init__(
+        self, world: World, name: str, cores: int = 8, max_runs: int = 64, cold_seconds: float = 0.0
+    ) -> None:
+        """`max_runs` limits the runs at once; for `cold_seconds` from its start the speed is a third."""
+        self.world, self.name, self.cores, self.max_runs = world, name, cores, max_runs
+        self.started_at, self.cold_seconds = world.clock(), cold_seconds
+        self.running: dict[str, Ran] = {}
+        self.active_runs = 0
+        self.warm_table_groups: OrderedDict[int, None] = OrderedDict()
+        self.bulk_loads: dict[int, anyio.Event] = {}  # table groups locked by a bulk load
+        self.rng = random.Random(f"{world.seed}:{name}")
         self.dead = False
 
     def report(self) -> dict[str, float]:
-        return {"util": min(1.0, self.threads / self.cores), "inflight": float(len(self.held))}
-
-    def admit(self, id: str, plan: Plan) -> None:
-        """Raises Full where the script or the engine's size says so; nothing has run then."""
-        if self.world.next_of("full", id, plan.full) or len(self.held) >= self.most:
-            raise Full
-
-    async def run(self, id: str, group: str, token: str | None, plan: Plan, talk: int = 0) -> float:
-        """Runs a submission to its end; the work in milliseconds. Raises Failed."""
-        ran = Ran(id, group, token, self.name, self.world.clock(), talk=talk)
+        return {"util": min(1.0, self.active_runs / self.cores), "inflight": float(len(self.running))}
+
+    def admit(self, id: str, behaviour: StatementBehaviour) -> None:
+        """Raise EngineFullError if the engine is full or the behaviour says so."""
+        if self.world.fault_applies("full", id, behaviour.full) or len(self.running) >= self.max_runs:
+            raise EngineFullError
+
+    async def run(
+        self, id: str, group: str, token: str | None, behaviour: StatementBehaviour, connection: int = 0
+    ) -> float:
+        """Run a submission to its end and return its work in milliseconds; raise RunFailedError."""
+        ran = Ran(id, group, token, self.name, self.world.clock(), talk=connection)
         self.world.ran.append(ran)
-        self.held[id] = ran
-        is_load = token is not None
+        self.running[id] = ran
+        is_bulk_load = token is not None
         try:
-            await self.wait_for_loads(plan, is_load)
-            if plan.hang:
+            await self.wait_for_bulk_loads(behaviour, is_bulk_load)
+            if behaviour.hang:
                 await anyio.sleep_forever()
-            work = plan.ms * self.reading(plan)
-            self.threads += 1
+            work = behaviour.ms * self.read_factor(behaviour)
+            self.active_runs += 1
             try:
-                await anyio.sleep(work * max(1.0, self.threads / self.cores) / self.speed() / 1000)
+                await anyio.sleep(work * max(1.0, self.active_runs / self.cores) / self.speed() / 1000)
             finally:
-                self.threads -= 1
-            if self.world.next_of("error", id, plan.error):
-                raise Failed
-            ran.effect = token is not None and self.fresh(token)
+                self.active_runs -= 1
+            if self.world.fault_applies("error", id, behaviour.error):
+                raise RunFailedError
+            ran.effect = token is not None and self.record_token(token)
             ran.result = "finished"
             return work
-        except Failed:
+        except RunFailedError:
             ran.result = "failed"
             raise
         except anyio.get_cancelled_exc_class():
@@ -164,34 +169,36 @@
             raise
         finally:
             ran.ended = self.world.clock()
-            self.held.pop(id, None)
-            if is_load and plan.tables in self.holding:
-                self.holding.pop(plan.tables).set()
-
-    def fresh(self, token: str) -> bool:
-        """Whether this token's effect is not there yet: repeats within the window are dropped."""
-        now, before = self.world.clock(), self.world.tokens.get(token)
-        if before is not None and now - before < self.world.window:
+            self.running.pop(id, None)
+            if is_bulk_load and behaviour.table_group in self.bulk_loads:
+                self.bulk_loads.pop(behaviour.table_group).set()
+
+    def record_token(self, token: str) -> bool:
+        """Record a token and return whether its effect is new; repeats within the window have none."""
+        now, previous = self.world.clock(), self.world.tokens.get(token)
+        if previous is not None and now - previous < self.world.dedupe_window:
             return False
         self.world.tokens[token] = now
         return True
 
-    async def wait_for_loads(self, plan: Plan, is_load: bool) -> None:
-        """A query stands still while a load holds its table group; loads of one group come in turn."""
-        while plan.tables in self.holding:
-            await self.holding[plan.tables].wait()
-        if is_load and plan.tables is not None:
-            self.holding[plan.tables] = anyio.Event()
+    async def wait_for_bulk_loads(self, behaviour: StatementBehaviour, is_bulk_load: bool) -> None:
+        """Wait while a bulk load has locked the table group; a bulk load then locks it itself."""
+        while behaviour.table_group in self.bulk_loads:
+            await self.bulk_loads[behaviour.table_group].wait()
+        if is_bulk_load and behaviour.table_group is not None:
+            self.bulk_loads[behaviour.table_group] = anyio.Event()
 
-    def reading(self, plan: Plan) -> float:
-        if plan.tables is None:
+    def read_factor(self, behaviour: StatementBehaviour) -> float:
+        """Put the table group in the cache and return the factor on the work of the query."""
+        if behaviour.table_group is None:
             return 1.0
-        known = plan.tables in self.warm
-        self.warm[plan.tables] = None
-        self.warm.move_to_end(plan.tables)
-        if len(self.warm) > WARM:
-            self.warm.popitem(last=False)
-        return 1.0 if known else COLD_READ
+        is_warm = behaviour.table_group in self.warm_table_groups
+        self.warm_table_groups[behaviour.table_group] = None
+        self.warm_table_groups.move_to_end(behaviour.table_group)
+        if len(self.warm_table_groups) > WARM_TABLE_GROUPS:
+            self.warm_table_groups.popitem(last=False)
+        return 1.0 if is_warm else COLD_READ_FACTOR
 
     def speed(self) -> float:
-        return 1.0 if self.world.clock() - self.started >= self.cold else 1 / 3
+        """Return the factor on the engine's speed, which is lower after a cold start."""
+        return 1.0 if self.world.clock() - self.started_at >= self.cold_seconds else 1 / 3
--- a/tests/test_cpu_ratio.py
+++ b/tests/test_cpu_ratio.py
@@ -1,4 +1,4 @@
-"""The comparison of two trees' CPU time, on trees of one module each."""
+"""The comparison of two source trees' CPU time, on trees of one module each."""
 
 import json
 import subprocess
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,26 +1,26 @@
-"""The lab: parity of the two fronts in small, and a checker that can fail."""
+"""A small parity run of the two front ends, statement behaviours, and the rule checker on violations."""
 
 import anyio
 import pytest
 
 from hillchute.lab import parity, rules
 from hillchute.lab.clients import Query
-from hillchute.lab.world import Plan, Ran, World
+from hillchute.lab.world import Ran, StatementBehaviour, World
 
 
-@pytest.mark.real_time  # in real time, as these
-def test_both_fronts_end_the_same_script_alike():
+@pytest.mark.real_time
+def test_both_front_ends_have_equal_outcomes_for_the_same_script():
     found = anyio.run(parity.compare, 7, "flight", 250)
     assert found["equal"] and not found["broken_rules"]
-    assert all(found["mysql"][how] for how in parity.FATES)
+    assert all(found["mysql"][outcome] for outcome in parity.OUTCOMES)
 
 
-def test_statement_says_what_is_to_become_of_it():
-    plan = Plan.of(
+def test_statement_comment_gives_its_behaviour():
+    behaviour = StatementBehaviour.from_statement(
         b"SELECT /* lab ms=2.5 rows=7 batches=2 full=-1 other=3 */ a FROM staging.x JOIN sales_4.y"
     )
-    assert (plan.ms, plan.rows, plan.full, plan.tables) == (2.5, 7, -1, 4)
-    assert [len(plan.batch(n)) for n in range(2)] == [3, 4]
+    assert (behaviour.ms, behaviour.rows, behaviour.full, behaviour.table_group) == (2.5, 7, -1, 4)
+    assert [len(behaviour.batch(n)) for n in range(2)] == [3, 4]
 
 
 def ran(q, began, ended, engine="s-1", effect=False):
@@ -41,7 +41,7 @@
         (lambda w, a, b: w.ran.extend(ran(a, 20.0 + n, 20.5 + n) for n in range(3)), "rule 7"),
     ],
 )
-def test_checker_finds_each_rule_broken(spoil, rule):
+def test_checker_finds_a_violation_of_each_rule(spoil, rule):
     world = World()
     a, b = (Query("event-load", "", token=f"{n}", key="k", sent=float(n)) for n in (0, 2))
     for q in (a, b):
