--- a/hillchute/lab/clients.py
+++ b/hillchute/lab/clients.py
@@ -33,7 +33,7 @@
     patience: int = 5_000  # milliseconds
     token: str | None = None
     key: str | None = None
-    leaves: float | None = None  # seconds after which its client cancels it
+    cancel_after: float | None = None  # seconds after which its client cancels it
     weight: float = 20.0  # estimated work in milliseconds
     id: str = field(default_factory=lambda: secrets.token_hex(8))
     router: str = ""  # name of the router that it was sent to
@@ -98,7 +98,7 @@
             if self.stream is None:
                 await self.open()
             query.sent = self.world.clock()
-            with anyio.move_on_after(query.leaves) as scope:
+            with anyio.move_on_after(query.cancel_after) as scope:
                 await self.write_packet(0, b"\x03" + query.text.encode())
                 outcome = await self.read_result(query)
             if scope.cancelled_caught:
@@ -143,7 +143,7 @@
     async def ask(self, query: Query) -> None:
         query.sent = self.world.clock()
         try:
-            with anyio.move_on_after(query.leaves) as scope:
+            with anyio.move_on_after(query.cancel_after) as scope:
                 await (self.run_update if query.token else self.run_select)(query)
             if not scope.cancelled_caught:
                 query.answered.append((self.world.clock(), "finished"))
--- a/hillchute/lab/cpu_ratio.py
+++ b/hillchute/lab/cpu_ratio.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from statistics import median
 
-# Where a tree may have the module whose `play(seed)` runs the simulation; the first that exists is used.
+# Possible names of the module whose `play(seed)` runs the simulation; the first that exists is used.
 MODULES = (
     "hillchute.testbed.simulation.slow_loop",
     "hillchute.testbed.simulation.slowloop",
--- a/hillchute/lab/parity.py
+++ b/hillchute/lab/parity.py
@@ -75,22 +75,24 @@
 
     def faulty(self) -> Query:
         """Make a query with a random fault."""
-        kind = self.rng.choice(("full", "never", "error", "errors", "hang", "cut", "misread", "empty"))
+        kind = self.rng.choice(
+            ("full", "always_full", "error", "always_error", "hang", "cut", "unknown_group", "empty")
+        )
         group = self.rng.choice(("lookup", "report"))
         match kind:
             case "full":  # rejected by a full engine once, then run
                 return self.query(group, full=1)
-            case "never":  # rejected by every engine
+            case "always_full":  # rejected by every engine
                 return self.query(group, patience=400, full=-1)
             case "error":  # fails once, then runs on another engine
                 return self.query(group, error=1)
-            case "errors":  # fails on every engine
+            case "always_error":  # fails on every engine
                 return self.query(group, error=-1)
             case "hang":  # never ends
                 return self.query(group, patience=400, hang=1)
             case "cut":  # the result stream breaks off halfway
                 return self.query(group, rows=40, batches=4, cut=2)
-            case "misread":
+            case "unknown_group":
                 faulty = self.query(group)
                 faulty.group = "nobody"
                 return faulty
@@ -98,13 +100,13 @@
 
     def build(self, count: int) -> None:
         """Make the phases; a client sends its queries in order."""
-        self.phase("usual", [self.normal() for _ in range(count * 6 // 10)])
-        self.phase("odd", [self.faulty() for _ in range(count // 10)])
+        self.phase("normal", [self.normal() for _ in range(count * 6 // 10)])
+        self.phase("faulty", [self.faulty() for _ in range(count // 10)])
         self.phase("keys", *self.keys())
-        self.phase("resent", *self.resends())
-        self.phase("leave", *[[self.cancelled() for _ in range(8)] for _ in range(3)])
+        self.phase("resends", *self.resends())
+        self.phase("cancelled", *[[self.cancelled() for _ in range(8)] for _ in range(3)])
         self.phase("drain", [self.normal() for _ in range(count // 8)])
-        self.phase("death", [self.normal() for _ in range(count // 8)])
+        self.phase("engine_loss", [self.normal() for _ in range(count // 8)])
         done = sum(len(client_queries) for _, query_lists in self.phases for client_queries in query_lists)
         self.phase("after", [self.normal() for _ in range(max(40, count - done))])
 
@@ -136,7 +138,7 @@
     def cancelled(self) -> Query:
         """Make a query whose client cancels it."""
         q = self.query("lookup", ms=5 * WORK_MS)
-        q.leaves = 3 * WORK_MS / 1000
+        q.cancel_after = 3 * WORK_MS / 1000
         return q
 
     @property
@@ -149,7 +151,7 @@
     if name == "drain":
         fleet.drain(1)
         await anyio.sleep(0.3)
-    elif name == "death":
+    elif name == "engine_loss":
         await fleet.kill(2)
         await fleet.add()
         await anyio.sleep(0.3)
@@ -184,7 +186,7 @@
         await anyio.sleep(0.2)
         faults = rules.broken(fleet.world, script.queries)
         faults += [f"the router logged a fault: {entry}"[:300] for entry in router.faults()]
-    outcomes = Counter(q.how for q in script.queries if q.leaves is None)
+    outcomes = Counter(q.how for q in script.queries if q.cancel_after is None)
     return outcomes, faults
 
 
--- a/hillchute/lab/rules.py
+++ b/hillchute/lab/rules.py
@@ -38,7 +38,7 @@
 
 def one_answer(q: Query, slack: float = TOLERANCE) -> list[str]:
     """Check that a query got exactly one answer, in time and of a known kind."""
-    if q.leaves is not None and not q.answered:
+    if q.cancel_after is not None and not q.answered:
         return []
     if len(q.answered) != 1:
         return [f"rule 1: {q.id} {q.group} got {len(q.answered)} answers"]
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -63,15 +63,14 @@
     return BlockingIOError(errno.EAGAIN, "would block")
 
 
-class World:
+class SimulatedKernel:
     """The clock, the queue of future events and the readiness of sockets."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.us = START * 100
-        self.coming: list[
-            tuple[int, int, object, tuple]
-        ] = []  # heap of (time in µs, order, function, arguments)
+        # A heap of (time in µs, sequence number, function, arguments).
+        self.coming: list[tuple[int, int, object, tuple]] = []
         self.event_count = 0
         self.ready: dict[SimulatedSocket, None] = {}  # sockets in the order in which they became ready
         self.stalls: list[tuple[int, int]] = []  # future stalls: (time, duration) in µs
@@ -106,7 +105,7 @@
 
     numbers = 0
 
-    def __init__(self, world: World, peer) -> None:
+    def __init__(self, world: SimulatedKernel, peer) -> None:
         SimulatedSocket.numbers += 1
         self.number, self.world, self.peer = SimulatedSocket.numbers, world, peer
         self.inbox, self.last_received, self.opened_at = bytearray(), world.us, world.us
@@ -166,7 +165,7 @@
 class ListeningSocket(SimulatedSocket):
     """The router's listening socket with its backlog."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedKernel) -> None:
         super().__init__(world, None)
         self.waiting: deque[SimulatedSocket] = deque()
 
@@ -417,7 +416,7 @@
     """
 
     def __init__(self, seed: int, times: float = 3.0, term: bool = True) -> None:
-        self.world = World(seed)
+        self.world = SimulatedKernel(seed)
         self.asked: dict[str, Asked] = {}
         self.runs: dict[str, list] = {}
         self.faults: list[str] = []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -105,8 +105,10 @@
 
 def test_query_is_submitted_after_a_health_check_of_its_selected_engine(probing):
     q = probing.arrive(LOOKUP)
-    said = probing.decisions()
-    assert q.checked_engine in checked_engines(said) and not [d for d in said if isinstance(d, Submit)]
+    decisions = probing.decisions()
+    assert q.checked_engine in checked_engines(decisions) and not [
+        d for d in decisions if isinstance(d, Submit)
+    ]
     selected = q.checked_engine
     probing.router.on_health_check(5, selected, AttemptResult.SERVED, {"inflight": 3})
     assert (q.id, selected) in [(d.query, d.engine) for d in probing.decisions(5) if isinstance(d, Submit)]
@@ -132,12 +134,12 @@
 
 def test_lookup_is_rejected_when_all_checked_engines_are_full(probing):
     q = probing.arrive(LOOKUP)
-    said, now = probing.decisions(), 0
-    while not [d for d in said if isinstance(d, Submit | Reject)]:
+    decisions, now = probing.decisions(), 0
+    while not [d for d in decisions if isinstance(d, Submit | Reject)]:
         now += 10
         probing.router.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
-        said = probing.decisions(now)
-    assert q.id in [d.query for d in said if isinstance(d, Reject)]
+        decisions = probing.decisions(now)
+    assert q.id in [d.query for d in decisions if isinstance(d, Reject)]
 
 
 def test_engine_with_a_recent_report_needs_no_health_check(probing):
@@ -148,12 +150,12 @@
 
 
 def test_report_of_an_overloaded_engine_keeps_its_weight_longer(harness):
-    crowded, idle, _ = harness.router.engines.values()
+    overloaded, idle, _ = harness.router.engines.values()
     harness.router.load.mean_load, harness.router.now = 1.0, 2 * SECOND
-    crowded.reported_threads, idle.reported_threads = 8 * 8, 2
-    crowded.reported_at = idle.reported_at = 0
+    overloaded.reported_threads, idle.reported_threads = 8 * 8, 2
+    overloaded.reported_at = idle.reported_at = 0
     assert (
-        harness.router.load.report_weight(harness.router.now, crowded) > 0.8
+        harness.router.load.report_weight(harness.router.now, overloaded) > 0.8
         and harness.router.load.report_weight(harness.router.now, idle) == 0.25
     )
 
@@ -195,11 +197,11 @@
 
         def query():
             if change:
-                news = [
+                changes = [
                     Listing(engines, 0, 0, 0, 1, EndpointState.READY, 1.0),
                     listings[0]._replace(state=EndpointState.GONE),
                 ]
-                router.on_endpoint_list(1, ListMode.PARTIAL, news)
+                router.on_endpoint_list(1, ListMode.PARTIAL, changes)
             for n in range(4):  # several queries of one group and table group
                 router.on_query(1, NewQuery(f"q{n}", group, 8 * SECOND, cost=100, table_group=3))
             while router.next_decision(1) is not None:
@@ -227,8 +229,8 @@
         configuration.settings,
         configuration.max_engine_connections,
     )
-    for news in configuration.initial_watch_events:
-        reducer.reduce(events.EndpointsChanged(news), 0)
+    for watch_event in configuration.initial_watch_events:
+        reducer.reduce(events.EndpointsChanged(watch_event), 0)
     assert len(reducer.pool.endpoints) == 1024
     group = next(iter(reducer.rules.groups))
     request = statement.Request("a" * 16, group, 8 * SECOND, b"SELECT 1 FROM sales_4.t", token="t")
@@ -253,8 +255,8 @@
     """Engine 1 is warm and full, 2 and 3 are cold and empty; all are in the router's subset."""
     probing.list_engines(2, 3, mode=ListMode.PARTIAL, started=10)
     probing.router.on_subset(20, frozenset({1, 2, 3}))
-    for engine, held in ((1, 28), (2, 0), (3, 0)):
-        probing.router.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": held})
+    for engine, in_flight in ((1, 28), (2, 0), (3, 0)):
+        probing.router.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": in_flight})
     return probing
 
 
@@ -277,8 +279,8 @@
     probing.list_engines(2, mode=ListMode.PARTIAL, started=10)
     q = probing.arrive(LOOKUP, now=20)
     q.permit_engine = 2
-    said = probing.decisions(20)
-    assert (q.id, 2) in [(d.query, d.engine) for d in said if isinstance(d, Submit)]
+    decisions = probing.decisions(20)
+    assert (q.id, 2) in [(d.query, d.engine) for d in decisions if isinstance(d, Submit)]
     other = probing.arrive(LOOKUP, now=20)
     other.permit_engine = None
     probing.decisions(20)
