--- a/hillchute/lab/between.py
+++ b/hillchute/lab/between.py
@@ -1,7 +1,8 @@
-"""A relay on loopback between processes: each way from one to another has a port of its own, and its faults.
+"""A fault-injecting relay on loopback between processes.
 
-Owns what happens to bytes on their way: lost, late, again, out of order, cut, a stream broken at a byte. Must
-never read them. Driven by chance from a seed, and by whoever sets a way's faults.
+Each directed channel from one process to another has its own port and its own faults: datagrams are lost,
+delayed, duplicated or reordered, traffic is blocked, a stream is broken after a number of bytes. The relay
+does not interpret the bytes. Its random draws come from a seed; the caller sets the faults of each channel.
 """
 
 import random
@@ -12,106 +13,114 @@
 import anyio
 import anyio.abc
 
-LARGEST = 65_536
-GONE = (anyio.EndOfStream, anyio.ClosedResourceError, anyio.BrokenResourceError, OSError)
+MAX_DATAGRAM_BYTES = 65_536
+STREAM_ENDED = (anyio.EndOfStream, anyio.ClosedResourceError, anyio.BrokenResourceError, OSError)
 
 
 @dataclass
-class Way:
-    """From one process to another. Parts of the datagrams are lost and come again; all are late by so many
-    seconds, each by a draw of its own, so that they overtake one another."""
+class Channel:
+    """A directed channel from one process to another, and its faults.
+
+    `lost` and `again` are the fractions of datagrams that are dropped and duplicated. Each datagram is
+    delayed by its own draw from the range `delay`, in seconds, so that datagrams are reordered.
+    """
 
     port: int
     target: tuple[str, int]
     lost: float = 0.0
     again: float = 0.0
-    late: tuple[float, float] = (0.0, 0.0)
-    cut: bool = False
-    breaks: int | None = None  # bytes of a stream after which it is broken
+    delay: tuple[float, float] = (0.0, 0.0)
+    cut: bool = False  # whether nothing passes
+    break_after_bytes: int | None = None  # number of bytes after which a stream is broken
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         self.lost = self.again = 0.0
-        self.late, self.cut, self.breaks = (0.0, 0.0), False, None
+        self.delay, self.cut, self.break_after_bytes = (0.0, 0.0), False, None
+
 
+class FaultyRelay:
+    """Relays datagrams and streams between processes and counts what it did to them."""
 
-class Between:
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(f"{seed} between")
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.random = random.Random(f"{seed} between")
+        self.channels: dict[tuple[str, str], Channel] = {}
         self.sockets: dict[tuple[str, str], tuple[socket.socket, socket.socket]] = {}
         self.counts: Counter[str] = Counter()
 
-    def open(self, sender: str, receiver: str, target: tuple[str, int]) -> int:
-        """The port at which a process finds another."""
+    def open_channel(self, sender: str, receiver: str, target: tuple[str, int]) -> int:
+        """Opens a channel; returns the port at which the sender reaches the receiver."""
         while True:
             datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             datagrams.bind(("127.0.0.1", 0))
             port = datagrams.getsockname()[1]
             try:
                 streams = socket.create_server(("127.0.0.1", port))
-            except OSError:  # the same number is taken for streams
+            except OSError:  # the port is free for UDP but taken for TCP
                 datagrams.close()
                 continue
             break
         datagrams.setblocking(False)
         streams.setblocking(False)
-        self.ways[sender, receiver] = Way(port, target)
+        self.channels[sender, receiver] = Channel(port, target)
         self.sockets[sender, receiver] = datagrams, streams
         return port
 
     def cut(self, some: list[str], others: list[str], one_way: bool = False) -> None:
-        """Nothing passes from some to others, nor back, but where it is one way."""
-        for (sender, receiver), way in self.ways.items():
+        """Blocks traffic from some to others, and back unless `one_way`."""
+        for (sender, receiver), channel in self.channels.items():
             there = sender in some and receiver in others
             back = sender in others and receiver in some
-            way.cut = way.cut or there or (back and not one_way)
+            channel.cut = channel.cut or there or (back and not one_way)
 
-    def mend(self) -> None:
-        for way in self.ways.values():
-            way.mend()
+    def heal(self) -> None:
+        """Removes the faults of all channels."""
+        for channel in self.channels.values():
+            channel.heal()
 
     async def serve(self) -> None:
         try:
             async with anyio.create_task_group() as tasks:
                 for key, (datagrams, streams) in self.sockets.items():
-                    tasks.start_soon(self.relay, self.ways[key], datagrams, tasks)
-                    tasks.start_soon(self.accept, self.ways[key], streams, tasks)
+                    tasks.start_soon(self.relay_datagrams, self.channels[key], datagrams, tasks)
+                    tasks.start_soon(self.accept, self.channels[key], streams, tasks)
         finally:
             for pair in self.sockets.values():
                 for sock in pair:
                     sock.close()
 
-    async def relay(self, way: Way, sock: socket.socket, tasks: anyio.abc.TaskGroup) -> None:
+    async def relay_datagrams(
+        self, channel: Channel, sock: socket.socket, tasks: anyio.abc.TaskGroup
+    ) -> None:
         while True:
             await anyio.wait_readable(sock)
             try:
-                data = sock.recv(LARGEST)
+                data = sock.recv(MAX_DATAGRAM_BYTES)
             except OSError:
                 continue
             self.counts["datagrams"] += 1
-            if way.cut or self.chance.random() < way.lost:
-                self.counts["cut" if way.cut else "lost"] += 1
+            if channel.cut or self.random.random() < channel.lost:
+                self.counts["cut" if channel.cut else "lost"] += 1
                 continue
-            for _ in range(1 + (self.chance.random() < way.again)):
-                wait = self.chance.uniform(*way.late)
-                if wait:
-                    tasks.start_soon(self.later, way, sock, data, wait)
+            for _ in range(1 + (self.random.random() < channel.again)):
+                seconds = self.random.uniform(*channel.delay)
+                if seconds:
+                    tasks.start_soon(self.forward_later, channel, sock, data, seconds)
                 else:
-                    self.pass_on(way, sock, data)
+                    self.forward(channel, sock, data)
 
-    async def later(self, way: Way, sock: socket.socket, data: bytes, wait: float) -> None:
-        await anyio.sleep(wait)
-        if not way.cut:
+    async def forward_later(self, channel: Channel, sock: socket.socket, data: bytes, seconds: float) -> None:
+        await anyio.sleep(seconds)
+        if not channel.cut:
             self.counts["late"] += 1
-            self.pass_on(way, sock, data)
+            self.forward(channel, sock, data)
 
-    def pass_on(self, way: Way, sock: socket.socket, data: bytes) -> None:
+    def forward(self, channel: Channel, sock: socket.socket, data: bytes) -> None:
         try:
-            sock.sendto(data, way.target)
-        except OSError:  # the process is gone
+            sock.sendto(data, channel.target)
+        except OSError:  # the process has ended
             self.counts["not sent"] += 1
 
-    async def accept(self, way: Way, sock: socket.socket, tasks: anyio.abc.TaskGroup) -> None:
+    async def accept(self, channel: Channel, sock: socket.socket, tasks: anyio.abc.TaskGroup) -> None:
         while True:
             await anyio.wait_readable(sock)
             try:
@@ -119,25 +128,25 @@
             except OSError:
                 continue
             client.setblocking(False)
-            tasks.start_soon(self.stream, way, client)
+            tasks.start_soon(self.relay_stream, channel, client)
 
-    async def stream(self, way: Way, client: socket.socket) -> None:
-        """Bytes both ways until either ends, or the way breaks."""
+    async def relay_stream(self, channel: Channel, client: socket.socket) -> None:
+        """Copies bytes in both directions until either side ends or a fault breaks the stream."""
         self.counts["streams"] += 1
         try:
             async with await anyio.abc.SocketStream.from_socket(client) as near:
-                if way.cut:
+                if channel.cut:
                     return
-                async with await anyio.connect_tcp(*way.target) as far:
+                async with await anyio.connect_tcp(*channel.target) as far:
                     async with anyio.create_task_group() as tasks:
-                        tasks.start_soon(self.pipe, way, near, far, tasks)
-                        tasks.start_soon(self.pipe, way, far, near, tasks)
-        except* GONE:
+                        tasks.start_soon(self.copy_bytes, channel, near, far, tasks)
+                        tasks.start_soon(self.copy_bytes, channel, far, near, tasks)
+        except* STREAM_ENDED:
             pass
 
-    async def pipe(
+    async def copy_bytes(
         self,
-        way: Way,
+        channel: Channel,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
         tasks: anyio.abc.TaskGroup,
@@ -145,12 +154,16 @@
         passed = 0
         try:
             async for data in source:
-                if way.cut or way.breaks is not None and passed + len(data) > way.breaks:
-                    await sink.send(data[: max(0, (way.breaks or 0) - passed)])
+                if (
+                    channel.cut
+                    or channel.break_after_bytes is not None
+                    and passed + len(data) > channel.break_after_bytes
+                ):
+                    await sink.send(data[: max(0, (channel.break_after_bytes or 0) - passed)])
                     self.counts["broken streams"] += 1
                     break
                 passed += len(data)
                 await sink.send(data)
-        except GONE:
+        except STREAM_ENDED:
             pass
         tasks.cancel_scope.cancel()
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -1,10 +1,10 @@
-"""What the answer history costs, measured on routers as processes and on holders alone.
+"""Measures the cost of the answer history, on router processes and on simulated replicas.
 
     python -m hillchute.lab.history --json
 
-Owns the measurement: time added to a keyed query by copies and by the disk, what lookups pay, memory a
-record, repair after a death. Must never be imported by anything that serves. Times are of one machine, in
-turns, to be compared with each other alone.
+Measures the time that copies and the disk add to a keyed query, the effect on lookups, memory per record, and
+repair after a router's death. Not to be imported by serving code. The forms are measured in alternation on
+one machine, so their times can be compared only with each other.
 """
 
 import argparse
@@ -24,15 +24,15 @@
 from hillchute.history.slot_placement import slot_of
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
-from hillchute.lab.processes import Together
+from hillchute.lab.processes import RouterCluster
 
 FORMS = ("off", "0 copies", "1 copy", "2 copies", "1 copy, disk")
 ROUTERS, QUERIES, ROUNDS = 4, 40, 3
 RECORDS = 100_000
 
 
-class Measured(Together):
-    """A fleet without faults, in one of the forms."""
+class MeasuredCluster(RouterCluster):
+    """A fleet without faults, with the history in one of the forms."""
 
     def __init__(self, seed: int, form: str) -> None:
         super().__init__(seed, ROUTERS, history=form != "off")
@@ -45,8 +45,8 @@
         return text.replace("copies: 1", f"copies: {copies}").replace("disk: true", f"disk: {disk}")
 
     async def ask(self, group: str, count: int, key: str) -> list[float]:
-        """Milliseconds of so many queries, one after another over all routers."""
-        took = []
+        """Returns the milliseconds of `count` sequential queries, spread over all routers."""
+        measured = []
         for n in range(count):
             member = self.members[n % len(self.members)]
             q = Query(group, "SELECT /* lab ms=2 rows=3 */ a FROM sales_1.orders", weight=2.0)
@@ -57,81 +57,93 @@
             await client.ask(q)
             await client.close()
             if q.how == "finished":
-                took.append((q.answered[0][0] - q.sent) * 1000)
-        return took
+                measured.append((q.answered[0][0] - q.sent) * 1000)
+        return measured
 
 
-async def times(seed: int) -> dict[str, dict[str, object]]:
-    """Each form in its own fleet, all in turns, so that a slow moment of the machine strikes all."""
-    took = {form: {"event-load": [], "lookup": []} for form in FORMS}
-    for turn in range(ROUNDS):
+async def measure_query_times(seed: int) -> dict[str, dict[str, object]]:
+    """Measures each form in its own fleet; alternates, so that a slow phase of the machine affects all."""
+    measured = {form: {"event-load": [], "lookup": []} for form in FORMS}
+    for round_number in range(ROUNDS):
         for n, form in enumerate(FORMS):
-            rig = Measured(seed + turn, form)
+            cluster = MeasuredCluster(seed + round_number, form)
             with tempfile.TemporaryDirectory(prefix="hillchute-") as folder:
                 async with anyio.create_task_group() as tasks:
-                    await rig.up(Path(folder), tasks)
-                    if rig.history:
-                        await rig.settled()
+                    await cluster.start(Path(folder), tasks)
+                    if cluster.history:
+                        await cluster.wait_until_in_force()
                     for group in ("lookup", "event-load"):
-                        await rig.ask(group, 2 * ROUTERS, f"{turn:02x}{n:02x}")  # connections come up
-                        took[form][group] += await rig.ask(group, QUERIES, f"{turn:02x}{n + 16:02x}")
-                    await rig.down()
+                        # Warm-up: opens the connections.
+                        await cluster.ask(group, 2 * ROUTERS, f"{round_number:02x}{n:02x}")
+                        measured[form][group] += await cluster.ask(
+                            group, QUERIES, f"{round_number:02x}{n + 16:02x}"
+                        )
+                    await cluster.stop()
                     tasks.cancel_scope.cancel()
-    return {form: {group: quantiles(line) for group, line in by.items()} for form, by in took.items()}
+    return {
+        form: {group: quantiles(milliseconds) for group, milliseconds in by.items()}
+        for form, by in measured.items()
+    }
 
 
-def quantiles(line: list[float]) -> dict[str, object]:
-    line = sorted(line)
-    if not line:
+def quantiles(milliseconds: list[float]) -> dict[str, object]:
+    """Returns count, median and 99th percentile of times in milliseconds."""
+    milliseconds = sorted(milliseconds)
+    if not milliseconds:
         return {"count": 0}
-    at = [round(line[min(len(line) - 1, int(share * len(line)))], 2) for share in (0.5, 0.99)]
-    return {"count": len(line), "p50_ms": at[0], "p99_ms": at[1]}
+    values = [
+        round(milliseconds[min(len(milliseconds) - 1, int(share * len(milliseconds)))], 2)
+        for share in (0.5, 0.99)
+    ]
+    return {"count": len(milliseconds), "p50_ms": values[0], "p99_ms": values[1]}
 
 
-def a_record(n: int) -> Record:
-    whose = (1, f"router-{n % 200}", 1_700_000_000_000, n, 50_000)
-    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *whose, RecordState.SERVED, None)
+def make_record(n: int) -> Record:
+    coordinator = (1, f"router-{n % 200}", 1_700_000_000_000, n, 50_000)
+    return Record("", f"{n % 20_000:016x}", f"{n:032x}", EPOCH + n, 1, *coordinator, RecordState.SERVED, None)
 
 
-def memory() -> float:
-    """Bytes that a record without rows takes."""
+def measure_record_memory() -> float:
+    """Returns the bytes of memory per record without rows."""
     policies, store = RetentionPolicies(default=RetentionPolicy(most=1000)), RecordStore()
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for n in range(RECORDS):
-        store.put(a_record(n), EPOCH + n, 0, policies)
-    store.unsaved.clear()  # nobody reads it here: with a disk it is emptied at each write
+        store.put(make_record(n), EPOCH + n, 0, policies)
+    store.unsaved.clear()  # not read here; with a disk it is emptied at each write
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return held / RECORDS
 
 
-def repair(seed: int, routers: int = 6) -> dict[str, float]:
-    """A holder of some of them dies; until all slots have their copies again: simulated time, and
-    the processor's own that all routers needed."""
+def measure_repair(seed: int, routers: int = 6) -> dict[str, float]:
+    """Measures the repair after the death of a replica, until all slots have their copies again.
+
+    Returns the simulated time and the CPU time of all replicas together.
+    """
     net = HistoryNet(seed, routers, founded(copies=1, default=RetentionPolicy(most=1000)))
     if not net.settled():
-        raise RuntimeError("no view came into force")
+        raise RuntimeError("no view is in force after 30 s of simulated time")
     view = net.replicas["n0"].views.view
     for n in range(RECORDS):
-        record = a_record(n)
+        record = make_record(n)
         for replica in net.replicas.values():
             if replica.name in replica.authority.holders_of(slot_of(record.customer, record.ordering_key)):
                 replica.records.put(record, net.now, 0, net.policies)
     for replica in net.replicas.values():
         replica.records.unsaved.clear()
-    held = sum(k.records.count_by_customer.total() for k in net.replicas.values())
+    held = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     net.kill("n5")
     began, cpu = net.now, time.process_time()
     settled = net.settled(120)
-    again = sum(k.records.count_by_customer.total() for k in net.replicas.values())
+    copies_after = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     return {
         "records": RECORDS,
         "members_before": len(view.members),
         "copies_before": held,
-        "copies_after": again,
+        "copies_after": copies_after,
         "settled": settled,
         "simulated_s": (net.now - began) / SECOND,
         "cpu_s": round(time.process_time() - cpu, 2),
@@ -140,13 +152,13 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m hillchute.lab.history", description=__doc__)
-    parser.add_argument("--seed", type=int, default=1, help="what the runs are drawn from")
-    parser.add_argument("--json", action="store_true", help="print JSON for a machine to read")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the runs")
+    parser.add_argument("--json", action="store_true", help="print compact JSON")
     asked = parser.parse_args()
     found = {
-        "record_bytes": round(memory()),
-        "repair": repair(asked.seed),
-        "times": anyio.run(times, asked.seed),
+        "record_bytes": round(measure_record_memory()),
+        "repair": measure_repair(asked.seed),
+        "times": anyio.run(measure_query_times, asked.seed),
     }
     option = orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     sys.stdout.buffer.write(
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -28,7 +28,7 @@
 from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.lab.history_net import STEP, HistoryNet, founded
-from hillchute.lab.workers import workers
+from hillchute.lab.workers import worker_pool
 
 LATER: dict[str, Time] = {"late by 1": STEP, "late by 3": 3 * STEP, "late by 40": 40 * STEP}
 NETWORK = ("left out", "twice", *LATER, "cut to nothing", "cut in half", "cut by a byte", "again much later")
@@ -279,7 +279,7 @@
     some = drawn(plain, seed, most, kinds)
     met: Counter[str] = Counter()
     broken, unlike, unused = [], [], 0
-    with workers(jobs) as pool:
+    with worker_pool(jobs) as pool:
         one = partial(mutant, net, harmless, seed)
         found = pool.map(one, *zip(*some), repeat(end), chunksize=8)
         for (at, change, path), (used, wrong, other) in zip(some, found):
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -1,16 +1,17 @@
-"""One message changed at a time: the real code of the peers under a clock and a network of its own.
+"""Mutation tests of the peers' messages: the real code runs on a simulated clock and network.
 
     python -m hillchute.lab.mutants --seed N --json
 
-A scripted run (routers come, work is asked for, an engine drains and one falls ill, a router dies and comes
-back, one leaves, a cut) is played once and its messages counted. Then it is played again, once for each of
-them and each change of it. Owns the script, the changes and what must hold. Must never know how the code
-under it comes to what it does. One seed, one run.
+A scripted run (routers start, quota is requested, an engine drains and one fails, a router dies and restarts,
+one leaves, one is cut off) is played once to count its messages. It is then played again for each message and
+each mutation of that message. Checks invariants only, independent of how the tested code decides. A run is
+determined by its seed.
 
-Two families of changes. What a network does, without the keys: left out, twice, late, cut short, of another
-version, recorded and played again to a later life. Nothing may be broken, and the end is as it was without.
-What a liar does, with the keys: a field at zero, at its most, another's name, an older value. Nothing may be
-broken for the others, and no honest router may be taken for dead at the end.
+There are two families of mutations. Network mutations need no keys: a datagram is lost, duplicated, delayed,
+truncated, of another version, or recorded and replayed to a later generation. No invariant may be
+violated, and the final state is the same as without the mutation. Byzantine mutations are those of a router that has the
+keys and lies: a field is zero, at its maximum, an older value or another router's name. No invariant may be
+violated for the other routers, and no honest router may be taken for dead at the end.
 """
 
 import argparse
@@ -24,14 +25,14 @@
 import msgspec
 import orjson
 
-from hillchute.coordination import codec as words
+from hillchute.coordination import codec as coordination_codec
 from hillchute.coordination.fleet_view import LIMIT_UNITS, FleetSettings, FleetView
 from hillchute.coordination.messages import Digest, DrainNotice, EngineFailure, LeaseGrant, LoadReport
 from hillchute.coordination.quota_leases import LEASE_DURATION
 from hillchute.decision.interface import Time
 from hillchute.errors import InvalidDatagramError
 from hillchute.lab import history_mutants, partners_mutants
-from hillchute.lab.workers import workers
+from hillchute.lab.workers import worker_pool
 from hillchute.peers.datagrams import (
     COUNTER_LIMIT,
     HEADER_BYTES,
@@ -46,310 +47,360 @@
 from hillchute.peers.failure_detector import PROTOCOL_PERIOD
 from hillchute.peers.node import Node, RouterIdentity
 
-STEP: Time = 1_000  # a tenth of a second: between two ticks, and a datagram's way
+STEP: Time = 1_000  # 0.1 s, the time between two ticks and of a datagram in transit
 ROUTERS, ENGINES, LIMIT = 4, 6, "cold"
-HOUR = 3_600_000 + 1_000  # milliseconds that a life may lie ahead of the clock, and a second on the way
-STARTS: Time = 17_000_000_000_000
-ENDS: Time = 330_000  # after the last event all suspicions, loans and late messages have come to their ends
+MAX_INCARNATION_AHEAD_MS = (
+    3_600_000 + 1_000
+)  # milliseconds that an incarnation may be ahead of the clock: an hour, and a second in transit
+EPOCH: Time = 17_000_000_000_000
+DURATION: Time = (
+    330_000  # long enough for suspicions, leases and late messages to expire after the last event
+)
 
 
-def name(n: int) -> str:
+def router_name(n: int) -> str:
     return f"r{n}"
 
 
-def key(one: str, other: str) -> bytes:
-    """What only the two of them have."""
+def shared_key(one: str, other: str) -> bytes:
+    """Returns the key that only these two routers share."""
     return "-".join(sorted((one, other))).encode() * 4
 
 
 @dataclass(frozen=True)
-class Change:
-    """Of the message with a number: how it is called, whether it needs the keys, and what comes of its bytes:
-    a row of (steps later, bytes)."""
+class Mutation:
+    """A mutation of one message: its name, whether it needs the keys, and the function that applies it.
+
+    The function returns what is delivered instead: a list of (additional steps of delay, bytes).
+    """
 
     kind: str
-    lies: bool
-    do: Callable[[bytes, "Run"], list[tuple[int, bytes]]]
+    is_byzantine: bool
+    apply: Callable[[bytes, "ScriptedRun"], list[tuple[int, bytes]]]
 
 
-class Run:
-    """One play of the script, with one message changed or none."""
+class ScriptedRun:
+    """One run of the script, with one message mutated or none."""
 
-    def __init__(self, seed: int, at: int | None = None, change: Change | None = None) -> None:
-        self.chance, self.now, self.at, self.change = random.Random(seed), STARTS, at, change
-        self.names = [name(n) for n in range(ROUTERS)]
+    def __init__(self, seed: int, index: int | None = None, mutation: Mutation | None = None) -> None:
+        self.random, self.now, self.mutated_index, self.mutation = random.Random(seed), EPOCH, index, mutation
+        self.names = [router_name(n) for n in range(ROUTERS)]
         self.nodes: dict[str, Node] = {}
-        self.companies: dict[str, FleetView] = {}
-        self.line: list[tuple[Time, int, str, bytes]] = []
-        self.sent = self.order = 0
-        self.used = False  # whether the change reached a reader
-        self.messages: list[tuple[str, str, bytes]] = []  # kept by the run without a change
-        self.broken: list[str] = []
-        self.liar = ""
+        self.fleet_views: dict[str, FleetView] = {}
+        self.in_flight: list[tuple[Time, int, str, bytes]] = []
+        self.sent = self.last_order = 0
+        self.applied = False  # whether the mutation reached a receiver
+        self.messages: list[tuple[str, str, bytes]] = []  # of a run without a mutation
+        self.violations: list[str] = []
+        self.byzantine_router = ""
         self.cut: frozenset[str] = frozenset()
-        self.events: dict[str, int] = {}  # by router: how far its own list has come
-        self.drained: dict[str, set[int]] = {}  # by router: what its own list has told
-        self.began: dict[str, Time] = {}
-        self.old: dict[str, bytes] = {}  # to each router, the first datagram that it was ever sent
+        self.event_numbers: dict[str, int] = {}  # by router: event number of its endpoint list
+        self.listed_drains: dict[str, set[int]] = {}  # by router: draining engines on its endpoint list
+        self.started_at: dict[str, Time] = {}
+        self.first_datagrams: dict[str, bytes] = {}  # by receiver: the first datagram that it was ever sent
         self.script: dict[int, list[Callable[[], None]]] = {}
-        self.write()
+        self.write_script()
 
     # ---- the script -------------------------------------------------------------------------------
 
-    def on(self, seconds: float, *events: Callable[[], None]) -> None:
-        self.script.setdefault(STARTS + int(seconds * 10_000), []).extend(events)
+    def schedule(self, seconds: float, *events: Callable[[], None]) -> None:
+        self.script.setdefault(EPOCH + int(seconds * 10_000), []).extend(events)
 
-    def write(self) -> None:
+    def write_script(self) -> None:
         for n in range(ROUTERS):
-            self.on(0.1 * n, lambda n=n: self.start(name(n)))
+            self.schedule(0.1 * n, lambda n=n: self.start(router_name(n)))
         for tenth in range(20, 180, 4):
-            who, engine = self.chance.randrange(ROUTERS), self.chance.randrange(ENGINES)
-            self.on(tenth / 10, lambda w=who, e=engine: self.report(name(w), e))
-        self.on(4.5, lambda: self.ask("r0", 600_000), lambda: self.ask("r1", 50_000))
-        self.on(6, lambda: self.hears("r0", 2, 5), lambda: self.hears("r1", 2, 5))
-        self.on(6.5, lambda: self.fail("r2", 4))
-        self.on(8, lambda: self.hears("r2", 2, 5), lambda: self.hears("r3", 2, 5))
-        self.on(8.5, lambda: self.kill("r3"), lambda: self.ask("r2", 400_000))
-        self.on(10, lambda: self.start("r3"), lambda: self.hears("r3", 2, 5))
-        self.on(11, lambda: self.part("r1"))
-        self.on(12.5, self.mend, lambda: self.ask("r0", 0))
-        self.on(14, lambda: self.fail("r0", 3), lambda: self.ask("r3", 600_000))
-        self.on(13, lambda: self.hears("r0", 3), lambda: self.hears("r3", 3))
-        self.on(15, lambda: self.hears("r1", 3), lambda: self.hears("r2", 3))
-        self.on(20, lambda: self.leave("r2"))
-        self.on(21.5, self.left)
-
-    def start(self, who: str) -> None:
-        keys = {other: key(who, other) for other in self.names if other != who}
-        self.began[who] = self.now
-        seed = self.names.index(who) + 1
+            router, engine = self.random.randrange(ROUTERS), self.random.randrange(ENGINES)
+            self.schedule(tenth / 10, lambda w=router, e=engine: self.report_load(router_name(w), e))
+        self.schedule(
+            4.5, lambda: self.request_quota("r0", 600_000), lambda: self.request_quota("r1", 50_000)
+        )
+        self.schedule(
+            6, lambda: self.update_endpoint_list("r0", 2, 5), lambda: self.update_endpoint_list("r1", 2, 5)
+        )
+        self.schedule(6.5, lambda: self.report_failure("r2", 4))
+        self.schedule(
+            8, lambda: self.update_endpoint_list("r2", 2, 5), lambda: self.update_endpoint_list("r3", 2, 5)
+        )
+        self.schedule(8.5, lambda: self.kill("r3"), lambda: self.request_quota("r2", 400_000))
+        self.schedule(10, lambda: self.start("r3"), lambda: self.update_endpoint_list("r3", 2, 5))
+        self.schedule(11, lambda: self.cut_off("r1"))
+        self.schedule(12.5, self.heal, lambda: self.request_quota("r0", 0))
+        self.schedule(14, lambda: self.report_failure("r0", 3), lambda: self.request_quota("r3", 600_000))
+        self.schedule(
+            13, lambda: self.update_endpoint_list("r0", 3), lambda: self.update_endpoint_list("r3", 3)
+        )
+        self.schedule(
+            15, lambda: self.update_endpoint_list("r1", 3), lambda: self.update_endpoint_list("r2", 3)
+        )
+        self.schedule(20, lambda: self.leave("r2"))
+        self.schedule(21.5, self.check_leave_noticed)
+
+    def start(self, router: str) -> None:
+        keys = {other: shared_key(router, other) for other in self.names if other != router}
+        self.started_at[router] = self.now
+        seed = self.names.index(router) + 1
         settings = FleetSettings(
-            name=who, router_names=self.names, columns=["inflight"], limits=[LIMIT], seed=seed
+            name=router, router_names=self.names, columns=["inflight"], limits=[LIMIT], seed=seed
+        )
+        self.fleet_views[router] = FleetView(settings, self.now)
+        self.fleet_views[router].on_endpoint_list(self.now, 1, range(ENGINES), ())
+        self.event_numbers[router], self.listed_drains[router] = 1, set()
+        self.nodes[router] = Node(
+            RouterIdentity(router, self.now // 10), keys, seed, self.now, self.fleet_views[router]
         )
-        self.companies[who] = FleetView(settings, self.now)
-        self.companies[who].on_endpoint_list(self.now, 1, range(ENGINES), ())
-        self.events[who], self.drained[who] = 1, set()
-        self.nodes[who] = Node(RouterIdentity(who, self.now // 10), keys, seed, self.now, self.companies[who])
 
-    def kill(self, who: str) -> None:
-        del self.nodes[who], self.companies[who]
+    def kill(self, router: str) -> None:
+        del self.nodes[router], self.fleet_views[router]
 
-    def leave(self, who: str) -> None:
-        self.post(who, self.nodes[who].leave(self.now))
-        self.kill(who)
+    def leave(self, router: str) -> None:
+        self.send(router, self.nodes[router].leave(self.now))
+        self.kill(router)
 
-    def part(self, who: str) -> None:
-        self.cut = frozenset((who,))
+    def cut_off(self, router: str) -> None:
+        self.cut = frozenset((router,))
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         self.cut = frozenset()
 
-    def report(self, who: str, engine: int) -> None:
-        if who in self.companies:
-            self.companies[who].on_load_report(self.now, engine, {"inflight": self.sent % 9})
+    def report_load(self, router: str, engine: int) -> None:
+        if router in self.fleet_views:
+            self.fleet_views[router].on_load_report(self.now, engine, {"inflight": self.sent % 9})
 
-    def fail(self, who: str, engine: int) -> None:
-        self.companies[who].on_failure(self.now, engine)
+    def report_failure(self, router: str, engine: int) -> None:
+        self.fleet_views[router].on_failure(self.now, engine)
 
-    def ask(self, who: str, units: int) -> None:
-        self.companies[who].quotas.set_requested(LIMIT, units)
+    def request_quota(self, router: str, units: int) -> None:
+        self.fleet_views[router].quotas.set_requested(LIMIT, units)
 
-    def hears(self, who: str, number: int, gone: int | None = None) -> None:
-        """Its own list of engines at an event."""
-        self.events[who], self.drained[who] = number, set() if gone is None else {gone}
-        ready = set(range(ENGINES)) - self.drained[who]
-        self.companies[who].on_endpoint_list(self.now, number, ready, self.drained[who])
+    def update_endpoint_list(self, router: str, number: int, draining: int | None = None) -> None:
+        """Updates a router's endpoint list; `draining` is an engine that drains."""
+        self.event_numbers[router], self.listed_drains[router] = (
+            number,
+            set() if draining is None else {draining},
+        )
+        ready = set(range(ENGINES)) - self.listed_drains[router]
+        self.fleet_views[router].on_endpoint_list(self.now, number, ready, self.listed_drains[router])
 
-    def left(self) -> None:
-        """A farewell is heard at once; where it was lost the silence tells, later."""
-        if self.at is None and any("r2" in node.live_peers() for node in self.nodes.values()):
-            self.fault("r2 said farewell and is taken for living")
+    def check_leave_noticed(self) -> None:
+        """Checks that a leave message takes effect at once. If it is lost, silence reveals it later."""
+        if self.mutated_index is None and any("r2" in node.live_peers() for node in self.nodes.values()):
+            self.report_violation("r2 has left and still counts as alive")
 
-    # ---- time goes on -----------------------------------------------------------------------------
+    # ---- simulation -------------------------------------------------------------------------------
 
-    def play(self) -> "Run":
+    def play(self) -> "ScriptedRun":
         try:
-            while self.now < STARTS + ENDS:
+            while self.now < EPOCH + DURATION:
                 self.step()
         except Exception as fault:  # a message must never end a router
-            self.broken.append(f"raised {fault!r}")
+            self.violations.append(f"raised {fault!r}")
         return self
 
     def step(self) -> None:
         self.now += STEP
         for event in self.script.get(self.now - STEP, ()):
             event()
-        due = sorted(entry for entry in self.line if entry[0] <= self.now)
-        self.line = [entry for entry in self.line if entry[0] > self.now]
+        due = sorted(entry for entry in self.in_flight if entry[0] <= self.now)
+        self.in_flight = [entry for entry in self.in_flight if entry[0] > self.now]
         for _, _, to, data in due:
             if to in self.nodes:
-                self.post(to, self.nodes[to].receive(self.now, data))
-        for who, node in list(self.nodes.items()):
-            self.post(who, node.tick(self.now))
-            said = self.companies[who].due_digests(self.now, node.live_peers())
-            self.post(who, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)])
+                self.send(to, self.nodes[to].receive(self.now, data))
+        for router, node in list(self.nodes.items()):
+            self.send(router, node.tick(self.now))
+            said = self.fleet_views[router].due_digests(self.now, node.live_peers())
+            self.send(
+                router, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)]
+            )
             for to in node.state_requests:
-                self.post(who, [(to, node.state_request(to))])
+                self.send(router, [(to, node.state_request(to))])
             node.state_requests = []
-            self.companies[who].take_relayed_reports()
-        self.hold()
+            self.fleet_views[router].take_relayed_reports()
+        self.check_invariants()
 
-    def post(self, sender: str, said: list[tuple[str, bytes]]) -> None:
+    def send(self, sender: str, said: list[tuple[str, bytes]]) -> None:
         for to, data in said:
             number, self.sent = self.sent, self.sent + 1
-            self.old.setdefault(to, data)
-            if self.at is None:
+            self.first_datagrams.setdefault(to, data)
+            if self.mutated_index is None:
                 self.messages.append((sender, to, data))
-            row = [(0, data)]
-            if number == self.at:
-                row = self.change.do(data, self)
-                self.used = row != [(0, data)]
-                self.liar = sender if self.change.lies else ""
+            deliveries = [(0, data)]
+            if number == self.mutated_index:
+                deliveries = self.mutation.apply(data, self)
+                self.applied = deliveries != [(0, data)]
+                self.byzantine_router = sender if self.mutation.is_byzantine else ""
             if (sender in self.cut) != (to in self.cut):
-                if number == self.at:
-                    self.used = False  # it would not have come in any case
+                if number == self.mutated_index:
+                    self.applied = False  # it would not have arrived in any case
                 continue
-            for later, changed in row:
-                self.order += 1
-                self.line.append((self.now + STEP * (1 + later), self.order, to, changed))
-
-    # ---- what must hold ---------------------------------------------------------------------------
-
-    def hold(self) -> None:
-        """At every step, for all but a liar."""
-        honest = {who: c for who, c in self.companies.items() if who != self.liar}
-        parts = 0
-        for company in honest.values():
-            limit = company.quotas.limits[LIMIT]
-            parts += limit.usable(self.now)
-            # A lender that lies gives what it may not have; that is its own word broken, no one else's.
-            parts -= sum(held.usable(self.now) for who, held in limit.borrowed.items() if who == self.liar)
-        if parts > LIMIT_UNITS:
-            self.fault(f"parts of {parts}")
-        for who, company in honest.items():
-            closed = company.signals.closed_engines()
-            if closed and self.events[who] >= 3:
-                self.fault(f"{who} closed {sorted(closed)} though its list has told later that it is back")
+            for later, mutated in deliveries:
+                self.last_order += 1
+                self.in_flight.append((self.now + STEP * (1 + later), self.last_order, to, mutated))
+
+    # ---- invariants -------------------------------------------------------------------------------
+
+    def check_invariants(self) -> None:
+        """Checks the invariants of all honest routers; called at every step."""
+        honest = {router: c for router, c in self.fleet_views.items() if router != self.byzantine_router}
+        usable_units = 0
+        for fleet_view in honest.values():
+            limit = fleet_view.quotas.limits[LIMIT]
+            usable_units += limit.usable(self.now)
+            # A lying lender may lend units that it does not own; that is no fault of the borrower.
+            usable_units -= sum(
+                held.usable(self.now)
+                for router, held in limit.borrowed.items()
+                if router == self.byzantine_router
+            )
+        if usable_units > LIMIT_UNITS:
+            self.report_violation(
+                f"usable units add up to {usable_units}, more than the limit of {LIMIT_UNITS}"
+            )
+        for router, fleet_view in honest.items():
+            closed = fleet_view.signals.closed_engines()
+            if closed and self.event_numbers[router] >= 3:
+                self.report_violation(
+                    f"{router} keeps {sorted(closed)} closed after its endpoint list has it back"
+                )
             if closed - {5}:
-                self.fault(f"{who} closed {sorted(closed - {5})}")
-            if closed & self.drained[who]:
-                self.fault(f"{who} holds hearsay of {sorted(closed)} that its list has told")
-            if company.ready & self.drained[who]:
-                self.fault(f"{who} opened {sorted(company.ready & self.drained[who])} again")
-        for who in honest:
-            rosters = self.nodes[who].failure_detector
-            lives = [rosters.incarnation, *(peer.incarnation for peer in rosters.peers.values())]
-            if max(lives) > self.now // 10 + HOUR:
-                self.fault(f"{who} believes in a life that nobody could gainsay")
-        settled = [n for n in self.nodes if n != self.liar and self.now - self.began[n] > 2 * PROTOCOL_PERIOD]
-        for who in settled:
-            peers = [self.nodes[who].failure_detector.peers[other] for other in settled if other != who]
+                self.report_violation(f"{router} closed {sorted(closed - {5})}, which never drained")
+            if closed & self.listed_drains[router]:
+                self.report_violation(
+                    f"{router} keeps witness reports of {sorted(closed)}, which its endpoint list covers"
+                )
+            if fleet_view.ready & self.listed_drains[router]:
+                self.report_violation(
+                    f"{router} reopened the draining {sorted(fleet_view.ready & self.listed_drains[router])}"
+                )
+        for router in honest:
+            detector = self.nodes[router].failure_detector
+            incarnations = [detector.incarnation, *(peer.incarnation for peer in detector.peers.values())]
+            if max(incarnations) > self.now // 10 + MAX_INCARNATION_AHEAD_MS:
+                self.report_violation(f"{router} accepted an incarnation too far ahead to be refuted")
+        settled = [
+            n
+            for n in self.nodes
+            if n != self.byzantine_router and self.now - self.started_at[n] > 2 * PROTOCOL_PERIOD
+        ]
+        for router in settled:
+            peers = [self.nodes[router].failure_detector.peers[other] for other in settled if other != router]
             for peer in peers:
                 if (
                     peer.state in (PeerState.DEAD, PeerState.LEFT)
                     and self.now - peer.last_heard_at < PROTOCOL_PERIOD
                 ):
-                    self.fault(f"{who} takes {peer.name} for gone, of which it heard just now")
+                    self.report_violation(
+                        f"{router} takes {peer.name} for gone though it has just heard of it"
+                    )
 
-    def fault(self, what: str) -> None:
-        if len(self.broken) < 5:
-            self.broken.append(f"{(self.now - STARTS) / 10_000:.1f} s: {what}")
+    def report_violation(self, what: str) -> None:
+        if len(self.violations) < 5:
+            self.violations.append(f"{(self.now - EPOCH) / 10_000:.1f} s: {what}")
 
-    def end(self) -> dict[str, object]:
-        """What ends are compared by: who lives for whom, what is closed or doubted, whether wants are met."""
+    def final_state(self) -> dict[str, object]:
+        """Returns, by router: live peers, drains, failing engines, differing routers, if its quota is met."""
         found = {}
-        for who, node in self.nodes.items():
-            company = self.companies[who]
-            limit = company.quotas.limits[LIMIT]
-            ills = [
+        for router, node in self.nodes.items():
+            fleet_view = self.fleet_views[router]
+            limit = fleet_view.quotas.limits[LIMIT]
+            failing = [
                 engine
                 for engine in range(ENGINES)
-                if company.signals.count_failure_witnesses(self.now, engine)
+                if fleet_view.signals.count_failure_witnesses(self.now, engine)
             ]
             met = limit.usable(self.now) >= 0.9 * min(limit.requested, limit.entitlement)
-            drains = [engine for engine in range(ENGINES) if company.signals.count_drain_witnesses(engine)]
-            found[who] = (node.live_peers(), drains, ills, company.differing_routers, met)
+            drains = [engine for engine in range(ENGINES) if fleet_view.signals.count_drain_witnesses(engine)]
+            found[router] = (node.live_peers(), drains, failing, fleet_view.differing_routers, met)
         return found
 
-    def living(self) -> bool:
-        """Whether every honest router takes all others that run for living, and no other."""
+    def liveness_known(self) -> bool:
+        """Returns whether every honest router takes exactly the running routers for alive."""
         return all(
-            set(node.live_peers()) - {self.liar} == self.nodes.keys() - {who, self.liar}
-            for who, node in self.nodes.items()
-            if who != self.liar
+            set(node.live_peers()) - {self.byzantine_router}
+            == self.nodes.keys() - {router, self.byzantine_router}
+            for router, node in self.nodes.items()
+            if router != self.byzantine_router
         )
 
 
-# ---- changes --------------------------------------------------------------------------------------
+# ---- mutations ------------------------------------------------------------------------------------
 
 
-def network() -> Iterator[Change]:
-    yield Change("left out", False, lambda data, run: [])
-    yield Change("twice", False, lambda data, run: [(0, data), (0, data)])
-    yield Change("again after 2 s", False, lambda data, run: [(0, data), (20, data)])
+def network_mutations() -> Iterator[Mutation]:
+    yield Mutation("left out", False, lambda data, run: [])
+    yield Mutation("twice", False, lambda data, run: [(0, data), (0, data)])
+    yield Mutation("again after 2 s", False, lambda data, run: [(0, data), (20, data)])
     for steps in (1, 3, 60):
-        yield Change(f"late by {steps}", False, lambda data, run, steps=steps: [(steps, data)])
+        yield Mutation(f"late by {steps}", False, lambda data, run, steps=steps: [(steps, data)])
     for part in (0, 1, HEADER_BYTES, HEADER_BYTES + 3):
-        yield Change(f"cut at {part}", False, lambda data, run, part=part: [(0, data[:part])])
-    yield Change("cut in half", False, lambda data, run: [(0, data[: len(data) // 2])])
-    yield Change("last byte cut", False, lambda data, run: [(0, data[:-1])])
-    yield Change("unknown version", False, lambda data, run: [(0, b"\x07" + data[1:])])
-    yield Change("a drain put in", False, lambda data, run: [(0, forged(data))])
-    yield Change("a bit turned", False, lambda data, run: [(0, data[:-1] + bytes([data[-1] ^ 1]))])
-    yield Change(
-        "the first ever sent", False, lambda data, run: [(0, data), (0, run.old[opened(data).receiver])]
+        yield Mutation(f"cut at {part}", False, lambda data, run, part=part: [(0, data[:part])])
+    yield Mutation("cut in half", False, lambda data, run: [(0, data[: len(data) // 2])])
+    yield Mutation("last byte cut", False, lambda data, run: [(0, data[:-1])])
+    yield Mutation("unknown version", False, lambda data, run: [(0, b"\x07" + data[1:])])
+    yield Mutation("forged drain notice", False, lambda data, run: [(0, forge_payload(data))])
+    yield Mutation("bit flipped", False, lambda data, run: [(0, data[:-1] + bytes([data[-1] ^ 1]))])
+    yield Mutation(
+        "first datagram replayed",
+        False,
+        lambda data, run: [(0, data), (0, run.first_datagrams[decode_datagram(data).receiver])],
     )
 
 
-def forged(data: bytes) -> bytes:
-    """Another load under the mark of what was sent, as somebody without the key would try it."""
-    datagram = opened(data)
-    load = words.encode(Digest(drains=(DrainNotice(1, 10**6),)))
+def forge_payload(data: bytes) -> bytes:
+    """Replaces the payload but keeps the authentication tag, as an attacker without the key would."""
+    datagram = decode_datagram(data)
+    load = coordination_codec.encode(Digest(drains=(DrainNotice(1, 10**6),)))
     return data[:HEADER_BYTES] + encoder.encode(msgspec.structs.replace(datagram, payload=load))
 
 
-def opened(data: bytes) -> Datagram:
+def decode_datagram(data: bytes) -> Datagram:
     sender, receiver = msgspec.msgpack.decode(data[HEADER_BYTES:])[:2]
-    return decode(data, receiver, {sender: key(sender, receiver)})
+    return decode(data, receiver, {sender: shared_key(sender, receiver)})
 
 
-def signed(datagram: Datagram, own: bytes) -> bytes:
-    """Marked with the liar's own key over whatever stands in it: what an honest router never sends, too."""
+def authenticated(datagram: Datagram, own: bytes) -> bytes:
+    """Returns the datagram with a valid tag, even if an honest router would never send it."""
     body = encoder.encode(datagram)
     return bytes([VERSION]) + authentication_tag(own, body) + body
 
 
-def liar(kind: str, change: Callable[[Datagram, Run], Datagram]) -> Change:
-    def done(data: bytes, run: Run) -> list[tuple[int, bytes]]:
-        plain = opened(data)
-        return [(0, signed(change(plain, run), key(plain.sender, plain.receiver)))]
+def byzantine_mutation(kind: str, mutation: Callable[[Datagram, ScriptedRun], Datagram]) -> Mutation:
+    def done(data: bytes, run: ScriptedRun) -> list[tuple[int, bytes]]:
+        datagram = decode_datagram(data)
+        return [(0, authenticated(mutation(datagram, run), shared_key(datagram.sender, datagram.receiver)))]
 
-    return Change(kind, True, done)
+    return Mutation(kind, True, done)
 
 
-def lies() -> Iterator[Change]:
+def byzantine_mutations() -> Iterator[Mutation]:
     replace = msgspec.structs.replace
     for field in ("generation", "receiver_generation", "sequence", "ping_number"):
         for what, value in (("zero", 0), ("most", COUNTER_LIMIT - 1), ("less", None)):
-            yield liar(
+            yield byzantine_mutation(
                 f"{field} {what}",
                 lambda d, run, f=field, v=value: replace(
                     d, **{f: max(0, getattr(d, f) - 1) if v is None else v}
                 ),
             )
     for kind in range(6):
-        yield liar(f"kind {kind}", lambda d, run, kind=kind: replace(d, kind=kind, subject="r1"))
-    yield liar("another sender", lambda d, run: replace(d, sender="r1" if d.sender != "r1" else "r2"))
-    yield liar("another receiver", lambda d, run: replace(d, receiver="r1" if d.receiver != "r1" else "r2"))
-    yield liar("no rumours", lambda d, run: replace(d, rumours=()))
+        yield byzantine_mutation(
+            f"kind {kind}", lambda d, run, kind=kind: replace(d, kind=kind, subject="r1")
+        )
+    yield byzantine_mutation(
+        "another sender", lambda d, run: replace(d, sender="r1" if d.sender != "r1" else "r2")
+    )
+    yield byzantine_mutation(
+        "another receiver", lambda d, run: replace(d, receiver="r1" if d.receiver != "r1" else "r2")
+    )
+    yield byzantine_mutation("no rumours", lambda d, run: replace(d, rumours=()))
     for state in range(4):
-        yield liar(
+        yield byzantine_mutation(
             f"all others {state}",
             lambda d, run, state=state: replace(
                 d, rumours=tuple(Rumour(n, state, run.now // 10 + 100, d.sender) for n in run.names)
             ),
         )
-        yield liar(
+        yield byzantine_mutation(
             f"all others {state} far ahead",
             lambda d, run, state=state: replace(
                 d,
@@ -358,95 +409,109 @@
                 ),
             ),
         )
-    yield liar("no load", lambda d, run: replace(d, payload=b""))
-    yield liar("a load of noise", lambda d, run: replace(d, payload=b"\xc1" * 9))
-    for kind, change in loads():
-        yield liar(kind, lambda d, run, change=change: replace(d, payload=carried(d, change)))
+    yield byzantine_mutation("no payload", lambda d, run: replace(d, payload=b""))
+    yield byzantine_mutation("unreadable payload", lambda d, run: replace(d, payload=b"\xc1" * 9))
+    for kind, mutation in payload_mutations():
+        yield byzantine_mutation(
+            kind, lambda d, run, mutation=mutation: replace(d, payload=mutate_payload(d, mutation))
+        )
 
 
-def carried(datagram: Datagram, change: Callable[[Digest], Digest]) -> bytes:
+def mutate_payload(datagram: Datagram, mutation: Callable[[Digest], Digest]) -> bytes:
     try:
-        return words.encoder.encode(change(words.decode(datagram.payload, datagram.sender)))
+        return coordination_codec.encoder.encode(
+            mutation(coordination_codec.decode(datagram.payload, datagram.sender))
+        )
     except InvalidDatagramError:
         return datagram.payload
 
 
-def loads() -> Iterator[tuple[str, Callable[[Digest], Digest]]]:
+def payload_mutations() -> Iterator[tuple[str, Callable[[Digest], Digest]]]:
     replace = msgspec.structs.replace
-    all = range(ENGINES)
-    yield "edition another", lambda p: replace(p, membership_checksum=1)
-    yield "all engines idle", lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (0,)) for e in all))
+    engines = range(ENGINES)
+    yield "another membership checksum", lambda p: replace(p, membership_checksum=1)
+    yield (
+        "all engines idle",
+        lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (0,)) for e in engines)),
+    )
     yield (
         "all engines full",
-        lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (10**6,)) for e in all)),
+        lambda p: replace(p, load_reports=tuple(LoadReport(e, 0, (10**6,)) for e in engines)),
     )
-    yield "all engines ill", lambda p: replace(p, failures=tuple(EngineFailure(e, 0) for e in all))
-    yield "all engines drain", lambda p: replace(p, drains=tuple(DrainNotice(e, 10**6) for e in all))
-    for field, row in (("lease_requests", "ask"), ("lease_grants", "grant"), ("demands", "want")):
+    yield "all engines failing", lambda p: replace(p, failures=tuple(EngineFailure(e, 0) for e in engines))
+    yield "all engines drain", lambda p: replace(p, drains=tuple(DrainNotice(e, 10**6) for e in engines))
+    for field, label in (("lease_requests", "ask"), ("lease_grants", "grant"), ("demands", "want")):
         for what, value in (("zero", 0), ("most", 10**9)):
 
-            def changed(p: Digest, field: str = field, value: int = value) -> Digest:
+            def mutated(p: Digest, field: str = field, value: int = value) -> Digest:
                 rows = {
                     limit: said._replace(**{name: value for name in said._fields if name != "duration"})
                     for limit, said in getattr(p, field).items()
                 }
                 return replace(p, **{field: rows})
 
-            yield f"{row} {what}", changed
-    yield "a grant unasked", lambda p: replace(p, lease_grants={LIMIT: LeaseGrant(1, 10**9, LEASE_DURATION)})
+            yield f"{label} {what}", mutated
+    yield (
+        "unrequested grant",
+        lambda p: replace(p, lease_grants={LIMIT: LeaseGrant(1, 10**9, LEASE_DURATION)}),
+    )
 
 
-CHANGES = (*network(), *lies())
+MUTATIONS = (*network_mutations(), *byzantine_mutations())
 
 
-# ---- all of it ------------------------------------------------------------------------------------
+# ---- running all mutants --------------------------------------------------------------------------
 
 
-def judge(run: Run, end: dict[str, object]) -> tuple[list[str], bool]:
-    """What was broken; whether the end is unlike that of the run without a change."""
-    broken = list(run.broken)
-    if not broken and not run.living():
-        broken.append("who lives is not known at the end")
-    return broken, not run.change.lies and run.end() != end
+def judge(run: ScriptedRun, final_state: dict[str, object]) -> tuple[list[str], bool]:
+    """Returns the violations, and whether the final state differs from that of the baseline."""
+    violations = list(run.violations)
+    if not violations and not run.liveness_known():
+        violations.append("live routers are not known at the end")
+    return violations, not run.mutation.is_byzantine and run.final_state() != final_state
 
 
-def mutant(seed: int, at: int, change: int, end: dict[str, object]) -> tuple[bool, list[str], bool]:
-    """One of them: whether the change reached a reader, what it broke, whether the end is another."""
-    run = Run(seed, at, CHANGES[change]).play()
-    return run.used, *judge(run, end)
+def run_mutant(
+    seed: int, index: int, mutation: int, final_state: dict[str, object]
+) -> tuple[bool, list[str], bool]:
+    """Runs one mutant; returns if it reached a receiver, the violations, and if the final state differs."""
+    run = ScriptedRun(seed, index, MUTATIONS[mutation]).play()
+    return run.applied, *judge(run, final_state)
 
 
-def play(seed: int, most: int | None = None, jobs: int | None = None) -> dict[str, object]:
-    """All mutants, or so many drawn by chance, by so many processes; what came of them."""
-    plain = Run(seed).play()
-    end = plain.end()
-    if not plain.living() or any(ills for _, _, ills, _, _ in end.values()):
-        plain.broken.append("the end without a change is not as it should be")
-    places = [(at, change) for at in range(len(plain.messages)) for change in range(len(CHANGES))]
-    if most is not None and most < len(places):
-        places = random.Random(seed).sample(places, most)
-    broken: list[str] = []
-    unlike: list[str] = []
+def play(seed: int, max_mutants: int | None = None, jobs: int | None = None) -> dict[str, object]:
+    """Runs all mutants, or `max_mutants` random ones, in `jobs` processes; returns their result counts."""
+    baseline = ScriptedRun(seed).play()
+    final_state = baseline.final_state()
+    if not baseline.liveness_known() or any(failing for _, _, failing, _, _ in final_state.values()):
+        baseline.violations.append("wrong final state of the run without a mutation")
+    places = [
+        (index, mutation) for index in range(len(baseline.messages)) for mutation in range(len(MUTATIONS))
+    ]
+    if max_mutants is not None and max_mutants < len(places):
+        places = random.Random(seed).sample(places, max_mutants)
+    violations: list[str] = []
+    differing: list[str] = []
     kinds: Counter[str] = Counter()
-    unused = 0
-    with workers(jobs) as pool:
-        found = pool.map(mutant, repeat(seed), *zip(*places), repeat(end), chunksize=32)
-        for (at, change), (used, faults, other) in zip(places, found):
-            kind = CHANGES[change].kind
+    not_applied = 0
+    with worker_pool(jobs) as pool:
+        found = pool.map(run_mutant, repeat(seed), *zip(*places), repeat(final_state), chunksize=32)
+        for (index, mutation), (applied, faults, other) in zip(places, found):
+            kind = MUTATIONS[mutation].kind
             kinds[kind] += 1
-            unused += not used
+            not_applied += not applied
             if faults:
-                broken.append(f"message {at}, {kind}: {faults[0]}")
+                violations.append(f"message {index}, {kind}: {faults[0]}")
             if other:
-                unlike.append(f"message {at}, {kind}")
+                differing.append(f"message {index}, {kind}")
     return {
-        "messages": len(plain.messages),
+        "messages": len(baseline.messages),
         "mutants": len(places),
         "kinds": len(kinds),
-        "broken": len(broken) + len(plain.broken),
-        "unlike": len(unlike),
-        "unused": unused,
-        "first": (plain.broken + broken + unlike)[:8],
+        "broken": len(violations) + len(baseline.violations),
+        "unlike": len(differing),
+        "unused": not_applied,
+        "first": (baseline.violations + violations + differing)[:8],
     }
 
 
@@ -455,15 +520,15 @@
         prog="python -m hillchute.lab.mutants", description=__doc__.split("\n")[0]
     )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--most", type=int, help="so many mutants, drawn by chance, instead of all")
-    parser.add_argument("--history", action="store_true", help="messages of the answer history instead")
-    parser.add_argument("--partners", action="store_true", help="messages of partners instead")
+    parser.add_argument("--most", type=int, help="run this number of random mutants instead of all")
+    parser.add_argument("--history", action="store_true", help="mutate messages of the answer history")
+    parser.add_argument("--partners", action="store_true", help="mutate messages between partners")
     parser.add_argument("--json", action="store_true")
-    asked = parser.parse_args()
-    found = (partners_mutants.play if asked.partners else history_mutants.play if asked.history else play)(
-        asked.seed, asked.most
-    )
-    if asked.json:
+    arguments = parser.parse_args()
+    found = (
+        partners_mutants.play if arguments.partners else history_mutants.play if arguments.history else play
+    )(arguments.seed, arguments.most)
+    if arguments.json:
         sys.stdout.buffer.write(orjson.dumps(found, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     else:
         for what, figure in found.items():
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -1,7 +1,7 @@
-"""What the rig of processes needs for partners: their keys, files and offers, and whose run an engine saw.
+"""Partner support of hillchute.lab.processes: the partners' operator settings, and who caused which run.
 
-Owns the partners' part of operator files, and the way from a connection at an engine to the router that holds
-its other end, which the kernel knows. Must never ask a router.
+Generates keys, files and offers of the partners. Attributes each connection at an engine to the router
+process that holds its other end, by the kernel's socket tables, never by asking a router.
 """
 
 import re
@@ -14,116 +14,133 @@
 from hillchute.router.request_rules import TABLE_GROUP_PREFIX
 
 PARTNERS = "abc"
-TOLERANCE = 0.05  # seconds, as of all limits
-TABLE = re.compile(r"_([0-9]+)\.")
-SHARE = 10_000
-WIDTHS = {"lookup": 1, "report": 4}  # threads of a query; of all others two
-WINDOW = 0.25  # seconds of an engine's threads that are looked at together
-FACTOR = 2.0  # threads a core, all routers together
+TOLERANCE = 0.05  # seconds, the same as for all limits
+TABLE_GROUP_PATTERN = re.compile(r"_([0-9]+)\.")
+SHARE_TOTAL = 10_000
+THREADS_BY_GROUP = {"lookup": 1, "report": 4}  # threads of one query; 2 for all other groups
+WINDOW_SECONDS = 0.25  # seconds over which the threads used on an engine are averaged
+THREADS_PER_CORE = 2.0  # thread limit per core over all routers
 
-About = tuple[str | None, str, str]  # a query's key, statement and group
+QueryInfo = tuple[str | None, str, str]  # a query's key, statement and group
 
 
 def partner_of(number: int) -> str:
-    """Routers are dealt to the partners in turn; the first of each signs."""
+    """Returns the partner of a router. Routers are assigned round-robin; the first of each partner signs."""
     return PARTNERS[number % len(PARTNERS)]
 
 
-class Partnership:
-    """The partners' part of every router's operator file."""
+class PartnerSettings:
+    """Generates the `partners` section of each router's operator file."""
 
-    def __init__(self, folder: Path, routers: list[str], began: float) -> None:
-        self.folder, self.routers, self.began = folder, routers, began
-        self.turns = dict.fromkeys(PARTNERS, 1)
-        self.wants = dict.fromkeys(PARTNERS, 3333)
+    def __init__(self, folder: Path, routers: list[str], started_at: float) -> None:
+        self.folder, self.routers, self.started_at = folder, routers, started_at
+        self.revisions = dict.fromkeys(PARTNERS, 1)
+        self.desired_shares = dict.fromkeys(PARTNERS, 3333)
         for partner in PARTNERS:
             (folder / f"{partner}.key").write_text(private(partner).hex())
 
     def settings(self, number: int) -> str:
-        """One router's `partners`, as its operator has it now."""
+        """Returns the current `partners` section of one router."""
         own, rows = partner_of(number), []
         for partner in PARTNERS:
             mine = ", ".join(f'"{r}"' for n, r in enumerate(self.routers) if partner_of(n) == partner)
             rows.append(f'{{name: "{partner}", key: "{public(partner).hex()}", routers: [{mine}]}}')
         about = f'own: "{own}", members: [{", ".join(rows)}]'
         if number < len(PARTNERS):
-            begins, ends = int(self.began * 1000) - 3_600_000, int(self.began * 1000) + 86_400_000
+            begins, ends = int(self.started_at * 1000) - 3_600_000, int(self.started_at * 1000) + 86_400_000
             about += f', key_file: "{self.folder / own}.key", marks_file: "{self.folder / own}.marks"'
-            about += f", offer: {{turn: {self.turns[own]}, capacity: 16, want: {self.wants[own]}, least: 500,"
+            about += (
+                f", offer: {{turn: {self.revisions[own]}, capacity: 16, want: {self.desired_shares[own]},"
+                " least: 500,"
+            )
             about += f" most: 9000, begins_ms: {begins}, ends_ms: {ends}}}"
         return f"partners: {{{about}}}"
 
-    def offer(self, partner: str, want: int) -> None:
-        """Another offer of a partner, for its operator file."""
-        self.turns[partner] += 1
-        self.wants[partner] = want
+    def offer(self, partner: str, desired_share: int) -> None:
+        """Replaces a partner's offer by a new revision, for its operator file."""
+        self.revisions[partner] += 1
+        self.desired_shares[partner] = desired_share
 
 
-def sockets(ports: set[int]) -> dict[str, int]:
-    """The kernel's numbers of the sockets on this machine that are bound to one of some ports."""
+def socket_inodes(ports: set[int]) -> dict[str, int]:
+    """Maps the inode of each TCP socket that is bound to one of `ports` to its port."""
     rows = (row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:])
     bound = ((row[9], int(row[1].split(":")[1], 16)) for row in rows)
     return {number: port for number, port in bound if port in ports}
 
 
-def held(process: int, known: dict[str, int]) -> set[int]:
-    """Ports of those that a process holds."""
+def held_ports(process: int, port_by_inode: dict[str, int]) -> set[int]:
+    """Returns the ports of those of the given sockets that a process has open."""
     try:
         links = [str(link.readlink()) for link in Path(f"/proc/{process}/fd").iterdir()]
-    except OSError:  # it has ended meanwhile
+    except OSError:  # the process has ended meanwhile
         return set()
-    return {known[link[8:-1]] for link in links if link.startswith("socket:[") and link[8:-1] in known}
+    return {
+        port_by_inode[link[8:-1]]
+        for link in links
+        if link.startswith("socket:[") and link[8:-1] in port_by_inode
+    }
 
 
-def unit(ran: Ran, key: str | None, statement: str) -> str:
-    """What one owner leads at a time: a key, or a table group."""
+def ordering_unit(ran: Ran, key: str | None, statement: str) -> str:
+    """Returns what a single owner coordinates at a time: an ordering key or a table group."""
     if ran.token is not None:
         return key or ran.token
-    return f"{TABLE_GROUP_PREFIX}{TABLE.search(statement)[1]}"
+    return f"{TABLE_GROUP_PREFIX}{TABLE_GROUP_PATTERN.search(statement)[1]}"
 
 
-def two_owners(world: World, whose: dict[int, str], about: dict[str, About]) -> list[str]:
-    """Runs of one key or table group, led by routers of two partners, that were out at one time. `whose`:
-    partners by connection; `about`: key, statement and group by the query's id."""
-    led = defaultdict(list)
+def two_owners(
+    world: World, partner_by_connection: dict[int, str], info_by_query: dict[str, QueryInfo]
+) -> list[str]:
+    """Describes overlapping runs of one key or table group that routers of two partners coordinated.
+
+    `partner_by_connection` maps connections to partners; `info_by_query` maps query ids to
+    their keys, statements and groups.
+    """
+    runs_by_unit = defaultdict(list)
     for ran in world.ran:
-        if ran.id in about and ran.talk in whose:
-            key, statement, group = about[ran.id]
+        if ran.id in info_by_query and ran.talk in partner_by_connection:
+            key, statement, group = info_by_query[ran.id]
             if group in ("event-load", "change"):
-                led[unit(ran, key, statement)].append(
-                    (ran.began, ran.ended or world.clock(), whose[ran.talk], ran.id)
+                runs_by_unit[ordering_unit(ran, key, statement)].append(
+                    (ran.began, ran.ended or world.clock(), partner_by_connection[ran.talk], ran.id)
                 )
     return [
-        f"{key!r}: {first} of {one} beside {second} of {other}"
-        for key, line in led.items()
-        for n, (begin, end, one, first) in enumerate(sorted(line))
-        for later, _, other, second in sorted(line)[n + 1 :]
+        f"{key!r}: {first} of partner {one} overlaps {second} of partner {other}"
+        for key, runs in runs_by_unit.items()
+        for n, (begin, end, one, first) in enumerate(sorted(runs))
+        for later, _, other, second in sorted(runs)[n + 1 :]
         if other != one and later < end - TOLERANCE and later >= begin
     ]
 
 
-def over_quota(world: World, whose: dict[int, str], cores: int, routers: int, most: int) -> list[str]:
-    """Windows in which a partner had more of a crowded engine than its share of the threads, with what each
-    of its routers may have beside it: one query, as a bound below one is by chance. `most`: the highest share
-    that it was ever agreed to have."""
+def over_quota(
+    world: World, partner_by_connection: dict[int, str], cores: int, routers: int, max_share: int
+) -> list[str]:
+    """Describes the windows in which a partner used more threads of a saturated engine than its share allows.
+
+    `max_share` is the highest share that a partner ever agreed to, in parts of 10,000. One query for
+    each router of the partner is allowed beyond the share, because a limit below one query is applied
+    probabilistically.
+    """
     threads: dict[tuple[str, int], dict[str, float]] = defaultdict(lambda: defaultdict(float))
     for ran in world.ran:
-        partner, width = whose.get(ran.talk, "?"), WIDTHS.get(ran.group, 2)
+        partner, width = partner_by_connection.get(ran.talk, "?"), THREADS_BY_GROUP.get(ran.group, 2)
         end = ran.ended or world.clock()
-        first, last = int(ran.began / WINDOW), int(end / WINDOW)
+        first, last = int(ran.began / WINDOW_SECONDS), int(end / WINDOW_SECONDS)
         for window in range(first, last + 1):
-            span = min(end, (window + 1) * WINDOW) - max(ran.began, window * WINDOW)
-            threads[ran.engine, window][partner] += width * span / WINDOW
-    bound = FACTOR * cores
-    each = -(-routers // len(PARTNERS)) * max(WIDTHS.values())
+            span = min(end, (window + 1) * WINDOW_SECONDS) - max(ran.began, window * WINDOW_SECONDS)
+            threads[ran.engine, window][partner] += width * span / WINDOW_SECONDS
+    bound = THREADS_PER_CORE * cores
+    each = -(-routers // len(PARTNERS)) * max(THREADS_BY_GROUP.values())
     return [
-        f"{engine}: {partner} had {mine:.1f} of {bound:.0f} threads"
+        f"{engine}: partner {partner} used {mine:.1f} of {bound:.0f} threads"
         for (engine, _), by in threads.items()
         for partner, mine in by.items()
-        if sum(by.values()) >= bound and mine > bound * most / SHARE + each
+        if sum(by.values()) >= bound and mine > bound * max_share / SHARE_TOTAL + each
     ]
 
 
-def known(queries: Iterable) -> dict[str, About]:
-    """Key, statement and group of each query, by its id."""
+def query_info_by_id(queries: Iterable) -> dict[str, QueryInfo]:
+    """Maps the id of each query to its key, statement and group."""
     return {q.id: (q.key, q.statement, q.group) for q in queries}
--- a/hillchute/lab/peer_net.py
+++ b/hillchute/lab/peer_net.py
@@ -1,6 +1,6 @@
 """Failure detectors of many routers over one network that loses, delays and repeats, in simulated time.
 
-Owns the network, its faults and the clock; it does not know how a failure detector decides.
+Simulates the network, its faults and the clock; independent of how a failure detector decides.
 """
 
 import random
@@ -16,13 +16,13 @@
 KEY = b"k" * 32
 MIN_DELAY: Time = 2
 MAX_DELAY: Time = 20
-EPOCH: Time = 17_000_000_000_000  # as the Unix clock would have it
+EPOCH: Time = 17_000_000_000_000  # a plausible Unix time in units of 0.1 ms
 STEP = PING_TIMEOUT // 4
-GENERATION = 1  # in every datagram: no replay window looks at it here
+GENERATION = 1  # of every datagram; no replay window checks it here
 
 
 class InFlight(NamedTuple):
-    """A datagram on its way; ordered by its arrival."""
+    """A datagram in transit; ordered by its arrival time."""
 
     arrives_at: Time
     order: int
@@ -33,8 +33,8 @@
 class PeerNetwork:
     """Routers named n0, n1, ... on one network.
 
-    `loss_rate` and `repeat_rate` are fractions of the datagrams; `lies` are rumours that a router adds to all
-    it sends.
+    `loss_rate` and `repeat_rate` are fractions of the datagrams. `lies` are false rumours that a router
+    adds to every datagram that it sends.
     """
 
     def __init__(self, seed: int, count: int, loss_rate: float = 0.0, repeat_rate: float = 0.0) -> None:
@@ -46,39 +46,39 @@
         self.detectors: dict[str, FailureDetector] = {}
         self.in_flight: list[InFlight] = []  # a heap
         self.last_order = 0
-        self.cut_pairs: set[frozenset[str]] = set()  # that hear nothing of each other
-        self.paused: set[str] = set()  # processes that stand still: what arrives waits
-        self.lies: dict[str, tuple[Rumour, ...]] = {}  # by the liar's name
+        self.cut_pairs: set[frozenset[str]] = set()  # pairs of routers that cannot reach each other
+        self.paused: set[str] = set()  # suspended processes; arriving datagrams wait
+        self.lies: dict[str, tuple[Rumour, ...]] = {}  # by the name of the lying router
         self.datagrams_sent: Counter[str] = Counter()
         self.bytes_sent: Counter[str] = Counter()
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Starts a router, which remembers nothing of an earlier process of its name."""
+        """Starts a router with no state of an earlier process of the same name."""
         generation = self.now // 10
         seed = self.random.getrandbits(32)
         self.detectors[name] = FailureDetector(name, generation, self.names, seed, self.now)
 
     def kill(self, name: str) -> None:
-        """Ends a router without a farewell."""
+        """Ends a router without a leave message."""
         del self.detectors[name]
 
     def leave(self, name: str) -> None:
-        """Shuts a router down in good order."""
+        """Shuts a router down gracefully."""
         self.send(name, self.detectors[name].leave(self.now))
         del self.detectors[name]
 
     def cut(self, some: list[str], others: list[str]) -> None:
-        """Nothing passes between the two sides any more."""
+        """Blocks all traffic between the two sides."""
         self.cut_pairs |= {frozenset((one, other)) for one in some for other in others}
 
     def heal(self) -> None:
-        """Ends all cuts."""
+        """Removes all cuts."""
         self.cut_pairs.clear()
 
     def send(self, sender: str, datagrams: list[OutgoingDatagram]) -> None:
-        """Counts the datagrams and puts on the way what is not lost."""
+        """Counts the datagrams and schedules the arrival of those that are not lost."""
         for outgoing in datagrams:
             datagram = replace(outgoing, rumours=(*outgoing.rumours, *self.lies.get(sender, ())))
             self.datagrams_sent[sender] += 1
@@ -91,7 +91,7 @@
 
     @staticmethod
     def complete(sender: str, outgoing: OutgoingDatagram) -> Datagram:
-        """The datagram as the receiver's failure detector is given it."""
+        """Returns the datagram in the form that the receiver's failure detector gets."""
         return Datagram(
             sender=sender,
             receiver=outgoing.receiver,
@@ -105,7 +105,7 @@
         )
 
     def play(self, seconds: float) -> None:
-        """Lets the time go on."""
+        """Advances simulated time."""
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.now += STEP
@@ -116,7 +116,7 @@
                     self.send(name, detector.tick(self.now))
 
     def deliver(self, arrived: InFlight) -> None:
-        """Hands a datagram to its receiver, if that runs and is not cut off."""
+        """Delivers a datagram to its receiver if that runs and is not cut off."""
         receiver = arrived.datagram.receiver
         if receiver in self.paused:
             heappush(self.in_flight, arrived._replace(arrives_at=self.now + 1))
@@ -127,12 +127,12 @@
             self.send(receiver, detector.receive(self.now, datagram))
 
     def agreed(self, names: list[str] | None = None) -> bool:
-        """Whether each of these (of all that run) knows that exactly these live."""
+        """Returns whether each of `names` (default: all running routers) takes exactly those for alive."""
         names = names if names is not None else list(self.detectors)
         return all(set(self.detectors[name].live_peers()) == set(names) - {name} for name in names)
 
     def seconds_until_agreed(self, max_seconds: float, names: list[str] | None = None) -> float | None:
-        """Plays until all agree; None if they don't in time."""
+        """Simulates until all agree and returns the seconds; None if they do not within `max_seconds`."""
         began = self.now
         while self.now - began < max_seconds * SECOND:
             self.play(0.25)
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -1,9 +1,9 @@
-"""Several routers as processes of one fleet, faults between them, clients that count: one seed, one script.
+"""Runs several routers of one fleet as processes under clients and injected faults; reports broken rules.
 
     python -m hillchute.lab.processes --seed N --minutes M --json
 
-Owns the routers' start, the script of faults and what came of it. The verdict rests on what clients and
-engines saw, never on what routers say of themselves. Must never be imported by anything that serves.
+The faults and the clients' queries are drawn from the seed. The verdict rests on what clients and engines
+observed, never on what routers report about themselves. Not to be imported by serving code.
 """
 
 import argparse
@@ -26,32 +26,33 @@
 from hillchute.history.records import RecordState
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment, rules
-from hillchute.lab.between import Between
+from hillchute.lab.between import FaultyRelay
 from hillchute.lab.clients import MySQL, Query
 from hillchute.lab.fleet import Fleet, free_port
-from hillchute.lab.partnership import (
+from hillchute.lab.partner_settings import (
     PARTNERS,
-    Partnership,
-    held,
-    known,
+    PartnerSettings,
+    held_ports,
     over_quota,
     partner_of,
-    sockets,
+    query_info_by_id,
+    socket_inodes,
     two_owners,
 )
 from hillchute.lab.world import Ran, World
 
 ROUTERS, ENGINES, CORES = 4, 6, 8
-MOST_SHARE = 9000  # the highest share that any partner offers to have, in parts of 10,000
-EVERY = 0.08  # seconds between two queries of one router's clients, in the mean
-FAULT_FOR = (0.5, 2.5)  # seconds that a fault stands
-REST = 0.6  # seconds between two faults
-LEAST = 60_000  # milliseconds that the history keeps a record at the least: longer than a script's faults
-HONOURED = 8.0  # seconds after it was told in which a forget has reached all: a lease, two beats, a turn
-AGAIN = 0.6  # part of the keyed queries that are sent again
-AGAIN_AFTER = (0.3, 8.0)  # seconds after the first
-ENDS = 8.0  # seconds after the last query in which all must be answered
-KINDS = (
+MAX_OFFERED_SHARE = 9000  # highest share that any partner offers to take, in parts of 10,000
+MEAN_QUERY_INTERVAL = 0.08  # mean seconds between two queries to one router
+FAULT_DURATION = (0.5, 2.5)  # range of a fault's duration, in seconds
+FAULT_PAUSE = 0.6  # seconds without a fault between two faults
+MIN_RETENTION_MS = 60_000  # of a history record; longer than the faults of a run last
+# Seconds until an erasure request has reached all routers: a lease, two heartbeats, one transfer.
+ERASURE_PROPAGATION_TIME = 8.0
+RESEND_FRACTION = 0.6  # fraction of the queries with an idempotency key that are sent again
+RESEND_DELAY = (0.3, 8.0)  # range of the delay of a resend after the first query, in seconds
+ANSWER_GRACE = 8.0  # seconds after the last query within which all queries must be answered
+FAULT_KINDS = (
     "lost",
     "late",
     "again",
@@ -63,33 +64,33 @@
     "restarted",
     "drained",
 )
-REMEMBERED = ("policies", "forgotten in a cut", "old disk")  # kinds that need the history
-AGREED = ("agreement",)  # and partners
-SLACK = 2.0  # seconds: with more processes than cores the machine answers late, not the router
-LOOKS = 3  # at who holds a connection: it may have ended meanwhile
-SKEW = 0.5  # seconds by which a router's clock may be off, where there are partners
+HISTORY_FAULT_KINDS = ("policies", "forgotten in a cut", "old disk")  # need the answer history
+PARTNER_FAULT_KINDS = ("agreement",)  # needs partners
+TIMING_SLACK = 2.0  # seconds; with more processes than cores, answers are late because of the machine
+MAX_LOOKUPS = 3  # attempts to find the process of a connection, which may have been closed already
+MAX_CLOCK_SKEW = 0.5  # seconds by which a router's clock may be off in runs with partners
 
 
-class Member:
-    """One router of the fleet, in a process that may be ended and started again."""
+class RouterProcess:
+    """One router of the fleet, in a process that can be stopped and restarted."""
 
     def __init__(
-        self, name: str, number: int, folder: Path, bus: int, count: int, mutating: bool, skew: float
+        self, name: str, number: int, folder: Path, bus: int, router_count: int, mutating: bool, skew: float
     ) -> None:
         self.name, self.number, self.folder, self.skew = name, number, folder, skew
         self.port, self.peer_port = free_port(), free_port()
-        table = deployment.table(routers=count, mutating=mutating)
+        table = deployment.table(routers=router_count, mutating=mutating)
         table["settings"]["me"] = number
         table |= {"name": name, "listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
         table["seed"] = f"{number + 1:016x}"
         (folder / f"{name}.json").write_bytes(orjson.dumps(table))
-        self.log, self.disk = folder / f"{name}.log", folder / f"{name}.db"
+        self.log, self.history_file = folder / f"{name}.log", folder / f"{name}.db"
         self.process: subprocess.Popen | None = None
-        self.up = False  # whether clients may be sent there
-        self.starts, self.back_at = 0, 0.0  # how often it started; since when it hears the others again
+        self.accepting = False  # whether clients send queries to it
+        self.starts, self.resumed_at = 0, 0.0  # number of starts; time of the last start or resume
 
-    def peers(self, others: dict[str, tuple[int, str]], history: str = "") -> None:
-        """Writes the operator file; of each other its port on the relay and the pair's key."""
+    def write_operator_file(self, others: dict[str, tuple[int, str]], history: str = "") -> None:
+        """Writes the operator file; `others` has the relay port and the shared key of each other router."""
         self.others = others
         rows = ", ".join(
             f'{{name: "{name}", address: "127.0.0.1:{port}", key: "{key}"}}'
@@ -116,41 +117,41 @@
                 if self.process.poll() is not None:
                     raise RuntimeError(self.log.read_text()[-2000:])
                 await anyio.sleep(0.05)
-        self.up, self.back_at = True, time.time()
+        self.accepting, self.resumed_at = True, time.time()
 
     def signal(self, number: int) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        self.up = False
+        self.accepting = False
         self.signal(signal.SIGKILL)
-        await self.ended()
+        await self.wait_for_exit()
 
     async def stop(self) -> int | None:
-        """SIGTERM; its exit code, which is 0 if it ended by itself in time."""
-        self.up = False
+        """Sends SIGTERM. Returns the exit code, or None if the process had to be killed after 12 s."""
+        self.accepting = False
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         with anyio.move_on_after(12):
-            return await self.ended()
+            return await self.wait_for_exit()
         self.signal(signal.SIGKILL)
-        await self.ended()
+        await self.wait_for_exit()
         return None
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         while self.process.poll() is None:
             await anyio.sleep(0.02)
         return self.process.returncode
 
-    def told(self, event: str) -> list[dict]:
-        """Its log's lines of one event, over all its lives."""
+    def log_events(self, event: str) -> list[dict]:
+        """Returns the log lines of one event, over all starts of the router."""
         lines = (orjson.loads(line) for line in self.log.read_bytes().splitlines() if line.startswith(b"{"))
         return [line for line in lines if line["event"] == event]
 
 
-class Together:
-    """A fleet that runs: engines and bus here, routers as processes, the relay between them."""
+class RouterCluster:
+    """A running fleet: engines and event bus in this process, routers as processes, a relay between them."""
 
     def __init__(
         self,
@@ -160,265 +161,280 @@
         history: bool = False,
         partners: bool = False,
     ) -> None:
-        self.seed, self.count, self.engines, self.history = seed, routers, engines, history or partners
-        self.partners, self.partnership = partners, None
-        self.whose: dict[int, str] = {}  # partners of those that opened connections to engines
-        self.resends: list[tuple[Query, Query]] = []  # with what each is a resend of
-        self.number, self.founded = 1, 0
-        self.forgets: list[tuple[float, float]] = []  # what was taken before; when a router was told
-        self.chance = random.Random(seed)
-        self.world, self.between = World(seed=seed), Between(seed)
-        self.members: list[Member] = []
+        self.seed, self.router_count, self.engines, self.history = seed, routers, engines, history or partners
+        self.partners, self.partner_settings = partners, None
+        self.partner_by_connection: dict[int, str] = {}  # of the router that opened it to an engine
+        self.resends: list[tuple[Query, Query]] = []  # (resend, original query)
+        self.number, self.founded_ms = 1, 0
+        # Erasure requests: time before which accepted queries are erased, time at which a router was told.
+        self.erasures: list[tuple[float, float]] = []
+        self.random = random.Random(seed)
+        self.world, self.relay = World(seed=seed), FaultyRelay(seed)
+        self.members: list[RouterProcess] = []
         self.queries: list[Query] = []
-        self.excused: set[str] = set()  # whose router was killed or stood still under them
-        self.kinds: Counter[str] = Counter()
-        self.open: dict[str, set[str]] = {}  # queries out, by router
-        self.exits: list[int | None] = []
+        self.excused: set[str] = set()  # queries whose router was killed or paused while they were open
+        self.fault_counts: Counter[str] = Counter()
+        self.open_queries: dict[str, set[str]] = {}  # ids of open queries, by router
+        self.exit_codes: list[int | None] = []
         self.draining: list[int] = []
         self.fleet: Fleet
 
-    async def up(self, folder: Path, tasks: anyio.abc.TaskGroup) -> None:
+    async def start(self, folder: Path, tasks: anyio.abc.TaskGroup) -> None:
         self.fleet = Fleet(self.world, "line", tasks)
         await self.fleet.start(self.engines)
-        names = [f"r{n}" for n in range(self.count)]
+        names = [f"r{n}" for n in range(self.router_count)]
         bus = self.fleet.bus.port
-        skews = [self.chance.uniform(-SKEW, SKEW) if self.partners else 0.0 for _ in names]
+        skews = [
+            self.random.uniform(-MAX_CLOCK_SKEW, MAX_CLOCK_SKEW) if self.partners else 0.0 for _ in names
+        ]
         self.members = [
-            Member(name, n, folder, bus, self.count, self.partners, skews[n]) for n, name in enumerate(names)
+            RouterProcess(name, n, folder, bus, self.router_count, self.partners, skews[n])
+            for n, name in enumerate(names)
         ]
         if self.partners:
-            self.partnership = Partnership(folder, names, self.world.clock())
-            tasks.start_soon(self.look_at_connections)
+            self.partner_settings = PartnerSettings(folder, names, self.world.clock())
+            tasks.start_soon(self.attribute_connections)
         ports = {member.name: member.peer_port for member in self.members}
         for member in self.members:
             others = {}
             for other in names:
                 if other != member.name:
-                    port = self.between.open(member.name, other, ("127.0.0.1", ports[other]))
+                    port = self.relay.open_channel(member.name, other, ("127.0.0.1", ports[other]))
                     others[other] = port, "-".join(sorted((member.name, other))) + "-0123456789abcdef"
-            member.peers(others, self.policies(member) if self.history else "")
-            self.open[member.name] = set()
-        tasks.start_soon(self.between.serve)
+            member.write_operator_file(others, self.policies(member) if self.history else "")
+            self.open_queries[member.name] = set()
+        tasks.start_soon(self.relay.serve)
         async with anyio.create_task_group() as starts:
             for member in self.members:
                 starts.start_soon(member.start)
 
-    async def down(self) -> None:
-        async with anyio.create_task_group() as stops:  # at once: none waits for another to fetch what it has
+    async def stop(self) -> None:
+        # Concurrently, so that no router waits for another to fetch its records.
+        async with anyio.create_task_group() as stops:
             for member in self.members:
                 if member.process is not None and member.process.poll() is None:
-                    stops.start_soon(self.end, member)
+                    stops.start_soon(self.stop_router, member)
         await self.fleet.close()
 
-    def policies(self, member: Member) -> str:
-        """The operator file's history as it stands now."""
-        self.founded = self.founded or int(self.world.clock() * 1000)
-        keeps = f"least_ms: {LEAST}, most_ms: {10 * LEAST}, rows: true, disk: true"
-        forgets = ", ".join(f"{{before_ms: {int(before * 1000)}}}" for before, _ in self.forgets)
-        about = f"number: {self.number}, copies: 1, founded_ms: {self.founded}"
-        about += f', disk: "{member.disk}", forget: [{forgets}]'
-        partners = f"\n{self.partnership.settings(member.number)}" if self.partnership else ""
+    def policies(self, member: RouterProcess) -> str:
+        """Returns the current `history` section of the operator file, with `partners` if there are any."""
+        self.founded_ms = self.founded_ms or int(self.world.clock() * 1000)
+        keeps = f"least_ms: {MIN_RETENTION_MS}, most_ms: {10 * MIN_RETENTION_MS}, rows: true, disk: true"
+        erasures = ", ".join(f"{{before_ms: {int(before * 1000)}}}" for before, _ in self.erasures)
+        about = f"number: {self.number}, copies: 1, founded_ms: {self.founded_ms}"
+        about += f', disk: "{member.history_file}", forget: [{erasures}]'
+        partners = f"\n{self.partner_settings.settings(member.number)}" if self.partner_settings else ""
         return f"history: {{{about}, default: {{{keeps}}}}}{partners}"
 
-    def tell(self, member: Member) -> None:
-        """Policies with the next number are told to one router; the others hear of them from it."""
+    def publish_policies(self, member: RouterProcess) -> None:
+        """Gives policies with the next number to one router, from which the others learn of them."""
         self.number += 1
-        member.peers(member.others, self.policies(member))
+        member.write_operator_file(member.others, self.policies(member))
         member.signal(signal.SIGHUP)
 
-    async def settled(self) -> None:
-        """Until every router has the history in force, so that the script strikes at a fleet that works."""
+    async def wait_until_in_force(self) -> None:
+        """Waits until the history is in force at every router, so that faults start in a working fleet."""
         with anyio.fail_after(60):
             for member in self.members:
-                while not any(line["in_force"] and not line["fetching"] for line in member.told("history")):
+                while not any(
+                    line["in_force"] and not line["fetching"] for line in member.log_events("history")
+                ):
                     await anyio.sleep(0.2)
-                while self.partners and not any(line["in_force"] for line in member.told("partners_count")):
+                while self.partners and not any(
+                    line["in_force"] for line in member.log_events("partners_count")
+                ):
                     await anyio.sleep(0.2)
 
-    async def look_at_connections(self) -> None:
-        """Who holds the other end of each connection to an engine, while both are there."""
-        looked: Counter[int] = Counter()
+    async def attribute_connections(self) -> None:
+        """Records, for each open connection to an engine, which partner's router opened it."""
+        lookups: Counter[int] = Counter()
         while True:
-            new = {number: port for number, port in self.world.talks.items() if number not in self.whose}
-            new = {number: port for number, port in new.items() if looked[number] < LOOKS}
-            looked.update(new.keys())
-            known = sockets(set(new.values())) if new else {}
+            new = {
+                number: port
+                for number, port in self.world.talks.items()
+                if number not in self.partner_by_connection
+            }
+            new = {number: port for number, port in new.items() if lookups[number] < MAX_LOOKUPS}
+            lookups.update(new.keys())
+            known = socket_inodes(set(new.values())) if new else {}
             for member in self.members if known else ():
                 if member.process is not None and member.process.poll() is None:
-                    ports = held(member.process.pid, known)
+                    ports = held_ports(member.process.pid, known)
                     mine = [number for number, port in new.items() if port in ports]
-                    self.whose |= dict.fromkeys(mine, partner_of(member.number))
+                    self.partner_by_connection |= dict.fromkeys(mine, partner_of(member.number))
             await anyio.sleep(0.05)
 
-    def agreement(self) -> Member:
-        """A partner's operator makes another offer, at the router that marks for it."""
-        partner = self.chance.choice(PARTNERS)
-        self.partnership.offer(partner, self.chance.randint(1000, 6000))
+    def make_offer(self) -> RouterProcess:
+        """Makes another offer of a random partner, at the router that signs for it."""
+        partner = self.random.choice(PARTNERS)
+        self.partner_settings.offer(partner, self.random.randint(1000, 6000))
         member = self.members[PARTNERS.index(partner)]
-        member.peers(member.others, self.policies(member))
+        member.write_operator_file(member.others, self.policies(member))
         member.signal(signal.SIGHUP)
         return member
 
-    async def end(self, member: Member) -> None:
-        self.exits.append(await member.stop())
+    async def stop_router(self, member: RouterProcess) -> None:
+        self.exit_codes.append(await member.stop())
 
     # ---- clients ----------------------------------------------------------------------------------
 
-    async def clients(self, member: Member, until: float, tasks: anyio.abc.TaskGroup) -> None:
+    async def clients(self, member: RouterProcess, until: float, tasks: anyio.abc.TaskGroup) -> None:
         key = 0
         while self.world.clock() < until:
-            await anyio.sleep(self.chance.expovariate(1 / EVERY))
-            if not member.up:
+            await anyio.sleep(self.random.expovariate(1 / MEAN_QUERY_INTERVAL))
+            if not member.accepting:
                 continue
             key += 1
             kinds = ("lookup", "report", "event-load", "change")
-            group = self.chance.choices(kinds, (6, 2, 1, int(self.partners)))[0]
-            tables, work = self.chance.randrange(8), self.chance.choice((2, 5, 20, 60))
+            group = self.random.choices(kinds, (6, 2, 1, int(self.partners)))[0]
+            tables, work = self.random.randrange(8), self.random.choice((2, 5, 20, 60))
             statement = f"SELECT /* lab ms={work} rows=3 */ a FROM sales_{tables}.orders"
             q = Query(group, statement, weight=float(work))
             if group == "event-load":
                 q.token = f"{self.seed % 65536:04x}{self.members.index(member):04x}{key:08x}"
-                # Keys of partners are asked for at routers of all of them.
-                where = self.chance.randrange(4) if self.partners else self.members.index(member)
+                # With partners, the same ordering key is used at routers of all partners.
+                where = self.random.randrange(4) if self.partners else self.members.index(member)
                 q.key = f"{where:04x}{key % 3:04x}"
             self.start_query(member, q, tasks)
-            if self.history and q.token and self.chance.random() < AGAIN:
+            if self.history and q.token and self.random.random() < RESEND_FRACTION:
                 tasks.start_soon(self.resend, q, until)
 
-    def start_query(self, member: Member, q: Query, tasks: anyio.abc.TaskGroup) -> None:
-        """Sends a query in a task of its own. It is open from now on: a fault may strike its router before
-        the task has run, and then it is excused."""
+    def start_query(self, member: RouterProcess, q: Query, tasks: anyio.abc.TaskGroup) -> None:
+        """Sends a query in a task of its own.
+
+        The query counts as open at once, so that it is excused if its router fails before the task has run.
+        """
         q.router = member.name
         self.queries.append(q)
-        self.open[member.name].add(q.id)
-        tasks.start_soon(self.one, member, q)
+        self.open_queries[member.name].add(q.id)
+        tasks.start_soon(self.run_query, member, q)
 
     async def resend(self, first: Query, until: float) -> None:
-        """A client that did not hear its answer, or did not keep it, asks again, wherever it gets to."""
-        await anyio.sleep(self.chance.uniform(*AGAIN_AFTER))
-        up = [member for member in self.members if member.up]
+        """Sends a query again, to any router, as a client does that did not get or keep the answer."""
+        await anyio.sleep(self.random.uniform(*RESEND_DELAY))
+        up = [member for member in self.members if member.accepting]
         if not up or self.world.clock() > until:
             return
-        member = self.chance.choice(up)
+        member = self.random.choice(up)
         q = Query(first.group, first.statement, weight=first.weight, token=first.token, key=first.key)
         q.router = member.name
         self.queries.append(q)
         self.resends.append((q, first))
-        await self.one(member, q)
+        await self.run_query(member, q)
 
-    async def one(self, member: Member, q: Query) -> None:
-        client, open = MySQL(self.world, member.port), self.open[member.name]
-        open.add(q.id)
+    async def run_query(self, member: RouterProcess, q: Query) -> None:
+        client, open_ids = MySQL(self.world, member.port), self.open_queries[member.name]
+        open_ids.add(q.id)
         try:
             await client.ask(q)
         finally:
-            open.discard(q.id)
+            open_ids.discard(q.id)
             await client.close()
 
     # ---- faults -----------------------------------------------------------------------------------
 
     async def faults(self, until: float) -> None:
-        """One after another, each kind in turn before any comes again."""
+        """Injects faults one after another; every kind comes once before any is repeated."""
         line: list[str] = []
         while self.world.clock() < until:
-            kinds = KINDS + REMEMBERED * self.history + AGREED * self.partners
-            line = line or self.chance.sample(kinds, len(kinds))
+            kinds = FAULT_KINDS + HISTORY_FAULT_KINDS * self.history + PARTNER_FAULT_KINDS * self.partners
+            line = line or self.random.sample(kinds, len(kinds))
             kind = line.pop()
-            span = min(self.chance.uniform(*FAULT_FOR), max(0.1, until - self.world.clock()))
-            self.kinds[kind] += 1
-            await self.strike(kind, span)
-            self.between.mend()
-            await anyio.sleep(REST)
-
-    async def strike(self, kind: str, span: float) -> None:
-        member = self.chance.choice(self.members)
+            duration = min(self.random.uniform(*FAULT_DURATION), max(0.1, until - self.world.clock()))
+            self.fault_counts[kind] += 1
+            await self.inject_fault(kind, duration)
+            self.relay.heal()
+            await anyio.sleep(FAULT_PAUSE)
+
+    async def inject_fault(self, kind: str, duration: float) -> None:
+        member = self.random.choice(self.members)
         names = [member.name for member in self.members]
-        some = self.chance.sample(names, self.chance.randint(1, len(names) // 2))
+        some = self.random.sample(names, self.random.randint(1, len(names) // 2))
         others = [name for name in names if name not in some]
-        ways = [way for (sender, receiver), way in self.between.ways.items() if sender in some]
+        channels = [channel for (sender, receiver), channel in self.relay.channels.items() if sender in some]
         match kind:
             case "lost" | "again":
-                for way in ways:
-                    setattr(way, kind, 0.5)
+                for channel in channels:
+                    setattr(channel, kind, 0.5)
             case "late":
-                for way in ways:
-                    way.late = (0.0, 0.4)
+                for channel in channels:
+                    channel.delay = (0.0, 0.4)
             case "cut" | "one way":
-                self.between.cut(some, others, one_way=kind == "one way")
+                self.relay.cut(some, others, one_way=kind == "one way")
             case "broken stream":
-                for way in self.between.ways.values():
-                    way.breaks = self.chance.randrange(1, 400)
+                for channel in self.relay.channels.values():
+                    channel.break_after_bytes = self.random.randrange(1, 400)
                 await self.restart(member)
             case "killed":
                 self.excuse(member)
                 await member.kill()
-                await anyio.sleep(span)
+                await anyio.sleep(duration)
                 await member.start()
                 return
             case "paused":
                 self.excuse(member)
-                member.up = False
+                member.accepting = False
                 member.signal(signal.SIGSTOP)
-                await anyio.sleep(span)
+                await anyio.sleep(duration)
                 self.excuse(member)
                 member.signal(signal.SIGCONT)
-                member.up, member.back_at = True, self.world.clock()
+                member.accepting, member.resumed_at = True, self.world.clock()
                 return
             case "restarted":
                 await self.restart(member)
             case "drained":
                 await self.drain()
             case "policies":
-                self.tell(member)
+                self.publish_policies(member)
             case "agreement":
-                self.agreement()
+                self.make_offer()
             case "forgotten in a cut":
-                self.between.cut(some, others)
-                await anyio.sleep(span)
+                self.relay.cut(some, others)
+                await anyio.sleep(duration)
                 told = next(m for m in self.members if m.name == others[0])
-                self.forgets.append((self.world.clock(), self.world.clock() + span))
-                self.tell(told)
+                self.erasures.append((self.world.clock(), self.world.clock() + duration))
+                self.publish_policies(told)
             case "old disk":
-                await self.old_disk(member, span)
+                await self.restore_old_disk(member, duration)
                 return
-        await anyio.sleep(span)
+        await anyio.sleep(duration)
 
-    async def restart(self, member: Member) -> None:
-        self.exits.append(await member.stop())
+    async def restart(self, member: RouterProcess) -> None:
+        self.exit_codes.append(await member.stop())
         await member.start()
 
-    async def old_disk(self, member: Member, span: float) -> None:
-        """A copy is put back that was made a while before, as from a backup."""
-        files = [member.disk.with_name(member.disk.name + end) for end in ("", "-wal")]
+    async def restore_old_disk(self, member: RouterProcess, duration: float) -> None:
+        """Restores an older copy of a router's history file, as from a backup."""
+        files = [member.history_file.with_name(member.history_file.name + end) for end in ("", "-wal")]
         copy = {file: file.read_bytes() for file in files if file.exists()}
-        await anyio.sleep(span)
+        await anyio.sleep(duration)
         self.excuse(member)
         await member.kill()
-        for file in (*files, member.disk.with_name(member.disk.name + "-shm")):
+        for file in (*files, member.history_file.with_name(member.history_file.name + "-shm")):
             file.unlink(missing_ok=True)
         for file, data in copy.items():
             file.write_bytes(data)
         await member.start()
 
     async def drain(self) -> None:
-        """An engine is told to drain, and a new one starts."""
+        """Drains an engine and starts a new one."""
         left = [n for n in self.fleet.servers if n not in self.draining]
-        number = self.chance.choice(left)
+        number = self.random.choice(left)
         self.draining.append(number)
         self.fleet.drain(number)
         await self.fleet.add()
 
-    def excuse(self, member: Member) -> None:
-        """What is out there can't be answered, or not in time."""
-        self.excused |= self.open[member.name]
+    def excuse(self, member: RouterProcess) -> None:
+        """Excuses the open queries of a router: they cannot be answered, or not in time."""
+        self.excused |= self.open_queries[member.name]
 
-    # ---- what came of it --------------------------------------------------------------------------
+    # ---- results --------------------------------------------------------------------------------
 
-    def figures(self) -> dict[str, object]:
+    def results(self) -> dict[str, object]:
         counted = [q for q in self.queries if q.id not in self.excused]
         ends = Counter(q.how for q in counted)
-        broken = rules.broken(self.world, counted, slack=SLACK)
-        # What the history is asked about waits where it can't be known; that is counted apart.
+        broken = rules.broken(self.world, counted, slack=TIMING_SLACK)
+        # Keyed queries wait while the history cannot decide on them, so they are counted separately.
         keyed = [q for q in counted if self.history and q.token]
         plain = [q for q in counted if not (self.history and q.token)]
         served, known = (
@@ -426,11 +442,11 @@
         )
         ids = {run.id for run in self.world.ran}
         replayed = [q for q, _ in self.resends if q.how == "finished" and q.id not in ids]
-        faults = [line for member in self.members for line in member.told("fault")]
+        faults = [line for member in self.members for line in member.log_events("fault")]
         return {
             "processes": sum(member.starts for member in self.members),
-            "faults": sum(self.kinds.values()),
-            "kinds": dict(self.kinds),
+            "faults": sum(self.fault_counts.values()),
+            "kinds": dict(self.fault_counts),
             "queries": len(self.queries),
             "finished": ends["finished"],
             "deferred": ends["deferred"],
@@ -443,46 +459,63 @@
             "ran_twice": len(self.ran_twice()),
             "out_of_order": sum(fault.startswith("rule 5") for fault in broken),
             "forgotten_too_soon": len(self.forgotten_too_soon()),
-            "passed_on": self.passed_on(),
-            "led_known": round(self.led_known(), 3),
+            "passed_on": self.forwarded_count(),
+            "led_known": round(self.attributed_fraction(), 3),
             "two_owners": len(two := self.two_owners()),
             "first_two": two[:1],
             "over_quota": len(over := self.over_quota()),
             "first_over": over[:1],
             "kept_too_long": len(kept := self.kept_too_long(replayed)),
             "first_kept": kept[:1],
-            "bad_exits": sum(code != 0 for code in self.exits),
+            "bad_exits": sum(code != 0 for code in self.exit_codes),
             "router_faults": len(faults),
             "first_fault": faults[:1],
             "served_share": round(served, 3),
             "keyed_served_share": round(known, 3),
-            "relay": dict(self.between.counts),
+            "relay": dict(self.relay.counts),
         }
 
     def two_owners(self) -> list[str]:
-        return two_owners(self.world, self.whose, known(self.queries)) if self.partners else []
+        return (
+            two_owners(self.world, self.partner_by_connection, query_info_by_id(self.queries))
+            if self.partners
+            else []
+        )
 
-    def led(self) -> list[Ran]:
+    def coordinated_runs(self) -> list[Ran]:
         return [run for run in self.world.ran if run.group in ("event-load", "change")]
 
-    def led_known(self) -> float:
-        """The part of keyed and mutating runs of which it is known whose they were."""
-        led = self.led()
-        return sum(run.talk in self.whose for run in led) / max(1, len(led)) if self.partners else 0.0
+    def attributed_fraction(self) -> float:
+        """Returns the fraction of keyed and mutating runs whose partner is known."""
+        coordinated_runs = self.coordinated_runs()
+        return (
+            sum(run.talk in self.partner_by_connection for run in coordinated_runs)
+            / max(1, len(coordinated_runs))
+            if self.partners
+            else 0.0
+        )
 
-    def passed_on(self) -> int:
-        """Queries that ran for another partner than the one whose router the client asked."""
+    def forwarded_count(self) -> int:
+        """Counts the queries that ran for another partner than the one whose router the client asked."""
         asked = {q.id: partner_of(int(q.router[1:])) for q in self.queries}
-        known = (run for run in self.led() if run.talk in self.whose and run.id in asked)
-        return sum(self.whose[run.talk] != asked[run.id] for run in known)
+        known = (
+            run
+            for run in self.coordinated_runs()
+            if run.talk in self.partner_by_connection and run.id in asked
+        )
+        return sum(self.partner_by_connection[run.talk] != asked[run.id] for run in known)
 
     def over_quota(self) -> list[str]:
         if not self.partners:
             return []
-        return over_quota(self.world, self.whose, CORES, self.count, MOST_SHARE)
+        return over_quota(self.world, self.partner_by_connection, CORES, self.router_count, MAX_OFFERED_SHARE)
 
     def ran_twice(self) -> list[str]:
-        """Tokens that ran for two queries within their keep time, with no wish to forget between."""
+        """Returns what ran twice without being allowed to.
+
+        These are the idempotency keys that ran for two queries within the retention time with no erasure
+        request in between, and the ids of mutating queries that ran more than once.
+        """
         runs = defaultdict(list)
         for run in sorted(self.world.ran, key=lambda run: run.began):
             if run.token:
@@ -494,48 +527,52 @@
             for token, line in runs.items()
             for first, again in pairwise(line)
             if first.id != again.id
-            and again.began - first.began < LEAST / 1000
-            and not any(sent[first.id] < before + SKEW for before, _ in self.forgets)
+            and again.began - first.began < MIN_RETENTION_MS / 1000
+            and not any(sent[first.id] < before + MAX_CLOCK_SKEW for before, _ in self.erasures)
         ] + [id for id, many in changes.items() if many > 1]
 
     def forgotten_too_soon(self) -> list[str]:
-        """Of those, the tokens whose client had its answer: the history had it, and has lost it."""
+        """Returns those of `ran_twice` whose client had its answer: the history lost a finished record."""
         finished = {q.token for q in self.queries if q.how == "finished"}
         return [token for token in self.ran_twice() if token in finished]
 
     @staticmethod
-    def may_stay(member: Member, before: float) -> set[str]:
-        """Tokens that a holder's disk has as runs whose end nobody told, as of a router that was killed under
-        them: those stay until they can't be out any more. And those that were asked for again since."""
-        if not member.disk.exists():
+    def may_stay(member: RouterProcess, before: float) -> set[str]:
+        """Returns the idempotency keys that may stay on a router's disk after an erasure request.
+
+        These are runs with an unknown end, as of a router that was killed during them, which stay until they
+        cannot be running any more, and queries that were granted again after the request.
+        """
+        if not member.history_file.exists():
             return set()
-        records = [record for record, _ in SqliteStore(member.disk).read()]
+        records = [record for record, _ in SqliteStore(member.history_file).read()]
         return {
             r.idempotency_key
             for r in records
-            if r.state == RecordState.RUNNING or r.granted_at / 10_000 >= before - SKEW
+            if r.state == RecordState.RUNNING or r.granted_at / 10_000 >= before - MAX_CLOCK_SKEW
         }
 
     def kept_too_long(self, replayed: list[Query]) -> list[str]:
-        """Tokens whose last run was to be forgotten, and that were answered, or are on a disk, long after."""
+        """Describes erased answers that were still given to clients, or still on a disk, too late."""
         kept, ended = [], defaultdict(float)
         for run in self.world.ran:
             if run.token:
                 ended[run.token] = max(ended[run.token], run.ended or self.world.clock())
-        for before, told in self.forgets:
-            gone = {token for token, end in ended.items() if end < before - SKEW}
-            late = [q for q in replayed if q.token in gone and q.sent > told + HONOURED]
+        for before, told in self.erasures:
+            gone = {token for token, end in ended.items() if end < before - MAX_CLOCK_SKEW}
+            late = [q for q in replayed if q.token in gone and q.sent > told + ERASURE_PROPAGATION_TIME]
             kept += [f"{q.token} answered by {q.router}, {q.sent - told:.1f} s after" for q in late]
-            if self.world.clock() > told + 2 * HONOURED:
+            if self.world.clock() > told + 2 * ERASURE_PROPAGATION_TIME:
                 for member in self.members:
-                    if self.world.clock() < member.back_at + HONOURED:
-                        continue  # it has not heard of it, and answers nothing before it has
+                    if self.world.clock() < member.resumed_at + ERASURE_PROPAGATION_TIME:
+                        continue  # it may not know of the request yet, and answers nothing until it does
                     files = member.folder.glob(f"{member.name}.db*")
                     data = b"".join(file.read_bytes() for file in files)
                     out = self.may_stay(member, before)
                     found = [t for t in sorted(gone - out) if t.encode() in data]
                     where = (
-                        f"on the disk of {member.name}, back for {self.world.clock() - member.back_at:.1f} s"
+                        f"on the disk of {member.name},"
+                        f" back for {self.world.clock() - member.resumed_at:.1f} s"
                     )
                     kept += [f"{token} {where}" for token in found]
         return kept
@@ -549,28 +586,29 @@
     history: bool = False,
     partners: bool = False,
 ) -> dict[str, object]:
-    """One script; its figures."""
-    rig = Together(seed, routers, engines, history, partners)
+    """Runs one fleet for `seconds` and returns its results."""
+    cluster = RouterCluster(seed, routers, engines, history, partners)
     with tempfile.TemporaryDirectory(prefix="hillchute-") as folder:
         async with anyio.create_task_group() as tasks:
             try:
-                await rig.up(Path(folder), tasks)
-                if rig.history:
-                    await rig.settled()
-                until = rig.world.clock() + seconds
-                with suppress(TimeoutError), anyio.fail_after(seconds + ENDS + 30):
+                await cluster.start(Path(folder), tasks)
+                if cluster.history:
+                    await cluster.wait_until_in_force()
+                until = cluster.world.clock() + seconds
+                with suppress(TimeoutError), anyio.fail_after(seconds + ANSWER_GRACE + 30):
                     async with anyio.create_task_group() as work:
-                        work.start_soon(rig.faults, until)
-                        for member in rig.members:
-                            work.start_soon(rig.clients, member, until, work)
+                        work.start_soon(cluster.faults, until)
+                        for member in cluster.members:
+                            work.start_soon(cluster.clients, member, until, work)
             finally:
                 with anyio.CancelScope(shield=True):
-                    await rig.down()
+                    await cluster.stop()
                 tasks.cancel_scope.cancel()
-        return rig.figures()
+        return cluster.results()
 
 
 def verdict(found: dict[str, object]) -> bool:
+    """Returns whether no rule was broken and at least 90% of the counted plain queries were served."""
     counts = ("broken_rules", "two_owners", "ran_twice", "kept_too_long", "over_quota")
     counts += ("bad_exits", "router_faults")
     clean = not any(found[kind] for kind in counts)
@@ -579,12 +617,16 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m hillchute.lab.processes", description=__doc__)
-    parser.add_argument("--seed", type=int, default=1, help="what the script is drawn from")
-    parser.add_argument("--minutes", type=float, default=0.5, help="how long faults strike")
-    parser.add_argument("--routers", type=int, default=ROUTERS, help="how many routers")
-    parser.add_argument("--history", action="store_true", help="keyed queries and resends over the history")
-    parser.add_argument("--partners", action="store_true", help="routers of three partners, with the history")
-    parser.add_argument("--json", action="store_true", help="print JSON for a machine to read")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the faults and queries")
+    parser.add_argument("--minutes", type=float, default=0.5, help="how long faults are injected")
+    parser.add_argument("--routers", type=int, default=ROUTERS, help="number of routers")
+    parser.add_argument(
+        "--history", action="store_true", help="with the answer history: queries with keys and resends"
+    )
+    parser.add_argument(
+        "--partners", action="store_true", help="routers of three partners, with the answer history"
+    )
+    parser.add_argument("--json", action="store_true", help="print the results as JSON")
     asked = parser.parse_args()
     about = asked.routers, ENGINES, asked.history, asked.partners
     found = anyio.run(run, asked.seed, asked.minutes * 60, *about)
--- a/hillchute/lab/workers.py
+++ b/hillchute/lab/workers.py
@@ -1,13 +1,13 @@
-"""Processes that share a rig's work.
+"""Worker processes that share the work of a simulation.
 
-Owns how they start. Must never fork: whoever plays mutants may have threads. A test run has those of gRPC,
-whose fork handler then turns round in each worker for ever, waiting for threads that the fork did not copy.
+Workers are spawned, never forked, because the parent process may have threads. In a test run it has those of
+gRPC, whose fork handler then loops forever in each worker, waiting for threads that the fork did not copy.
 """
 
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
 
-def workers(jobs: int | None) -> ProcessPoolExecutor:
-    """So many, as many as there are cores for None; each starts anew and imports what it is given to do."""
+def worker_pool(jobs: int | None) -> ProcessPoolExecutor:
+    """Returns a pool of `jobs` spawned worker processes; None means one per core."""
     return ProcessPoolExecutor(jobs, mp_context=get_context("spawn"))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Routers of one fleet as processes, with faults between them; wiring of a router with peers."""
+"""A fleet of router processes under injected faults; the integration of a router with its peers."""
 
 import errno
 import socket
@@ -46,23 +46,23 @@
 
 
 def test_query_whose_router_is_killed_before_its_task_has_run_is_excused():
-    rig, query = processes.Together(1), Query("lookup", "SELECT 1")
-    rig.open["r0"] = set()
+    cluster, query = processes.RouterCluster(1), Query("lookup", "SELECT 1")
+    cluster.open_queries["r0"] = set()
 
-    async def chosen_as_a_fault_strikes():
+    async def start_query_and_excuse():
         async with anyio.create_task_group() as tasks:
             nobody_listens = SimpleNamespace(name="r0", port=1)
-            rig.start_query(nobody_listens, query, tasks)
-            rig.excuse(nobody_listens)
+            cluster.start_query(nobody_listens, query, tasks)
+            cluster.excuse(nobody_listens)
 
-    anyio.run(chosen_as_a_fault_strikes)
-    assert rig.excused == {query.id}
+    anyio.run(start_query_and_excuse)
+    assert cluster.excused == {query.id}
     assert not query.answered
-    assert not rig.open["r0"]
+    assert not cluster.open_queries["r0"]
 
 
 @pytest.mark.real_time
-def test_fleet_of_processes_keeps_the_rules_while_faults_strike_between_them():
+def test_fleet_of_processes_breaks_no_rule_under_injected_faults():
     found = anyio.run(processes.run, 5, 14.0)
     assert not found["broken_rules"], found["first_broken"]
     assert not found["bad_exits"] and not found["router_faults"]
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.real_time
-def test_routers_of_three_partners_keep_one_owner_while_faults_strike_and_they_agree_anew():
+def test_slots_have_one_owner_under_faults_and_new_agreements_of_three_partners():
     found = anyio.run(partial(processes.run, 2, 16.0, 6, partners=True))
     assert not found["broken_rules"], found["first_broken"]
     assert not found["two_owners"], found["first_two"]
@@ -84,7 +84,7 @@
     return Ran(id, group, token if group == "event-load" else None, "e", began, ended, talk=talk)
 
 
-def test_two_owners_are_seen_by_whose_connections_the_runs_came():
+def test_overlapping_runs_of_two_partners_are_reported_as_two_owners():
     about = {n: ("k", "UPDATE sales_3.orders", g) for n, g in (("q", "event-load"), ("p", "event-load"))}
     about |= {n: (None, "UPDATE sales_3.orders", "change") for n in "xy"}
     world, whose = World(), {1: "a", 2: "b"}
@@ -96,69 +96,70 @@
     assert not two_owners(world, {1: "a", 2: "a"}, about)
 
 
-def test_partner_over_its_quota_is_seen_where_an_engine_is_crowded():
+def test_partner_over_its_quota_is_reported_only_on_a_saturated_engine():
     world, whose = World(), dict.fromkeys(range(40), "a") | {50: "b"}
     world.ran = [ran(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
-    assert over_quota(world, whose, 8, 6, 5000)  # 40 threads of 16, with 8 and two routers' queries its own
-    assert not over_quota(world, whose, 64, 6, 5000)  # nobody stands in another's way
+    # Used are 40 of 16 threads; 8 threads and one query for each of two routers are allowed.
+    assert over_quota(world, whose, 8, 6, 5000)
+    assert not over_quota(world, whose, 64, 6, 5000)  # the engine is not saturated
     world.ran = [ran(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [ran("p", 0.0, 1.0, 50, "report")]
     assert not over_quota(world, whose, 8, 6, 5000)
 
 
-# ---- nodes over a played network --------------------------------------------------------------------
+# ---- nodes over a simulated network -----------------------------------------------------------------
 
 
-class Silent:
-    """A payload handler that sends one thing and keeps what it hears."""
+class RecordingHandler:
+    """A payload handler that sends a fixed payload and records what it receives."""
 
     def __init__(self):
-        self.heard_of, self.ended = [], []
+        self.received, self.lost_routers = [], []
 
     def ping_digest(self, now, recipient):
         return b"x" * 100
 
     def on_digest(self, now, sender, data):
-        self.heard_of.append((sender, data))
+        self.received.append((sender, data))
 
     def newcomer_digests(self, now, recipient):
         return [b"all"] * 3
 
     def on_router_lost(self, name):
-        self.ended.append(name)
+        self.lost_routers.append(name)
 
 
-class Nodes:
+class SimulatedNodes:
     def __init__(self, names):
-        self.names, self.now, self.post = names, NOW, []
+        self.names, self.now, self.in_flight = names, NOW, []
         self.nodes = {}
         for name in names:
             self.start(name)
 
     def start(self, name):
         keys = {other: KEY for other in self.names if other != name}
-        self.nodes[name] = Node(RouterIdentity(name, self.now // 10), keys, 1, self.now, Silent())
+        self.nodes[name] = Node(RouterIdentity(name, self.now // 10), keys, 1, self.now, RecordingHandler())
 
     def play(self, seconds, lost=lambda to, data: False):
         for _ in range(int(seconds * 10)):
             self.now += 1_000
-            post, self.post = self.post, []
-            for to, data in post:
+            arriving, self.in_flight = self.in_flight, []
+            for to, data in arriving:
                 if to in self.nodes and not lost(to, data):
-                    self.post += self.nodes[to].receive(self.now, data)
+                    self.in_flight += self.nodes[to].receive(self.now, data)
             for node in self.nodes.values():
-                self.post += node.tick(self.now)
+                self.in_flight += node.tick(self.now)
 
 
-def test_nodes_find_each_other_and_loads_ride_along():
-    net = Nodes(["a", "b", "c"])
+def test_nodes_find_each_other_and_pings_carry_payloads():
+    net = SimulatedNodes(["a", "b", "c"])
     net.play(3)
     assert all(node.live_peers() == sorted({"a", "b", "c"} - {name}) for name, node in net.nodes.items())
-    assert {sender for sender, _ in net.nodes["a"].payload_handler.heard_of} == {"b", "c"}
+    assert {sender for sender, _ in net.nodes["a"].payload_handler.received} == {"b", "c"}
     assert not net.nodes["a"].dropped
 
 
-def test_nothing_that_was_recorded_is_believed_by_a_router_that_restarted():
-    net = Nodes(["a", "b", "c"])
+def test_restarted_router_rejects_replayed_datagrams_of_its_earlier_generation():
+    net = SimulatedNodes(["a", "b", "c"])
     recorded = []
     net.play(3, lost=lambda to, data: recorded.append((to, data)))
     net.play(3)
@@ -168,13 +169,13 @@
     fresh = net.nodes["a"]
     for data in recorded:
         fresh.receive(net.now, data)
-    assert not fresh.payload_handler.heard_of and not fresh.live_peers()
+    assert not fresh.payload_handler.received and not fresh.live_peers()
     net.play(20)
-    assert fresh.live_peers() == ["b", "c"] and fresh.payload_handler.heard_of
+    assert fresh.live_peers() == ["b", "c"] and fresh.payload_handler.received
 
 
-def test_whatever_bytes_come_no_node_raises_and_each_is_counted():
-    net = Nodes(["a", "b"])
+def test_malformed_datagrams_are_counted_and_raise_nothing():
+    net = SimulatedNodes(["a", "b"])
     net.play(2)
     ((_, good),) = net.nodes["b"].payload_datagrams("a", b"load")
     node = net.nodes["a"]
@@ -182,14 +183,14 @@
         node.receive(net.now, good[:end])
         node.receive(net.now, good[:end] + b"\xff" + good[end + 1 :])
     assert sum(node.dropped.values()) == 2 * len(good)
-    heard = len(node.payload_handler.heard_of)
+    heard = len(node.payload_handler.received)
     node.receive(net.now, good)
     node.receive(net.now, good)
-    assert len(node.payload_handler.heard_of) == heard + 1
+    assert len(node.payload_handler.received) == heard + 1
 
 
-def test_load_that_does_not_fit_goes_without_and_who_lives_is_still_told():
-    net = Nodes(["a", "b"])
+def test_datagram_omits_a_payload_that_does_not_fit_and_keeps_its_rumours():
+    net = SimulatedNodes(["a", "b"])
     net.nodes["a"].payload_handler.ping_digest = lambda now, recipient: b"x" * MAX_DATAGRAM_BYTES
     net.play(3)
     assert net.nodes["b"].live_peers() == ["a"] and net.nodes["a"].live_peers() == ["b"]
@@ -197,10 +198,10 @@
     assert net.nodes["a"].dropped["payload too long"] == 1
 
 
-def test_router_that_is_heard_by_a_load_alone_lives():
-    net = Nodes(["a", "b"])
+def test_router_that_only_sends_a_payload_counts_as_alive():
+    net = SimulatedNodes(["a", "b"])
     a, b = net.nodes["a"], net.nodes["b"]
-    # They have heard of each other's generation, and of nothing else.
+    # They know each other's generation and nothing else.
     b.replay_windows["a"].latest_unaccepted_generation = a.generation
     ((_, data),) = b.payload_datagrams("a", b"load")
     a.receive(net.now, data)
@@ -211,16 +212,16 @@
     assert a.live_peers() == []
 
 
-def test_long_names_leave_room_for_who_lives():
+def test_datagrams_with_long_names_stay_below_the_size_limit():
     names = [f"{n:02d}" + "n" * 62 for n in range(20)]
-    net = Nodes(names)
+    net = SimulatedNodes(names)
     net.play(6)
     assert all(len(node.live_peers()) == 19 for node in net.nodes.values())
-    assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data in net.post)
+    assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data in net.in_flight)
 
 
-def test_router_that_comes_wishes_for_all_and_gets_it():
-    net = Nodes(["a", "b", "c"])
+def test_new_router_requests_the_full_state_and_receives_it():
+    net = SimulatedNodes(["a", "b", "c"])
     net.play(3)
     assert net.nodes["a"].state_requests
     answers = net.nodes["b"].receive(net.now, net.nodes["a"].state_request("b"))
@@ -228,23 +229,23 @@
     assert max(len(data) for _, data in answers) <= MAX_DATAGRAM_BYTES
 
 
-def test_router_that_leaves_or_is_named_no_more_is_gone_for_the_payload_handler():
-    net = Nodes(["a", "b", "c"])
+def test_payload_handler_hears_of_a_router_that_leaves_or_is_no_longer_configured():
+    net = SimulatedNodes(["a", "b", "c"])
     net.play(3)
-    net.post += net.nodes.pop("b").leave(net.now)
+    net.in_flight += net.nodes.pop("b").leave(net.now)
     net.play(1)
-    assert net.nodes["a"].payload_handler.ended == ["b"]
+    assert net.nodes["a"].payload_handler.lost_routers == ["b"]
     net.nodes["a"].set_keys({"b": KEY}, net.now)
     net.play(3)
     assert net.nodes["a"].live_peers() == [] and net.nodes["a"].dropped["unknown peer"]
 
 
-# ---- the scheduler among peers ----------------------------------------------------------------------
+# ---- the scheduler with peers -----------------------------------------------------------------------
 
 
 @pytest.fixture
 def fleet_scheduler():
-    """A fleet scheduler with engines 1 to 3, its clock, and a fleet of four routers."""
+    """A fleet scheduler with engines 1 to 3, an adjustable clock and a fleet of four routers."""
     catalog = config.parse_catalog(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
     clock = [NOW]
     settings = FleetSettings(
@@ -265,7 +266,7 @@
     return found
 
 
-def test_queries_taken_and_turned_away_are_counted_by_their_group(fleet_scheduler):
+def test_received_and_rejected_queries_are_counted_by_group(fleet_scheduler):
     group = fleet_scheduler.scheduler.groups[0]
     fleet_scheduler.scheduler.groups.append(replace(group, settings=replace(group.settings, number=1)))
     for n, group in enumerate((0, 1, 1)):
@@ -281,12 +282,12 @@
     assert fleet_scheduler.groups_by_query.keys() == {"q2"}
 
 
-def test_module_hears_how_many_routers_live_and_its_parts(fleet_scheduler):
+def test_scheduler_is_given_the_number_of_live_routers_and_its_shares(fleet_scheduler):
     assert fleet_scheduler.scheduler.pool.routers == 3 and fleet_scheduler.scheduler.pool.subset == {1, 2, 3}
     assert 0 < fleet_scheduler.scheduler.pool.shares.warm_up <= 0.25
 
 
-def test_report_that_comes_here_is_told_and_one_heard_of_is_not(fleet_scheduler):
+def test_own_load_report_is_passed_to_peers_and_a_relayed_one_is_not(fleet_scheduler):
     fleet_scheduler.on_health_check(10, 1, AttemptResult.SERVED, {"inflight": 3})
     assert fleet_scheduler.scheduled_digests and fleet_scheduler.fleet.own.load_reports.keys() == {1}
     fleet_scheduler.on_load_report(10, 2, {"inflight": 3}, age=5)
@@ -294,25 +295,25 @@
     assert fleet_scheduler.scheduler.engines[2].reported_at == 5
 
 
-def test_engine_closed_by_others_word_takes_nothing_until_the_list_has_come_so_far(fleet_scheduler):
+def test_engine_closed_by_witnesses_stays_closed_until_the_endpoint_list_reaches_the_event(fleet_scheduler):
     for witness in ("r1", "r2"):
         fleet_scheduler.fleet.signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(3, 9),)))
     fleet_scheduler.on_fleet_changed(20)
     assert not fleet_scheduler.scheduler.engines[3].ready
     fleet_scheduler.on_endpoint_list(25, ListMode.PARTIAL, [Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)])
-    fleet_scheduler.on_subset(25, frozenset())  # an older word of the list does not open it
+    fleet_scheduler.on_subset(25, frozenset())  # an earlier state of the list does not open it
     assert not fleet_scheduler.scheduler.engines[3].ready
     fleet_scheduler.connect_endpoint_list(lambda: 8)
     fleet_scheduler.on_endpoint_list(30, ListMode.PARTIAL, [Listing(2, 0, 0, 0, 0, EndpointState.READY, 1.0)])
     fleet_scheduler.on_subset(30, frozenset())
     assert not fleet_scheduler.scheduler.engines[3].ready
-    # The list has reached the event, and says nothing of the engine.
+    # The list has reached the event and has no change of the engine.
     fleet_scheduler.connect_endpoint_list(lambda: 9)
     fleet_scheduler.on_subset(40, frozenset())
     assert fleet_scheduler.scheduler.engines[3].ready
 
 
-def test_parts_are_read_anew_before_a_process_that_stood_still_decides(fleet_scheduler):
+def test_resumed_process_recomputes_its_shares_before_it_decides(fleet_scheduler):
     limit = fleet_scheduler.fleet.quotas.limits["cold"]
     fleet_scheduler.clock_of[0] += 10 * SECOND
     fleet_scheduler.on_fleet_changed(100)
@@ -321,14 +322,14 @@
     limit.borrowed["r1"] = BorrowedLease(1, now, 100_000, 100_000, now + LEASE_DURATION)
     fleet_scheduler.on_fleet_changed(100)
     assert fleet_scheduler.scheduler.pool.shares.warm_up > own
-    # The process is suspended as long as the lease lasts, and wakes in a decision.
+    # The process is suspended for the duration of the lease and resumes in a decision.
     fleet_scheduler.clock_of[0] += LEASE_DURATION
     fleet_scheduler.next_decision(100)
     assert fleet_scheduler.scheduler.pool.shares.warm_up == own
 
 
 def modules_imported_by(statement):
-    """The modules that a process has imported after this statement."""
+    """Returns the modules that a new process has imported after this statement."""
     program = f"import sys; {statement}; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     return ran.stdout.split()
@@ -337,7 +338,7 @@
 INTEGRATIONS = "hillchute.router.integrations"
 
 
-def test_switched_off_nothing_of_it_is_imported():
+def test_router_without_optional_features_imports_none_of_their_modules():
     imported = modules_imported_by("import hillchute.router.__main__, hillchute.router.service")
     optional = (
         "hillchute.peers",
@@ -355,7 +356,7 @@
     }
 
 
-def test_peers_alone_import_nothing_of_history_and_partners():
+def test_peers_integration_imports_nothing_of_history_and_partners():
     imported = modules_imported_by(f"import {INTEGRATIONS}.peers")
     optional = ("hillchute.history", "hillchute.partners", "sqlite3", "cryptography")
     assert [name for name in imported if name.startswith(optional)] == []
@@ -374,7 +375,7 @@
 
 
 @pytest.mark.parametrize(
-    "others, said",
+    "others, expected_error",
     [
         ('{name: "b", address: "x", key: "0123456789abcdef"}', "peers.others[0].address: expected string"),
         ('{name: "b", address: "x:1"}', "peers.others[0]: expected one of key, key_file"),
@@ -385,13 +386,13 @@
         ('{name: "b c", address: "x:1", key: "0123456789abcdef"}', "peers.others[0].name"),
     ],
 )
-def test_fault_in_the_list_of_peers_names_its_place(others, said):
+def test_error_in_the_list_of_peers_names_its_location(others, expected_error):
     with pytest.raises(OperatorFileError) as fault:
         reading.hold(PEERS % others)
-    assert said in str(fault.value)
+    assert expected_error in str(fault.value)
 
 
-def test_key_may_stand_in_a_file(tmp_path):
+def test_peer_key_can_be_read_from_a_file(tmp_path):
     (tmp_path / "key").write_text("0123456789abcdef\n")
     row = f'{{name: "b", address: "x:1", key_file: "{tmp_path / "key"}"}}'
     assert reading.hold(PEERS % row)["peers"]["others"][0]["key"] == "0123456789abcdef"
@@ -401,29 +402,29 @@
     return transport.TransportCallbacks(due_payloads=lambda now: (), on_change=on_change, on_fault=on_fault)
 
 
-def test_address_that_is_taken_is_told_with_what_to_do():
+def test_listen_address_in_use_is_reported_with_a_remedy():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
         holder.bind(("127.0.0.1", 0))
         address = transport.Address(*holder.getsockname())
         found = transport.PeerTransport(
-            address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, callbacks(print, print)
+            address, {}, SimulatedNodes(["a"]).nodes["a"], lambda: NOW, callbacks(print, print)
         )
         with pytest.raises(HillchuteError) as fault:
             found.open()
     assert fault.value.location == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
 
 
-class Shut:
-    """A listener that always has somebody waiting and never a descriptor for them."""
+class ExhaustedListener:
+    """A listener with a pending connection whose accept() always fails for lack of file descriptors."""
 
     def __init__(self, sock):
-        self.sock, self.asked = sock, 0
+        self.sock, self.accept_calls = sock, 0
 
     def fileno(self):
         return self.sock.fileno()
 
     def accept(self):
-        self.asked += 1
+        self.accept_calls += 1
         raise OSError(errno.ENFILE, "too many open files in system")
 
     def close(self):
@@ -431,12 +432,12 @@
 
 
 @pytest.fixture
-def link():
+def peer_transport():
     faults = []
-    # A port that the kernel gives for UDP may be another test's for TCP: free_port() asks for both.
+    # A port that is free for UDP may be in use for TCP by another test; free_port() checks both.
     address = transport.Address("127.0.0.1", free_port())
     found = transport.PeerTransport(
-        address, {}, Nodes(["a"]).nodes["a"], lambda: NOW, callbacks(lambda: None, faults.append)
+        address, {}, SimulatedNodes(["a"]).nodes["a"], lambda: NOW, callbacks(lambda: None, faults.append)
     )
     found.faults = faults
     found.open()
@@ -445,22 +446,22 @@
     found.listener.close()
 
 
-def test_streams_are_not_accepted_in_a_loop_that_spins_without_descriptors(link, monkeypatch):
+def test_accept_pauses_after_each_failure_for_lack_of_descriptors(peer_transport, monkeypatch):
     waits = []
 
     async def run():
         async with anyio.create_task_group() as tasks:
 
             async def sleep(seconds):
-                waits.append((seconds, link.listener.asked))
+                waits.append((seconds, peer_transport.listener.accept_calls))
                 if len(waits) == 3:
                     tasks.cancel_scope.cancel()
                 await anyio.lowlevel.checkpoint()
 
             monkeypatch.setattr(transport.anyio, "sleep", sleep)
-            with socket.create_connection(link.listener.getsockname()):
-                link._listener = Shut(link.listener)
-                tasks.start_soon(link.accept_streams, tasks)
+            with socket.create_connection(peer_transport.listener.getsockname()):
+                peer_transport._listener = ExhaustedListener(peer_transport.listener)
+                tasks.start_soon(peer_transport.accept_streams, tasks)
                 while not tasks.cancel_scope.cancel_called:
                     await anyio.lowlevel.checkpoint()
 
@@ -468,20 +469,20 @@
     assert waits == [(transport.ACCEPT_RETRY_DELAY, n) for n in (1, 2, 3)]
 
 
-def test_fault_of_ours_in_one_datagram_of_a_stream_ends_nothing(link, monkeypatch):
+def test_exception_in_one_datagram_of_a_stream_is_reported_and_ends_nothing(peer_transport, monkeypatch):
     def receive(now, data, most):
-        raise IndexError("a fault of ours")
+        raise IndexError("internal error")
 
-    monkeypatch.setattr(link.node, "receive", receive)
+    monkeypatch.setattr(peer_transport.node, "receive", receive)
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(link.accept_streams, tasks)
-            with socket.create_connection(link.listener.getsockname()) as sock:
+            tasks.start_soon(peer_transport.accept_streams, tasks)
+            with socket.create_connection(peer_transport.listener.getsockname()) as sock:
                 sock.sendall(transport.FRAME_LENGTH.pack(5) + b"wrong")
-                while not link.faults:
+                while not peer_transport.faults:
                     await anyio.sleep(0.001)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
-    assert "a fault of ours" in link.faults[0]
+    assert "internal error" in peer_transport.faults[0]
