--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -1,15 +1,14 @@
-"""One message of the answer history changed at a time: the real code of its holders under a clock and a
-network of its own.
-
-A scripted run (queries and resends, a death, a view, a forget, a return, a cut) is played once and its
-messages counted; then again, once for each message and each change of it. Owns the script, the changes and
-what must hold. Must never know how the code under it comes to what it does. One seed, one run. Played from
-hillchute.lab.mutants, which also shows what came of it.
-
-What a network does: left out, twice, late, cut short, recorded and played again much later. Nothing may be
-broken, and the end is as it was without. What a liar does: any field at zero, at its most, one off, another's
-name. It may make holders forget or believe what never was (docs/history.md says so), but no honest router may
-fail at it, answer a client twice, or be kept from going on.
+"""Mutation tests of the answer history's messages: the real replicas run on a simulated clock and network.
+
+A scripted run (queries and resends, a death, a new view, an erasure request, a restart, a cut) is played once
+to count its messages. It is then played again for each message and each mutation of that message. Checks
+invariants only, independent of how the tested code decides. A run is determined by its seed. The command line
+is that of hillchute.lab.mutants.
+
+Network mutations: a message is lost, duplicated, delayed, truncated, or replayed much later. No rule may be
+broken, and the final state is the same as without the mutation. Byzantine mutations, of a router that lies: a
+field is zero, at its maximum, off by one or another router's name. They may make replicas lose records or
+store false ones (see docs/history.md), but no honest router may fail, answer a client twice or be blocked.
 """
 
 import random
@@ -30,21 +29,30 @@
 from hillchute.lab.history_net import STEP, HistoryNet, founded
 from hillchute.lab.workers import worker_pool
 
-LATER: dict[str, Time] = {"late by 1": STEP, "late by 3": 3 * STEP, "late by 40": 40 * STEP}
-NETWORK = ("left out", "twice", *LATER, "cut to nothing", "cut in half", "cut by a byte", "again much later")
+ADDED_DELAY: dict[str, Time] = {"late by 1": STEP, "late by 3": 3 * STEP, "late by 40": 40 * STEP}
+NETWORK = (
+    "left out",
+    "twice",
+    *ADDED_DELAY,
+    "cut to nothing",
+    "cut in half",
+    "cut by a byte",
+    "again much later",
+)
 LIES = ("zero", "most", "one less", "one more", "another's", "none")
-MOST = (1 << 62) - 1
-MUCH_LATER: Time = 200_000
-ROUTERS, TOKENS = 5, 12  # of the script
-HARMLESS = ("wrong answer", "ran twice", "out of order", "kept too long")  # what a liar may bring about
+MAX_VALUE = (1 << 62) - 1
+REPLAY_DELAY: Time = 200_000
+ROUTERS, KEY_COUNT = 5, 12  # of the scripted run
+# Rules that a lying router may break.
+ALLOWED_VIOLATIONS = ("wrong answer", "ran twice", "out of order", "kept too long")
 
 
 def paths(value: object, here: tuple = ()) -> Iterator[tuple]:
-    """Every field of a message, down to what is no struct; of a row of structs those of the first."""
+    """Yields the path of every field that is no struct; of a tuple of structs, those of the first one."""
     if isinstance(value, msgspec.Struct):
         for n, name in enumerate(value.__struct_fields__):
             yield from paths(getattr(value, name), (*here, n))
-    elif isinstance(value, tuple) and value and holds_structs(value):
+    elif isinstance(value, tuple) and value and contains_struct(value):
         yield here
         for n in range(len(value) if not isinstance(value[0], tuple) else 1):
             if n == 0 or not isinstance(value[0], type(value[n])):
@@ -53,31 +61,32 @@
         yield here
 
 
-def holds_structs(value: object) -> bool:
+def contains_struct(value: object) -> bool:
     if isinstance(value, tuple):
-        return any(holds_structs(one) for one in value)
+        return any(contains_struct(one) for one in value)
     return isinstance(value, msgspec.Struct)
 
 
-def changed(value: object, path: tuple, lie: str, names: list[str]) -> object:
-    """The message with one field changed; the same one where the change means nothing there."""
+def mutated(value: object, path: tuple, lie: str, names: list[str]) -> object:
+    """Returns the message with one field mutated, or unchanged if the mutation does not apply to it."""
     if not path:
-        return lied(value, lie, names)
+        return false_value(value, lie, names)
     if isinstance(value, tuple):
-        inner = changed(value[path[0]], path[1:], lie, names)
+        inner = mutated(value[path[0]], path[1:], lie, names)
         return (*value[: path[0]], inner, *value[path[0] + 1 :])
     name = value.__struct_fields__[path[0]]
-    return msgspec.structs.replace(value, **{name: changed(getattr(value, name), path[1:], lie, names)})
+    return msgspec.structs.replace(value, **{name: mutated(getattr(value, name), path[1:], lie, names)})
 
 
-def lied(value: object, lie: str, names: list[str]) -> object:
+def false_value(value: object, lie: str, names: list[str]) -> object:
+    """Returns a false value, or the value itself if the mutation does not apply to its type."""
     match value, lie:
         case (bool(), _):
             return not value
         case (int(), "zero"):
             return 0
         case (int(), "most"):
-            return MOST
+            return MAX_VALUE
         case (int(), "one less"):
             return max(0, value - 1)
         case (int(), "one more"):
@@ -89,36 +98,36 @@
         case (bytes(), _):
             return b"no rows of ours"
         case ((int() as number, str() as speaker), _):
-            return lied(number, lie, names), lied(speaker, lie, names)
+            return false_value(number, lie, names), false_value(speaker, lie, names)
         case (tuple() | list(), "none"):
             return ()
         case (dict(), "none"):
             return {}
         case (dict(), "another's"):
-            return {lied(name, lie, names): one for name, one in value.items()}
+            return {false_value(name, lie, names): one for name, one in value.items()}
         case (_, "none"):
             return None
     return value
 
 
-class Changing:
-    """Over a net without chance in it: one of its messages is changed."""
+class MutatingNetwork:
+    """Mixin for a network with a fixed delay and no losses that mutates one of its messages."""
 
-    def listen(self, at: int, change: str, path: tuple) -> None:
-        self.at, self.how, self.path = at, change, path
-        self.count, self.used, self.messages, self.raised = 0, False, [], []
+    def select_mutant(self, index: int, mutation: str, path: tuple) -> None:
+        self.mutated_index, self.mutation, self.mutated_path = index, mutation, path
+        self.message_count, self.applied, self.messages, self.raised = 0, False, [], []
 
-    def carried(self, message: Message) -> list[tuple[Time, bytes]]:
-        data = self.encoded(message)
-        if self.at < 0:
+    def transmit(self, message: Message) -> list[tuple[Time, bytes]]:
+        data = self.encode_message(message)
+        if self.mutated_index < 0:
             self.messages.append(message)
-        rows = [(0, data)] if self.count != self.at else self.altered(data, message)
-        self.count += 1
+        rows = [(0, data)] if self.message_count != self.mutated_index else self.mutate(data, message)
+        self.message_count += 1
         return [(STEP + late, one) for late, one in rows]
 
-    def altered(self, data: bytes, message: object) -> list[tuple[Time, bytes]]:
-        self.used = True
-        match self.how:
+    def mutate(self, data: bytes, message: object) -> list[tuple[Time, bytes]]:
+        self.applied = True
+        match self.mutation:
             case "left out":
                 return []
             case "twice":
@@ -130,40 +139,40 @@
             case "cut by a byte":
                 return [(0, data[:-1])]
             case "again much later":
-                return [(0, data), (MUCH_LATER, data)]
+                return [(0, data), (REPLAY_DELAY, data)]
             case "late by 1" | "late by 3" | "late by 40":
-                return [(LATER[self.how], data)]
-        lie = changed(message, self.path, self.how, self.names)
-        self.used = lie != message
+                return [(ADDED_DELAY[self.mutation], data)]
+        lie = mutated(message, self.mutated_path, self.mutation, self.names)
+        self.applied = lie != message
         try:
-            return [(0, self.unchecked(lie))]
+            return [(0, self.encode_unchecked(lie))]
         except (OverflowError, msgspec.MsgspecError):
-            self.used = False
+            self.applied = False
             return [(0, data)]
 
-    def unchecked(self, message: Message) -> bytes:
-        """The bytes, though no honest router would send them."""
+    def encode_unchecked(self, message: Message) -> bytes:
+        """Encodes a message without checking the bounds of its fields."""
         return encoder.encode(message)
 
-    def arrive(self, sender: str, to: str, data: bytes) -> None:
-        """As the wiring does it: what can't be read is dropped, and nothing else may be raised."""
+    def deliver(self, sender: str, to: str, data: bytes) -> None:
+        """Drops an unreadable message, as a router does, and records any other exception."""
         try:
-            super().arrive(sender, to, data)
+            super().deliver(sender, to, data)
         except InvalidDatagramError:
             pass
         except Exception as fault:
             self.raised.append(f"{to} raised {fault!r}")
 
 
-class Net(Changing, HistoryNet):
-    def __init__(self, seed: int, at: int = -1, change: str = "", path: tuple = ()) -> None:
-        self.listen(at, change, path)
+class Net(MutatingNetwork, HistoryNet):
+    def __init__(self, seed: int, index: int = -1, mutation: str = "", path: tuple = ()) -> None:
+        self.select_mutant(index, mutation, path)
         policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
-        super().__init__(seed, ROUTERS, founded(copies=1, default=policy), fails=0.0)
+        super().__init__(seed, ROUTERS, founded(copies=1, default=policy), failure_rate=0.0)
 
     def script(self) -> "Net":
         if not self.settled():
-            self.raised.append("no view came into force")
+            self.raised.append("no view is in force at the start")
             return self
         keys = (f"k{n}" for n in range(1000))
         first = [key for key in keys if holders(slot_of("", key), self.names, 1) == ("n4",)]
@@ -173,21 +182,21 @@
         self.ask("n4", "t6", first[3])
         self.ask("n1", "t0", first[0])
         self.advance(0.5)
-        self.kill("n4")  # with a run of its own out
+        self.kill("n4")  # while one of its own queries runs
         self.advance(0.4)
         self.ask("n0", "t7", "k4")
         self.advance(7)
-        for n in range(7):  # what ran is answered, or known to have run
+        for n in range(7):  # what ran is replayed, or rejected as already run
             self.ask(self.names[n % 4], f"t{n}", first[n // 2])
         self.advance(5)
-        self.start("n4")  # first again for all that, and knows nothing
+        self.start("n4")  # first holder of these keys again, without any records
         self.advance(14)
         for n in range(4):
             self.ask(self.names[n % 4], f"t{n}", first[n // 2])
         self.advance(5)
         self.forget("n1")
         self.advance(6)
-        self.ask("n2", "t0", first[0])  # it is not known any more
+        self.ask("n2", "t0", first[0])  # its record has been erased
         self.advance(4)
         self.ask("n2", "t8", "k8")
         self.advance(5)
@@ -200,7 +209,7 @@
         self.advance(9)
         self.ask("n2", "t11", "k11")
         self.advance(3)
-        victims = holders(slot_of("", "k11"), self.names, 2)  # all who have it, at once
+        victims = holders(slot_of("", "k11"), self.names, 2)  # all holders of the key at once
         for name in victims:
             self.kill(name)
         self.advance(12)
@@ -211,16 +220,16 @@
         for name in victims:
             self.start(name)
         if not self.settled(40):
-            self.raised.append("did not come to rest")
+            self.raised.append("not settled at the end")
         return self
 
     def end(self) -> dict[str, object]:
-        """How often each token ran, what holders have of those that are kept, who has which policies."""
+        """Returns how often each key ran, the states and rows of its records, and the policies' numbers."""
         kept = {}
-        for n in range(TOKENS):
+        for n in range(KEY_COUNT):
             token = f"t{n}"
             records = [k.record for replica in self.replicas.values() for k in replica.records.all_records()]
-            # One that was freed says that nothing ran: whether it is still there is no matter.
+            # Records of claims that were released without a run need not be kept, so they are left out.
             states = [
                 (r.state, r.rows)
                 for r in records
@@ -230,71 +239,80 @@
         return {"kept": kept, "policies": sorted(k.policies.number for k in self.replicas.values())}
 
 
-def places(plain: Changing, lies: bool = True) -> list[tuple[int, str, tuple]]:
-    """Every message with every change of it."""
-    some = []
-    for at, message in enumerate(plain.messages):
-        some += [(at, change, ()) for change in NETWORK]
+def all_mutants(baseline: MutatingNetwork, lies: bool = True) -> list[tuple[int, str, tuple]]:
+    """Returns every message with every mutation of it, as (index, mutation, path)."""
+    mutants = []
+    for index, message in enumerate(baseline.messages):
+        mutants += [(index, mutation, ()) for mutation in NETWORK]
         if lies:
-            some += [(at, lie, path) for path in paths(message) for lie in LIES]
-    return some
+            mutants += [(index, lie, path) for path in paths(message) for lie in LIES]
+    return mutants
 
 
 def drawn(
-    plain: Changing, seed: int, most: int | None, kinds: tuple[type, ...] = MESSAGE_TYPES
+    baseline: MutatingNetwork, seed: int, max_mutants: int | None, kinds: tuple[type, ...] = MESSAGE_TYPES
 ) -> list[tuple[int, str, tuple]]:
-    """All, or so many by chance, of each kind of message as many: most of all are slots on their way."""
-    some = [place for place in places(plain) if isinstance(plain.messages[place[0]], kinds)]
-    if most is None or most >= len(some):
-        return some
-    by_kind: dict[type, list] = {kind: [] for kind in kinds}
-    for place in some:
-        by_kind[type(plain.messages[place[0]])].append(place)
-    chance, lines = random.Random(seed), [line for line in by_kind.values() if line]
-    for line in lines:
-        chance.shuffle(line)
-    return [line[n] for n in range(max(map(len, lines))) for line in lines if n < len(line)][:most]
+    """Returns all mutants, or a random sample, balanced by message type since most messages carry slots."""
+    mutants = [place for place in all_mutants(baseline) if isinstance(baseline.messages[place[0]], kinds)]
+    if max_mutants is None or max_mutants >= len(mutants):
+        return mutants
+    by_type: dict[type, list] = {kind: [] for kind in kinds}
+    for place in mutants:
+        by_type[type(baseline.messages[place[0]])].append(place)
+    rng, groups = random.Random(seed), [group for group in by_type.values() if group]
+    for group in groups:
+        rng.shuffle(group)
+    return [group[n] for n in range(max(map(len, groups))) for group in groups if n < len(group)][
+        :max_mutants
+    ]
 
 
 def mutant(
-    net: type, harmless: tuple[str, ...], seed: int, at: int, change: str, path: tuple, end: dict
+    net: type,
+    allowed_violations: tuple[str, ...],
+    seed: int,
+    index: int,
+    mutation: str,
+    path: tuple,
+    end: dict,
 ) -> tuple[bool, list[str], bool]:
-    """One of them: whether it reached a reader, what it broke, whether the end is another."""
-    run = net(seed, at, change, path).script()
-    liar = change in LIES
-    broken = run.raised + [rule for rule in +run.rule if not (liar and rule in harmless)]
-    return run.used, broken, not liar and run.end() != end
+    """Runs one mutant; returns if it reached a receiver, what it broke, and if the final state differs."""
+    run = net(seed, index, mutation, path).script()
+    is_byzantine = mutation in LIES
+    broken = run.raised + [rule for rule in +run.rule if not (is_byzantine and rule in allowed_violations)]
+    return run.applied, broken, not is_byzantine and run.end() != end
 
 
 def play(
     seed: int,
-    most: int | None = None,
+    max_mutants: int | None = None,
     jobs: int | None = None,
     net: type = Net,
     kinds: tuple[type, ...] = MESSAGE_TYPES,
-    harmless: tuple[str, ...] = HARMLESS,
+    allowed_violations: tuple[str, ...] = ALLOWED_VIOLATIONS,
 ) -> dict[str, object]:
-    plain = net(seed).script()
-    end, faults = plain.end(), plain.raised + list(+plain.rule)
-    some = drawn(plain, seed, most, kinds)
-    met: Counter[str] = Counter()
-    broken, unlike, unused = [], [], 0
+    """Runs all mutants, or `max_mutants` random ones, in `jobs` processes; returns their result counts."""
+    baseline = net(seed).script()
+    end, faults = baseline.end(), baseline.raised + list(+baseline.rule)
+    mutants = drawn(baseline, seed, max_mutants, kinds)
+    kinds_run: Counter[str] = Counter()
+    broken, differing, not_applied = [], [], 0
     with worker_pool(jobs) as pool:
-        one = partial(mutant, net, harmless, seed)
-        found = pool.map(one, *zip(*some), repeat(end), chunksize=8)
-        for (at, change, path), (used, wrong, other) in zip(some, found):
-            message = type(plain.messages[at]).__name__
-            met[f"{message} {change}"] += 1
-            unused += not used
-            what = f"message {at}, {message} {change} {path}"
-            broken += [f"{what}: {wrong[0]}"] if wrong else []
-            unlike += [what] if other else []
+        one = partial(mutant, net, allowed_violations, seed)
+        found = pool.map(one, *zip(*mutants), repeat(end), chunksize=8)
+        for (index, mutation, path), (applied, violations, other) in zip(mutants, found):
+            message = type(baseline.messages[index]).__name__
+            kinds_run[f"{message} {mutation}"] += 1
+            not_applied += not applied
+            what = f"message {index}, {message} {mutation} {path}"
+            broken += [f"{what}: {violations[0]}"] if violations else []
+            differing += [what] if other else []
     return {
-        "messages": len(plain.messages),
-        "mutants": len(some),
-        "kinds": len(met),
+        "messages": len(baseline.messages),
+        "mutants": len(mutants),
+        "kinds": len(kinds_run),
         "broken": len(broken) + len(faults),
-        "unlike": len(unlike),
-        "unused": unused,
-        "first": (faults + broken + unlike)[:8],
+        "unlike": len(differing),
+        "unused": not_applied,
+        "first": (faults + broken + differing)[:8],
     }
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -1,7 +1,7 @@
-"""Holders of the history over one network that loses, delays, repeats and cuts, in simulated time; clients
-that resend; engines that count what ran. What breaks a rule is told by what clients and engines saw.
+"""Simulates history replicas on one network that loses, delays, duplicates and blocks messages.
 
-Owns the network, the clock, the faults and the counts of broken rules. Must never know how a holder decides.
+Clients resend queries and engines count what they run; a broken rule is recognised only by what clients and
+engines observed, independent of how a replica decides. Time is simulated.
 """
 
 import random
@@ -25,14 +25,17 @@
 SECOND = 10_000
 STEP: Time = 500
 EPOCH: Time = 17_000_000_000_000
-PATIENCE: Time = 4 * SECOND
-NOTICED = (1 * SECOND, 3 * SECOND)  # until a router knows that another died, came, or was cut off
-DELAY: tuple[Time, Time] = (5, 300)  # half a millisecond to 30
+CLIENT_TIMEOUT: Time = 4 * SECOND
+NOTICE_DELAY = (1 * SECOND, 3 * SECOND)  # until a router notices that another died, started or was cut off
+MESSAGE_DELAY: tuple[Time, Time] = (5, 300)  # of a message: 0.5 to 30 ms
 
 
 class HistoryNet:
-    """`loss`, `twice`: parts of the messages; `never`: of the claims, whose run is given up unsent; `fails`:
-    of the runs, that are killed."""
+    """The network with its routers, clients and engines.
+
+    `loss` and `twice` are the fractions of messages that are lost and duplicated, `never` is the fraction of
+    granted claims that are released without a run, `failure_rate` the fraction of runs that fail.
+    """
 
     def __init__(
         self,
@@ -42,29 +45,31 @@
         loss: float = 0.0,
         twice: float = 0.0,
         never: float = 0.0,
-        fails: float = 0.05,
+        failure_rate: float = 0.05,
     ) -> None:
-        self.seed, self.chance, self.now, self.fails = seed, random.Random(seed), EPOCH, fails
+        self.seed, self.chance, self.now, self.failure_rate = seed, random.Random(seed), EPOCH, failure_rate
         self.loss, self.twice, self.never, self.policies = loss, twice, never, policies
         self.names = [f"n{n}" for n in range(count)]
         self.replicas: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
-        self.stopped: dict[str, list] = {}  # who stands still, and what came meanwhile
-        self.offset: dict[str, Time] = defaultdict(int)  # of its clock
-        self.cuts: set[tuple[str, str]] = set()  # one way
+        self.suspended: dict[str, list] = {}  # by suspended router: the messages that arrived meanwhile
+        self.offset: dict[str, Time] = defaultdict(int)  # of each router's clock
+        self.cuts: set[tuple[str, str]] = set()  # blocked directions: (sender, receiver)
         self.seen: dict[str, dict[str, int]] = {n: {} for n in self.names}
-        self.changes: list[tuple[Time, int, str, str]] = []
-        self.line: list = []
-        self.order = 0
-        self.open: dict[tuple[str, int, int], tuple[str, str, Time]] = {}  # claims: token, key, asked
-        self.runs: dict[str, list[tuple[Time, Time]]] = defaultdict(list)  # what engines saw of a token
-        self.keys: dict[str, list[tuple[Time, Time]]] = defaultdict(list)  # and of a key
+        self.liveness_changes: list[tuple[Time, int, str, str]] = []
+        self.in_flight: list = []
+        self.last_order = 0
+        # By claim: idempotency key, ordering key, time of the query.
+        self.open: dict[tuple[str, int, int], tuple[str, str, Time]] = {}
+        # Start and end of each run as engines saw them, by idempotency key and by ordering key.
+        self.runs: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
+        self.keys: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
         self.said: Counter[str] = Counter()
-        self.rule: Counter[str] = Counter()  # broken
-        self.taken: dict[str, Time] = {}  # when the last run of a token was asked for
-        self.endings: list[tuple[Time, int, tuple[str, int, int], str, int]] = []  # of runs that engines have
-        self.forgotten: list[tuple[Time, Time | None]] = []  # before when; since when none may answer from it
-        self.waited: list[Time] = []
+        self.rule: Counter[str] = Counter()  # broken rules
+        self.last_requested_at: dict[str, Time] = {}  # by idempotency key: time of the query of the last run
+        self.endings: list[tuple[Time, int, tuple[str, int, int], str, int]] = []  # of running queries
+        self.erasures: list[tuple[Time, Time | None]] = []  # erase what is older; since when it is known
+        self.waiting_times: list[Time] = []
         for name in self.names:
             self.start(name)
 
@@ -74,64 +79,64 @@
         return self.now + self.offset[name]
 
     def start(self, name: str) -> None:
-        life = self.clock(name) // 10
-        self.lives[name] = max(life, self.lives.get(name, 0) + 1)
+        incarnation = self.clock(name) // 10
+        self.lives[name] = max(incarnation, self.lives.get(name, 0) + 1)
         self.seen[name] = {}
 
-        def living() -> dict[str, int]:
+        def live_routers() -> dict[str, int]:
             return {**self.seen[name], name: self.lives[name]}
 
         now = self.clock(name)
-        self.replicas[name] = self.new_replica(name, now, living)
-        self.notice()
+        self.replicas[name] = self.new_replica(name, now, live_routers)
+        self.schedule_liveness_changes()
 
-    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
-        membership = Membership(name, self.lives[name], self.names, living)
+    def new_replica(self, name: str, now: Time, live_routers: Callable[[], dict[str, int]]) -> Replica:
+        membership = Membership(name, self.lives[name], self.names, live_routers)
         return Replica(membership, self.policies, now)
 
     def kill(self, name: str) -> None:
         self.replicas.pop(name, None)
-        self.stopped.pop(name, None)
+        self.suspended.pop(name, None)
         self.open = {claim: about for claim, about in self.open.items() if claim[0] != name}
-        self.notice()
+        self.schedule_liveness_changes()
 
     def leave(self, name: str) -> None:
-        """It says farewell: no other counts it as living, and it still answers."""
+        """Starts a router's shutdown: the others no longer count it as alive, and it still answers."""
         self.replicas[name].prepare_to_leave()
         for other in self.names:
             self.seen[other].pop(name, None)
 
     def stop(self, name: str) -> None:
         if name in self.replicas:
-            self.stopped.setdefault(name, [])
-            self.notice()
+            self.suspended.setdefault(name, [])
+            self.schedule_liveness_changes()
 
     def go_on(self, name: str) -> None:
-        for sender, data in self.stopped.pop(name, ()):
-            self.arrive(sender, name, data)
-        self.notice()
+        for sender, data in self.suspended.pop(name, ()):
+            self.deliver(sender, name, data)
+        self.schedule_liveness_changes()
 
     def cut(self, some: list[str], others: list[str], both: bool = True) -> None:
         self.cuts |= {(a, b) for a in some for b in others if a != b}
         if both:
             self.cuts |= {(b, a) for a in some for b in others if a != b}
-        self.notice()
+        self.schedule_liveness_changes()
 
     def mend(self) -> None:
         self.cuts.clear()
-        self.notice()
+        self.schedule_liveness_changes()
 
-    def notice(self) -> None:
-        """Each will know of each as it is, a while later."""
+    def schedule_liveness_changes(self) -> None:
+        """Schedules when each router notices the current liveness of each other."""
         for name in self.names:
             for other in self.names:
                 if name != other:
-                    self.order += 1
-                    at = self.now + self.chance.randint(*NOTICED)
-                    heappush(self.changes, (at, self.order, name, other))
+                    self.last_order += 1
+                    at = self.now + self.chance.randint(*NOTICE_DELAY)
+                    heappush(self.liveness_changes, (at, self.last_order, name, other))
 
-    def look(self, name: str, other: str) -> None:
-        lives = other in self.replicas and other not in self.stopped
+    def update_liveness(self, name: str, other: str) -> None:
+        lives = other in self.replicas and other not in self.suspended
         if lives and not {(name, other), (other, name)} & self.cuts:
             self.seen[name][other] = self.lives[other]
         else:
@@ -145,26 +150,28 @@
             return
         for to, message in replica.take_messages():
             self.send(name, to, message)
-        self.judged(name, replica)
+        self.handle_decisions(name, replica)
 
     def send(self, name: str, to: str, message: Message) -> None:
-        for after, data in self.carried(message):
-            self.order += 1
+        for after, data in self.transmit(message):
+            self.last_order += 1
             if (name, to) not in self.cuts:
-                heappush(self.line, (self.now + after, self.order, name, to, data))
+                heappush(self.in_flight, (self.now + after, self.last_order, name, to, data))
 
-    def carried(self, message: Message) -> list[tuple[Time, bytes]]:
-        """What the network makes of a message: its bytes, as often as they come, and how long after."""
-        times = 1 + (self.chance.random() < self.twice)
-        comes = [self.chance.randint(*DELAY) for _ in range(times) if self.chance.random() >= self.loss]
-        return [(after, self.encoded(message)) for after in comes]
+    def transmit(self, message: Message) -> list[tuple[Time, bytes]]:
+        """Returns the copies of a message that arrive, each as (delay, bytes)."""
+        copies = 1 + (self.chance.random() < self.twice)
+        delays = [
+            self.chance.randint(*MESSAGE_DELAY) for _ in range(copies) if self.chance.random() >= self.loss
+        ]
+        return [(after, self.encode_message(message)) for after in delays]
 
-    def encoded(self, message: Message) -> bytes:
+    def encode_message(self, message: Message) -> bytes:
         return encode(message)
 
-    def arrive(self, sender: str, to: str, data: bytes) -> None:
-        if to in self.stopped:
-            self.stopped[to].append((sender, data))
+    def deliver(self, sender: str, to: str, data: bytes) -> None:
+        if to in self.suspended:
+            self.suspended[to].append((sender, data))
         elif to in self.replicas:
             self.replicas[to].receive(self.clock(to), sender, decode(data, sender))
             self.post(to)
@@ -173,14 +180,14 @@
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.now += STEP
-            while self.changes and self.changes[0][0] <= self.now:
-                _, _, name, other = heappop(self.changes)
-                self.look(name, other)
-            while self.line and self.line[0][0] <= self.now:
-                _, _, sender, to, data = heappop(self.line)
-                self.arrive(sender, to, data)
+            while self.liveness_changes and self.liveness_changes[0][0] <= self.now:
+                _, _, name, other = heappop(self.liveness_changes)
+                self.update_liveness(name, other)
+            while self.in_flight and self.in_flight[0][0] <= self.now:
+                _, _, sender, to, data = heappop(self.in_flight)
+                self.deliver(sender, to, data)
             for name in list(self.replicas):
-                if name not in self.stopped:
+                if name not in self.suspended:
                     self.tick(name)
                     self.post(name)
 
@@ -189,78 +196,82 @@
 
     # ---- clients and engines ----------------------------------------------------------------------
 
-    def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
+    def ask(self, name: str, idempotency_key: str, key: str, client_timeout: Time = CLIENT_TIMEOUT) -> None:
         replica = self.replicas.get(name)
-        if replica is None or name in self.stopped:
+        if replica is None or name in self.suspended:
             self.said["nobody there"] += 1
             return
-        due = self.clock(name) + patience
-        query = KeyedQuery(ordering_key=key, idempotency_key=token, deadline=due, ordered=True)
+        deadline = self.clock(name) + client_timeout
+        query = KeyedQuery(ordering_key=key, idempotency_key=idempotency_key, deadline=deadline, ordered=True)
         number = replica.claim(self.clock(name), query)
-        self.open[name, self.lives[name], number] = token, key, self.now
+        self.open[name, self.lives[name], number] = idempotency_key, key, self.now
         self.post(name)
 
-    def judged(self, name: str, replica: Replica) -> None:
-        for number, verdict, why, rows in replica.take_decided():
+    def handle_decisions(self, name: str, replica: Replica) -> None:
+        for number, verdict, reason, rows in replica.take_decided():
             claim = name, self.lives[name], number
             if claim not in self.open:
                 self.rule["answered twice"] += 1
                 continue
-            token, key, asked = self.open[claim]
-            self.said[f"{verdict.name}: {why}"] += 1
+            idempotency_key, key, asked_at = self.open[claim]
+            self.said[f"{verdict.name}: {reason}"] += 1
             self.said[verdict.name] += 1
-            self.waited.append(self.now - asked)
+            self.waiting_times.append(self.now - asked_at)
             if verdict is not ClaimDecision.RUN:
                 del self.open[claim]
-            if verdict is ClaimDecision.REPLAY and rows != f"rows of {token}".encode():
+            if verdict is ClaimDecision.REPLAY and rows != f"rows of {idempotency_key}".encode():
                 self.rule["wrong answer"] += 1
-            if verdict is ClaimDecision.REPLAY and self.too_late(token):
+            if verdict is ClaimDecision.REPLAY and self.is_erased(idempotency_key):
                 self.rule["kept too long"] += 1
             if verdict is ClaimDecision.RUN:
-                self.run(claim, token, key)
+                self.start_run(claim, idempotency_key, key)
             else:
-                self.over(claim, verdict, why, rows, (token, key, asked))
+                self.handle_not_run(claim, verdict, reason, rows, (idempotency_key, key, asked_at))
 
-    def over(
+    def handle_not_run(
         self,
         claim: tuple[str, int, int],
         verdict: ClaimDecision,
-        why: str,
+        reason: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
     ) -> None:
-        """A claim that does not run here; `about`: its token, its key, when it was asked."""
+        """Handles a claim that does not run here; `about` is its entry of `open`."""
 
-    def run(self, claim: tuple[str, int, int], token: str, key: str) -> None:
-        """The engine runs it, whatever becomes of the router; its answer finds the router, or does not."""
-        # Each run has chance of its own: what happens to one changes no other.
-        chance = random.Random(f"{self.seed}:{token}:{len(self.runs[token])}")
-        if chance.random() < self.never:
+    def start_run(self, claim: tuple[str, int, int], idempotency_key: str, key: str) -> None:
+        """Starts a run on an engine, which ends even if the router dies; then the result is lost."""
+        # Each run has a random generator of its own, so that one run does not change the draws of others.
+        rng = random.Random(f"{self.seed}:{idempotency_key}:{len(self.runs[idempotency_key])}")
+        if rng.random() < self.never:
             self.ended(claim, RecordState.NOT_RUN)
             return
-        if self.runs[token] and self.bound(token):
+        if self.runs[idempotency_key] and self.must_not_rerun(idempotency_key):
             self.rule["ran twice"] += 1
-        self.taken[token] = self.open[claim][2]
-        took = chance.randint(300, 1 * SECOND)
-        span = self.now, self.now + took
+        self.last_requested_at[idempotency_key] = self.open[claim][2]
+        duration = rng.randint(300, 1 * SECOND)
+        span = self.now, self.now + duration
         if any(begin < span[1] and span[0] < end for begin, end in self.keys[key]):
             self.rule["out of order"] += 1
-        self.runs[token].append(span)
+        self.runs[idempotency_key].append(span)
         self.keys[key].append(span)
-        self.order += 1
-        how = RecordState.FAILED if chance.random() < self.fails else RecordState.SERVED
-        heappush(self.endings, (span[1], self.order, claim, token, how))
+        self.last_order += 1
+        outcome = RecordState.FAILED if rng.random() < self.failure_rate else RecordState.SERVED
+        heappush(self.endings, (span[1], self.last_order, claim, idempotency_key, outcome))
 
-    def ends(self) -> None:
-        """Runs that are over by now, where their routers are there to hear it."""
-        again = []
+    def complete_runs(self) -> None:
+        """Completes the runs that have ended by now, where their routers still run."""
+        postponed = []
         while self.endings and self.endings[0][0] <= self.now:
-            _, order, claim, token, how = heappop(self.endings)
-            if claim[0] in self.stopped and self.lives[claim[0]] == claim[1]:
-                again.append((self.now + STEP, order, claim, token, how))
+            _, order, claim, idempotency_key, outcome = heappop(self.endings)
+            if claim[0] in self.suspended and self.lives[claim[0]] == claim[1]:
+                postponed.append((self.now + STEP, order, claim, idempotency_key, outcome))
             elif claim in self.open:
-                self.ended(claim, how, f"rows of {token}".encode() if how == RecordState.SERVED else None)
-        for ending in again:
+                self.ended(
+                    claim,
+                    outcome,
+                    f"rows of {idempotency_key}".encode() if outcome == RecordState.SERVED else None,
+                )
+        for ending in postponed:
             heappush(self.endings, ending)
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
@@ -269,60 +280,62 @@
         self.replicas[name].end_claim(self.clock(name), number, state, rows)
         self.post(name)
 
-    def bound(self, token: str) -> bool:
-        """Whether what ran must not run again: within its keep time, and not forgotten since."""
-        kept = self.now - self.runs[token][-1][0] < self.policies.default.least_ms * MS
-        return kept and not any(self.taken[token] < before for before, _ in self.forgotten)
+    def must_not_rerun(self, idempotency_key: str) -> bool:
+        """Returns whether a query must not run again: within its retention time and not erased since."""
+        kept = self.now - self.runs[idempotency_key][-1][0] < self.policies.default.least_ms * MS
+        return kept and not any(
+            self.last_requested_at[idempotency_key] < before for before, _ in self.erasures
+        )
 
-    def too_late(self, token: str) -> bool:
-        """Whether its answer was to be forgotten, and most routers have known that for a lease's time."""
+    def is_erased(self, idempotency_key: str) -> bool:
+        """Returns whether an answer was to be erased and a majority of routers has known that for a lease."""
         return any(
-            since is not None and self.now > since + LEASE and self.runs[token][-1][0] < before
-            for before, since in self.forgotten
+            since is not None and self.now > since + LEASE and self.runs[idempotency_key][-1][0] < before
+            for before, since in self.erasures
         )
 
     def forget(self, name: str) -> None:
-        """The operator wants all forgotten that was taken until now, and tells one router."""
+        """Requests, at one router, the erasure of everything that was accepted until now."""
         self.policies = msgspec.structs.replace(
             self.policies,
             number=self.policies.number + 1,
             erasure_requests=(*self.policies.erasure_requests, ErasureRequest(self.now)),
         )
-        self.forgotten.append((self.now, None))
+        self.erasures.append((self.now, None))
         self.replicas[name].apply_policies(self.clock(name), self.policies)
         self.post(name)
 
-    def known(self) -> None:
-        """Since when most of the named know of the last policies."""
-        most = (
+    def record_policies_known(self) -> None:
+        """Records since when a majority of the configured routers has the latest policies."""
+        known_by_majority = (
             sum(k.policies.number >= self.policies.number for k in self.replicas.values())
             > len(self.names) // 2
         )
-        if self.forgotten and self.forgotten[-1][1] is None and most:
-            self.forgotten[-1] = self.forgotten[-1][0], self.now
+        if self.erasures and self.erasures[-1][1] is None and known_by_majority:
+            self.erasures[-1] = self.erasures[-1][0], self.now
 
-    # ---- what is looked at beside -----------------------------------------------------------------
+    # ---- inspection -------------------------------------------------------------------------------
 
-    def held(self, token: str) -> list[str]:
-        """Who has a record of a token: the one place that looks into holders, for erasing is about them."""
+    def held(self, idempotency_key: str) -> list[str]:
+        """Returns the routers that hold a record; only for checks of erasure, which concerns replicas."""
         return [
             n
             for n, k in self.replicas.items()
-            if any(x.record.idempotency_key == token for x in k.records.all_records())
+            if any(x.record.idempotency_key == idempotency_key for x in k.records.all_records())
         ]
 
-    def settled(self, most: float = 30) -> bool:
-        """Plays until every router is in a view in force with all of its slots there."""
+    def settled(self, max_seconds: float = 30) -> bool:
+        """Simulates until every router has the same view in force and all of its slots; False on time-out."""
         since = self.now
-        while self.now - since < most * SECOND:
+        while self.now - since < max_seconds * SECOND:
             self.advance(0.5)
-            replicas = [k for n, k in self.replicas.items() if n not in self.stopped]
+            replicas = [k for n, k in self.replicas.items() if n not in self.suspended]
             fine = all(
                 k.views.in_force(k.context.now) and not k.slots.wanted and not k.slots.outdated
                 for k in replicas
             )
             if fine and len({k.views.view.id for k in replicas}) == 1:
-                members = {n: self.lives[n] for n in self.replicas if n not in self.stopped}
+                members = {n: self.lives[n] for n in self.replicas if n not in self.suspended}
                 if replicas[0].views.view.members == members:
                     return True
         return False
@@ -331,60 +344,64 @@
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.play(STEP / SECOND)
-            self.ends()
-            self.known()
+            self.complete_runs()
+            self.record_policies_known()
 
 
 def founded(**about: object) -> RetentionPolicies:
-    """The policies of a fleet that begins now."""
+    """Returns the first policies of a fleet that starts now."""
     return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
 
 
 def storm(net: HistoryNet, seed: int, seconds: float, forgets: bool = False) -> bool:
-    """Deaths, restarts, cuts one way and both, processes that stand still, resends; then all is mended.
-    Whether it all came to rest."""
-    chance, tokens = random.Random(seed), []
-    quiet, end = net.now, net.now + int(seconds * SECOND)
+    """Runs random queries, resends and faults, then heals all faults.
+
+    The faults are deaths, restarts, cuts in one or both directions and suspended processes. Returns whether
+    the fleet settled afterwards.
+    """
+    rng, queries = random.Random(seed), []
+    next_fault_at, end = net.now, net.now + int(seconds * SECOND)
     while net.now < end:
-        for _ in range(chance.randint(0, 4)):
-            if not tokens or chance.random() >= 0.4:
-                tokens.append((f"t{len(tokens)}", f"k{chance.randint(0, 20)}"))
-                net.ask(chance.choice(net.names), *tokens[-1])
+        for _ in range(rng.randint(0, 4)):
+            if not queries or rng.random() >= 0.4:
+                queries.append((f"t{len(queries)}", f"k{rng.randint(0, 20)}"))
+                net.ask(rng.choice(net.names), *queries[-1])
             else:
-                net.ask(chance.choice(net.names), *chance.choice(tokens[-30:]))
-        if net.now >= quiet:
-            strike(net, chance, forgets)
-            quiet = net.now + chance.choice([0, 0, 2, 6, 12]) * SECOND
-        net.advance(chance.choice([0.1, 0.2, 0.5]))
+                net.ask(rng.choice(net.names), *rng.choice(queries[-30:]))
+        if net.now >= next_fault_at:
+            inject_random_fault(net, rng, forgets)
+            next_fault_at = net.now + rng.choice([0, 0, 2, 6, 12]) * SECOND
+        net.advance(rng.choice([0.1, 0.2, 0.5]))
     net.mend()
     for name in net.names:
-        if name in net.stopped:
+        if name in net.suspended:
             net.go_on(name)
         if name not in net.replicas:
             net.start(name)
     return net.settled(60)
 
 
-def strike(net: HistoryNet, chance: random.Random, forgets: bool) -> None:
-    what, names = chance.random(), chance.sample(net.names, len(net.names))
+def inject_random_fault(net: HistoryNet, rng: random.Random, forgets: bool) -> None:
+    """Injects one random fault, a recovery from one, or with `forgets` an erasure request."""
+    what, names = rng.random(), rng.sample(net.names, len(net.names))
     if what < 0.25:
-        for name in names[: chance.choice([1] * 9 + [2, 4])]:
+        for name in names[: rng.choice([1] * 9 + [2, 4])]:
             net.kill(name)
     elif what < 0.5:
         for name in names:
             if name not in net.replicas:
                 net.start(name)
     elif what < 0.6:
-        half = chance.randint(1, len(names) - 1)
-        net.cut(names[:half], names[half:], both=chance.random() < 0.7)
+        half = rng.randint(1, len(names) - 1)
+        net.cut(names[:half], names[half:], both=rng.random() < 0.7)
     elif what < 0.75:
         net.mend()
     elif what < 0.82:
         net.stop(names[0])
     elif what < 0.92:
-        for name in list(net.stopped):
+        for name in list(net.suspended):
             net.go_on(name)
-    elif forgets and names[0] in net.replicas and names[0] not in net.stopped:
+    elif forgets and names[0] in net.replicas and names[0] not in net.suspended:
         net.forget(names[0])
 
 
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -8,10 +8,10 @@
 determined by its seed.
 
 There are two families of mutations. Network mutations need no keys: a datagram is lost, duplicated, delayed,
-truncated, of another version, or recorded and replayed to a later generation. No invariant may be
-violated, and the final state is the same as without the mutation. Byzantine mutations are those of a router that has the
-keys and lies: a field is zero, at its maximum, an older value or another router's name. No invariant may be
-violated for the other routers, and no honest router may be taken for dead at the end.
+truncated, of another version, or recorded and replayed to a later generation. No invariant may be violated,
+and the final state is the same as without the mutation. Byzantine mutations are those of a router that has
+the keys and lies: a field is zero, at its maximum, an older value or another router's name. No invariant may
+be violated for the other routers, and no honest router may be taken for dead at the end.
 """
 
 import argparse
@@ -208,9 +208,9 @@
                 self.send(to, self.nodes[to].receive(self.now, data))
         for router, node in list(self.nodes.items()):
             self.send(router, node.tick(self.now))
-            said = self.fleet_views[router].due_digests(self.now, node.live_peers())
+            outgoing = self.fleet_views[router].due_digests(self.now, node.live_peers())
             self.send(
-                router, [datagram for to, load in said for datagram in node.payload_datagrams(to, load)]
+                router, [datagram for to, load in outgoing for datagram in node.payload_datagrams(to, load)]
             )
             for to in node.state_requests:
                 self.send(router, [(to, node.state_request(to))])
@@ -218,8 +218,8 @@
             self.fleet_views[router].take_relayed_reports()
         self.check_invariants()
 
-    def send(self, sender: str, said: list[tuple[str, bytes]]) -> None:
-        for to, data in said:
+    def send(self, sender: str, outgoing: list[tuple[str, bytes]]) -> None:
+        for to, data in outgoing:
             number, self.sent = self.sent, self.sent + 1
             self.first_datagrams.setdefault(to, data)
             if self.mutated_index is None:
@@ -365,11 +365,11 @@
 
 
 def byzantine_mutation(kind: str, mutation: Callable[[Datagram, ScriptedRun], Datagram]) -> Mutation:
-    def done(data: bytes, run: ScriptedRun) -> list[tuple[int, bytes]]:
+    def mutate(data: bytes, run: ScriptedRun) -> list[tuple[int, bytes]]:
         datagram = decode_datagram(data)
         return [(0, authenticated(mutation(datagram, run), shared_key(datagram.sender, datagram.receiver)))]
 
-    return Mutation(kind, True, done)
+    return Mutation(kind, True, mutate)
 
 
 def byzantine_mutations() -> Iterator[Mutation]:
@@ -445,8 +445,8 @@
 
             def mutated(p: Digest, field: str = field, value: int = value) -> Digest:
                 rows = {
-                    limit: said._replace(**{name: value for name in said._fields if name != "duration"})
-                    for limit, said in getattr(p, field).items()
+                    limit: body._replace(**{name: value for name in body._fields if name != "duration"})
+                    for limit, body in getattr(p, field).items()
                 }
                 return replace(p, **{field: rows})
 
@@ -485,28 +485,28 @@
     final_state = baseline.final_state()
     if not baseline.liveness_known() or any(failing for _, _, failing, _, _ in final_state.values()):
         baseline.violations.append("wrong final state of the run without a mutation")
-    places = [
+    mutants = [
         (index, mutation) for index in range(len(baseline.messages)) for mutation in range(len(MUTATIONS))
     ]
-    if max_mutants is not None and max_mutants < len(places):
-        places = random.Random(seed).sample(places, max_mutants)
+    if max_mutants is not None and max_mutants < len(mutants):
+        mutants = random.Random(seed).sample(mutants, max_mutants)
     violations: list[str] = []
     differing: list[str] = []
     kinds: Counter[str] = Counter()
     not_applied = 0
     with worker_pool(jobs) as pool:
-        found = pool.map(run_mutant, repeat(seed), *zip(*places), repeat(final_state), chunksize=32)
-        for (index, mutation), (applied, faults, other) in zip(places, found):
+        found = pool.map(run_mutant, repeat(seed), *zip(*mutants), repeat(final_state), chunksize=32)
+        for (index, mutation), (applied, found_violations, other) in zip(mutants, found):
             kind = MUTATIONS[mutation].kind
             kinds[kind] += 1
             not_applied += not applied
-            if faults:
-                violations.append(f"message {index}, {kind}: {faults[0]}")
+            if found_violations:
+                violations.append(f"message {index}, {kind}: {found_violations[0]}")
             if other:
                 differing.append(f"message {index}, {kind}")
     return {
         "messages": len(baseline.messages),
-        "mutants": len(places),
+        "mutants": len(mutants),
         "kinds": len(kinds),
         "broken": len(violations) + len(baseline.violations),
         "unlike": len(differing),
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -1,9 +1,7 @@
-"""Routers of several partners over one network that loses, delays, repeats and cuts, in simulated time:
-offers and agreements, ownership leases of slots, forwarded queries; on top of the history's net, whose
-clients, engines and faults these are. What breaks a rule is decided by what clients and engines saw.
+"""Simulates routers of several partners: offers and agreements, ownership leases of slots, forwarded queries.
 
-Owns the partners, their signers and journals, and the counts of rules broken by them. Must never know how a
-router decides.
+Extends the network, clients, engines and faults of history_net by the partners, their signers and journals. A
+broken rule is recognised only by what clients and engines observed, independent of how a router decides.
 """
 
 import random
@@ -25,7 +23,7 @@
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
-from hillchute.lab.history_net import EPOCH, PATIENCE, SECOND, STEP, HistoryNet, founded
+from hillchute.lab.history_net import CLIENT_TIMEOUT, EPOCH, SECOND, STEP, HistoryNet, founded
 from hillchute.partners import codec
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.forwarding import QueryForwarder
@@ -35,28 +33,32 @@
 from hillchute.partners.signatures import Verify, ed25519_signer, ed25519_verifier
 from hillchute.router.request_rules import TABLE_GROUP_PREFIX
 
-HISTORY, PARTNERS = b"h", b"p"  # before a message's bytes, as the datagrams' kinds tell them apart
+HISTORY, PARTNERS = b"h", b"p"  # prefix of a message, in place of the datagrams' payload kinds
 YEAR = 365 * 86_400 * SECOND
-ANSWERS = {
+OUTCOME_BY_VERDICT = {
     ClaimDecision.REPLAY: ForwardOutcome.SERVED,
     ClaimDecision.FAIL: ForwardOutcome.FAILED,
 }  # others: REJECTED
-ENDS = {
+OUTCOME_BY_STATE = {
     RecordState.SERVED: ForwardOutcome.SERVED,
     RecordState.NOT_RUN: ForwardOutcome.REJECTED,
 }  # others: FAILED
-ANSWERED_BY: Time = 2 * SECOND  # after its patience a client must have its answer: a step, a pause's end
+ANSWER_GRACE: Time = 2 * SECOND  # a client must have its answer this long after its time-out
 
 
 def private(partner: str) -> bytes:
+    """Returns a partner's fixed Ed25519 private key."""
     return partner.encode().ljust(32, b"-")
 
 
 def public(partner: str) -> bytes:
+    """Returns a partner's Ed25519 public key."""
     return Ed25519PrivateKey.from_private_bytes(private(partner)).public_key().public_bytes_raw()
 
 
 class PartnersNet(HistoryNet):
+    """The network with its routers assigned round-robin to the partners."""
+
     def __init__(
         self, seed: int, count: int, policies: RetentionPolicies, partners: str = "abc", **faults: float
     ) -> None:
@@ -65,43 +67,47 @@
         self.partner_of = {name: p for p, some in self.partners.items() for name in some}
         self.protocols: dict[str, AgreementProtocol] = {}
         self.forwarders: dict[str, QueryForwarder] = {}
-        self.journals: dict[str, dict[int, bytes]] = defaultdict(dict)  # of each partner, over restarts
+        self.journals: dict[str, dict[int, bytes]] = defaultdict(dict)  # by partner; survive restarts
         self.offers: dict[str, Offer] = {}
         self.check: Verify = ed25519_verifier({p: public(p) for p in self.partners})
-        self.asks: dict[int, list] = {}  # name, life, asked, patience, answers: of each query of a client
-        self.ask_of: dict[tuple[str, int, int], int] = {}  # by claim
-        self.claim_of_forwarded: dict[
-            tuple[str, int, int], tuple[int, int]
-        ] = {}  # the client's query and the claim's number
-        self.ran_last: dict[tuple[str, int, str], int] = {}  # of one router's clients and a key: the last
-        self.forwarded: dict[tuple[str, int, int], int] = {}  # client's query of each that ever was
-        self.session_of: dict[tuple[str, int, int], int] = {}  # of claims for incoming forwarded queries
-        self.led: dict[str, list[tuple[Time, Time, str]]] = defaultdict(list)  # key: when, by whose router
-        self.ran_for: set[int] = set()  # queries of clients that ran
-        self.turned_away: set[int] = set()  # and those that were told that they did not
+        # By client query: router, incarnation, time, time-out, number of answers.
+        self.client_queries: dict[int, list] = {}
+        self.query_by_claim: dict[tuple[str, int, int], int] = {}  # client query by claim
+        # By forwarded query: client query and claim number.
+        self.claim_by_forwarded: dict[tuple[str, int, int], tuple[int, int]] = {}
+        # The last client query that ran, by router, incarnation and key.
+        self.last_run: dict[tuple[str, int, str], int] = {}
+        self.query_by_forwarded: dict[tuple[str, int, int], int] = {}  # client query of every forwarded query
+        self.session_by_claim: dict[tuple[str, int, int], int] = {}  # by claim of an incoming forwarded query
+        self.led: dict[str, list[tuple[Time, Time, str]]] = defaultdict(list)  # by key: start, end, partner
+        self.executed_queries: set[int] = set()  # client queries that ran
+        self.rejected_queries: set[int] = set()  # client queries that were rejected
         self.hops: Counter[str] = Counter()
-        self.numbers = 0
+        self.query_count = 0
         super().__init__(seed, count, policies, **faults)
 
     # ---- routers ------------------------------------------------------------------------------------
 
-    def new_replica(self, name: str, now: Time, living: Callable[[], dict[str, int]]) -> Replica:
-        life, partner = self.lives[name], self.partner_of[name]
+    def new_replica(self, name: str, now: Time, live_routers: Callable[[], dict[str, int]]) -> Replica:
+        incarnation, partner = self.lives[name], self.partner_of[name]
         protocol = AgreementProtocol(
-            PartnerMembership(name, partner, self.partners, self.check), self.seed, now, self.signer_of(name)
+            PartnerMembership(name, partner, self.partners, self.check),
+            self.seed,
+            now,
+            self.make_signer(name),
         )
         self.protocols[name] = protocol
         if protocol.signer is not None and partner in self.offers:
             self.publish_offer(name, self.offers[partner])
 
-        def over(other: str, other_life: int) -> bool:
-            return living().get(other) != other_life
+        def has_ended(other: str, other_incarnation: int) -> bool:
+            return live_routers().get(other) != other_incarnation
 
-        self.forwarders[name] = QueryForwarder(name, life, living, over)
-        membership = Membership(name, life, self.names, living)
+        self.forwarders[name] = QueryForwarder(name, incarnation, live_routers, has_ended)
+        membership = Membership(name, incarnation, self.names, live_routers)
         return Replica(membership, self.policies, now, agreement=protocol.ownership)
 
-    def signer_of(self, name: str) -> AgreementSigner | None:
+    def make_signer(self, name: str) -> AgreementSigner | None:
         partner = self.partner_of[name]
         if name != self.partners[partner][0]:
             return None
@@ -116,19 +122,21 @@
     def kill(self, name: str) -> None:
         for kept in (self.protocols, self.forwarders):
             kept.pop(name, None)
-        for kept in (self.ask_of, self.claim_of_forwarded, self.session_of):
+        for kept in (self.query_by_claim, self.claim_by_forwarded, self.session_by_claim):
             for claim in [claim for claim in kept if claim[0] == name]:
                 del kept[claim]
-        self.asks = {ask: about for ask, about in self.asks.items() if about[0] != name}
+        self.client_queries = {
+            client_query: about for client_query, about in self.client_queries.items() if about[0] != name
+        }
         super().kill(name)
 
     def offer(
         self, partner: str, want: int, least: int = 500, most: int = SHARE_TOTAL, capacity: int = 100
     ) -> None:
-        """The operator of a partner makes an offer, at the router that signs; it holds over restarts."""
+        """Makes an offer of a partner at its signing router; the offer survives restarts."""
         turn = self.offers[partner].revision + 1 if partner in self.offers else 1
         ends = EPOCH + YEAR
-        said = Offer(
+        offer = Offer(
             partner=partner,
             revision=turn,
             capacity=100,
@@ -140,14 +148,14 @@
             grace_period=5 * SECOND,
             notice_period=10 * SECOND,
         )
-        self.offers[partner] = said
+        self.offers[partner] = offer
         name = self.partners[partner][0]
-        if name in self.protocols and name not in self.stopped:
-            self.publish_offer(name, said)
+        if name in self.protocols and name not in self.suspended:
+            self.publish_offer(name, offer)
 
-    def publish_offer(self, name: str, said: Offer) -> None:
+    def publish_offer(self, name: str, offer: Offer) -> None:
         try:
-            self.protocols[name].make_offer(self.clock(name), said)
+            self.protocols[name].make_offer(self.clock(name), offer)
         except InvalidAgreementError:
             self.hops["offers rejected"] += 1
 
@@ -157,14 +165,14 @@
 
     # ---- the network --------------------------------------------------------------------------------
 
-    def encoded(self, message: Message | PartnerMessage) -> bytes:
+    def encode_message(self, message: Message | PartnerMessage) -> bytes:
         if isinstance(message, PartnerMessage):
             return PARTNERS + codec.encode(message)
         return HISTORY + history_encode(message)
 
-    def arrive(self, sender: str, to: str, data: bytes) -> None:
-        if to in self.stopped:
-            self.stopped[to].append((sender, data))
+    def deliver(self, sender: str, to: str, data: bytes) -> None:
+        if to in self.suspended:
+            self.suspended[to].append((sender, data))
             return
         if to not in self.replicas:
             return
@@ -178,7 +186,7 @@
             else:
                 self.forwarders[to].receive(now, sender, message)
         else:
-            raise InvalidDatagramError("of no kind", sender)
+            raise InvalidDatagramError("unknown message prefix", sender)
         self.post(to)
 
     def tick(self, name: str) -> None:
@@ -199,149 +207,162 @@
 
     # ---- clients ------------------------------------------------------------------------------------
 
-    def ask(self, name: str, token: str, key: str, patience: Time = PATIENCE) -> None:
-        self.numbers += 1
-        if name not in self.replicas or name in self.stopped:
+    def ask(self, name: str, idempotency_key: str, key: str, client_timeout: Time = CLIENT_TIMEOUT) -> None:
+        self.query_count += 1
+        if name not in self.replicas or name in self.suspended:
             self.said["nobody there"] += 1
             return
-        self.asks[self.numbers] = [name, self.lives[name], self.now, patience, 0]
-        claim = self.claim(name, token, key, patience)
-        self.ask_of[claim] = self.numbers
+        self.client_queries[self.query_count] = [name, self.lives[name], self.now, client_timeout, 0]
+        claim = self.claim(name, idempotency_key, key, client_timeout)
+        self.query_by_claim[claim] = self.query_count
         self.post(name)
 
-    def claim(self, name: str, token: str, key: str, patience: Time) -> tuple[str, int, int]:
-        once, now = key.startswith(TABLE_GROUP_PREFIX), self.clock(name)
+    def claim(self, name: str, idempotency_key: str, key: str, client_timeout: Time) -> tuple[str, int, int]:
+        is_mutating, now = key.startswith(TABLE_GROUP_PREFIX), self.clock(name)
         query = KeyedQuery(
             ordering_key=key,
-            idempotency_key=token,
-            deadline=now + patience,
-            ordered=not once,
-            is_transient=once,
+            idempotency_key=idempotency_key,
+            deadline=now + client_timeout,
+            ordered=not is_mutating,
+            is_transient=is_mutating,
         )
         number = self.replicas[name].claim(now, query)
         claim = name, self.lives[name], number
-        self.open[claim] = token, key, self.now
+        self.open[claim] = idempotency_key, key, self.now
         return claim
 
     def change(self, name: str, tables: int) -> None:
-        """A mutating query: no token, nothing that could be answered again."""
-        self.ask(name, f"once{self.numbers}", f"{TABLE_GROUP_PREFIX}{tables}")
-
-    def answered(self, ask: int, how: ForwardOutcome) -> None:
-        """One of a client's queries has its final answer."""
-        self.said[f"answered {how}"] += 1
-        if how is ForwardOutcome.REJECTED:
-            self.turned_away.add(ask)
-            self.rule["deferred and ran"] += ask in self.ran_for
-        if ask in self.asks:
-            self.asks[ask][4] += 1
-            if self.asks[ask][4] > 1:
+        """Sends a mutating query, whose answer is not kept for replay."""
+        self.ask(name, f"once{self.query_count}", f"{TABLE_GROUP_PREFIX}{tables}")
+
+    def record_answer(self, client_query: int, outcome: ForwardOutcome) -> None:
+        """Records the final answer to a client query."""
+        self.said[f"answered {outcome}"] += 1
+        if outcome is ForwardOutcome.REJECTED:
+            self.rejected_queries.add(client_query)
+            self.rule["deferred and ran"] += client_query in self.executed_queries
+        if client_query in self.client_queries:
+            self.client_queries[client_query][4] += 1
+            if self.client_queries[client_query][4] > 1:
                 self.rule["two answers"] += 1
 
-    def over(
+    def handle_not_run(
         self,
         claim: tuple[str, int, int],
         verdict: ClaimDecision,
-        why: str,
+        reason: str,
         rows: bytes | None,
         about: tuple[str, str, Time],
     ) -> None:
-        """A claim that does not run here is answered, or forwarded if it came from a client."""
-        (name, life, _), (token, key, asked) = claim, about
-        session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = ANSWERS.get(verdict, ForwardOutcome.REJECTED)
+        """Answers a claim that does not run here, or forwards it if it came from a client."""
+        (name, incarnation, _), (idempotency_key, key, asked) = claim, about
+        session, client_query = self.session_by_claim.pop(claim, None), self.query_by_claim.pop(claim, None)
+        outcome = OUTCOME_BY_VERDICT.get(verdict, ForwardOutcome.REJECTED)
         if session is not None:
             if verdict is ClaimDecision.FORWARD:
                 self.replicas[name].end_claim(self.clock(name), claim[2], RecordState.NOT_RUN)
-            self.forwarders[name].answer(self.clock(name), session, how, why, rows)
+            self.forwarders[name].answer(self.clock(name), session, outcome, reason, rows)
             return
         if verdict is ClaimDecision.FORWARD:
             self.hops["forwarded"] += 1
             forwarder, now = self.forwarders[name], self.clock(name)
-            to = forwarder.choose_target(self.partners.get(why, ()), "", key)
+            to = forwarder.choose_target(self.partners.get(reason, ()), "", key)
             if to is not None:
-                left = max(0, asked + PATIENCE - self.now)
-                once = key.startswith(TABLE_GROUP_PREFIX)
+                left = max(0, asked + CLIENT_TIMEOUT - self.now)
+                is_mutating = key.startswith(TABLE_GROUP_PREFIX)
                 message = ForwardQuery(
-                    0, 0, 0, token, "g", key.encode(), None if once else token, None, 0.0, None, "", left
+                    0,
+                    0,
+                    0,
+                    idempotency_key,
+                    "g",
+                    key.encode(),
+                    None if is_mutating else idempotency_key,
+                    None,
+                    0.0,
+                    None,
+                    "",
+                    left,
                 )
                 forwarded = forwarder.forward(now, to, message, now + left)
-                self.claim_of_forwarded[name, life, forwarded] = ask, claim[2]
-                self.forwarded[name, life, forwarded] = ask
+                self.claim_by_forwarded[name, incarnation, forwarded] = client_query, claim[2]
+                self.query_by_forwarded[name, incarnation, forwarded] = client_query
                 return
             self.replicas[name].end_claim(now, claim[2], RecordState.NOT_RUN)
-        self.answered(ask, how)
+        self.record_answer(client_query, outcome)
 
     def run_forwarded(self, name: str) -> None:
-        """Forwarded queries arrive and end."""
-        forwarder, life = self.forwarders[name], self.lives[name]
-        came, forwarder.arrivals = forwarder.arrivals, []
-        for session, message in came:
+        """Handles forwarded queries that arrived and those that completed."""
+        forwarder, incarnation = self.forwarders[name], self.lives[name]
+        arrivals, forwarder.arrivals = forwarder.arrivals, []
+        for session, message in arrivals:
             self.hops["arrived"] += 1
             claim = self.claim(name, message.query_id, message.statement.decode(), message.time_left)
-            self.session_of[claim] = session
-        ended, forwarder.completions = forwarder.completions, []
-        for number, how, _, rows in ended:
-            ask, mine = self.claim_of_forwarded.pop((name, life, number), (None, 0))
-            self.rule["ended twice"] += ask is None
-            if mine:
-                self.replicas[name].end_claim(self.clock(name), mine, RecordState.NOT_RUN)
-            if how is ForwardOutcome.SERVED and rows is None:
+            self.session_by_claim[claim] = session
+        completions, forwarder.completions = forwarder.completions, []
+        for number, outcome, _, rows in completions:
+            client_query, claim_number = self.claim_by_forwarded.pop((name, incarnation, number), (None, 0))
+            self.rule["ended twice"] += client_query is None
+            if claim_number:
+                self.replicas[name].end_claim(self.clock(name), claim_number, RecordState.NOT_RUN)
+            if outcome is ForwardOutcome.SERVED and rows is None:
                 self.rule["wrong answer"] += 1
-            if ask is not None:
-                self.answered(ask, how)
-        if came or ended:
+            if client_query is not None:
+                self.record_answer(client_query, outcome)
+        if arrivals or completions:
             super().post(name)
 
-    def run(self, claim: tuple[str, int, int], token: str, key: str) -> None:
-        before = len(self.runs[token])
-        # Non-idempotent ones have no order.
-        super().run(claim, token, token if key.startswith(TABLE_GROUP_PREFIX) else key)
-        if len(self.runs[token]) == before:
+    def start_run(self, claim: tuple[str, int, int], idempotency_key: str, key: str) -> None:
+        before = len(self.runs[idempotency_key])
+        # Mutating queries have no order.
+        super().start_run(
+            claim, idempotency_key, idempotency_key if key.startswith(TABLE_GROUP_PREFIX) else key
+        )
+        if len(self.runs[idempotency_key]) == before:
             return
-        ask = self.ask_for(claim)
-        if ask is not None:
-            self.ran_for.add(ask)
-            self.rule["deferred and ran"] += ask in self.turned_away
-            if ask in self.asks and not key.startswith(TABLE_GROUP_PREFIX):
-                line = (*self.asks[ask][:2], key)
-                self.rule["overtaken"] += ask < self.ran_last.get(line, 0)
-                self.ran_last[line] = max(ask, self.ran_last.get(line, 0))
-        begin, end = self.runs[token][-1]
+        client_query = self.query_of(claim)
+        if client_query is not None:
+            self.executed_queries.add(client_query)
+            self.rule["deferred and ran"] += client_query in self.rejected_queries
+            if client_query in self.client_queries and not key.startswith(TABLE_GROUP_PREFIX):
+                client_and_key = (*self.client_queries[client_query][:2], key)
+                self.rule["overtaken"] += client_query < self.last_run.get(client_and_key, 0)
+                self.last_run[client_and_key] = max(client_query, self.last_run.get(client_and_key, 0))
+        begin, end = self.runs[idempotency_key][-1]
         partner = self.partner_of[claim[0]]
         if any(b < end and begin < e and other != partner for b, e, other in self.led[key]):
             self.rule["two owners"] += 1
         self.led[key].append((begin, end, partner))
 
-    def ask_for(self, claim: tuple[str, int, int]) -> int | None:
-        """The client's query that a claim is for, also where it was forwarded."""
-        session = self.session_of.get(claim)
+    def query_of(self, claim: tuple[str, int, int]) -> int | None:
+        """Returns the client query of a claim, also if it was forwarded."""
+        session = self.session_by_claim.get(claim)
         if session is None:
-            return self.ask_of.get(claim)
+            return self.query_by_claim.get(claim)
         incoming = self.forwarders[claim[0]].by_session[session]
-        return self.forwarded.get((incoming.sender, incoming.incarnation, incoming.number))
+        return self.query_by_forwarded.get((incoming.sender, incoming.incarnation, incoming.number))
 
     def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
-        session, ask = self.session_of.pop(claim, None), self.ask_of.pop(claim, None)
-        how = ENDS.get(state, ForwardOutcome.FAILED)
+        session, client_query = self.session_by_claim.pop(claim, None), self.query_by_claim.pop(claim, None)
+        outcome = OUTCOME_BY_STATE.get(state, ForwardOutcome.FAILED)
         if session is not None:
-            self.forwarders[claim[0]].answer(self.clock(claim[0]), session, how, "", rows)
-        elif ask is not None:
-            self.answered(ask, how)
+            self.forwarders[claim[0]].answer(self.clock(claim[0]), session, outcome, "", rows)
+        elif client_query is not None:
+            self.record_answer(client_query, outcome)
         super().ended(claim, state, rows)
 
-    # ---- what is looked at beside -------------------------------------------------------------------
+    # ---- inspection ---------------------------------------------------------------------------------
 
     def unanswered(self) -> int:
-        """Clients whose router lived all the while, and whose answer is due and has not come."""
+        """Counts overdue client queries without an answer whose router has run all the time."""
         return sum(
-            not answers and self.now > asked + patience + ANSWERED_BY
-            for name, life, asked, patience, answers in self.asks.values()
-            if self.lives[name] == life and name in self.replicas and name not in self.stopped
+            not answers and self.now > asked + client_timeout + ANSWER_GRACE
+            for name, incarnation, asked, client_timeout, answers in self.client_queries.values()
+            if self.lives[name] == incarnation and name in self.replicas and name not in self.suspended
         )
 
     def owners(self) -> list[str]:
-        """By the leases at the slots' first holders; "" where there is none."""
+        """Returns the owner of each slot by the lease at its first holder; "" if there is none."""
         some = next(iter(self.replicas.values())).views.view
         found = []
         for slot in range(SLOTS):
@@ -351,49 +372,52 @@
         return found
 
     def agreed(self, most: float = 60) -> bool:
-        """Plays until all follow one agreement and every slot has the owner that it names."""
+        """Simulates until all follow one agreement and each slot has its owner; False on time-out."""
         since = self.now
         while self.now - since < most * SECOND:
             self.advance(0.5)
-            protocols = [c for n, c in self.protocols.items() if n not in self.stopped]
-            numbers = {c.ownership.agreement_number for c in protocols} | {
+            protocols = [c for n, c in self.protocols.items() if n not in self.suspended]
+            agreement_numbers = {c.ownership.agreement_number for c in protocols} | {
                 c.ownership.number_to_announce(self.now) for c in protocols
             }
-            if len(numbers) == 1 and 0 not in numbers:
+            if len(agreement_numbers) == 1 and 0 not in agreement_numbers:
                 owners = [owner or "" for owner in protocols[0].ownership.slot_owners]
                 if all(owners) and owners == self.owners():
                     return True
         return False
 
 
-def crowd(net: PartnersNet, chance: random.Random, many: int, keys: int) -> None:
-    """So many clients ask, of so many keys and table groups, and a step goes by."""
-    for name in chance.sample(net.names, many):
-        if chance.random() < 0.5:
-            net.change(name, chance.randrange(keys))
+def send_random_queries(net: PartnersNet, rng: random.Random, many: int, keys: int) -> None:
+    """Sends `many` queries for random ones of `keys` keys and table groups, and advances one step."""
+    for name in rng.sample(net.names, many):
+        if rng.random() < 0.5:
+            net.change(name, rng.randrange(keys))
         else:
-            net.ask(name, f"r{net.numbers}", f"k{chance.randrange(keys)}")
+            net.ask(name, f"r{net.query_count}", f"k{rng.randrange(keys)}")
     net.advance(STEP / SECOND)
 
 
-def swing(net: PartnersNet, gainer: str, much: int, little: int) -> None:
+def offer_majority(net: PartnersNet, gainer: str, large_share: int, small_share: int) -> None:
+    """Makes offers that give one partner a large share and the others a small one."""
     for partner in net.partners:
-        net.offer(partner, much if partner == gainer else little)
+        net.offer(partner, large_share if partner == gainer else small_share)
 
 
-def rush(net: PartnersNet, seed: int, swings: int = 6) -> bool:
-    """Agreements that move most slots to and fro while a few keys and table groups are asked for all along,
-    and now and then a router dies as it moves a lease. Whether it all came to rest."""
-    chance, partners = random.Random(seed), list(net.partners)
-    for n in range(swings):
-        swing(net, partners[n % len(partners)], 8000, 1000)
+def rush(net: PartnersNet, seed: int, rounds: int = 6) -> bool:
+    """Moves most slots back and forth by new agreements while a few keys and table groups are queried.
+
+    In some rounds a router is killed while it moves a lease. Returns whether the fleet settled afterwards.
+    """
+    rng, partners = random.Random(seed), list(net.partners)
+    for n in range(rounds):
+        offer_majority(net, partners[n % len(partners)], 8000, 1000)
         until = net.now + 4 * SECOND
-        killer = chance.random() < 0.5
+        kill_one = rng.random() < 0.5
         while net.now < until:
-            crowd(net, chance, 3, 5)
+            send_random_queries(net, rng, 3, 5)
             moved = [n for n, k in net.replicas.items() if k.counters["leases moved"] or k.leases.transfers]
-            if killer and net.now > until - 2 * SECOND and moved and len(net.replicas) == len(net.names):
-                net.kill(chance.choice(moved))
+            if kill_one and net.now > until - 2 * SECOND and moved and len(net.replicas) == len(net.names):
+                net.kill(rng.choice(moved))
         net.advance(6)
         for name in net.names:
             if name not in net.replicas:
@@ -402,34 +426,36 @@
 
 
 def storm(net: PartnersNet, seed: int, seconds: float, turns: float = 0.2) -> bool:
-    """The history's storm, with mutating queries and new offers among the rest; then all is mended. `turns`:
-    the part of strikes that are offers. Whether it all came to rest."""
-    chance, tokens = random.Random(seed), []
-    quiet, end = net.now, net.now + int(seconds * SECOND)
+    """Runs random queries, mutating queries, faults and new offers, then heals all faults.
+
+    `turns` is the fraction of offers among faults and offers. Returns whether the fleet settled afterwards.
+    """
+    rng, queries = random.Random(seed), []
+    next_fault_at, end = net.now, net.now + int(seconds * SECOND)
     while net.now < end:
-        for _ in range(chance.randint(0, 4)):
-            name = chance.choice(net.names)
-            if chance.random() < 0.3:
-                net.change(name, chance.randint(0, 9))
-            elif not tokens or chance.random() >= 0.3:
-                tokens.append((f"t{len(tokens)}", f"k{chance.randint(0, 20)}"))
-                net.ask(name, *tokens[-1])
+        for _ in range(rng.randint(0, 4)):
+            name = rng.choice(net.names)
+            if rng.random() < 0.3:
+                net.change(name, rng.randint(0, 9))
+            elif not queries or rng.random() >= 0.3:
+                queries.append((f"t{len(queries)}", f"k{rng.randint(0, 20)}"))
+                net.ask(name, *queries[-1])
             else:
-                net.ask(name, *chance.choice(tokens[-30:]))
-        if net.now >= quiet:
-            if chance.random() < turns:
-                net.offer(chance.choice(list(net.partners)), chance.randint(500, 6000))
+                net.ask(name, *rng.choice(queries[-30:]))
+        if net.now >= next_fault_at:
+            if rng.random() < turns:
+                net.offer(rng.choice(list(net.partners)), rng.randint(500, 6000))
             else:
-                history_net.strike(net, chance, False)
-            quiet = net.now + chance.choice([0, 0, 2, 6, 12]) * SECOND
-        net.advance(chance.choice([0.1, 0.2, 0.5]))
+                history_net.inject_random_fault(net, rng, False)
+            next_fault_at = net.now + rng.choice([0, 0, 2, 6, 12]) * SECOND
+        net.advance(rng.choice([0.1, 0.2, 0.5]))
     net.mend()
     for name in net.names:
-        if name in net.stopped:
+        if name in net.suspended:
             net.go_on(name)
         if name not in net.replicas:
             net.start(name)
     return net.settled(60) and net.agreed(60)
 
 
-__all__ = ["SECOND", "PartnersNet", "crowd", "founded", "rush", "storm", "swing"]
+__all__ = ["SECOND", "PartnersNet", "founded", "offer_majority", "rush", "send_random_queries", "storm"]
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -312,10 +312,10 @@
     async def resend(self, first: Query, until: float) -> None:
         """Sends a query again, to any router, as a client does that did not get or keep the answer."""
         await anyio.sleep(self.random.uniform(*RESEND_DELAY))
-        up = [member for member in self.members if member.accepting]
-        if not up or self.world.clock() > until:
+        available = [member for member in self.members if member.accepting]
+        if not available or self.world.clock() > until:
             return
-        member = self.random.choice(up)
+        member = self.random.choice(available)
         q = Query(first.group, first.statement, weight=first.weight, token=first.token, key=first.key)
         q.router = member.name
         self.queries.append(q)
@@ -559,8 +559,8 @@
             if run.token:
                 ended[run.token] = max(ended[run.token], run.ended or self.world.clock())
         for before, told in self.erasures:
-            gone = {token for token, end in ended.items() if end < before - MAX_CLOCK_SKEW}
-            late = [q for q in replayed if q.token in gone and q.sent > told + ERASURE_PROPAGATION_TIME]
+            erased = {token for token, end in ended.items() if end < before - MAX_CLOCK_SKEW}
+            late = [q for q in replayed if q.token in erased and q.sent > told + ERASURE_PROPAGATION_TIME]
             kept += [f"{q.token} answered by {q.router}, {q.sent - told:.1f} s after" for q in late]
             if self.world.clock() > told + 2 * ERASURE_PROPAGATION_TIME:
                 for member in self.members:
@@ -568,8 +568,8 @@
                         continue  # it may not know of the request yet, and answers nothing until it does
                     files = member.folder.glob(f"{member.name}.db*")
                     data = b"".join(file.read_bytes() for file in files)
-                    out = self.may_stay(member, before)
-                    found = [t for t in sorted(gone - out) if t.encode() in data]
+                    may_remain = self.may_stay(member, before)
+                    found = [t for t in sorted(erased - may_remain) if t.encode() in data]
                     where = (
                         f"on the disk of {member.name},"
                         f" back for {self.world.clock() - member.resumed_at:.1f} s"
