--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -43,7 +43,8 @@
     RecordState.SERVED: ForwardOutcome.SERVED,
     RecordState.NOT_RUN: ForwardOutcome.REJECTED,
 }  # others: FAILED
-ANSWER_GRACE: Time = 2 * SECOND  # a client must have its answer this long after its time-out
+# A client must have its answer this long after its time-out: a step, and the end of a suspension.
+ANSWER_GRACE: Time = 2 * SECOND
 
 
 def private(partner: str) -> bytes:
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -18,7 +18,7 @@
 TABLE_GROUP_PATTERN = re.compile(r"_([0-9]+)\.")
 SHARE_TOTAL = 10_000
 THREADS_BY_GROUP = {"lookup": 1, "report": 4}  # threads of one query; 2 for all other groups
-WINDOW_SECONDS = 0.25  # seconds over which the threads used on an engine are averaged
+WINDOW_SECONDS = 0.25  # over which the threads used on an engine are averaged
 THREADS_PER_CORE = 2.0  # thread limit per core over all routers
 
 QueryInfo = tuple[str | None, str, str]  # a query's key, statement and group
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -85,25 +85,27 @@
 
 
 def test_overlapping_runs_of_two_partners_are_reported_as_two_owners():
-    about = {n: ("k", "UPDATE sales_3.orders", g) for n, g in (("q", "event-load"), ("p", "event-load"))}
-    about |= {n: (None, "UPDATE sales_3.orders", "change") for n in "xy"}
-    world, whose = World(), {1: "a", 2: "b"}
+    info_by_query = {
+        n: ("k", "UPDATE sales_3.orders", g) for n, g in (("q", "event-load"), ("p", "event-load"))
+    }
+    info_by_query |= {n: (None, "UPDATE sales_3.orders", "change") for n in "xy"}
+    world, partner_by_connection = World(), {1: "a", 2: "b"}
     world.ran = [ran("q", 0.0, 1.0, 1), ran("p", 1.0, 2.0, 2)]
     world.ran += [ran("x", 0.0, 1.0, 1, "change"), ran("y", 1.0, 2.0, 2, "change")]
-    assert not two_owners(world, whose, about)
+    assert not two_owners(world, partner_by_connection, info_by_query)
     world.ran[1].began = world.ran[3].began = 0.5
-    assert len(two_owners(world, whose, about)) == 2
-    assert not two_owners(world, {1: "a", 2: "a"}, about)
+    assert len(two_owners(world, partner_by_connection, info_by_query)) == 2
+    assert not two_owners(world, {1: "a", 2: "a"}, info_by_query)
 
 
 def test_partner_over_its_quota_is_reported_only_on_a_saturated_engine():
-    world, whose = World(), dict.fromkeys(range(40), "a") | {50: "b"}
+    world, partner_by_connection = World(), dict.fromkeys(range(40), "a") | {50: "b"}
     world.ran = [ran(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
     # Used are 40 of 16 threads; 8 threads and one query for each of two routers are allowed.
-    assert over_quota(world, whose, 8, 6, 5000)
-    assert not over_quota(world, whose, 64, 6, 5000)  # the engine is not saturated
+    assert over_quota(world, partner_by_connection, 8, 6, 5000)
+    assert not over_quota(world, partner_by_connection, 64, 6, 5000)  # the engine is not saturated
     world.ran = [ran(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [ran("p", 0.0, 1.0, 50, "report")]
-    assert not over_quota(world, whose, 8, 6, 5000)
+    assert not over_quota(world, partner_by_connection, 8, 6, 5000)
 
 
 # ---- nodes over a simulated network -----------------------------------------------------------------
