--- a/hillchute/errors.py
+++ b/hillchute/errors.py
@@ -76,9 +76,7 @@
     The engine gets no queries.
     """
 
-    remedy = (
-        "add the kind to `settings.kinds` in the file that EDGE_CONFIG names, then restart the router"
-    )
+    remedy = "add the kind to `settings.kinds` in the file that EDGE_CONFIG names, then restart the router"
 
 
 class InvalidDatagramError(HillchuteError):
