--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -17,10 +17,10 @@
     HealthCheck,
     Listing,
     Reject,
-    SetTerms,
+    SetExecutionOptions,
+    SetTimer,
     Submit,
     Time,
-    Wake,
     WatchEndpoints,
 )
 from hillchute.net.clock import (
@@ -139,10 +139,10 @@
         started = self.duration("last_start_ns")
         zone = self.integer("locality", 0)
         state = self.one_of(EndpointState, "availability", EndpointState.READY)
-        nominal = self.real("nominal", 1.0)
+        weight = self.real("nominal", 1.0)
         engine = self.required_integer("engine")
         return Listing(
-            engine=engine, kind=kind, cell=cell, zone=zone, started=started, state=state, nominal=nominal
+            engine=engine, kind=kind, cell=cell, zone=zone, started=started, state=state, weight=weight
         )
 
     def catalog(self) -> dict[str, object]:
@@ -216,13 +216,13 @@
             line = f"FINISH_ERROR {query}"
         case Cancel(query, attempt):
             line = f"RETRACT {query} {attempt}"
-        case SetTerms(query, memory_mb, priority):
+        case SetExecutionOptions(query, memory_mb, priority):
             line = f"SET_TERMS {query} {memory_mb:g} {priority}"
         case HealthCheck(engine):
             line = f"ASK_LOAD {engine}"
         case WatchEndpoints():
             line = "OBSERVE 1"
-        case Wake(at, name):
+        case SetTimer(at, name):
             line = f"WAKE_ME {at * NANOSECONDS_PER_TIME_UNIT} {name}"
         case _:
             raise ValueError(f"the simulator's protocol has no message for decision {decision}")
--- a/hillchute/cli/commands.py
+++ b/hillchute/cli/commands.py
@@ -171,9 +171,9 @@
     probe
         Cost of a health check relative to the value of a served query; the setting costs.probe.
     """
-    from hillchute.lab.plays import figures
+    from hillchute.lab.plays import run_and_measure
 
-    results = figures(form, play, seed, routers, engines, load, slow, **{"costs.probe": probe})
+    results = run_and_measure(form, play, seed, routers, engines, load, slow, **{"costs.probe": probe})
     if json:
         print_json(results)
     else:
@@ -202,10 +202,10 @@
     faults_by_seed: dict[int, list[str]] = {}
     outcomes: Counter = Counter()
     for seed in range(first, first + seeds):
-        rig = play(seed, times=times)
+        rig = play(seed, load_factor=times)
         outcomes += rig.summary()
-        if rig.faults:
-            faults_by_seed[seed] = rig.faults
+        if rig.violations:
+            faults_by_seed[seed] = rig.violations
     if json:
         print_json(
             {
--- a/hillchute/decision/admission.py
+++ b/hillchute/decision/admission.py
@@ -8,7 +8,7 @@
 from hillchute.decision.statistics import SMOOTHING, smoothed
 from hillchute.settings import Settings, TenantSettings
 
-MOST_LATE: Time = 100 * MILLISECOND  # limit of event loop lag; every answer has at least this margin
+MAX_LOOP_LAG: Time = 100 * MILLISECOND  # limit of event loop lag; every answer has at least this margin
 # A tenant is over its share from this multiple of its fraction of the traffic on: more than random variation.
 # The pressure on its queries is multiplied by the same factor.
 OVER_SHARE_FACTOR = 1.25
@@ -58,7 +58,7 @@
         """
         weight = group.settings.weight
         self.mean_weight = smoothed(self.mean_weight, weight)
-        return loop_lag < MOST_LATE * min(1.0, weight / self.mean_weight)
+        return loop_lag < MAX_LOOP_LAG * min(1.0, weight / self.mean_weight)
 
     def count_query(self, group: ResourceGroup, estimate: Time | None) -> float:
         """Counts an admitted query and returns its cost.
@@ -108,7 +108,7 @@
         # Reports that count queries distinguish a high load from a slowdown; without them only the slowdown
         # does, and it counts in full.
         slowdown = self.load.slowdown(now) / (2 if self.load.reports_count_queries else 1)
-        queue = query.group.settings.is_load and self.queues.blocked_bulk_loads.get(query.table_group)
+        queue = query.group.settings.is_bulk_load and self.queues.blocked_bulk_loads.get(query.table_group)
         queue = queue or self.queues.teams
         backlog = BACKLOG_PRESSURE * self.load.slack_used(now, queue[0]) if queue else 0
         pressure = max(slowdown, self._reachable_load(now, query), backlog)
--- a/hillchute/decision/dispatch.py
+++ b/hillchute/decision/dispatch.py
@@ -10,14 +10,14 @@
     Fail,
     Reason,
     Reject,
-    SetTerms,
+    SetExecutionOptions,
     Submit,
     Time,
 )
 from hillchute.decision.load_estimation import MIN_RUNTIME, LoadEstimator
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
-from hillchute.decision.query_state import Attempt, QueryPlace, QueryState
+from hillchute.decision.query_state import Attempt, QueryStage, QueryState
 from hillchute.settings import Effect, Settings
 
 ANSWER_MARGIN: Time = 5 * MILLISECOND  # a final answer is sent this long before the deadline, plus two ticks
@@ -63,11 +63,11 @@
         work = query.cost * query.group.cost_ratio
         attempt = Attempt(engine.id, now, work, max(MIN_RUNTIME, query.runtime_alone))
         self.load.attempt_started(now, query, attempt)
-        query.place = QueryPlace.RUNNING
+        query.stage = QueryStage.RUNNING
         query.attempts.append(attempt)
         engine.attempt_started(now, query.threads, query.memory_mb)
-        if group.is_load:
-            engine.running_loads.append(query.table_group)
+        if group.is_bulk_load:
+            engine.running_bulk_loads.append(query.table_group)
         self.placement.affinity[query.table_group] = engine.id
 
     def _time_limit(self, now: Time, query: QueryState) -> Time:
@@ -88,7 +88,7 @@
         if not self.settings.priorities or query.attempts:
             return
         group = query.group
-        if group.settings.number in self.queues.dashboard_groups or group.settings.is_load:
+        if group.settings.number in self.queues.dashboard_groups or group.settings.is_bulk_load:
             priority = HIGHEST_PRIORITY
         elif query.cost <= group.mean_cost:
             priority = HIGHEST_PRIORITY - 1
@@ -96,7 +96,7 @@
             priority = HIGHEST_PRIORITY - 2
         else:
             priority = 0
-        self.planned.append(SetTerms(query.id, 0, priority))
+        self.planned.append(SetExecutionOptions(query.id, 0, priority))
 
     def give_up(self, query: QueryState, reason: Reason) -> None:
         """Answers a query without a result; `reason` is only logged."""
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -30,7 +30,9 @@
     threads: int = 0  # used by this router's open attempts
     attempts_memory_mb: float = 0.0  # used by this router's open attempts
     open_attempts: int = 0
-    running_loads: list[int | None] = field(default_factory=list)  # table groups of this router's bulk loads
+    running_bulk_loads: list[int | None] = field(
+        default_factory=list
+    )  # table groups of this router's bulk loads
     # Attempts that the last report may not include: time sent, threads, memory.
     unreported: deque[tuple[Time, int, float]] = field(default_factory=deque)
     unreported_threads: int = 0  # sums over `unreported`
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -78,7 +78,7 @@
     zone: int
     started: Time
     state: EndpointState
-    nominal: float
+    weight: float
 
 
 class NewQuery(NamedTuple):
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetTerms:
+class SetExecutionOptions:
     """Set the memory and the priority with which engines run the query; higher priorities run first."""
 
     query: QueryId
@@ -194,14 +194,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     """Set a timer: call `on_timer` at this time with this name."""
 
     at: Time
     name: str
 
 
-Decision: TypeAlias = Submit | SetTerms | Reject | Fail | Cancel | HealthCheck | WatchEndpoints | Wake
+Decision: TypeAlias = (
+    Submit | SetExecutionOptions | Reject | Fail | Cancel | HealthCheck | WatchEndpoints | SetTimer
+)
 
 
 class Scheduler(Protocol):
@@ -229,10 +231,10 @@
         None keeps the previous value.
         """
 
-    def admits(self, now: Time, group: int, lateness: float) -> bool:
+    def admits(self, now: Time, group: int, loop_lag: float) -> bool:
         """Returns whether a query of this group is admitted; called before the query is read.
 
-        `lateness` is the event loop lag in tenths of a millisecond.
+        `loop_lag` is the event loop lag in tenths of a millisecond.
         """
 
     def on_query(self, now: Time, query: NewQuery) -> None:
@@ -255,7 +257,7 @@
         A scheduler without peers ignores it.
         """
 
-    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
+    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, value: float) -> None:
         """Takes an engine's progress report on an attempt."""
 
     def on_stream_started(self, now: Time, query: QueryId) -> None:
@@ -268,7 +270,7 @@
         """Takes note that this router shuts down: every query is answered by the deadline."""
 
     def on_timer(self, now: Time, name: str) -> None:
-        """Takes note that the timer of a `Wake` has expired."""
+        """Takes note that the timer of a `SetTimer` has expired."""
 
     def next_decision(self, now: Time) -> Decision | None:
         """Returns the next decision, or None if there is nothing to decide at this time."""
--- a/hillchute/decision/placement.py
+++ b/hillchute/decision/placement.py
@@ -88,10 +88,10 @@
             if now >= engine.ejected_until and self.is_eligible(now, engine, query)
         ]
         group = query.group.settings
-        if group.waits_for_bulk_loads or group.is_load:
+        if group.waits_for_bulk_loads or group.is_bulk_load:
             engines = self.filter_by_half(engines, query)
-            undisturbed = [engine for engine in engines if query.table_group not in engine.running_loads]
-            if undisturbed or group.is_load:
+            undisturbed = [engine for engine in engines if query.table_group not in engine.running_bulk_loads]
+            if undisturbed or group.is_bulk_load:
                 engines = undisturbed
         if query.attempts:
             last = query.attempts[-1].engine
@@ -107,9 +107,9 @@
         if query.attempts and query.attempts[-1].engine == engine.id:
             return False
         group = query.group.settings
-        if not (group.waits_for_bulk_loads or group.is_load):
+        if not (group.waits_for_bulk_loads or group.is_bulk_load):
             return True
-        if query.table_group in engine.running_loads or not self.is_in_half(engine, query):
+        if query.table_group in engine.running_bulk_loads or not self.is_in_half(engine, query):
             return False
         return self._is_own_bulk_load_engine(engine, query)
 
@@ -122,10 +122,10 @@
     def may_join_team(self, now: Time, engine: EngineState, query: QueryState) -> bool:
         """Returns whether a query may join a team on this engine: one that it could also choose itself."""
         group = query.group.settings
-        if not self.may_send(now, engine, query) or group.is_load:
+        if not self.may_send(now, engine, query) or group.is_bulk_load:
             return False
         if group.waits_for_bulk_loads and (
-            query.table_group in engine.running_loads or not self.is_in_half(engine, query)
+            query.table_group in engine.running_bulk_loads or not self.is_in_half(engine, query)
         ):
             return False
         return not (query.attempts and query.attempts[-1].engine == engine.id)
@@ -147,7 +147,7 @@
     def is_in_half(self, engine: EngineState, query: QueryState) -> bool:
         """Returns whether the engine is in the query's half; a permit also opens one in the load half."""
         is_for_loads = self.position(engine, query) < self._load_half_size()
-        return is_for_loads == query.group.settings.is_load or (
+        return is_for_loads == query.group.settings.is_bulk_load or (
             is_for_loads and engine.id == query.permit_engine
         )
 
@@ -159,7 +159,7 @@
         same way. Harmful where one half has too few engines for its queries.
         """
         engines = [engine for engine in engines if self.is_in_half(engine, query)] or engines
-        if not query.group.settings.is_load or self.pool.routers > self._load_half_size():
+        if not query.group.settings.is_bulk_load or self.pool.routers > self._load_half_size():
             return engines
         return [engine for engine in engines if self._is_own_bulk_load_engine(engine, query)] or engines
 
@@ -170,18 +170,18 @@
         is blocked by another router's.
         """
         half_size = self._load_half_size()
-        if not query.group.settings.is_load or self.pool.routers > half_size:
+        if not query.group.settings.is_bulk_load or self.pool.routers > half_size:
             return True
         position = self.position(engine, query)
         return position < half_size and position % self.pool.routers == self.router
 
     def blocked_bulk_load_engines(self, now: Time, query: QueryState) -> list[EngineState]:
         """Returns the engines for a bulk load if this router's bulk loads would block it on all of them."""
-        if not query.group.settings.is_load:
+        if not query.group.settings.is_bulk_load:
             return []
         eligible = [e for e in self.pool.engines.values() if self.is_eligible(now, e, query)]
         engines = self.filter_by_half(eligible, query)
-        if all(query.table_group in engine.running_loads for engine in engines):
+        if all(query.table_group in engine.running_bulk_loads for engine in engines):
             return engines
         return []
 
--- a/hillchute/decision/query_queues.py
+++ b/hillchute/decision/query_queues.py
@@ -6,14 +6,14 @@
 from hillchute.decision.draws import DrawSequence
 from hillchute.decision.interface import QueryId, Time
 from hillchute.decision.load_estimation import LoadEstimator
-from hillchute.decision.query_state import WAITING, OrderedKey, QueryPlace, QueryState
+from hillchute.decision.query_state import WAITING, OrderedKey, QueryStage, QueryState
 from hillchute.decision.slow_start import SlowStart
 from hillchute.settings import Settings
 
 
 def dashboard_groups(settings: Settings) -> frozenset[int]:
     """Returns the resource groups with the shortest latency objective, bulk loads excluded."""
-    groups = [group for group in settings.groups if not group.is_load]
+    groups = [group for group in settings.groups if not group.is_bulk_load]
     shortest = min((group.target_runtime for group in groups), default=0)
     return frozenset(group.number for group in groups if group.target_runtime == shortest)
 
@@ -49,7 +49,7 @@
     def next_review(self) -> QueryState | None:
         """Removes the next review and returns its query; None if that no longer needs a review."""
         query = self.queries.get(heappop(self.reviews)[2])
-        if query is None or query.place is QueryPlace.ANSWERED or query.streaming:
+        if query is None or query.stage is QueryStage.ANSWERED or query.streaming:
             return None
         return query
 
@@ -57,10 +57,10 @@
         """Adds the query to the end or the front of the queue for an engine."""
         if query.group.settings.number in self.dashboard_groups:
             queue = self.dashboards
-            query.place = QueryPlace.DASHBOARD_QUEUE
+            query.stage = QueryStage.DASHBOARD_QUEUE
         else:
             queue = self.teams
-            query.place = QueryPlace.TEAM_QUEUE
+            query.stage = QueryStage.TEAM_QUEUE
         query.queue = queue
         if front:
             queue.appendleft(query)
@@ -75,7 +75,7 @@
         queue = self.keys[key].queries
         queue.append(query)
         query.queue = queue
-        query.place = QueryPlace.ORDERED
+        query.stage = QueryStage.ORDERED
         self.changed_keys[key] = True
         self.review_at(query, self.load.latest_start(now, query))
 
@@ -84,7 +84,7 @@
         queue = self.blocked_bulk_loads[bulk_load.table_group]
         queue.append(self.teams.popleft())
         bulk_load.queue = queue
-        bulk_load.place = QueryPlace.BLOCKED_BULK_LOAD
+        bulk_load.stage = QueryStage.BLOCKED_BULK_LOAD
 
     def bulk_load_ended(self, now: Time, bulk_load: QueryState) -> None:
         """Moves the next blocked bulk load of the table group, if any, to the front of the team queue."""
@@ -98,14 +98,14 @@
             query = self.keys[key].next_query()
             if query is None:
                 del self.keys[key]
-            elif query.place is QueryPlace.ORDERED:
+            elif query.stage is QueryStage.ORDERED:
                 self.enqueue(now, query)
 
     def end(self, query: QueryState) -> None:
         """Marks the query as answered; it is kept while an attempt is open, since its key waits for that."""
-        if query.place in WAITING and query.queue is not None:
+        if query.stage in WAITING and query.queue is not None:
             query.queue.remove(query)
-        query.place = QueryPlace.ANSWERED
+        query.stage = QueryStage.ANSWERED
         if not query.open_attempts:
             self.queries.pop(query.id, None)
         if query.ordering_key is not None and query.ordering_key in self.keys:
--- a/hillchute/decision/query_state.py
+++ b/hillchute/decision/query_state.py
@@ -10,7 +10,7 @@
 from hillchute.settings import ResourceGroupSettings
 
 
-class QueryPlace(Enum):
+class QueryStage(Enum):
     """The stage of a query."""
 
     ADMITTED = auto()
@@ -24,7 +24,7 @@
 
 
 WAITING = frozenset(
-    {QueryPlace.ORDERED, QueryPlace.TEAM_QUEUE, QueryPlace.DASHBOARD_QUEUE, QueryPlace.BLOCKED_BULK_LOAD}
+    {QueryStage.ORDERED, QueryStage.TEAM_QUEUE, QueryStage.DASHBOARD_QUEUE, QueryStage.BLOCKED_BULK_LOAD}
 )
 
 
@@ -64,8 +64,8 @@
     memory_mb: float
     ordering_key: str | None
     threads: int  # used on its engine
-    place: QueryPlace = QueryPlace.ADMITTED
-    queue: "deque[QueryState] | None" = None  # that it waits in while `place` is one of WAITING
+    stage: QueryStage = QueryStage.ADMITTED
+    queue: "deque[QueryState] | None" = None  # that it waits in while `stage` is one of WAITING
     attempts: list[Attempt] = field(default_factory=list)
     first_run: Attempt | None = None  # the first attempt that the engine may have run
     errors: int = 0
@@ -108,6 +108,6 @@
     def next_query(self) -> QueryState | None:
         """Returns the first query that has not ended, if any, and drops those before it."""
         queries = self.queries
-        while queries and queries[0].place is QueryPlace.ANSWERED and not queries[0].open_attempts:
+        while queries and queries[0].stage is QueryStage.ANSWERED and not queries[0].open_attempts:
             queries.popleft()
         return queries[0] if queries else None
--- a/hillchute/decision/retries.py
+++ b/hillchute/decision/retries.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from hillchute.decision.interface import Time
-from hillchute.decision.query_state import QueryPlace, QueryState
+from hillchute.decision.query_state import QueryStage, QueryState
 from hillchute.decision.statistics import TRAFFIC_SPAN, TrafficWindow
 from hillchute.settings import DeduplicationScope, Effect, Settings
 
@@ -39,7 +39,7 @@
 
         Its effect must not happen twice, and the number of attempts and the retry budget are limited.
         """
-        if query.place is QueryPlace.ANSWERED or query.errors > MAX_ERRORS:
+        if query.stage is QueryStage.ANSWERED or query.errors > MAX_ERRORS:
             return False
         if len(query.attempts) >= self.settings.max_attempts:
             return False
--- a/hillchute/decision/reviews.py
+++ b/hillchute/decision/reviews.py
@@ -5,7 +5,7 @@
 from hillchute.decision.interface import Reason, Time
 from hillchute.decision.load_estimation import LoadEstimator
 from hillchute.decision.query_queues import QueryQueues
-from hillchute.decision.query_state import WAITING, QueryPlace, QueryState
+from hillchute.decision.query_state import WAITING, QueryStage, QueryState
 from hillchute.decision.retries import RetryPolicy
 
 
@@ -38,14 +38,14 @@
     def _review(self, now: Time, query: QueryState) -> None:
         if now >= query.deadline - self.dispatcher.answer_margin:
             self.dispatcher.give_up(query, Reason.DEADLINE)
-        elif query.place is QueryPlace.RETRYING:
+        elif query.stage is QueryStage.RETRYING:
             if self._can_retry_in_time(now, query):
                 self.queues.enqueue(now, query, front=True)
             else:
                 self.dispatcher.give_up(query, Reason.NO_RETRY)
-        elif query.place in WAITING and now >= self.load.latest_start(now, query):
+        elif query.stage in WAITING and now >= self.load.latest_start(now, query):
             self.dispatcher.give_up(query, Reason.TOO_LATE)
-        elif query.place in WAITING and self.admission.is_too_heavy(now, query):
+        elif query.stage in WAITING and self.admission.is_too_heavy(now, query):
             self.dispatcher.give_up(query, Reason.TOO_HEAVY)
 
     def _can_retry_in_time(self, now: Time, query: QueryState) -> bool:
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -28,15 +28,15 @@
     NewQuery,
     QueryId,
     Report,
+    SetTimer,
     Time,
-    Wake,
     WatchEndpoints,
 )
 from hillchute.decision.load_estimation import LoadEstimator
 from hillchute.decision.outlier_detection import OutlierDetector
 from hillchute.decision.placement import Placement
 from hillchute.decision.query_queues import QueryQueues
-from hillchute.decision.query_state import Attempt, QueryPlace, QueryState, ResourceGroup
+from hillchute.decision.query_state import Attempt, QueryStage, QueryState, ResourceGroup
 from hillchute.decision.retries import CLOCK_ROUNDING, RetryPolicy
 from hillchute.decision.reviews import Reviews
 from hillchute.decision.slow_start import SlowStart
@@ -123,10 +123,10 @@
         if shares is not None:
             self.pool.shares = shares
 
-    def admits(self, now: Time, group: int, lateness: float) -> bool:
+    def admits(self, now: Time, group: int, loop_lag: float) -> bool:
         """Returns whether a query of this group is admitted at this event loop lag."""
         del now  # not an event: a query that is not admitted makes nothing due
-        return self.admission.admits(self.groups[group], lateness)
+        return self.admission.admits(self.groups[group], loop_lag)
 
     def on_query(self, now: Time, query: NewQuery) -> None:
         """Adds an admitted query."""
@@ -175,18 +175,18 @@
         if ended.result in MAY_STILL_RUN:
             self._pause_key(now, query)
         self._learn(now, engine, query, attempt, ended)
-        if ended.final or query.place is QueryPlace.ANSWERED:
+        if ended.final or query.stage is QueryStage.ANSWERED:
             self.queues.end(query)
         elif not query.open_attempts:
-            query.place = QueryPlace.RETRYING
+            query.stage = QueryStage.RETRYING
             self.queues.review_at(query, now)
 
     def _release(self, now: Time, engine: EngineState, query: QueryState, attempt: Attempt) -> None:
         """Releases what an attempt used on its engine."""
         attempt.open = False
         engine.attempt_ended(query.threads, query.memory_mb)
-        if query.group.settings.is_load:
-            engine.running_loads.remove(query.table_group)
+        if query.group.settings.is_bulk_load:
+            engine.running_bulk_loads.remove(query.table_group)
             self.queues.bulk_load_ended(now, query)
 
     def _pause_key(self, now: Time, query: QueryState) -> None:
@@ -228,9 +228,9 @@
         """Ignored: effects of other routers arrive by `on_subset` and `on_load_report`."""
         self.now = now
 
-    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
+    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, value: float) -> None:
         """Ignored: it concerns one attempt only, and open attempts show an engine's load sooner."""
-        del query, attempt, topic, figure
+        del query, attempt, topic, value
         self.now = now
 
     def on_stream_started(self, now: Time, query: QueryId) -> None:
@@ -253,7 +253,7 @@
             self.queues.review_at(query, query.deadline - self.answer_margin)
 
     def on_timer(self, now: Time, name: str) -> None:
-        """Notes that the timer of a `Wake` has expired."""
+        """Notes that the timer of a `SetTimer` has expired."""
         del name  # there is only one timer
         self.now = now
         self.wake_at = None
@@ -294,4 +294,4 @@
             times.append(now + SWEEP_INTERVAL)
         if times and (self.wake_at is None or min(times) < self.wake_at):
             self.wake_at = max(min(times), now + 1)
-            self.planned.append(Wake(self.wake_at, TIMER_NAME))
+            self.planned.append(SetTimer(self.wake_at, TIMER_NAME))
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -67,7 +67,7 @@
         self, now: Time, engine: EngineState, leader: QueryState, limit_factor: float
     ) -> list[QueryState]:
         """Returns the leader and the members of its affinity set that fit on the engine."""
-        if leader.group.settings.is_load:
+        if leader.group.settings.is_bulk_load:
             return [leader]
         members = [
             query
--- a/hillchute/discovery/event_bus.py
+++ b/hillchute/discovery/event_bus.py
@@ -109,7 +109,7 @@
         zone=zone,
         started=started * TICKS_PER_MILLISECOND,
         state=ENGINE_STATES[state],
-        nominal=weight / WEIGHT_PER_UNIT,
+        weight=weight / WEIGHT_PER_UNIT,
     )
     return Endpoint(listing, ".".join(str(octet) for octet in host), port)
 
@@ -144,7 +144,7 @@
         zone=_index_or_first(zones, endpoint.get("zone")),
         started=int(endpoint.get("since_ms") or 0) * TICKS_PER_MILLISECOND,
         state=EndpointState(endpoint["status"]),
-        nominal=float(endpoint.get("weight", 1.0)),
+        weight=float(endpoint.get("weight", 1.0)),
     )
     return Endpoint(listing, host, int(port))
 
--- a/hillchute/engines/flight/links.py
+++ b/hillchute/engines/flight/links.py
@@ -18,7 +18,7 @@
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.protocol.status import reason
+from hillchute.protocol.status import error_reason
 
 SECOND = 10_000  # tenths of a millisecond
 KEEPALIVE_MS = 1_000  # ping interval and ping timeout: a vanished machine is detected within their sum
@@ -85,7 +85,7 @@
 
 def attempt_result(error: grpc.aio.AioRpcError, may_have_run: bool = True) -> str:
     """The value of the AttemptResult for a failed call; `may_have_run` is false before DoGet and DoPut."""
-    result = RESULT_BY_REASON.get(reason(error.trailing_metadata()) or "")
+    result = RESULT_BY_REASON.get(error_reason(error.trailing_metadata()) or "")
     if result is not None:
         return result
     if not may_have_run:
@@ -95,15 +95,15 @@
 
 def parse_trailers(trailers) -> tuple[float | None, dict[str, float] | None]:
     """The CPU time in milliseconds and the load report in a call's trailers; invalid numbers are ignored."""
-    work = report = None
+    cpu_ms = report = None
     for name, value in trailers or ():
         if name == "x-hillchute-work":
-            work = parse_number(value)
+            cpu_ms = parse_number(value)
         elif name == "x-hillchute-report":
             pairs = (pair.partition(":") for pair in value.split(";"))
             numbers = {n: f for n, _, v in pairs if (f := parse_number(v)) is not None}
             report = numbers or None
-    return work, report
+    return cpu_ms, report
 
 
 def parse_number(text: str) -> float | None:
@@ -118,7 +118,7 @@
 class FlightConnection:
     """A channel to an engine, from the start of the connect on."""
 
-    def __init__(self, owner: "Links", number: int) -> None:
+    def __init__(self, owner: "FlightConnections", number: int) -> None:
         self.owner, self.number = owner, number
         self.scope = anyio.CancelScope()
         self.channel: grpc.aio.Channel | None = None
@@ -126,9 +126,9 @@
         self.streams: dict[str, Stream] = {}  # by run id
         self.is_open = False
 
-    def emit(self, message: words.Said) -> None:
+    def emit(self, message: words.EngineMessage) -> None:
         if self.is_open:
-            self.owner.handle(events.Said(self.number, message))
+            self.owner.handle(events.MessageReceived(self.number, message))
 
     def report_alive(self) -> None:
         self.emit(None)
@@ -136,11 +136,11 @@
     def on_stream_ended(self, id: str, result: str, trailers) -> None:
         self.streams.pop(id, None)
         self.run_scopes.pop(id, None)
-        work, report = parse_trailers(trailers)
-        self.emit(words.Ended(id, result, work, report))
+        cpu_ms, report = parse_trailers(trailers)
+        self.emit(words.RunEnded(id, result, cpu_ms, report))
 
 
-class Links:
+class FlightConnections:
     """All connections to engines. `handle` receives their events."""
 
     def __init__(
@@ -158,21 +158,21 @@
             connect_timeout,
             max(0.05, silence_limit / SECOND / LIVENESS_REPORTS),  # seconds
         )
-        self.links: dict[int, FlightConnection] = {}  # by number
+        self.connections: dict[int, FlightConnection] = {}  # by number
         self.tasks: anyio.abc.TaskGroup
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
         """Starts to connect."""
         self.tasks = tasks
-        connection = self.links[number] = FlightConnection(self, number)
+        connection = self.connections[number] = FlightConnection(self, number)
         tasks.start_soon(
-            self.alone,
+            self.run_isolated,
             self.run_connection,
             connection,
             f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
         )
 
-    async def alone(self, function: Callable, *arguments: object) -> None:
+    async def run_isolated(self, function: Callable, *arguments: object) -> None:
         """Runs a function as a task whose failure does not end the router's task group.
 
         When a call is cancelled, gRPC raises the cancellation in the task that awaits the call. A task that
@@ -212,19 +212,19 @@
                 with anyio.fail_after(self.connect_timeout / SECOND):
                     await connection.channel.channel_ready()
             except (OSError, TimeoutError) as error:
-                self.links.pop(connection.number, None)
+                self.connections.pop(connection.number, None)
                 await self.close_channel(connection)
                 end_reason = str(error) or "connect timed out"
                 self.log.write(
                     "connect_failed", connection=connection.number, address=address, reason=end_reason
                 )
-                self.handle(events.NotConnected(connection.number, events.ConnectFault.UNREACHED))
+                self.handle(events.ConnectFailed(connection.number, events.ConnectFailure.UNREACHABLE))
                 return
             connection.is_open = True
             self.handle(events.Connected(connection.number))
             end_reason = await self.watch_channel(connection)
         connection.is_open = False
-        known = self.links.pop(connection.number, None) is not None  # false after hang_up()
+        known = self.connections.pop(connection.number, None) is not None  # false after close_connection()
         for scope in list(connection.run_scopes.values()):
             scope.cancel()
         for stream in list(connection.streams.values()):
@@ -232,7 +232,7 @@
         with anyio.CancelScope(shield=True):
             await self.close_channel(connection)
         if known:
-            self.handle(events.Lost(connection.number, end_reason))
+            self.handle(events.ConnectionLost(connection.number, end_reason))
 
     async def close_channel(self, connection: FlightConnection) -> None:
         if connection.channel is not None:
@@ -253,9 +253,9 @@
             with anyio.move_on_after(self.liveness_interval):
                 await connection.channel.wait_for_state_change(state)
 
-    def hang_up(self, number: int) -> None:
+    def close_connection(self, number: int) -> None:
         """Closes a connection; no event follows."""
-        connection = self.links.pop(number, None)
+        connection = self.connections.pop(number, None)
         if connection is not None:
             connection.is_open = False
             connection.scope.cancel()
@@ -264,21 +264,21 @@
 
     def send(self, number: int, commands: list[words.Command]) -> None:
         """Starts a call for each command; does nothing if the connection is not open."""
-        connection = self.links.get(number)
+        connection = self.connections.get(number)
         if connection is None or not connection.is_open:
             return
         for command in commands:
             match command:
-                case words.Run():
-                    self.tasks.start_soon(self.alone, self.run, connection, command)
-                case words.GiveUp(id) | words.Unwanted(id):
+                case words.StartRun():
+                    self.tasks.start_soon(self.run_isolated, self.run, connection, command)
+                case words.CancelRun(id) | words.DiscardResult(id):
                     self.cancel(connection, id)
-                case words.Hurry(id, rank):
+                case words.SetPriority(id, priority):
                     self.tasks.start_soon(
-                        self.alone, self.do_action, connection, "hillchute.hurry", f"{id} {rank}"
+                        self.run_isolated, self.do_action, connection, "hillchute.hurry", f"{id} {priority}"
                     )
-                case words.Probe(tag):
-                    self.tasks.start_soon(self.alone, self.check_health, connection, tag)
+                case words.HealthCheckRequest(tag):
+                    self.tasks.start_soon(self.run_isolated, self.check_health, connection, tag)
 
     def cancel(self, connection: FlightConnection, id: str) -> None:
         """Cancels a run and its stream."""
@@ -289,23 +289,25 @@
         if scope is not None:
             scope.cancel()
 
-    def metadata(self, run: words.Run | None = None) -> list[tuple[str, str]]:
+    def metadata(self, run: words.StartRun | None = None) -> list[tuple[str, str]]:
         """The headers of a call."""
         headers = []
         if self.settings.get("token"):
             headers.append(("authorization", f"Bearer {self.settings['token']}"))
         if run is not None:
             headers += [("x-hillchute-id", run.id), ("x-hillchute-lane", run.group)]
-            headers += [("x-hillchute-dedupe", run.token)] if run.token is not None else []
-            headers += [("x-hillchute-rank", str(run.rank))] if run.rank is not None else []
+            headers += (
+                [("x-hillchute-dedupe", run.idempotency_key)] if run.idempotency_key is not None else []
+            )
+            headers += [("x-hillchute-rank", str(run.priority))] if run.priority is not None else []
         return headers
 
-    async def run(self, connection: FlightConnection, run: words.Run) -> None:
+    async def run(self, connection: FlightConnection, run: words.StartRun) -> None:
         """Runs a statement; one with an idempotency key is an update, any other a query."""
         scope = connection.run_scopes[run.id] = anyio.CancelScope()
         with scope:
             try:
-                if run.token is not None:
+                if run.idempotency_key is not None:
                     await self.run_update(connection, run)
                 else:
                     await self.run_query(connection, run)
@@ -321,21 +323,21 @@
             except Exception as error:
                 self.log.write("fault", what=f"run on connection {connection.number}", reason=repr(error))
                 self.end_run(connection, run, "severed", None)
-            except arrow.Unreadable as error:
+            except arrow.InvalidFlightDataError as error:
                 self.log.write("result_unreadable", connection=connection.number, reason=str(error))
                 self.end_run(connection, run, "severed", None)
 
-    def end_run(self, connection: FlightConnection, run: words.Run, result: str, trailers) -> None:
+    def end_run(self, connection: FlightConnection, run: words.StartRun, result: str, trailers) -> None:
         """Reports the end of a run without a result, unless the run was cancelled."""
         if connection.run_scopes.pop(run.id, None) is not None:
-            work, report = parse_trailers(trailers)
-            connection.emit(words.Ended(run.id, result, work, report))
+            cpu_ms, report = parse_trailers(trailers)
+            connection.emit(words.RunEnded(run.id, result, cpu_ms, report))
 
-    async def run_query(self, connection: FlightConnection, run: words.Run) -> None:
+    async def run_query(self, connection: FlightConnection, run: words.StartRun) -> None:
         """Gets the ticket of a query, then its stream up to the first batch; the consumer reads the rest."""
-        timeout = run.within / 1000
-        query = arrow.command(sql.CommandStatementQuery(query=run.statement.decode()))
-        get_info = connection.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
+        timeout = run.timeout_ms / 1000
+        query = arrow.command_descriptor(sql.CommandStatementQuery(query=run.statement.decode()))
+        get_info = connection.channel.unary_unary(f"{arrow.SERVICE_PATH}GetFlightInfo")
         try:
             raw = await get_info(query.SerializeToString(), timeout=timeout, metadata=self.metadata(run))
         except grpc.aio.AioRpcError as error:
@@ -343,19 +345,21 @@
                 connection, run, attempt_result(error, may_have_run=False), error.trailing_metadata()
             )
             return
-        info = arrow.read(flight.FlightInfo, raw)
+        info = arrow.parse_message(flight.FlightInfo, raw)
         if len(info.endpoint) != 1:
-            raise arrow.Unreadable(f"expected one endpoint in the FlightInfo, got {len(info.endpoint)}")
+            raise arrow.InvalidFlightDataError(
+                f"expected one endpoint in the FlightInfo, got {len(info.endpoint)}"
+            )
         ticket = info.endpoint[0].ticket.SerializeToString()
-        fetch = connection.channel.unary_stream(f"{arrow.SERVICE}DoGet")
+        fetch = connection.channel.unary_stream(f"{arrow.SERVICE_PATH}DoGet")
         call = fetch(ticket, timeout=timeout, metadata=self.metadata(run))
         first = []
         while len(first) < 2:  # the schema and a batch
             raw = await call.read()
             if raw is grpc.aio.EOF:
                 break
-            if not first and not arrow.read(flight.FlightData, raw).data_header:
-                raise arrow.Unreadable("the first message of a result has no schema")
+            if not first and not arrow.parse_message(flight.FlightData, raw).data_header:
+                raise arrow.InvalidFlightDataError("the first message of a result has no schema")
             first.append(raw)
             connection.report_alive()
         if run.id not in connection.run_scopes:
@@ -363,30 +367,34 @@
             return
         stream = Stream(connection, run.id, call, first)
         connection.streams[run.id] = stream
-        connection.emit(words.Began(run.id, stream))
+        connection.emit(words.StreamStarted(run.id, stream))
 
-    async def run_update(self, connection: FlightConnection, run: words.Run) -> None:
+    async def run_update(self, connection: FlightConnection, run: words.StartRun) -> None:
         """Runs an update with DoPut; its result is the number of records changed."""
-        update = arrow.command(sql.CommandStatementUpdate(query=run.statement.decode()))
+        update = arrow.command_descriptor(sql.CommandStatementUpdate(query=run.statement.decode()))
         message = flight.FlightData(flight_descriptor=update).SerializeToString()
-        put = connection.channel.stream_stream(f"{arrow.SERVICE}DoPut")
-        call = put(timeout=run.within / 1000, metadata=self.metadata(run))
+        put = connection.channel.stream_stream(f"{arrow.SERVICE_PATH}DoPut")
+        call = put(timeout=run.timeout_ms / 1000, metadata=self.metadata(run))
         await call.write(message)
         await call.done_writing()
         raw = await call.read()
         if raw is grpc.aio.EOF:
             await call.code()
-            raise arrow.Unreadable("DoPut ended without a record count")
-        result = arrow.read(flight.PutResult, raw)
-        count = arrow.read(sql.DoPutUpdateResult, result.app_metadata).record_count
+            raise arrow.InvalidFlightDataError("DoPut ended without a record count")
+        result = arrow.parse_message(flight.PutResult, raw)
+        count = arrow.parse_message(sql.DoPutUpdateResult, result.app_metadata).record_count
         trailers = await call.trailing_metadata()
         if connection.run_scopes.pop(run.id, None) is not None:
-            work, report = parse_trailers(trailers)
-            connection.emit(words.Whole(run.id, [[str(count).encode(), words.CHANGED, b""]], work, report))
+            cpu_ms, report = parse_trailers(trailers)
+            connection.emit(
+                words.ResultReceived(
+                    run.id, [[str(count).encode(), words.CHANGED_COUNT_LABEL, b""]], cpu_ms, report
+                )
+            )
 
     async def do_action(self, connection: FlightConnection, kind: str, body: str) -> bytes | None:
         """Calls a custom action of the engines; returns the first result, or None if there is none."""
-        call = connection.channel.unary_stream(f"{arrow.SERVICE}DoAction")
+        call = connection.channel.unary_stream(f"{arrow.SERVICE_PATH}DoAction")
         action = flight.Action(type=kind, body=body.encode()).SerializeToString()
         try:
             async for raw in call(action, timeout=self.connect_timeout / SECOND, metadata=self.metadata()):
@@ -404,6 +412,6 @@
             values = orjson.loads(body)
             report = {str(n): f for n, v in values.items() if (f := parse_number(str(v))) is not None}
         except (orjson.JSONDecodeError, AttributeError):
-            connection.emit(words.Probed(tag, "errored"))
+            connection.emit(words.HealthCheckAnswer(tag, "errored"))
             return
-        connection.emit(words.Probed(tag, "finished", report))
+        connection.emit(words.HealthCheckAnswer(tag, "finished", report))
--- a/hillchute/engines/line/wire.py
+++ b/hillchute/engines/line/wire.py
@@ -1,7 +1,7 @@
 """Codec of the line protocol: commands to engines and answers from them, including load reports.
 
 An answer is a line of four words and a body whose length the fourth word states; of the commands only `want`
-has a body. Performs no I/O. After Unreadable is raised, the connection can't be used any more.
+has a body. Performs no I/O. After MalformedAnswerError is raised, the connection can't be used any more.
 """
 
 from collections.abc import Iterator
@@ -12,91 +12,93 @@
 MAX_PAGES = 64  # per result: a result has at most 48,000 bytes, and a page holds whole rows
 MAX_NUMBER = 1e9  # limit of all values: 11 days of CPU time, or a thousand times the memory of any engine
 
-ENDINGS = {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}  # values of AttemptResult
+RESULT_BY_KIND = {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}  # values of AttemptResult
 # The second word of an answer's line.
-WORDS = {"ACK", "BLOCK", "EVENT", "READY", "AILING", *ENDINGS}
-TOPICS = {"advance": 1, "disk": 2, "stall": 3}  # the topics of words.Noted
+ANSWER_KINDS = {"ACK", "BLOCK", "EVENT", "READY", "AILING", *RESULT_BY_KIND}
+TOPICS = {"advance": 1, "disk": 2, "stall": 3}  # the topics of words.ProgressReported
 
 
-class Unreadable(Exception):
+class MalformedAnswerError(Exception):
     """Bytes from an engine that violate the protocol."""
 
 
-class Want(NamedTuple):
+class StartRun(NamedTuple):
     """Run a statement."""
 
     id: str
     group: str
-    ttl: int  # time limit for the result, in milliseconds
-    rank: int | None
-    token: str | None
+    timeout_ms: int  # time limit for the result, in milliseconds
+    priority: int | None
+    idempotency_key: str | None
     statement: bytes
 
 
-class NeverMind(NamedTuple):
+class CancelRun(NamedTuple):
     """Cancel a run."""
 
     id: str
 
 
-class Hurry(NamedTuple):
+class SetPriority(NamedTuple):
     """Change the priority of a run."""
 
     id: str
-    rank: int
+    priority: int
 
 
-class Turn(NamedTuple):
+class FetchPage(NamedTuple):
     """Request a page of a result; the first page has number 0."""
 
     id: str
     page: int
 
 
-class Shut(NamedTuple):
+class DiscardResult(NamedTuple):
     """Discard the rest of a result."""
 
     id: str
 
 
-class Busy(NamedTuple):
+class LoadReportRequest(NamedTuple):
     """Request a load report."""
 
     tag: str
 
 
-Command = Want | NeverMind | Hurry | Turn | Shut | Busy
+Command = StartRun | CancelRun | SetPriority | FetchPage | DiscardResult | LoadReportRequest
 
 
 class Answer(NamedTuple):
     """A decoded and validated answer; fields that it lacks have their defaults."""
 
     id: str
-    word: str
+    kind: str
     body: bytes = b""
-    parts: int = 1
-    part: int = 0
+    page_count: int = 1
+    page: int = 0
     topic: int = 0  # of a progress report; 0 if unknown
     value: float = 0.0  # of a progress report
-    work: float | None = None  # CPU time in milliseconds on one core
+    cpu_ms: float | None = None  # CPU time in milliseconds on one core
     report: dict[str, float] | None = None
 
 
 def parse_integer(text: str, name: str, minimum: int, maximum: int) -> int:
-    """An integer within bounds; raises Unreadable for any other text."""
+    """An integer within bounds; raises MalformedAnswerError for any other text."""
     if not text.isascii() or not text.isdigit() or len(text) > 9 or not minimum <= int(text) <= maximum:
-        raise Unreadable(f"{name}: expected an integer from {minimum} to {maximum}, got {text[:40]}")
+        raise MalformedAnswerError(
+            f"{name}: expected an integer from {minimum} to {maximum}, got {text[:40]}"
+        )
     return int(text)
 
 
 def parse_number(text: str, name: str) -> float:
-    """A number from 0 to MAX_NUMBER; raises Unreadable for any other text."""
+    """A number from 0 to MAX_NUMBER; raises MalformedAnswerError for any other text."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 <= value <= MAX_NUMBER:  # also rejects NaN
-        raise Unreadable(f"{name}: expected a number from 0 to {MAX_NUMBER:g}, got {text[:40]}")
+        raise MalformedAnswerError(f"{name}: expected a number from 0 to {MAX_NUMBER:g}, got {text[:40]}")
     return value
 
 
@@ -107,11 +109,11 @@
 
 # By name on the wire: the field of Answer, and the parser of its value.
 FIELD_PARSERS = {
-    "parts": ("parts", lambda text: parse_integer(text, "parts", 1, MAX_PAGES)),
-    "part_no": ("part", lambda text: parse_integer(text, "part_no", 1, MAX_PAGES)),
+    "parts": ("page_count", lambda text: parse_integer(text, "parts", 1, MAX_PAGES)),
+    "part_no": ("page", lambda text: parse_integer(text, "part_no", 1, MAX_PAGES)),
     "why": ("topic", lambda text: TOPICS.get(text, 0)),
     "value": ("value", lambda text: parse_number(text, "value")),
-    "work": ("work", lambda text: parse_number(text, "work")),
+    "work": ("cpu_ms", lambda text: parse_number(text, "work")),
     "rep": ("report", parse_load_report),
 }
 
@@ -119,22 +121,22 @@
 def encode(command: Command) -> bytes:
     """The bytes of a command."""
     match command:
-        case Want(id, group, ttl, rank, token, statement):
-            fields = f"lane={group},ttl={ttl}"
-            if token is not None:
-                fields += f",dedupe={token}"
-            if rank is not None:
-                fields += f",rank={rank}"
+        case StartRun(id, group, timeout_ms, priority, idempotency_key, statement):
+            fields = f"lane={group},ttl={timeout_ms}"
+            if idempotency_key is not None:
+                fields += f",dedupe={idempotency_key}"
+            if priority is not None:
+                fields += f",rank={priority}"
             return b"want %s %s %d\r\n%s\r\n" % (id.encode(), fields.encode(), len(statement), statement)
-        case NeverMind(id):
+        case CancelRun(id):
             line = f"never_mind {id}"
-        case Hurry(id, rank):
-            line = f"hurry {id} {rank}"
-        case Turn(id, page):
+        case SetPriority(id, priority):
+            line = f"hurry {id} {priority}"
+        case FetchPage(id, page):
             line = f"turn {id} {page}"
-        case Shut(id):
+        case DiscardResult(id):
             line = f"shut {id}"
-        case Busy(tag):
+        case LoadReportRequest(tag):
             line = f"busy {tag}"
     return line.encode() + b"\r\n"
 
@@ -146,7 +148,7 @@
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Answer]:
-        """Yields the answers that are complete; raises Unreadable after those before an invalid one."""
+        """Yields the complete answers; raises MalformedAnswerError after those before an invalid one."""
         self.buffer += data
         at = 0
         try:
@@ -162,39 +164,41 @@
     end = data.find(b"\r\n", at, at + MAX_LINE_SIZE)
     if end < 0:
         if len(data) - at >= MAX_LINE_SIZE:
-            raise Unreadable(f"a line exceeds {MAX_LINE_SIZE} bytes")
+            raise MalformedAnswerError(f"a line exceeds {MAX_LINE_SIZE} bytes")
         return None
     try:
         words = data[at:end].decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise Unreadable("a line is not ASCII") from None
-    if len(words) != 4 or words[1] not in WORDS:
-        raise Unreadable(f"expected four words with a known kind of answer, got: {' '.join(words)[:80]}")
-    id, word, pairs, size = words
+        raise MalformedAnswerError("a line is not ASCII") from None
+    if len(words) != 4 or words[1] not in ANSWER_KINDS:
+        raise MalformedAnswerError(
+            f"expected four words with a known kind of answer, got: {' '.join(words)[:80]}"
+        )
+    id, kind, pairs, size = words
     start = end + 2
     stop = start + parse_integer(size, "length", 0, MAX_BODY_SIZE)
     if len(data) < stop + 2:
         return None
     if data[stop : stop + 2] != b"\r\n":
-        raise Unreadable(f"{word}: the body does not end with CRLF after {stop - start} bytes")
+        raise MalformedAnswerError(f"{kind}: the body does not end with CRLF after {stop - start} bytes")
     fields = {}
     for pair in pairs.split(",") if pairs != "-" else ():
         name, sign, text = pair.partition("=")
         if not sign:
-            raise Unreadable(f"{word}: field {name[:40]} has no value")
+            raise MalformedAnswerError(f"{kind}: field {name[:40]} has no value")
         if name in FIELD_PARSERS:
             field, parse = FIELD_PARSERS[name]
             fields[field] = parse(text)
-    return Answer(id, word, data[start:stop], **fields), stop + 2
+    return Answer(id, kind, data[start:stop], **fields), stop + 2
 
 
-def rows(text: bytes) -> list[list[bytes]]:
-    """The rows in the body of a page, with three columns each; raises Unreadable if it is malformed."""
+def parse_rows(text: bytes) -> list[list[bytes]]:
+    """The rows of a page's body, with three columns each; raises MalformedAnswerError if it is malformed."""
     if not text:
         return []
     if not text.endswith(b"\n"):
-        raise Unreadable("the last row does not end with a line feed")
+        raise MalformedAnswerError("the last row does not end with a line feed")
     parsed = [line.split(b"\t") for line in text[:-1].split(b"\n")]
     if set(map(len, parsed)) != {3}:
-        raise Unreadable("a row does not have three columns")
+        raise MalformedAnswerError("a row does not have three columns")
     return parsed
--- a/hillchute/engines/words.py
+++ b/hillchute/engines/words.py
@@ -7,48 +7,48 @@
 from typing import NamedTuple, Protocol
 
 Rows = list[list[bytes]]  # each row holds the values of three text columns
-CHANGED = b"records changed"  # label of the row count in the one result row of an update
+CHANGED_COUNT_LABEL = b"records changed"  # label of the row count in the one result row of an update
 
 # ---- commands -------------------------------------------------------------------------------------
 
 
-class Run(NamedTuple):
+class StartRun(NamedTuple):
     """Run the statement of a query."""
 
     id: str  # of the query
     group: str  # the resource group
-    within: int  # time limit for the result, in milliseconds
-    rank: int | None  # priority
-    token: str | None  # idempotency key
+    timeout_ms: int  # time limit for the result, in milliseconds
+    priority: int | None
+    idempotency_key: str | None
     statement: bytes
 
 
-class GiveUp(NamedTuple):
+class CancelRun(NamedTuple):
     """Cancel a run: its result is no longer needed."""
 
     id: str
 
 
-class Hurry(NamedTuple):
+class SetPriority(NamedTuple):
     """Change the priority of a run."""
 
     id: str
-    rank: int
+    priority: int
 
 
-class Unwanted(NamedTuple):
+class DiscardResult(NamedTuple):
     """Discard the rest of a result: the run is over, and nobody reads its result."""
 
     id: str
 
 
-class Probe(NamedTuple):
+class HealthCheckRequest(NamedTuple):
     """Check the engine's health: ask for a load report."""
 
     tag: str
 
 
-Command = Run | GiveUp | Hurry | Unwanted | Probe
+Command = StartRun | CancelRun | SetPriority | DiscardResult | HealthCheckRequest
 
 # ---- messages from engines ------------------------------------------------------------------------
 
@@ -65,31 +65,31 @@
         """Cancels the stream: no further messages are read."""
 
 
-class Over(NamedTuple):
+class RunCompleted(NamedTuple):
     """A run has completed; its result follows."""
 
     id: str
-    work: float | None = None  # CPU time used, in milliseconds on one core
+    cpu_ms: float | None = None  # CPU time used, in milliseconds on one core
     report: dict[str, float] | None = None  # load report
 
 
-class Whole(NamedTuple):
+class ResultReceived(NamedTuple):
     """The complete result of a run has been received."""
 
     id: str
     rows: Rows
-    work: float | None = None
+    cpu_ms: float | None = None
     report: dict[str, float] | None = None
 
 
-class Began(NamedTuple):
+class StreamStarted(NamedTuple):
     """The first messages of a streamed result have been received."""
 
     id: str
     stream: Stream
 
 
-class Ended(NamedTuple):
+class RunEnded(NamedTuple):
     """A run has ended without a result, or its streamed result has ended.
 
     `result` is the value of an AttemptResult: finished, saturated, errored, superseded or severed.
@@ -97,11 +97,11 @@
 
     id: str
     result: str
-    work: float | None = None
+    cpu_ms: float | None = None
     report: dict[str, float] | None = None
 
 
-class Noted(NamedTuple):
+class ProgressReported(NamedTuple):
     """Progress of an unfinished run. Topics: 1 fraction done, 2 megabytes missing, 3 what it waits for."""
 
     id: str
@@ -109,7 +109,7 @@
     value: float
 
 
-class Probed(NamedTuple):
+class HealthCheckAnswer(NamedTuple):
     """The answer to a health check; `result` is the value of an AttemptResult."""
 
     tag: str
@@ -117,4 +117,6 @@
     report: dict[str, float] | None = None
 
 
-Said = Over | Whole | Began | Ended | Noted | Probed | None  # None: the engine is alive, nothing else
+EngineMessage = (
+    RunCompleted | ResultReceived | StreamStarted | RunEnded | ProgressReported | HealthCheckAnswer | None
+)  # None: the engine is alive, nothing else
--- a/hillchute/fronts/events.py
+++ b/hillchute/fronts/events.py
@@ -8,35 +8,35 @@
 from hillchute.decision.interface import Time
 from hillchute.statements.request import Request
 
-FIRST_CALL = 1 << 40  # first session number of the Flight SQL frontend; MySQL's are below 2**32
-FIRST_GUEST = 1 << 50  # first session number of queries that another partner's router forwarded
+FIRST_FLIGHT_SESSION = 1 << 40  # first session number of the Flight SQL frontend; MySQL's are below 2**32
+FIRST_FORWARDED_SESSION = 1 << 50  # first session number of queries that another partner's router forwarded
 
 
-class Asked(NamedTuple):
-    """A query of a client has been received completely; `since` is the time of its receipt."""
+class QueryReceived(NamedTuple):
+    """A query of a client has been received completely; `received_at` is the time of its receipt."""
 
     session: int
     request: Request
-    since: Time
+    received_at: Time
 
 
-class Left(NamedTuple):
+class ClientGone(NamedTuple):
     """The client of a session cancelled its query or closed its connection."""
 
     session: int
 
 
-class Passed(NamedTuple):
+class StreamDelivered(NamedTuple):
     """A result stream has been delivered to the client of a session to its end."""
 
     session: int
 
 
-class Spoilt(NamedTuple):
+class StreamUnreadable(NamedTuple):
     """The result stream for a session contains data that can't be decoded."""
 
     session: int
-    why: str
+    reason: str
 
 
-Event = Asked | Left | Passed | Spoilt
+Event = QueryReceived | ClientGone | StreamDelivered | StreamUnreadable
--- a/hillchute/fronts/flight/answers.py
+++ b/hillchute/fronts/flight/answers.py
@@ -12,7 +12,7 @@
 from google.protobuf.message import Message
 from google.rpc import error_details_pb2
 
-from hillchute.protocol.status import DOMAIN, packed
+from hillchute.protocol.status import ERROR_DOMAIN, encode_status
 
 HEADER_PREFIX = "x-hillchute-"  # prefix of a field's name: x-hillchute-route, x-hillchute-patience, ...
 FIELD_NAMES = ("route", "trace", "patience", "nonce", "weight", "mb", "entity")
@@ -41,11 +41,11 @@
         """`retry_after_ms`: milliseconds until a retry makes sense; None if a retry may not be safe."""
         code, reason = kind
         text = text[:MAX_TEXT_LENGTH]
-        details: list[Message] = [error_details_pb2.ErrorInfo(reason=reason, domain=DOMAIN)]
+        details: list[Message] = [error_details_pb2.ErrorInfo(reason=reason, domain=ERROR_DOMAIN)]
         if retry_after_ms is not None:
             retry_delay = Duration(seconds=retry_after_ms // 1000, nanos=retry_after_ms % 1000 * 1_000_000)
             details.append(error_details_pb2.RetryInfo(retry_delay=retry_delay))
-        return cls(code, text, packed(code, text, details))
+        return cls(code, text, encode_status(code, text, details))
 
 
 def query_fields(metadata: Iterable[tuple[str, str | bytes]]) -> dict[str, str]:
--- a/hillchute/fronts/flight/catalog.py
+++ b/hillchute/fronts/flight/catalog.py
@@ -14,7 +14,7 @@
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.statements.request import Misread, tokens
+from hillchute.statements.request import InvalidStatementError, split_parameter_markers
 
 CATALOG_NAME, TABLE_TYPE = "lake", "RESOURCE GROUP"
 
@@ -110,7 +110,7 @@
             batch = to_batch(columns, list(table_rows(command, groups)))
         case _:
             batch = to_batch(columns, [(TABLE_TYPE,)])
-    return arrow.batches(columns, [batch])
+    return arrow.encode_batches(columns, [batch])
 
 
 def to_batch(columns: pa.Schema, rows: Sequence[tuple]) -> pa.RecordBatch:
@@ -154,7 +154,7 @@
     for name in sorted(groups):
         if matches_like(name, pattern):
             row = (CATALOG_NAME, "", name, TABLE_TYPE)
-            yield (*row, arrow.schema_bytes(arrow.PLAIN)) if command.include_schema else row
+            yield (*row, arrow.schema_bytes(arrow.TEXT_RESULT_SCHEMA)) if command.include_schema else row
 
 
 def matches_like(text: str, pattern: str) -> bool:
@@ -168,7 +168,7 @@
 
 def count_parameters(text: str) -> int:
     """The number of a statement's parameters: question marks outside of strings, names and comments."""
-    return sum(token == b"?" for token in tokens(text.encode()))
+    return sum(token == b"?" for token in split_parameter_markers(text.encode()))
 
 
 def parameter_schema(count: int) -> pa.Schema:
@@ -176,17 +176,24 @@
 
 
 def bind_parameters(text: str, values: Sequence[object]) -> str:
-    """A statement with its parameters replaced by literals; raises Misread if their number is wrong."""
+    """A statement with its parameters replaced by literals.
+
+    Raises InvalidStatementError if their number is wrong.
+    """
     remaining, out = list(values), []
-    for token in tokens(text.encode()):
+    for token in split_parameter_markers(text.encode()):
         if token == b"?":
             if not remaining:
-                raise Misread(f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound")
+                raise InvalidStatementError(
+                    f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound"
+                )
             out.append(literal(remaining.pop(0)).encode())
         else:
             out.append(token)
     if remaining:
-        raise Misread(f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound")
+        raise InvalidStatementError(
+            f"parameters: {count_parameters(text)} are wanted, {len(values)} are bound"
+        )
     return b"".join(out).decode()
 
 
--- a/hillchute/fronts/flight/server.py
+++ b/hillchute/fronts/flight/server.py
@@ -21,12 +21,12 @@
 from hillchute.fronts.flight import answers, catalog
 from hillchute.fronts.flight.answers import Status
 from hillchute.fronts.flight.identity import ANONYMOUS, AuthenticationError, Authenticator
-from hillchute.fronts.flight.tickets import InvalidTokenError, LimitReachedError, Table
+from hillchute.fronts.flight.tickets import InvalidTokenError, LimitReachedError, TokenTable
 from hillchute.log import Log
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.protocol.status import DETAILS
+from hillchute.protocol.status import DETAILS_TRAILER
 from hillchute.statements import request as statements
 from hillchute.statements.request import Request
 
@@ -70,11 +70,11 @@
         self.settings, self.log, self.clock, self.handle = settings, log, clock, handle
         key = secrets.token_bytes(32)
         self.authenticator = Authenticator(settings["users"], key)
-        self.tickets: Table[Request] = Table(key, settings["tickets"], settings["ticket_ms"] * 10)
-        self.prepared: Table[Prepared] = Table(key[::-1], settings["prepared"], None)
+        self.tickets: TokenTable[Request] = TokenTable(key, settings["tickets"], settings["ticket_ms"] * 10)
+        self.prepared: TokenTable[Prepared] = TokenTable(key[::-1], settings["prepared"], None)
         self.calls: dict[int, Call] = {}
         self.by_ticket: dict[bytes, int] = {}  # numbers of the calls that run a ticket, for cancellation
-        self.last_call = events.FIRST_CALL
+        self.last_call = events.FIRST_FLIGHT_SESSION
         self.tables = tables
         self.server: grpc.aio.Server | None = None
         self.port = 0
@@ -103,7 +103,7 @@
             "DoAction": grpc.unary_stream_rpc_method_handler(self.stream_handler(self.do_action)),
             "ListActions": grpc.unary_stream_rpc_method_handler(self.stream_handler(self.list_actions)),
         }
-        name = arrow.SERVICE.strip("/")
+        name = arrow.SERVICE_PATH.strip("/")
         self.server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(name, handlers),))
         tls = self.settings.get("tls")
         listen = self.settings["listen"]
@@ -171,7 +171,7 @@
         if self.server is not None:
             await self.server.stop(grace)
 
-    def renew(self, settings: Mapping[str, object]) -> list[str]:
+    def reload_settings(self, settings: Mapping[str, object]) -> list[str]:
         """Applies users, defaults and limits of reloaded settings; returns the keys that need a restart."""
         fixed = [
             key for key in ("listen", "tls", "message_bytes") if settings.get(key) != self.settings.get(key)
@@ -189,7 +189,7 @@
     # ---- all calls --------------------------------------------------------------------------------
 
     async def abort(self, context: grpc.aio.ServicerContext, status: Status) -> None:
-        await context.abort(status.code, status.text, ((DETAILS, status.details),))
+        await context.abort(status.code, status.text, ((DETAILS_TRAILER, status.details),))
 
     def authenticate(self, context: grpc.aio.ServicerContext) -> str:
         header = next((v for k, v in context.invocation_metadata() or () if k == "authorization"), None)
@@ -203,7 +203,7 @@
                 return Status.of(answers.NO_TICKET, str(fault))
             case LimitReachedError():
                 return Status.of(answers.FULL, str(fault), retry_after_ms=100)
-            case arrow.Unreadable() | statements.Misread():
+            case arrow.InvalidFlightDataError() | statements.InvalidStatementError():
                 return Status.of(answers.MISREAD, str(fault))
             case NotImplementedError():
                 return Status.of(answers.UNSPOKEN, str(fault))
@@ -246,8 +246,8 @@
             first = await anext(aiter(messages), None)
             if first is None:
                 raise AuthenticationError("authentication is needed: basic or bearer")
-            sent = arrow.read(flight.HandshakeRequest, first)
-            credentials = arrow.read(flight.BasicAuth, sent.payload)
+            sent = arrow.parse_message(flight.HandshakeRequest, first)
+            credentials = arrow.parse_message(flight.BasicAuth, sent.payload)
             owner, version = (
                 self.authenticator.check_password(credentials.username, credentials.password),
                 sent.protocol_version,
@@ -260,7 +260,7 @@
 
     async def get_info(self, data: bytes, context) -> bytes:
         owner = self.authenticate(context)
-        descriptor = arrow.read(flight.FlightDescriptor, data)
+        descriptor = arrow.parse_message(flight.FlightDescriptor, data)
         command = self.parse_command(descriptor)
         if isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery):
             schema, ticket = b"", self.issue_ticket(owner, command, context)
@@ -284,11 +284,11 @@
 
     async def get_schema(self, data: bytes, context) -> bytes:
         owner = self.authenticate(context)
-        command = self.parse_command(arrow.read(flight.FlightDescriptor, data))
+        command = self.parse_command(arrow.parse_message(flight.FlightDescriptor, data))
         if isinstance(command, sql.CommandPreparedStatementQuery):
             self.prepared.get(self.clock(), owner, command.prepared_statement_handle)
         statement = isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery)
-        answer_schema = arrow.PLAIN if statement else catalog.answer_schema(command)
+        answer_schema = arrow.TEXT_RESULT_SCHEMA if statement else catalog.answer_schema(command)
         if answer_schema is None:
             raise NotImplementedError(f"{command.DESCRIPTOR.name} is not spoken here")
         return flight.SchemaResult(schema=arrow.schema_bytes(answer_schema)).SerializeToString()
@@ -318,12 +318,12 @@
         }
         if self.settings["default_route"]:
             missing["route"] = self.settings["default_route"]
-        return statements.read(text.encode(), fields, missing)
+        return statements.parse_statement(text.encode(), fields, missing)
 
     async def do_get(self, data: bytes, context) -> AsyncIterator[bytes]:
         since = self.clock()
         owner = self.authenticate(context)
-        ticket = arrow.read(flight.Ticket, data).ticket
+        ticket = arrow.parse_message(flight.Ticket, data).ticket
         command = arrow.unwrap(ticket)
         if not isinstance(command, sql.TicketStatementQuery):
             for part in catalog.answer(command, self.tables):
@@ -352,7 +352,7 @@
             raise CallEndedError(call.status)
         if call.stream.broken:
             raise CallEndedError(Status.of(answers.CUT, "the result broke off"))
-        self.handle(events.Passed(call.number))
+        self.handle(events.StreamDelivered(call.number))
 
     def open_call(self, owner: str) -> Call:
         if self.closing:
@@ -366,7 +366,7 @@
     async def run_query(self, call: Call, request: Request, since: int) -> None:
         """Submits a query and waits for its answer, or for the start of its result stream."""
         customer = "" if call.owner == ANONYMOUS else call.owner
-        self.handle(events.Asked(call.number, request._replace(customer=customer), since))
+        self.handle(events.QueryReceived(call.number, request._replace(customer=customer), since))
         await call.answered.wait()
         if call.rows is None and call.stream is None:
             raise CallEndedError(call.status)
@@ -374,7 +374,7 @@
     def close_call(self, call: Call) -> None:
         """Removes a call and reports that its client left, which cancels the query if it is still open."""
         if self.calls.pop(call.number, None) is not None:
-            self.handle(events.Left(call.number))
+            self.handle(events.ClientGone(call.number))
 
     # ---- updates and parameters -------------------------------------------------------------------------
 
@@ -384,8 +384,8 @@
         parts = aiter(messages)
         first = await anext(parts, None)
         if first is None:
-            raise arrow.Unreadable("a put without a message")
-        data = arrow.read(flight.FlightData, first)
+            raise arrow.InvalidFlightDataError("a put without a message")
+        data = arrow.parse_message(flight.FlightData, first)
         command = self.parse_command(data.flight_descriptor)
         fields = answers.query_fields(context.invocation_metadata() or ())
         match command:
@@ -413,9 +413,9 @@
 
     async def read_parameters(self, first: bytes, parts) -> tuple[object, ...]:
         """The row of parameters that a put carries; empty if it carries none."""
-        reading, raw, values = arrow.Reading(), first, ()
+        reading, raw, values = arrow.BatchDecoder(), first, ()
         while raw is not None:
-            batch = reading.take(raw)
+            batch = reading.decode(raw)
             if batch is not None and batch.num_rows:
                 if batch.num_rows > 1 or values:
                     raise NotImplementedError("one row of parameters at a time")
@@ -430,9 +430,9 @@
             await self.run_query(call, request, since)
             if call.rows is not None:
                 return changed_count(call.rows)
-            count, reading = 0, arrow.Reading()
+            count, reading = 0, arrow.BatchDecoder()
             async for raw in self.stream_messages(call):
-                batch = reading.take(raw)
+                batch = reading.decode(raw)
                 count += batch.num_rows if batch is not None else 0
             return count
         finally:
@@ -442,12 +442,12 @@
 
     async def do_action(self, data: bytes, context) -> AsyncIterator[bytes]:
         owner, now = self.authenticate(context), self.clock()
-        action = arrow.read(flight.Action, data)
+        action = arrow.parse_message(flight.Action, data)
         match action.type:
             case "CreatePreparedStatement":
                 command = arrow.unwrap(action.body)
                 if not isinstance(command, sql.ActionCreatePreparedStatementRequest):
-                    raise arrow.Unreadable("not a request for a prepared statement")
+                    raise arrow.InvalidFlightDataError("not a request for a prepared statement")
                 fields = answers.query_fields(context.invocation_metadata() or ())
                 handle = self.prepared.put(now, owner, Prepared(command.query, fields))
                 parameter_count = catalog.count_parameters(command.query)
@@ -461,15 +461,15 @@
             case "ClosePreparedStatement":
                 command = arrow.unwrap(action.body)
                 if not isinstance(command, sql.ActionClosePreparedStatementRequest):
-                    raise arrow.Unreadable("not a close of a prepared statement")
+                    raise arrow.InvalidFlightDataError("not a close of a prepared statement")
                 self.prepared.take(now, owner, command.prepared_statement_handle)
             case "CancelFlightInfo":
-                info = arrow.read(flight.CancelFlightInfoRequest, action.body).info
+                info = arrow.parse_message(flight.CancelFlightInfoRequest, action.body).info
                 status = flight.CancelFlightInfoResult(status=self.cancel(owner, now, info))
                 yield flight.Result(body=status.SerializeToString()).SerializeToString()
             case "CancelQuery":
                 command = arrow.unwrap(action.body)
-                info = arrow.read(flight.FlightInfo, getattr(command, "info", b""))
+                info = arrow.parse_message(flight.FlightInfo, getattr(command, "info", b""))
                 result = sql.ActionCancelQueryResult(result=self.cancel(owner, now, info))
                 yield flight.Result(body=arrow.wrap(result)).SerializeToString()
             case other:
@@ -482,8 +482,8 @@
             ticket = endpoint.ticket.ticket
             call = self.calls.get(self.by_ticket.get(ticket, 0))
             if call is not None and call.owner == owner:
-                self.handle(events.Left(call.number))
-                self.kill(call.number, "cancelled by its client")
+                self.handle(events.ClientGone(call.number))
+                self.fail(call.number, "cancelled by its client")
                 done = flight.CANCEL_STATUS_CANCELLED
                 continue
             try:
@@ -491,7 +491,7 @@
                 if isinstance(command, sql.TicketStatementQuery):
                     self.tickets.take(now, owner, command.statement_handle)
                     done = flight.CANCEL_STATUS_CANCELLED
-            except (InvalidTokenError, arrow.Unreadable):
+            except (InvalidTokenError, arrow.InvalidFlightDataError):
                 continue
         return done
 
@@ -507,7 +507,7 @@
             call.rows = rows
             call.answered.set()
 
-    def begin(self, number: int, stream: words.Stream) -> None:
+    def start_stream(self, number: int, stream: words.Stream) -> None:
         if call := self.calls.get(number):
             call.stream = stream
             call.answered.set()
@@ -521,15 +521,15 @@
                 call.stream.close()
             call.answered.set()
 
-    def defer(self, number: int, after: int) -> None:
+    def reject(self, number: int, after: int) -> None:
         text = "not run, trying again is harmless"
         self.set_status(Status.of(answers.DEFERRED, text, retry_after_ms=after // 10), number)
 
-    def kill(self, number: int, why: str) -> None:
+    def fail(self, number: int, why: str) -> None:
         kind = answers.MISREAD if why.startswith("field ") else answers.KILLED
         self.set_status(Status.of(kind, why), number)
 
-    def cut(self, number: int, why: str) -> None:
+    def abort_stream(self, number: int, why: str) -> None:
         self.set_status(Status.of(answers.CUT, why), number)
 
 
@@ -544,8 +544,8 @@
     AuthenticationError,
     InvalidTokenError,
     LimitReachedError,
-    arrow.Unreadable,
-    statements.Misread,
+    arrow.InvalidFlightDataError,
+    statements.InvalidStatementError,
     NotImplementedError,
     CallEndedError,
 )
@@ -553,6 +553,6 @@
 
 def changed_count(rows: words.Rows) -> int:
     """The count of changed records that the only row of a result states, or else its number of rows."""
-    if len(rows) == 1 and rows[0][1] == words.CHANGED:
+    if len(rows) == 1 and rows[0][1] == words.CHANGED_COUNT_LABEL:
         return int(rows[0][0])
     return len(rows)
--- a/hillchute/fronts/flight/tickets.py
+++ b/hillchute/fronts/flight/tickets.py
@@ -31,7 +31,7 @@
     expires_at: Time
 
 
-class Table(Generic[Value]):
+class TokenTable(Generic[Value]):
     """Up to `max_entries` entries, oldest first; they expire after `lifetime`, or never if it is None."""
 
     def __init__(self, secret: bytes, max_entries: int, lifetime: Time | None) -> None:
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -16,7 +16,7 @@
 from hillchute.engines import words
 from hillchute.errors import AcceptPausedError
 from hillchute.fronts.mysql import packets
-from hillchute.fronts.seats import Seats
+from hillchute.fronts.seats import SessionLimiter
 from hillchute.log import Log
 from hillchute.net.buffered_socket import BufferedSocket
 from hillchute.net.poller import Poller
@@ -45,12 +45,12 @@
 
     __slots__ = (
         "session",
-        "pipe",
-        "served",
+        "buffered_socket",
+        "last_served_round",
         "last_answered_at",
         "number",
-        "knocked",
-        "let_in",
+        "connected_at",
+        "logged_in_at",
         "awaits_first_query",
         "stream",
         "output_sent",
@@ -59,31 +59,32 @@
     def __init__(self, number: int, max_packet_bytes: int) -> None:
         self.number = number
         self.session = packets.Session(number, max_packet_bytes)
-        self.pipe: BufferedSocket
-        self.served = 0
+        self.buffered_socket: BufferedSocket
+        self.last_served_round = 0
         self.last_answered_at = 0  # when its last answer was written
-        self.knocked = 0  # when the connection was established
-        self.let_in = 0  # when its login was answered; 0: not yet
+        self.connected_at = 0  # when the connection was established
+        self.logged_in_at = 0  # when its login was answered; 0: not yet
         self.awaits_first_query = True  # no query has been received yet
         self.stream: words.Stream | None = None  # the result being delivered
         self.output_sent: anyio.Event | None = None  # set when the kernel has taken all output
 
     def has_unread(self) -> bool:
-        return self.pipe.has_unread()
+        return self.buffered_socket.has_unread()
 
     async def wait_until_sent(self) -> None:
         """Waits until the kernel has taken all output, or the connection is closed."""
-        while self.pipe.unsent and not self.pipe.closed:
+        while self.buffered_socket.unsent and not self.buffered_socket.closed:
             self.output_sent = anyio.Event()
             await self.output_sent.wait()
 
 
-class Door:
+class MysqlFrontend:
     """Sessions by number.
 
-    `left` is called with the session of a client that cancelled its query or closed its connection. `margin`
-    returns how long before the end of a client timeout an answer must be sent. `passed` is called when a
-    stream is delivered, `unreadable` when a stream can't be decoded.
+    `on_client_gone` is called with the session of a client that cancelled its query or closed its connection.
+    `answer_margin` returns how long before the end of a client timeout an answer must be sent.
+    `on_stream_delivered` is called when a stream is delivered, `on_stream_unreadable` when a stream can't be
+    decoded.
     """
 
     def __init__(
@@ -94,20 +95,30 @@
         rounds: QueryQueue,
         log: Log,
         clock: Callable[[], int],
-        left: Callable[[int], None],
-        margin: Callable[[int], int],
-        passed: Callable[[int], None],
-        unreadable: Callable[[int, str], None],
+        on_client_gone: Callable[[int], None],
+        answer_margin: Callable[[int], int],
+        on_stream_delivered: Callable[[int], None],
+        on_stream_unreadable: Callable[[int, str], None],
     ) -> None:
-        self.seats = Seats(max_sessions)
+        self.session_limiter = SessionLimiter(max_sessions)
         self.max_packet_bytes = max_packet_bytes
-        self.poller, self.rounds, self.log, self.clock, self.left = poller, rounds, log, clock, left
+        self.poller, self.rounds, self.log, self.clock, self.on_client_gone = (
+            poller,
+            rounds,
+            log,
+            clock,
+            on_client_gone,
+        )
         self.system = poller.system
         self.paused = False  # accepting is suspended for lack of descriptors or memory
-        self.margin, self.passed, self.unreadable = margin, passed, unreadable
+        self.answer_margin, self.on_stream_delivered, self.on_stream_unreadable = (
+            answer_margin,
+            on_stream_delivered,
+            on_stream_unreadable,
+        )
         self.clients: dict[int, Client] = {}
         self.listener: socket.socket | None = None
-        self.served = 0
+        self.last_served_round = 0
         # Session numbers start from the clock, four to a millisecond, so that a restart does not reuse
         # them: a client may still cancel by a number from before it. Bursts of connections use more than
         # one number in a millisecond.
@@ -134,7 +145,11 @@
         """Accepts up to `most` connections; returns whether the kernel's queue is empty."""
         # Each session is checked for eviction once, not once for each new connection: after a burst hundreds
         # have unread bytes, and asking the kernel about all of them for each connection delayed the loop.
-        evictable = iter(list(self.seats.give_way()) if self.seats.would_exceed(most) else ())
+        evictable = iter(
+            list(self.session_limiter.eviction_candidates())
+            if self.session_limiter.would_exceed(most)
+            else ()
+        )
         for _ in range(most):
             if self.listener is None:
                 return True
@@ -163,21 +178,21 @@
         client = Client(self.last_session, self.max_packet_bytes)
         try:
             self.system.prepare(sock)
-            if not room and self.seats.reserve_full:
+            if not room and self.session_limiter.reserve_full:
                 self.system.close(sock)
                 return
-            client.pipe = BufferedSocket(sock, self.poller, client, READ_BYTES)
+            client.buffered_socket = BufferedSocket(sock, self.poller, client, READ_BYTES)
         except OSError as fault:  # the connection is broken already, or the poller can't add it
             self.log.write("accept_failed", reason=str(fault))
             with contextlib.suppress(OSError):
                 self.system.close(sock)
             return
-        client.knocked = client.pipe.connected_at(self.clock())
+        client.connected_at = client.buffered_socket.connected_at(self.clock())
         self.clients[client.number] = client
         if room:
-            client.pipe.write(client.session.greeting())
+            client.buffered_socket.write(client.session.greeting())
         else:
-            client.pipe.write(client.session.close(packets.REFUSED, "too many sessions"))
+            client.buffered_socket.write(client.session.close(packets.REFUSED, "too many sessions"))
         self.update_state(client)
         self.read(client)
 
@@ -187,11 +202,11 @@
         Returns False if there is none. A session with unread input or with unsent bytes of an answer is kept:
         an answer is complete only once the kernel has taken it.
         """
-        if not self.seats.full:
+        if not self.session_limiter.full:
             return True
         for number in evictable:
             client = self.clients[number]
-            if not client.has_unread() and not (client.pipe.unsent and not client.session.over):
+            if not client.has_unread() and not (client.buffered_socket.unsent and not client.session.closing):
                 self.drop(client)
                 return True
         return False
@@ -203,12 +218,12 @@
         if ended:
             self.ended(client)
             return
-        if writable and not client.pipe.closed:
-            client.pipe.flush()
-            if client.output_sent is not None and not client.pipe.unsent:
+        if writable and not client.buffered_socket.closed:
+            client.buffered_socket.flush()
+            if client.output_sent is not None and not client.buffered_socket.unsent:
                 client.output_sent.set()
             self.run_commands(client)
-        if readable and not client.pipe.closed:
+        if readable and not client.buffered_socket.closed:
             self.read(client)
 
     def ended(self, client: Client) -> None:
@@ -219,13 +234,18 @@
         another session.
         """
         for _ in range(MAX_READS_AFTER_CLOSE):
-            if client.pipe.closed or client.session.busy or client.session.over or client.pipe.unsent:
+            if (
+                client.buffered_socket.closed
+                or client.session.busy
+                or client.session.closing
+                or client.buffered_socket.unsent
+            ):
                 break
             self.read(client)
         self.drop(client)
 
     def read(self, client: Client) -> None:
-        data = client.pipe.read()
+        data = client.buffered_socket.read()
         if data is None:
             return
         if not data:
@@ -233,20 +253,20 @@
             return
         now = self.clock()
         self.rounds.last_client_activity = now
-        if client.session.over:
+        if client.session.closing:
             return  # discarded: closing over unread input would reset the connection and lose the output
-        client.session.feed(data, client.pipe.last_received_at(now))
+        client.session.feed(data, client.buffered_socket.last_received_at(now))
         self.run_commands(client)
 
     def run_commands(self, client: Client) -> None:
         """Executes queued commands until one must wait for its answer or for the client to read."""
         session = client.session
-        while not client.pipe.unsent:  # the next command waits until the previous answer is sent
+        while not client.buffered_socket.unsent:  # the next command waits until the previous answer is sent
             command, out = session.command()
-            if session.logged_in and not client.let_in:
-                client.let_in = self.clock()
+            if session.logged_in and not client.logged_in_at:
+                client.logged_in_at = self.clock()
             if out:
-                client.pipe.write(out)
+                client.buffered_socket.write(out)
             match command:
                 case None:
                     break
@@ -255,59 +275,63 @@
                 case packets.KillQuery(number):
                     known = number in self.clients
                     if known:
-                        self.left(number)
+                        self.on_client_gone(number)
                     unknown = packets.NO_SUCH_THREAD, "no such session"
-                    client.pipe.write(session.ok() if known else session.failed(*unknown))
+                    client.buffered_socket.write(session.ok() if known else session.error_answer(*unknown))
                 case packets.Ping():
-                    client.pipe.write(session.ok())
+                    client.buffered_socket.write(session.ok())
         self.update_state(client)
 
     def enqueue_query(self, client: Client, query: packets.Query) -> None:
         try:
-            request = statements.read(query.text)
-        except statements.Misread as fault:
+            request = statements.parse_statement(query.text)
+        except statements.InvalidStatementError as fault:
             self.log.write("invalid_query", session=client.number, reason=str(fault))
-            client.pipe.write(client.session.failed(packets.BAD_STATEMENT, str(fault)))
+            client.buffered_socket.write(client.session.error_answer(packets.BAD_STATEMENT, str(fault)))
             return
-        since = self.sent(client, query.since)
-        end = since + request.patience - self.margin(request.patience)
-        self.rounds.enqueue(client.number, request, since, max(query.since, client.last_answered_at), end)
+        since = self.earliest_send_time(client, query.received_at)
+        end = since + request.client_timeout - self.answer_margin(request.client_timeout)
+        self.rounds.enqueue(
+            client.number, request, since, max(query.received_at, client.last_answered_at), end
+        )
 
-    def sent(self, client: Client, received_at: int) -> int:
+    def earliest_send_time(self, client: Client, received_at: int) -> int:
         """The earliest time at which a query may have been sent, given when its last byte was received.
 
         A first query that was written along with the login counts from the connection: the client's kernel
         holds it back until the login is acknowledged, which takes up to 0.2 s while the router does not read.
         Without this, the query could run past its client timeout (rule 1).
         """
-        sent_with_login = client.awaits_first_query and received_at <= client.let_in + RECEIVE_TIME_ERROR
+        sent_with_login = (
+            client.awaits_first_query and received_at <= client.logged_in_at + RECEIVE_TIME_ERROR
+        )
         client.awaits_first_query = False
-        return min(received_at, client.knocked) if sent_with_login else received_at
+        return min(received_at, client.connected_at) if sent_with_login else received_at
 
     def update_state(self, client: Client) -> None:
-        """Updates the session's state in `seats`, whether its socket is read, and its half-close."""
+        """Updates `session_limiter`, whether the session's socket is read, and its half-close."""
         session, number = client.session, client.number
-        if client.pipe.closed:
+        if client.buffered_socket.closed:
             return
-        self.poller.watch_reading(client.pipe.sock, session.over or not session.full)
-        if session.over and not client.pipe.unsent:
-            client.pipe.shutdown_write()
-        if session.busy and not session.over:
-            self.seats.ask(number)
-        elif session.over or not session.logged_in or session.buffer or client.pipe.unsent:
-            self.seats.in_step(number, self.clock())
+        self.poller.watch_reading(client.buffered_socket.sock, session.closing or not session.full)
+        if session.closing and not client.buffered_socket.unsent:
+            client.buffered_socket.shutdown_write()
+        if session.busy and not session.closing:
+            self.session_limiter.mark_busy(number)
+        elif session.closing or not session.logged_in or session.buffer or client.buffered_socket.unsent:
+            self.session_limiter.mark_in_step(number, self.clock())
         else:
-            self.seats.rest(number)
+            self.session_limiter.mark_idle(number)
 
     def drop(self, client: Client) -> None:
         """Closes a session at once and reports its client as gone."""
-        client.session.over = True
-        client.pipe.close()
+        client.session.closing = True
+        client.buffered_socket.close()
         if client.output_sent is not None:
             client.output_sent.set()
         if self.clients.pop(client.number, None) is not None:
-            self.seats.leave(client.number)
-            self.left(client.number)
+            self.session_limiter.remove(client.number)
+            self.on_client_gone(client.number)
 
     def sweep(self) -> None:
         """Ends sessions whose step takes too long with an error, and drops those not closed after it.
@@ -323,24 +347,26 @@
             except OSError as fault:
                 self.log.write("accept_failed", reason=str(fault))
         now = self.clock()
-        for number in self.seats.late(now):
+        for number in self.session_limiter.timed_out_sessions(now):
             client = self.clients[number]
-            if client.session.over or client.pipe.unsent:
+            if client.session.closing or client.buffered_socket.unsent:
                 self.drop(client)
                 continue
-            client.pipe.write(client.session.close(packets.MALFORMED, "a packet was not complete in time"))
-            self.seats.leave(number)
+            client.buffered_socket.write(
+                client.session.close(packets.MALFORMED, "a packet was not complete in time")
+            )
+            self.session_limiter.remove(number)
             self.update_state(client)
 
-    def hang_up(self) -> None:
+    def close_sessions(self) -> None:
         """Ends every session from this side once its remaining output is sent."""
         for client in list(self.clients.values()):
-            client.session.over = True
+            client.session.closing = True
             self.update_state(client)
 
-    def owed(self) -> int:
+    def sessions_with_unsent_output(self) -> int:
         """The number of sessions with output that the kernel has not taken."""
-        return sum(1 for client in self.clients.values() if client.pipe.unsent)
+        return sum(1 for client in self.clients.values() if client.buffered_socket.unsent)
 
     # ---- answers ----------------------------------------------------------------------------------
 
@@ -348,55 +374,58 @@
         if client := self.clients.get(session):
             self.write_answer(client, client.session.result(rows))
 
-    def defer(self, session: int, after: int) -> None:
+    def reject(self, session: int, after: int) -> None:
         if client := self.clients.get(session):
             hint = f"; come back after {after / 10:g} ms" if after else ""
             self.write_answer(
-                client, client.session.failed(packets.REFUSED, f"not run, trying again is harmless{hint}")
+                client,
+                client.session.error_answer(packets.REFUSED, f"not run, trying again is harmless{hint}"),
             )
 
-    def kill(self, session: int, why: str) -> None:
+    def fail(self, session: int, why: str) -> None:
         if client := self.clients.get(session):
-            self.write_answer(client, client.session.failed(packets.FAILED, why))
+            self.write_answer(client, client.session.error_answer(packets.FAILED, why))
 
-    async def pass_on(self, session: int, stream: words.Stream) -> None:
+    async def deliver_stream(self, session: int, stream: words.Stream) -> None:
         """Delivers a stream of Arrow batches as rows, no faster than the client reads."""
         from hillchute.protocol import sql as arrow  # needed only for engines that speak Flight
 
-        client, reading, has_begun = self.clients.get(session), arrow.Reading(), False
+        client, reading, has_begun = self.clients.get(session), arrow.BatchDecoder(), False
         if client is None:
             stream.close()
             return
         client.stream = stream
         try:
             while (raw := await stream.read()) is not None:
-                batch = reading.take(raw)
+                batch = reading.decode(raw)
                 if not has_begun and reading.schema is not None:
                     has_begun = True
-                    client.pipe.write(client.session.begin(reading.schema.names))
+                    client.buffered_socket.write(client.session.begin_result(reading.schema.names))
                 rows = list(arrow.to_rows(batch)) if batch is not None else []
                 for start in range(0, len(rows), ROWS_PER_WRITE):
-                    client.pipe.write(client.session.more(rows[start : start + ROWS_PER_WRITE]))
+                    client.buffered_socket.write(
+                        client.session.result_rows(rows[start : start + ROWS_PER_WRITE])
+                    )
                     await client.wait_until_sent()
-                    if client.pipe.closed or client.stream is not stream:
+                    if client.buffered_socket.closed or client.stream is not stream:
                         stream.close()
                         return
-        except arrow.Unreadable as fault:
+        except arrow.InvalidFlightDataError as fault:
             stream.close()
-            self.unreadable(session, str(fault))
+            self.on_stream_unreadable(session, str(fault))
             return
         if client.stream is stream and not stream.broken:
             client.stream = None
-            self.passed(session)
-            self.write_answer(client, client.session.end())
+            self.on_stream_delivered(session)
+            self.write_answer(client, client.session.end_result())
 
-    def cut(self, session: int, why: str) -> None:
+    def abort_stream(self, session: int, why: str) -> None:
         """Aborts a result that has begun: the protocol allows an error in place of its end."""
         if client := self.clients.get(session):
             client.stream = None
-            self.write_answer(client, client.session.failed(packets.FAILED, why))
+            self.write_answer(client, client.session.error_answer(packets.FAILED, why))
 
     def write_answer(self, client: Client, data: bytes) -> None:
         client.last_answered_at = self.clock()
-        client.pipe.write(data)
+        client.buffered_socket.write(data)
         self.run_commands(client)
--- a/hillchute/fronts/mysql/packets.py
+++ b/hillchute/fronts/mysql/packets.py
@@ -12,7 +12,7 @@
 SERVER_VERSION = b"8.0.36-hillchute"
 USER, DATABASE = b"app", b"lake"
 HEADER_BYTES = 4  # bytes of a packet's header: its size and its sequence number
-MOST_WAITING = 32  # commands queued behind the open one; further ones stay in the kernel's buffer
+MAX_QUEUED_COMMANDS = 32  # commands queued behind the open one; further ones stay in the kernel's buffer
 
 # Capability flags: long password, found rows, long flag, connect with a database, protocol 4.1, transactions,
 # secure connection, plugin authentication and length-encoded authentication data.
@@ -40,7 +40,7 @@
 
 class Query(NamedTuple):
     text: bytes
-    since: int = 0  # when its last byte was received
+    received_at: int = 0  # when its last byte was received
 
 
 class KillQuery(NamedTuple):
@@ -58,7 +58,7 @@
 Command = Query | KillQuery | Ping | Quit
 
 
-def length(n: int) -> bytes:
+def lenenc_integer(n: int) -> bytes:
     if n < 251:
         return bytes((n,))
     if n < 1 << 16:
@@ -69,7 +69,7 @@
 
 
 def lenenc_string(value: bytes) -> bytes:
-    return length(len(value)) + value
+    return lenenc_integer(len(value)) + value
 
 
 def column_definition(name: bytes) -> bytes:
@@ -88,7 +88,7 @@
 NULL = b"\xfb"
 OK = b"\0\0\0" + struct.pack("<HH", STATUS_AUTOCOMMIT, 0)
 SHORT_ROW_FORMAT = b"%c\0\0%c%c%b%c%b%c%b"
-RESULT_HEADER = (length(len(COLUMNS)), *(column_definition(name) for name in COLUMNS), EOF)
+RESULT_HEADER = (lenenc_integer(len(COLUMNS)), *(column_definition(name) for name in COLUMNS), EOF)
 
 
 def error(kind: tuple[int, bytes], message: str) -> bytes:
@@ -99,18 +99,18 @@
 class Session:
     """One client's session: feed() takes received bytes, command() returns the next command to execute."""
 
-    def __init__(self, number: int, longest: int) -> None:
+    def __init__(self, number: int, max_packet_bytes: int) -> None:
         self.number = number
-        self.longest = longest  # limit in bytes for a packet, and for all queued input
+        self.max_packet_bytes = max_packet_bytes  # limit in bytes for a packet, and for all queued input
         self.buffer = bytearray()
-        self.waiting: deque[tuple[int, bytes, int]] = deque()
-        self.ahead = 0  # bytes of the queued commands
+        self.queue: deque[tuple[int, bytes, int]] = deque()
+        self.queued_bytes = 0  # bytes of the queued commands
         self.received_at = 0  # when the last bytes of the buffer were received
         self.oversized_bytes: int | None = None  # size of a too large packet, the last in the queue
         self.sequence = 0
         self.logged_in = False
         self.busy = False  # a command is open; the next one waits for its answer
-        self.over = False  # no more input is taken; the connection closes once all output is sent
+        self.closing = False  # no more input is taken; the connection closes once all output is sent
 
     def to_packets(self, payloads: Iterable[bytes]) -> bytes:
         out = bytearray()
@@ -130,22 +130,22 @@
         payload += struct.pack("<HBHHB", low, UTF8MB4_GENERAL_CI, STATUS_AUTOCOMMIT, high, 21) + bytes(10)
         return self.to_packets([payload + salt[8:] + b"\0" + b"mysql_native_password\0"])
 
-    def feed(self, data: bytes, since: int = 0) -> None:
-        """Takes bytes that were received at the time `since`."""
-        if self.over:
+    def feed(self, data: bytes, received_at: int = 0) -> None:
+        """Takes bytes that were received at the time `received_at`."""
+        if self.closing:
             return
         self.buffer += data
-        self.received_at = since
+        self.received_at = received_at
         self.take_packets()
 
     @property
     def full(self) -> bool:
         """Whether so much input is queued that no more should be read for now."""
-        ahead = self.ahead + len(self.buffer)
+        queued_bytes = self.queued_bytes + len(self.buffer)
         return (
             self.oversized_bytes is not None
-            or len(self.waiting) >= MOST_WAITING
-            or ahead > self.longest + HEADER_BYTES
+            or len(self.queue) >= MAX_QUEUED_COMMANDS
+            or queued_bytes > self.max_packet_bytes + HEADER_BYTES
         )
 
     def take_packets(self) -> None:
@@ -156,62 +156,62 @@
         """
         while (
             len(self.buffer) >= HEADER_BYTES
-            and len(self.waiting) < MOST_WAITING
+            and len(self.queue) < MAX_QUEUED_COMMANDS
             and self.oversized_bytes is None
         ):
             size = int.from_bytes(self.buffer[:3], "little")
-            if size > self.longest:
+            if size > self.max_packet_bytes:
                 self.oversized_bytes = size
-                self.waiting.append((self.buffer[3], b"", self.received_at))  # ends the session when reached
+                self.queue.append((self.buffer[3], b"", self.received_at))  # ends the session when reached
                 return
             if len(self.buffer) < HEADER_BYTES + size:
                 return
-            self.ahead += size
-            self.waiting.append(
+            self.queued_bytes += size
+            self.queue.append(
                 (self.buffer[3], bytes(self.buffer[HEADER_BYTES : HEADER_BYTES + size]), self.received_at)
             )
             del self.buffer[: HEADER_BYTES + size]
 
     def close(self, kind: tuple[int, bytes], message: str) -> bytes:
         """Ends the session with an error; returns its packet."""
-        self.over = True
-        self.waiting.clear()
+        self.closing = True
+        self.queue.clear()
         self.buffer.clear()
         return self.to_packets([error(kind, message)])
 
     def command(self) -> tuple[Command | None, bytes]:
         """The next command, or None while another is open, and output to write before executing it."""
         out = b""
-        while self.waiting and not self.busy and not self.over:
-            number, payload, since = self.waiting.popleft()
-            self.ahead -= len(payload)
+        while self.queue and not self.busy and not self.closing:
+            number, payload, received_at = self.queue.popleft()
+            self.queued_bytes -= len(payload)
             self.take_packets()
             self.sequence = number + 1 & 255
-            if self.oversized_bytes is not None and not self.waiting:
-                why = f"packet of {self.oversized_bytes} bytes; {self.longest} are allowed"
+            if self.oversized_bytes is not None and not self.queue:
+                why = f"packet of {self.oversized_bytes} bytes; {self.max_packet_bytes} are allowed"
                 return None, out + self.close(TOO_LARGE, why)
             if not self.logged_in:
                 out += self.authenticate(payload)
                 continue
-            command, answer = self.parse_command(payload, since)
+            command, answer = self.parse_command(payload, received_at)
             out += answer
             if command is not None:
                 self.busy = not isinstance(command, Quit)
                 return command, out
         return None, out
 
-    def parse_command(self, payload: bytes, since: int = 0) -> tuple[Command | None, bytes]:
+    def parse_command(self, payload: bytes, received_at: int = 0) -> tuple[Command | None, bytes]:
         code, rest = payload[:1], payload[1:]
         match code:
             case b"\x01":  # COM_QUIT
-                self.over = True
+                self.closing = True
                 return Quit(), b""
             case b"\x02":  # COM_INIT_DB: change of database
                 if rest.rstrip(b"\0") != DATABASE:
                     return None, self.to_packets([error(UNKNOWN_DATABASE, "unknown database")])
                 return None, self.to_packets([OK])
             case b"\x03":  # COM_QUERY
-                return self.parse_statement(rest, since)
+                return self.parse_statement(rest, received_at)
             case b"\x0e":  # COM_PING
                 return Ping(), b""
             case b"\x09":  # COM_STATISTICS: the answer is a plain string
@@ -224,15 +224,15 @@
                 return KillQuery(int.from_bytes(rest, "little")), b""
         return None, self.to_packets([error(UNKNOWN_COMMAND, "unknown command")])
 
-    def parse_statement(self, sql: bytes, since: int = 0) -> tuple[Command | None, bytes]:
+    def parse_statement(self, sql: bytes, received_at: int = 0) -> tuple[Command | None, bytes]:
         if sql.startswith(b"/*"):
-            return Query(sql, since), b""
+            return Query(sql, received_at), b""
         plain = b" ".join(sql.rstrip(b"\0; \t\r\n").split()).lower() if len(sql) < 200 else b""
         if plain.startswith(KILL_QUERY_PREFIX) and plain[len(KILL_QUERY_PREFIX) :].isdigit():
             return KillQuery(int(plain[len(KILL_QUERY_PREFIX) :])), b""
         if plain.startswith((b"set ", b"use lake")) or plain in (b"begin", b"commit", b"rollback"):
             return None, self.to_packets([OK])  # sent by common client libraries by themselves
-        return Query(sql, since), b""
+        return Query(sql, received_at), b""
 
     def authenticate(self, payload: bytes) -> bytes:
         try:
@@ -255,19 +255,19 @@
     def ok(self) -> bytes:
         return self.finish_command([OK])
 
-    def failed(self, kind: tuple[int, bytes], message: str) -> bytes:
+    def error_answer(self, kind: tuple[int, bytes], message: str) -> bytes:
         return self.finish_command([error(kind, message)])
 
-    def begin(self, names: Iterable[str]) -> bytes:
+    def begin_result(self, names: Iterable[str]) -> bytes:
         """The column definitions of a result set whose rows follow; the command stays open."""
         columns = [column_definition(name.encode()) for name in names]
-        return self.to_packets((length(len(columns)), *columns, EOF))
+        return self.to_packets((lenenc_integer(len(columns)), *columns, EOF))
 
-    def more(self, rows: Iterable[Sequence[bytes | None]]) -> bytes:
-        """Rows of a result set started with begin(); None is NULL."""
+    def result_rows(self, rows: Iterable[Sequence[bytes | None]]) -> bytes:
+        """Rows of a result set started with begin_result(); None is NULL."""
         return self.to_packets(b"".join(NULL if v is None else lenenc_string(v) for v in row) for row in rows)
 
-    def end(self) -> bytes:
+    def end_result(self) -> bytes:
         return self.finish_command([EOF])
 
     def result(self, rows: Iterable[Sequence[bytes]]) -> bytes:
--- a/hillchute/fronts/seats.py
+++ b/hillchute/fronts/seats.py
@@ -8,28 +8,30 @@
 
 from hillchute.decision.interface import Time
 
-STEP: Time = 20_000  # 2 s to complete a step: the platform requires that a session ends within 3 s
+STEP_TIMEOUT: Time = 20_000  # 2 s to complete a step: the platform requires that a session ends within 3 s
 
 
-class Seats:
-    """The state of each connected session; `most` sessions are allowed."""
+class SessionLimiter:
+    """The state of each connected session; `max_sessions` sessions are allowed."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.steps: dict[int, Time] = {}  # sessions in an incomplete step, with its start; oldest first
+    def __init__(self, max_sessions: int) -> None:
+        self.max_sessions = max_sessions
+        self.incomplete_steps: dict[
+            int, Time
+        ] = {}  # sessions in an incomplete step, with its start; oldest first
         self.idle: dict[int, None] = {}  # sessions without an open query; longest idle first
         self.busy: set[int] = set()  # sessions with an open query
 
     def __len__(self) -> int:
-        return len(self.steps) + len(self.idle) + len(self.busy)
+        return len(self.incomplete_steps) + len(self.idle) + len(self.busy)
 
     @property
     def full(self) -> bool:
-        return len(self) >= self.most
+        return len(self) >= self.max_sessions
 
     def would_exceed(self, count: int) -> bool:
         """Whether so many more sessions would exceed the limit."""
-        return len(self) + count > self.most
+        return len(self) + count > self.max_sessions
 
     @property
     def reserve_full(self) -> bool:
@@ -37,37 +39,37 @@
 
         Beyond the limit an eighth is reserved for connections that are told that there are too many sessions.
         """
-        return len(self) >= self.most + self.most // 8
+        return len(self) >= self.max_sessions + self.max_sessions // 8
 
-    def in_step(self, session: int, now: Time) -> None:
+    def mark_in_step(self, session: int, now: Time) -> None:
         """Records that a login, a packet, the delivery of an answer or a close has begun."""
-        if session not in self.steps:
-            self.leave(session)
-            self.steps[session] = now
+        if session not in self.incomplete_steps:
+            self.remove(session)
+            self.incomplete_steps[session] = now
 
-    def rest(self, session: int) -> None:
-        self.leave(session)
+    def mark_idle(self, session: int) -> None:
+        self.remove(session)
         self.idle[session] = None
 
-    def ask(self, session: int) -> None:
-        self.leave(session)
+    def mark_busy(self, session: int) -> None:
+        self.remove(session)
         self.busy.add(session)
 
-    def leave(self, session: int) -> None:
-        self.steps.pop(session, None)
+    def remove(self, session: int) -> None:
+        self.incomplete_steps.pop(session, None)
         self.idle.pop(session, None)
         self.busy.discard(session)
 
-    def give_way(self) -> Iterator[int]:
+    def eviction_candidates(self) -> Iterator[int]:
         """Sessions that may be closed for a new one, in order of preference; none has a query open."""
-        yield from self.steps
+        yield from self.incomplete_steps
         yield from self.idle
 
-    def late(self, now: Time) -> list[int]:
-        """Sessions whose current step has taken STEP or longer."""
+    def timed_out_sessions(self, now: Time) -> list[int]:
+        """Sessions whose current step has taken STEP_TIMEOUT or longer."""
         timed_out = []
-        for session, since in self.steps.items():
-            if now - since < STEP:
+        for session, since in self.incomplete_steps.items():
+            if now - since < STEP_TIMEOUT:
                 break
             timed_out.append(session)
         return timed_out
--- a/hillchute/history/claims.py
+++ b/hillchute/history/claims.py
@@ -46,7 +46,7 @@
         """Handles a message from the router that made a claim."""
         match message:
             case ClaimRequest():
-                self.take_claim(sender, message)
+                self.handle_claim(sender, message)
             case Completion():
                 self.handle_completion(sender, message)
 
@@ -56,7 +56,7 @@
 
     # ---- claims ---------------------------------------------------------------------------------------
 
-    def take_claim(self, sender: str, claim: ClaimRequest) -> None:
+    def handle_claim(self, sender: str, claim: ClaimRequest) -> None:
         """Decides on a claim. A granted claim is answered once every holder has stored its record."""
         decided, known = self.decide(sender, claim)
         if decided.decision is ClaimDecision.RUN:
@@ -76,7 +76,7 @@
         number = slot_of(claim.customer, claim.ordering_key)
         if rejection_reason := self._authority.rejection_reason(number, claim.view):
             return ReasonedDecision(ClaimDecision.REJECT, rejection_reason), None
-        if context.living().get(sender) != claim.incarnation:
+        if context.live_routers().get(sender) != claim.incarnation:
             # No router would run the query or report that it did not run.
             return ReasonedDecision(ClaimDecision.REJECT, "its router does not live"), None
         known = self._records.find(claim.customer, claim.ordering_key, claim.idempotency_key)
@@ -102,7 +102,8 @@
             known=known,
             earlier_running=self._earlier_running(claim, known) if claim.ordered else None,
             time_since_loss=self._time_since_loss(slot_of(claim.customer, claim.ordering_key)),
-            is_router_live=record is not None and context.living().get(record.router) == record.incarnation,
+            is_router_live=record is not None
+            and context.live_routers().get(record.router) == record.incarnation,
             is_repeated=record is not None and record.claim_id == claim.claim_id(sender),
         )
 
@@ -182,7 +183,7 @@
     def decide_waiting(self, key: CustomerKey) -> None:
         """Decides again on a key's waiting claims: the first may be granted, the others go on waiting."""
         for (sender, _), claim in self._waiting.pop(key, {}).items():
-            self.take_claim(sender, claim)
+            self.handle_claim(sender, claim)
 
     def decide_waiting_of_slot(self, number: int) -> None:
         """Decides again on the waiting claims of all keys of a slot."""
--- a/hillchute/history/lease_transfer.py
+++ b/hillchute/history/lease_transfer.py
@@ -59,7 +59,7 @@
             case LeaseUpdate():
                 self.answer_update(sender, message)
             case LeaseReply():
-                self.take_reply(sender, message)
+                self.handle_reply(sender, message)
 
     def on_view_adopted(self) -> None:
         """Drops the transfers of the previous view: the first holders in the new view start them again."""
@@ -129,7 +129,7 @@
         self._context.counters["leases moved"] += 1
         self.on_lease_moved(number)
 
-    def take_reply(self, sender: str, reply: LeaseReply) -> None:
+    def handle_reply(self, sender: str, reply: LeaseReply) -> None:
         """Notes that another holder has stored a lease."""
         transfer = self.transfers.get(reply.slot)
         if transfer is None or reply.view != self._context.views.view.id:
--- a/hillchute/history/own_claims.py
+++ b/hillchute/history/own_claims.py
@@ -23,7 +23,7 @@
 ABANDONED_CLAIM_TIME: Time = 600_000  # one minute; how long past its deadline an abandoned claim is reported
 
 
-class Decided(NamedTuple):
+class DecidedClaim(NamedTuple):
     """The decision on one of this router's claims."""
 
     number: int
@@ -75,7 +75,7 @@
         self._authority = authority
         self._policies = policies
         self.claims: dict[int, OwnClaim] = {}
-        self.decided: list[Decided] = []  # not yet fetched by the router
+        self.decided: list[DecidedClaim] = []  # not yet fetched by the router
         self._queues: dict[tuple[str, str], deque[int]] = {}  # by key: ordered claims not yet granted
 
     def receive(self, message: ClaimReply | CompletionReply) -> None:
@@ -228,7 +228,7 @@
                 decision = ClaimDecision.FAIL
             self._leave_queue(claim)
             del self.claims[claim.number]
-        self.decided.append(Decided(claim.number, decision, reply.reason, rows))
+        self.decided.append(DecidedClaim(claim.number, decision, reply.reason, rows))
 
     def _release(self, number: int, granted: Record) -> None:
         """Ends a claim that was granted after this router had dropped it; no other router would end it."""
@@ -276,7 +276,7 @@
         elif claim.granted is not None:
             return
         elif now >= claim.query.deadline:
-            self.decided.append(Decided(claim.number, ClaimDecision.REJECT, "no verdict in time", None))
+            self.decided.append(DecidedClaim(claim.number, ClaimDecision.REJECT, "no verdict in time", None))
             self._end(claim, RecordState.NOT_RUN)
         elif self._is_due(claim, MAX_CLAIM_BACKOFF) and self._is_next_of_key(claim):
             self._send_claim(claim)
--- a/hillchute/history/policy_distribution.py
+++ b/hillchute/history/policy_distribution.py
@@ -91,7 +91,7 @@
         if self._context.now - self._requested_at < HEARTBEAT_INTERVAL:
             return
         self._requested_at = self._context.now
-        others = sorted(self._context.living().keys() - {self._context.name})
+        others = sorted(self._context.live_routers().keys() - {self._context.name})
         if others:
             self._request_count += 1
             self.request_from(others[self._request_count % len(others)])
@@ -107,7 +107,7 @@
         last = self._context.policies.number
         numbers = {
             name: views.policies_numbers.get(name, 0)
-            for name in self._context.living()
+            for name in self._context.live_routers()
             if name != self._context.name
         }
         return [
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -45,7 +45,7 @@
     ViewAnnouncement,
     ViewUpdate,
 )
-from hillchute.history.own_claims import Decided, KeyedQuery, OwnClaims
+from hillchute.history.own_claims import DecidedClaim, KeyedQuery, OwnClaims
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.policy_distribution import PolicyDistribution
 from hillchute.history.record_store import RecordStore
@@ -136,7 +136,7 @@
         self.context.outbox = []
         return messages
 
-    def take_decided(self) -> list[Decided]:
+    def take_decided_claims(self) -> list[DecidedClaim]:
         """Returns the decisions on this router's claims since the last call."""
         decided = self.own_claims.decided
         self.own_claims.decided = []
@@ -160,7 +160,7 @@
     def claim(self, now: Time, query: KeyedQuery) -> int:
         """Makes a claim for a query and returns its number.
 
-        `take_decided` returns the decision under that number, by the query's deadline.
+        `take_decided_claims` returns the decision under that number, by the query's deadline.
         """
         self.context.now = now
         return self.own_claims.add(query)
@@ -235,7 +235,7 @@
         """
         return self.policy_distribution.outdated_routers()
 
-    def name_routers(self, configured: Iterable[str], now: Time) -> None:
+    def set_configured_routers(self, configured: Iterable[str], now: Time) -> None:
         """Replaces the set of configured routers.
 
         Majorities of the old and of the new set may share no router. Therefore, as after a restart, nothing
@@ -249,7 +249,7 @@
         new.highest = old.highest
         self.context.views = new
 
-    def recall(self, now: Time, records: Iterable[tuple[Record, Time]]) -> None:
+    def restore(self, now: Time, records: Iterable[tuple[Record, Time]]) -> None:
         """Takes in the records of the durable store, each with the Unix time when it was granted."""
         self.context.now = now
         self.durability.restore(records)
--- a/hillchute/history/replica_context.py
+++ b/hillchute/history/replica_context.py
@@ -33,7 +33,7 @@
     ) -> None:
         self.name = membership.name
         self.incarnation = membership.incarnation
-        self.living = membership.live_routers
+        self.live_routers = membership.live_routers
         self.now = now
         self.policies = policies
         self.views = views
--- a/hillchute/history/replication.py
+++ b/hillchute/history/replication.py
@@ -14,7 +14,7 @@
 from hillchute.history.replica_context import RETRY_INTERVAL, ReplicaContext
 from hillchute.history.slot_authority import SlotAuthority
 from hillchute.history.slot_placement import slot_of
-from hillchute.history.views import LEASE
+from hillchute.history.views import VIEW_LEASE
 
 
 class ReplicationRound(msgspec.Struct):
@@ -124,19 +124,19 @@
         has_records = bool(self._records.slots[number])
         if not has_records or self._authority.rejection_reason(number, context.views.view.id):
             return
-        live_routers = context.living()
+        live_routers = context.live_routers()
         for retained in list(self._records.records_of_slot(number)):
             record = retained.record
-            if record.state != RecordState.RUNNING or context.now - retained.since <= LEASE:
+            if record.state != RecordState.RUNNING or context.now - retained.since <= VIEW_LEASE:
                 continue
             if retained.may_be_running(context.now) and live_routers.get(record.router) == record.incarnation:
                 self.replicate(record)
 
     def tick(self) -> None:
-        """Repeats unanswered requests, and drops rounds that are not complete after LEASE."""
+        """Repeats unanswered requests, and drops rounds that are not complete after VIEW_LEASE."""
         now = self._context.now
         for current in list(self._rounds.values()):
-            if now - current.began_at > LEASE:
+            if now - current.began_at > VIEW_LEASE:
                 self._drop(current)
             elif now - current.sent_at >= RETRY_INTERVAL:
                 self._send(current)
--- a/hillchute/history/slot_authority.py
+++ b/hillchute/history/slot_authority.py
@@ -8,10 +8,17 @@
 from hillchute.history.replica_context import ReplicaContext
 from hillchute.history.slot_placement import holders, slot_of
 from hillchute.history.slot_table import SlotTable
-from hillchute.history.views import DRIFT, HEARTBEAT_INTERVAL, LEASE, NO_VIEW, NO_VIEW_ID, ViewId
+from hillchute.history.views import (
+    HEARTBEAT_INTERVAL,
+    MAX_CLOCK_DRIFT,
+    NO_VIEW,
+    NO_VIEW_ID,
+    VIEW_LEASE,
+    ViewId,
+)
 
 # After this time a view for which others fetched slots is either in force here or has been abandoned.
-ABANDONED_VIEW_TIME: Time = int(2 * LEASE * (1 + 2 * DRIFT)) + HEARTBEAT_INTERVAL
+ABANDONED_VIEW_TIME: Time = int(2 * VIEW_LEASE * (1 + 2 * MAX_CLOCK_DRIFT)) + HEARTBEAT_INTERVAL
 
 POLICIES_NOT_CURRENT = "the policies here are not current"
 
--- a/hillchute/history/slot_table.py
+++ b/hillchute/history/slot_table.py
@@ -15,7 +15,7 @@
 from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.history.replica_context import ReplicaContext
 from hillchute.history.slot_placement import SLOTS, holders
-from hillchute.history.views import LEASE, View, ViewId
+from hillchute.history.views import VIEW_LEASE, View, ViewId
 
 MAX_RETAINED_VIEWS = 64  # adopted views that are kept to be applied to a slot one by one when it is next used
 
@@ -48,7 +48,7 @@
         self._context = context
         self.slots = [SlotState() for _ in range(SLOTS)]
         self.outdated: deque[int] = deque()  # slots to which later views are still to be applied
-        self.wanted: dict[int, None] = {}  # slots being fetched, in order
+        self.fetching: dict[int, None] = {}  # slots being fetched, in order
         self._views: list[View] = []  # the last adopted views
         self._dropped_views = 0  # number of views adopted before those
 
@@ -103,7 +103,7 @@
         slot.sources = {
             name: incarnation for name, incarnation in sources.items() if name != self._context.name
         }
-        self.wanted[number] = None
+        self.fetching[number] = None
 
     def declare_lost(self, number: int, slot: SlotState, view: View) -> None:
         """Makes a slot complete without its earlier records: no router that had all of them is left.
@@ -112,11 +112,11 @@
         """
         slot.complete_in = view.id
         slot.held_in = view.id
-        slot.lost_at = self._context.now + LEASE
+        slot.lost_at = self._context.now + VIEW_LEASE
         slot.lease = None
         slot.fetch_epoch = None
         slot.sources = {}
-        self.wanted.pop(number, None)
+        self.fetching.pop(number, None)
         self._context.counters["slots lost"] += 1
 
     def mark_complete(self, number: int, slot: SlotState) -> None:
@@ -125,4 +125,4 @@
         slot.fetch_epoch = None
         slot.sources = {}
         slot.received_parts = {}
-        self.wanted.pop(number, None)
+        self.fetching.pop(number, None)
--- a/hillchute/history/slot_transfer.py
+++ b/hillchute/history/slot_transfer.py
@@ -9,7 +9,7 @@
 from hillchute.history.slot_authority import SlotAuthority
 from hillchute.history.slot_placement import slot_of
 from hillchute.history.slot_table import SlotState, SlotTable
-from hillchute.history.views import LEASE
+from hillchute.history.views import VIEW_LEASE
 
 # Slots updated to the last view, and slots requested, in one tick. A busy event loop handles the messages of
 # one tick in about a quarter of a second.
@@ -59,19 +59,19 @@
             self._slots.current(outdated.popleft())
         if self._context.now - self._requested_at >= RETRY_INTERVAL:
             self._requested_at = self._context.now
-            for number in list(self._slots.wanted)[:SLOTS_PER_TICK]:
+            for number in list(self._slots.fetching)[:SLOTS_PER_TICK]:
                 self._request(number)
 
     def _request(self, number: int) -> None:
         context = self._context
         slot = self._slots.current(number)
         if slot.fetch_epoch is None or slot.released_at is not None:
-            self._slots.wanted.pop(number, None)
+            self._slots.fetching.pop(number, None)
             return
         sources = slot.remaining_sources()
-        live_routers = context.living()
+        live_routers = context.live_routers()
         is_source_live = any(live_routers.get(name) == incarnation for name, incarnation in sources.items())
-        timeout = SOURCE_TIMEOUT if is_source_live else LEASE
+        timeout = SOURCE_TIMEOUT if is_source_live else VIEW_LEASE
         if not sources or context.now - slot.fetch_started_at > timeout:
             self._slots.declare_lost(number, slot, context.views.view)
             return
--- a/hillchute/history/view_change.py
+++ b/hillchute/history/view_change.py
@@ -132,7 +132,7 @@
         """Handles an answer to a promise request; announces the view once enough routers have promised."""
         context = self._context
         view = context.views.handle_promise(
-            context.now, sender, reply.promise, context.living(), context.policies.copies
+            context.now, sender, reply.promise, context.live_routers(), context.policies.copies
         )
         if view is None:
             return
@@ -151,7 +151,7 @@
             self._agreement.on_announcement(context.now, agreement_number)
         policies_number = context.policies.number
         remaining = context.views.lease_remaining(context.now)
-        for name in context.living():
+        for name in context.live_routers():
             echo = context.views.last_grants.get(name, 0)
             heartbeat = Heartbeat(
                 view=view.id,
@@ -188,7 +188,7 @@
         context = self._context
         if self.is_leaving:
             return
-        action = context.views.next_action(context.now, context.living())
+        action = context.views.next_action(context.now, context.live_routers())
         if action is ProposerAction.NOTHING or context.now < self._next_heartbeat_at:
             return
         self._next_heartbeat_at = context.now + HEARTBEAT_INTERVAL
@@ -198,5 +198,5 @@
             self._request_promises(context.views.requesting)
 
     def _request_promises(self, view_id: ViewId) -> None:
-        for name in self._context.living():
+        for name in self._context.live_routers():
             self._context.send(name, PromiseRequest(view_id, self._context.views.view.id))
--- a/hillchute/history/view_protocol.py
+++ b/hillchute/history/view_protocol.py
@@ -5,12 +5,12 @@
 A router that wants a new view requests promises for a number. A router that answers promises to grant nothing
 lower and reports the view that it adopted last. With promises from a majority of the configured routers, the
 new view takes over from the highest reported one (Paxos, applied to the views only). A view is in force while
-a majority granted it within LEASE. Any two majorities share a router, so an earlier view cannot be renewed
-once a later one is in force, and it ends within LEASE at every router, even a partitioned one.
+a majority granted it within VIEW_LEASE. Any two majorities share a router, so an earlier view cannot be
+renewed once a later one is in force, and it ends within VIEW_LEASE at every router, even a partitioned one.
 
 A router that restarts has lost its promises. Therefore it neither grants nor promises for two leases plus
-clock drift, and a coordinator drops a view that has not been in force for LEASE. A view takes over from an
-earlier one only if a majority of the configured routers have granted a view in their present incarnation.
+clock drift, and a coordinator drops a view that has not been in force for VIEW_LEASE. A view takes over from
+an earlier one only if a majority of the configured routers have granted a view in their present incarnation.
 Otherwise the records of all slots count as lost as of the new view.
 """
 
@@ -19,11 +19,11 @@
 
 from hillchute.decision.interface import Time
 from hillchute.history.views import (
-    DRIFT,
     HEARTBEAT_INTERVAL,
-    LEASE,
+    MAX_CLOCK_DRIFT,
     NO_VIEW,
     NO_VIEW_ID,
+    VIEW_LEASE,
     Grant,
     Promise,
     View,
@@ -57,7 +57,7 @@
         self.started_at = now
         self.view = NO_VIEW  # the last adopted view
         self.highest = NO_VIEW_ID  # lower ids are no longer accepted from other routers
-        self.remembers = False  # whether it has granted a view in this incarnation
+        self.has_granted = False  # whether it has granted a view in this incarnation
         self.lease_until: Time = 0
         # As a proposer and coordinator:
         self.last_live: frozenset[tuple[str, int]] = frozenset()
@@ -76,7 +76,7 @@
 
     def may_grant(self, now: Time) -> bool:
         """Whether promises and grants of an earlier incarnation can no longer have an effect."""
-        return now >= self.started_at + 2 * LEASE * (1 + DRIFT)
+        return now >= self.started_at + 2 * VIEW_LEASE * (1 + MAX_CLOCK_DRIFT)
 
     def is_plausible(self, now: Time, view_id: ViewId) -> bool:
         """Whether a view with this id may exist.
@@ -97,7 +97,7 @@
         reported = self.view
         if adopted == self.view.id:
             reported = View(adopted.number, adopted.coordinator)
-        return Promise(view_id, given, max(self.highest, self.view.id), self.remembers, reported)
+        return Promise(view_id, given, max(self.highest, self.view.id), self.has_granted, reported)
 
     def answer_heartbeat(
         self,
@@ -112,7 +112,7 @@
         given = not lacks_view and view_id >= self.highest and self.may_grant(now)
         if given:
             self.highest = view_id
-            self.remembers = True
+            self.has_granted = True
         # If nobody renews the view adopted here, its id tells the sender to use a higher number.
         highest = max(self.highest, self.view.id)
         return Grant(
@@ -138,10 +138,10 @@
         return True
 
     def extend_lease(self, now: Time, view_id: ViewId, granted_at: Time, remaining: Time) -> None:
-        """Extends the lease to `remaining` after this router's grant at `granted_at`, but at most LEASE."""
+        """Extends the lease to `remaining` (at most VIEW_LEASE) after this router's grant at `granted_at`."""
         is_member = self.view.members.get(self.name) == self.incarnation
         if granted_at <= now and view_id == self.view.id and is_member:
-            self.lease_until = max(self.lease_until, granted_at + min(remaining, LEASE))
+            self.lease_until = max(self.lease_until, granted_at + min(remaining, VIEW_LEASE))
 
     def in_force(self, now: Time) -> bool:
         """Whether the adopted view's lease has not expired, as far as this router knows."""
@@ -179,7 +179,7 @@
     def _drop_outdated_proposal(self, now: Time) -> None:
         if self.proposed and self.proposed.id < self.highest:
             self.proposed = None  # another router has requested promises for a higher number
-        if self.proposed and now - self.proposal_lease_end() > LEASE:
+        if self.proposed and now - self.proposal_lease_end() > VIEW_LEASE:
             self.proposed = None  # restarted routers, which lost a later view, would renew this one
 
     def _begin_request(self, now: Time) -> None:
@@ -212,7 +212,7 @@
         needed = majority_of(len(self.configured))
         if len(self.promises) < needed or self.name not in self.promises:
             return None
-        has_majority = sum(each.remembers for each in self.promises.values()) >= needed
+        has_majority = sum(each.has_granted for each in self.promises.values()) >= needed
         # Restarted routers answer as fast as others; without the others' promises all records would be lost.
         if not has_majority and len(self.promises) < len(live_routers) and self.attempts < MAX_ATTEMPTS:
             return None
@@ -237,7 +237,7 @@
             predecessor=last.id if takes_over else None,
             predecessor_members=last.members if takes_over else {},
             predecessor_copies=last.copies if takes_over else 0,
-            is_first=not any(promise.remembers for promise in self.promises.values()),
+            is_first=not any(promise.has_granted for promise in self.promises.values()),
         )
         self.proposed = view
         self.proposed_at = now
@@ -264,7 +264,7 @@
         if grant.highest > self.highest and self.is_plausible(now, grant.highest):
             self.highest = ViewId(grant.highest.number, "")  # known, but not promised
         if self.proposed and grant.view == self.proposed.id and grant.given:
-            until = int(grant.sent_at + LEASE * (1 - DRIFT))
+            until = int(grant.sent_at + VIEW_LEASE * (1 - MAX_CLOCK_DRIFT))
             if until >= self.granted_until.get(sender, 0):
                 self.granted_until[sender] = until
                 self.last_grants[sender] = grant.granted_at
--- a/hillchute/history/views.py
+++ b/hillchute/history/views.py
@@ -10,8 +10,10 @@
 
 from hillchute.decision.interface import Time
 
-LEASE: Time = 40_000  # of a view: four seconds, so that it outlasts the loss of three heartbeats
-DRIFT = 0.01  # maximum relative drift between two monotonic clocks over one lease; quartz stays within 0.0001
+VIEW_LEASE: Time = 40_000  # of a view: four seconds, so that it outlasts the loss of three heartbeats
+MAX_CLOCK_DRIFT = (
+    0.01  # maximum relative drift between two monotonic clocks over one lease; quartz stays within 0.0001
+)
 HEARTBEAT_INTERVAL: Time = 10_000  # one second between heartbeats of the coordinator
 
 
@@ -52,7 +54,7 @@
     requested: ViewId
     given: bool
     highest: ViewId  # the highest that the answering router has promised or granted
-    remembers: bool  # whether the answering router has granted a view in this incarnation
+    has_granted: bool  # whether the answering router has granted a view in this incarnation
     adopted: View  # the view that the answering router adopted last
 
 
--- a/hillchute/lab/charts.py
+++ b/hillchute/lab/charts.py
@@ -16,7 +16,7 @@
 import orjson
 
 from hillchute.lab.many import FORMS
-from hillchute.lab.plays import PLAYS, figures
+from hillchute.lab.plays import PLAYS, run_and_measure
 
 # Cost of one health check per query, as a fraction of the total value of queries, under normal conditions.
 HEALTH_CHECK_COST = 0.0086
@@ -37,7 +37,7 @@
             for form in forms:
                 if (play, form, routers, engines, seed) in measured:
                     continue
-                results = figures(
+                results = run_and_measure(
                     form, play, seed, routers, engines, LOAD, **{"costs.probe": HEALTH_CHECK_COST}
                 )
                 line = {"seed": seed, "routers": routers, "engines": engines, **results}
--- a/hillchute/lab/clients.py
+++ b/hillchute/lab/clients.py
@@ -14,11 +14,11 @@
 import grpc.aio
 
 from hillchute.fronts.mysql import packets
-from hillchute.lab.world import World
+from hillchute.lab.world import EngineWorld
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.protocol.status import reason
+from hillchute.protocol.status import error_reason
 
 LOGIN = struct.pack("<IIB23x", 0x8 | 0x200 | 0x8000, 1 << 24, 45) + b"app\0\0lake\0"
 DEFERRED = ("DEFERRED", "CLOSING", "FULL")
@@ -30,24 +30,24 @@
 
     group: str
     statement: str
-    patience: int = 5_000  # milliseconds
-    token: str | None = None
-    key: str | None = None
+    client_timeout_ms: int = 5_000  # milliseconds
+    idempotency_key: str | None = None
+    ordering_key: str | None = None
     cancel_after: float | None = None  # seconds after which its client cancels it
     weight: float = 20.0  # estimated work in milliseconds
     id: str = field(default_factory=lambda: secrets.token_hex(8))
     router: str = ""  # name of the router that it was sent to
     sent: float = 0.0
-    answered: list[tuple[float, str]] = field(default_factory=list)
+    answers: list[tuple[float, str]] = field(default_factory=list)
     rows: int = 0
 
     @property
     def fields(self) -> dict[str, str]:
         """The protocol's fields of the query, by name."""
-        fields = {"route": self.group, "trace": self.id, "patience": str(self.patience)}
+        fields = {"route": self.group, "trace": self.id, "patience": str(self.client_timeout_ms)}
         fields |= {"weight": f"{self.weight:.1f}", "mb": "1"}
-        fields |= {"nonce": self.token} if self.token else {}
-        return fields | ({"entity": self.key} if self.key else {})
+        fields |= {"nonce": self.idempotency_key} if self.idempotency_key else {}
+        return fields | ({"entity": self.ordering_key} if self.ordering_key else {})
 
     @property
     def text(self) -> str:
@@ -56,23 +56,23 @@
         return f"/* {pairs} */ {self.statement}"
 
     @property
-    def how(self) -> str:
+    def outcome(self) -> str:
         """The outcome; `lost` without an answer, `twice` with more than one."""
-        return self.answered[0][1] if len(self.answered) == 1 else "lost" if not self.answered else "twice"
+        return self.answers[0][1] if len(self.answers) == 1 else "lost" if not self.answers else "twice"
 
 
 class Client(Protocol):
     """A client of either protocol."""
 
-    async def ask(self, query: Query) -> None: ...
+    async def run(self, query: Query) -> None: ...
 
     async def close(self) -> None: ...
 
 
-class MySQL:
+class MySQLClient:
     """One MySQL session, reopened by the next query if it was closed."""
 
-    def __init__(self, world: World, port: int) -> None:
+    def __init__(self, world: EngineWorld, port: int) -> None:
         self.world, self.port = world, port
         self.stream: anyio.abc.SocketStream | None = None
         self.buffer = b""
@@ -87,16 +87,16 @@
     async def write_packet(self, number: int, payload: bytes) -> None:
         await self.stream.send(len(payload).to_bytes(3, "little") + bytes([number]) + payload)
 
-    async def open(self) -> None:
+    async def connect(self) -> None:
         self.stream, self.buffer = await anyio.connect_tcp("127.0.0.1", self.port), b""
         await self.read_packet()
         await self.write_packet(1, LOGIN)
         await self.read_packet()
 
-    async def ask(self, query: Query) -> None:
+    async def run(self, query: Query) -> None:
         try:
             if self.stream is None:
-                await self.open()
+                await self.connect()
             query.sent = self.world.clock()
             with anyio.move_on_after(query.cancel_after) as scope:
                 await self.write_packet(0, b"\x03" + query.text.encode())
@@ -104,7 +104,7 @@
             if scope.cancelled_caught:
                 await self.close()
                 return
-            query.answered.append((self.world.clock(), outcome))
+            query.answers.append((self.world.clock(), outcome))
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
             await self.close()
 
@@ -128,10 +128,10 @@
             await stream.aclose()
 
 
-class Flight:
+class FlightClient:
     """A Flight SQL client on one gRPC channel."""
 
-    def __init__(self, world: World, port: int, token: str | None = None) -> None:
+    def __init__(self, world: EngineWorld, port: int, token: str | None = None) -> None:
         self.world, self.token = world, token
         options = [("grpc.max_receive_message_length", -1), ("grpc.use_local_subchannel_pool", 1)]
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
@@ -140,35 +140,35 @@
         headers = [(f"x-hillchute-{name}", value) for name, value in query.fields.items()]
         return headers + ([("authorization", f"Bearer {self.token}")] if self.token else [])
 
-    async def ask(self, query: Query) -> None:
+    async def run(self, query: Query) -> None:
         query.sent = self.world.clock()
         try:
             with anyio.move_on_after(query.cancel_after) as scope:
-                await (self.run_update if query.token else self.run_select)(query)
+                await (self.run_update if query.idempotency_key else self.run_select)(query)
             if not scope.cancelled_caught:
-                query.answered.append((self.world.clock(), "finished"))
-        except arrow.Unreadable:
-            query.answered.append((self.world.clock(), "unreadable"))
+                query.answers.append((self.world.clock(), "finished"))
+        except arrow.InvalidFlightDataError:
+            query.answers.append((self.world.clock(), "unreadable"))
         except grpc.aio.AioRpcError as error:
-            code = reason(error.trailing_metadata())
+            code = error_reason(error.trailing_metadata())
             outcome = "deferred" if code in DEFERRED else "killed" if code else f"unknown {error.code()}"
-            query.answered.append((self.world.clock(), outcome))
+            query.answers.append((self.world.clock(), outcome))
 
     async def run_select(self, query: Query) -> None:
-        get_info = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
-        command = arrow.command(sql.CommandStatementQuery(query=query.statement))
+        get_info = self.channel.unary_unary(f"{arrow.SERVICE_PATH}GetFlightInfo")
+        command = arrow.command_descriptor(sql.CommandStatementQuery(query=query.statement))
         raw = await get_info(command.SerializeToString(), metadata=self.metadata(query))
         ticket = flight.FlightInfo.FromString(raw).endpoint[0].ticket
         query.sent = self.world.clock()
-        do_get = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
-        reader = arrow.Reading()
+        do_get = self.channel.unary_stream(f"{arrow.SERVICE_PATH}DoGet")
+        reader = arrow.BatchDecoder()
         async for raw in do_get(ticket.SerializeToString(), metadata=self.metadata(query)):
-            batch = reader.take(raw)
+            batch = reader.decode(raw)
             query.rows += batch.num_rows if batch is not None else 0
 
     async def run_update(self, query: Query) -> None:
-        do_put = self.channel.stream_stream(f"{arrow.SERVICE}DoPut")
-        command = arrow.command(sql.CommandStatementUpdate(query=query.statement))
+        do_put = self.channel.stream_stream(f"{arrow.SERVICE_PATH}DoPut")
+        command = arrow.command_descriptor(sql.CommandStatementUpdate(query=query.statement))
         call = do_put(metadata=self.metadata(query))
         await call.write(flight.FlightData(flight_descriptor=command).SerializeToString())
         await call.done_writing()
--- a/hillchute/lab/deployment.py
+++ b/hillchute/lab/deployment.py
@@ -3,7 +3,7 @@
 MS = 1_000_000  # nanoseconds
 
 
-def table(
+def make_configuration(
     routers: int = 1, engines: int = 0, sockets: int = 1024, mutating: bool = False, **overrides: object
 ) -> dict[str, object]:
     """Return a configuration as parsed from JSON.
--- a/hillchute/lab/fleet.py
+++ b/hillchute/lab/fleet.py
@@ -18,7 +18,7 @@
 
 from hillchute.lab import deployment
 from hillchute.lab.line_engine import LineEngine
-from hillchute.lab.world import Engine, World
+from hillchute.lab.world import Engine, EngineWorld
 
 FRAME_HEADER = struct.Struct(">IQB")
 ENDPOINT_RECORD = struct.Struct(">I4sHBBBHIQ")
@@ -73,7 +73,9 @@
 class Fleet:
     """Engines of one protocol, numbered from 1, with the event bus that lists them."""
 
-    def __init__(self, world: World, protocol: str, tasks: anyio.abc.TaskGroup, **engine_options) -> None:
+    def __init__(
+        self, world: EngineWorld, protocol: str, tasks: anyio.abc.TaskGroup, **engine_options
+    ) -> None:
         self.world, self.protocol, self.tasks, self.engine_options = world, protocol, tasks, engine_options
         self.bus = Bus()
         self.servers: dict[int, object] = {}
@@ -153,7 +155,7 @@
     def __init__(self, folder: Path, bus: int, operator: str | None = None, **overrides) -> None:
         self.folder = folder
         self.port, self.flight_port = free_port(), free_port()
-        configuration = deployment.table(**overrides)
+        configuration = deployment.make_configuration(**overrides)
         configuration |= {"listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
         (folder / "router.json").write_bytes(orjson.dumps(configuration))
         self.arguments = [sys.executable, "-m", "hillchute.router"]
@@ -198,7 +200,7 @@
     """Run a toy deployment for the length of the context."""
     with tempfile.TemporaryDirectory(prefix="hillchute-") as folder:
         async with anyio.create_task_group() as tasks:
-            fleet = Fleet(World(seed=seed), protocol, tasks, **engine_options)
+            fleet = Fleet(EngineWorld(seed=seed), protocol, tasks, **engine_options)
             await fleet.start(engines)
             router = Router(Path(folder), fleet.bus.port, operator)
             await router.start()
--- a/hillchute/lab/flight_engine.py
+++ b/hillchute/lab/flight_engine.py
@@ -13,7 +13,7 @@
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.protocol.status import DETAILS, DOMAIN, packed
+from hillchute.protocol.status import DETAILS_TRAILER, ERROR_DOMAIN, encode_status
 
 
 class FlightEngine:
@@ -37,7 +37,7 @@
             "DoPut": grpc.stream_stream_rpc_method_handler(self.do_put),
             "DoAction": grpc.unary_stream_rpc_method_handler(self.do_action),
         }
-        name = arrow.SERVICE.strip("/")
+        name = arrow.SERVICE_PATH.strip("/")
         self.server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(name, handlers),))
         self.port = self.server.add_insecure_port(f"{host}:0")
         await self.server.start()
@@ -47,8 +47,8 @@
             await self.server.stop(grace)
 
     async def abort(self, context, code: grpc.StatusCode, reason: str) -> None:
-        info = error_details_pb2.ErrorInfo(reason=reason, domain=DOMAIN)
-        trailers = (*self.trailers(), (DETAILS, packed(code, reason, [info])))
+        info = error_details_pb2.ErrorInfo(reason=reason, domain=ERROR_DOMAIN)
+        trailers = (*self.trailers(), (DETAILS_TRAILER, encode_status(code, reason, [info])))
         await context.abort(code, reason, trailers)
 
     def trailers(self, work: float | None = None) -> tuple[tuple[str, str], ...]:
@@ -84,7 +84,7 @@
         behaviour, _ = entry
         headers = self.headers(context)
         work = await self.run_statement(headers, behaviour, context)
-        yield arrow.framed(arrow.PLAIN).SerializeToString()
+        yield arrow.to_flight_data(arrow.TEXT_RESULT_SCHEMA).SerializeToString()
         for number in range(behaviour.batches):
             if number == behaviour.cut:
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "cut by script")
@@ -106,8 +106,8 @@
         if key not in self.batch_messages:
             rows = behaviour.batch(number)
             columns = [pa.array([row[n] for row in rows], pa.string()) for n in range(3)]
-            batch = pa.record_batch(columns, schema=arrow.PLAIN)
-            self.batch_messages[key] = [arrow.framed(batch).SerializeToString()]
+            batch = pa.record_batch(columns, schema=arrow.TEXT_RESULT_SCHEMA)
+            self.batch_messages[key] = [arrow.to_flight_data(batch).SerializeToString()]
             if len(self.batch_messages) > 64:
                 del self.batch_messages[next(iter(self.batch_messages))]
         return self.batch_messages[key][0]
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -22,8 +22,8 @@
 from hillchute.history.records import Record, RecordState
 from hillchute.history.retention import RetentionPolicies, RetentionPolicy
 from hillchute.history.slot_placement import slot_of
-from hillchute.lab.clients import MySQL, Query
-from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded
+from hillchute.lab.clients import MySQLClient, Query
+from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, initial_policies
 from hillchute.lab.processes import RouterCluster
 
 FORMS = ("off", "0 copies", "1 copy", "2 copies", "1 copy, disk")
@@ -51,13 +51,13 @@
             member = self.members[n % len(self.members)]
             q = Query(group, "SELECT /* lab ms=2 rows=3 */ a FROM sales_1.orders", weight=2.0)
             if group == "event-load":
-                q.token, q.key = f"{key}{n:08x}", f"{key}{n:04x}"
-            client = MySQL(self.world, member.port)
-            await client.open()
-            await client.ask(q)
+                q.idempotency_key, q.ordering_key = f"{key}{n:08x}", f"{key}{n:04x}"
+            client = MySQLClient(self.world, member.port)
+            await client.connect()
+            await client.run(q)
             await client.close()
-            if q.how == "finished":
-                measured.append((q.answered[0][0] - q.sent) * 1000)
+            if q.outcome == "finished":
+                measured.append((q.answers[0][0] - q.sent) * 1000)
         return measured
 
 
@@ -123,8 +123,8 @@
 
     Returns the simulated time and the CPU time of all replicas together.
     """
-    net = HistoryNet(seed, routers, founded(copies=1, default=RetentionPolicy(most=1000)))
-    if not net.settled():
+    net = HistoryNet(seed, routers, initial_policies(copies=1, default=RetentionPolicy(most=1000)))
+    if not net.wait_until_settled():
         raise RuntimeError("no view is in force after 30 s of simulated time")
     view = net.replicas["n0"].views.view
     for n in range(RECORDS):
@@ -137,7 +137,7 @@
     held = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     net.kill("n5")
     began, cpu = net.now, time.process_time()
-    settled = net.settled(120)
+    settled = net.wait_until_settled(120)
     copies_after = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     return {
         "records": RECORDS,
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -26,11 +26,11 @@
 from hillchute.history.records import RecordState
 from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
-from hillchute.lab.history_net import STEP, HistoryNet, founded
+from hillchute.lab.history_net import STEP, HistoryNet, initial_policies
 from hillchute.lab.workers import worker_pool
 
 ADDED_DELAY: dict[str, Time] = {"late by 1": STEP, "late by 3": 3 * STEP, "late by 40": 40 * STEP}
-NETWORK = (
+NETWORK_MUTATIONS = (
     "left out",
     "twice",
     *ADDED_DELAY,
@@ -39,7 +39,7 @@
     "cut by a byte",
     "again much later",
 )
-LIES = ("zero", "most", "one less", "one more", "another's", "none")
+BYZANTINE_MUTATIONS = ("zero", "most", "one less", "one more", "another's", "none")
 MAX_VALUE = (1 << 62) - 1
 REPLAY_DELAY: Time = 200_000
 ROUTERS, KEY_COUNT = 5, 12  # of the scripted run
@@ -47,16 +47,16 @@
 ALLOWED_VIOLATIONS = ("wrong answer", "ran twice", "out of order", "kept too long")
 
 
-def paths(value: object, here: tuple = ()) -> Iterator[tuple]:
+def field_paths(value: object, here: tuple = ()) -> Iterator[tuple]:
     """Yields the path of every field that is no struct; of a tuple of structs, those of the first one."""
     if isinstance(value, msgspec.Struct):
         for n, name in enumerate(value.__struct_fields__):
-            yield from paths(getattr(value, name), (*here, n))
+            yield from field_paths(getattr(value, name), (*here, n))
     elif isinstance(value, tuple) and value and contains_struct(value):
         yield here
         for n in range(len(value) if not isinstance(value[0], tuple) else 1):
             if n == 0 or not isinstance(value[0], type(value[n])):
-                yield from paths(value[n], (*here, n))
+                yield from field_paths(value[n], (*here, n))
     else:
         yield here
 
@@ -115,7 +115,7 @@
 
     def select_mutant(self, index: int, mutation: str, path: tuple) -> None:
         self.mutated_index, self.mutation, self.mutated_path = index, mutation, path
-        self.message_count, self.applied, self.messages, self.raised = 0, False, [], []
+        self.message_count, self.applied, self.messages, self.failures = 0, False, [], []
 
     def transmit(self, message: Message) -> list[tuple[Time, bytes]]:
         data = self.encode_message(message)
@@ -161,18 +161,18 @@
         except InvalidDatagramError:
             pass
         except Exception as fault:
-            self.raised.append(f"{to} raised {fault!r}")
+            self.failures.append(f"{to} raised {fault!r}")
 
 
-class Net(MutatingNetwork, HistoryNet):
+class MutatedHistoryNet(MutatingNetwork, HistoryNet):
     def __init__(self, seed: int, index: int = -1, mutation: str = "", path: tuple = ()) -> None:
         self.select_mutant(index, mutation, path)
         policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
-        super().__init__(seed, ROUTERS, founded(copies=1, default=policy), failure_rate=0.0)
+        super().__init__(seed, ROUTERS, initial_policies(copies=1, default=policy), failure_rate=0.0)
 
-    def script(self) -> "Net":
-        if not self.settled():
-            self.raised.append("no view is in force at the start")
+    def script(self) -> "MutatedHistoryNet":
+        if not self.wait_until_settled():
+            self.failures.append("no view is in force at the start")
             return self
         keys = (f"k{n}" for n in range(1000))
         first = [key for key in keys if holders(slot_of("", key), self.names, 1) == ("n4",)]
@@ -194,7 +194,7 @@
         for n in range(4):
             self.ask(self.names[n % 4], f"t{n}", first[n // 2])
         self.advance(5)
-        self.forget("n1")
+        self.request_erasure("n1")
         self.advance(6)
         self.ask("n2", "t0", first[0])  # its record has been erased
         self.advance(4)
@@ -205,7 +205,7 @@
         self.ask("n0", "t8", "k8")
         self.ask("n1", "t9", "k9")
         self.advance(6)
-        self.mend()
+        self.heal()
         self.advance(9)
         self.ask("n2", "t11", "k11")
         self.advance(3)
@@ -219,11 +219,11 @@
         self.advance(5)
         for name in victims:
             self.start(name)
-        if not self.settled(40):
-            self.raised.append("not settled at the end")
+        if not self.wait_until_settled(40):
+            self.failures.append("not settled at the end")
         return self
 
-    def end(self) -> dict[str, object]:
+    def final_state(self) -> dict[str, object]:
         """Returns how often each key ran, the states and rows of its records, and the policies' numbers."""
         kept = {}
         for n in range(KEY_COUNT):
@@ -243,13 +243,13 @@
     """Returns every message with every mutation of it, as (index, mutation, path)."""
     mutants = []
     for index, message in enumerate(baseline.messages):
-        mutants += [(index, mutation, ()) for mutation in NETWORK]
+        mutants += [(index, mutation, ()) for mutation in NETWORK_MUTATIONS]
         if lies:
-            mutants += [(index, lie, path) for path in paths(message) for lie in LIES]
+            mutants += [(index, lie, path) for path in field_paths(message) for lie in BYZANTINE_MUTATIONS]
     return mutants
 
 
-def drawn(
+def sample_mutants(
     baseline: MutatingNetwork, seed: int, max_mutants: int | None, kinds: tuple[type, ...] = MESSAGE_TYPES
 ) -> list[tuple[int, str, tuple]]:
     """Returns all mutants, or a random sample, balanced by message type since most messages carry slots."""
@@ -267,7 +267,7 @@
     ]
 
 
-def mutant(
+def run_mutant(
     net: type,
     allowed_violations: tuple[str, ...],
     seed: int,
@@ -278,27 +278,29 @@
 ) -> tuple[bool, list[str], bool]:
     """Runs one mutant; returns if it reached a receiver, what it broke, and if the final state differs."""
     run = net(seed, index, mutation, path).script()
-    is_byzantine = mutation in LIES
-    broken = run.raised + [rule for rule in +run.rule if not (is_byzantine and rule in allowed_violations)]
-    return run.applied, broken, not is_byzantine and run.end() != end
+    is_byzantine = mutation in BYZANTINE_MUTATIONS
+    broken = run.failures + [
+        rule for rule in +run.broken_rules if not (is_byzantine and rule in allowed_violations)
+    ]
+    return run.applied, broken, not is_byzantine and run.final_state() != end
 
 
 def play(
     seed: int,
     max_mutants: int | None = None,
     jobs: int | None = None,
-    net: type = Net,
+    net: type = MutatedHistoryNet,
     kinds: tuple[type, ...] = MESSAGE_TYPES,
     allowed_violations: tuple[str, ...] = ALLOWED_VIOLATIONS,
 ) -> dict[str, object]:
     """Runs all mutants, or `max_mutants` random ones, in `jobs` processes; returns their result counts."""
     baseline = net(seed).script()
-    end, faults = baseline.end(), baseline.raised + list(+baseline.rule)
-    mutants = drawn(baseline, seed, max_mutants, kinds)
+    end, faults = baseline.final_state(), baseline.failures + list(+baseline.broken_rules)
+    mutants = sample_mutants(baseline, seed, max_mutants, kinds)
     kinds_run: Counter[str] = Counter()
     broken, differing, not_applied = [], [], 0
     with worker_pool(jobs) as pool:
-        one = partial(mutant, net, allowed_violations, seed)
+        one = partial(run_mutant, net, allowed_violations, seed)
         found = pool.map(one, *zip(*mutants), repeat(end), chunksize=8)
         for (index, mutation, path), (applied, violations, other) in zip(mutants, found):
             message = type(baseline.messages[index]).__name__
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -20,7 +20,7 @@
 from hillchute.history.replica import Replica
 from hillchute.history.replica_context import Membership
 from hillchute.history.retention import MS, ErasureRequest, RetentionPolicies
-from hillchute.history.views import LEASE
+from hillchute.history.views import VIEW_LEASE
 
 SECOND = 10_000
 STEP: Time = 500
@@ -33,8 +33,9 @@
 class HistoryNet:
     """The network with its routers, clients and engines.
 
-    `loss` and `twice` are the fractions of messages that are lost and duplicated, `never` is the fraction of
-    granted claims that are released without a run, `failure_rate` the fraction of runs that fail.
+    `loss_rate` and `duplicate_rate` are the fractions of messages that are lost and duplicated,
+    `not_sent_rate` is the fraction of granted claims that are released without a run, `failure_rate` the
+    fraction of runs that fail.
     """
 
     def __init__(
@@ -42,32 +43,39 @@
         seed: int,
         count: int,
         policies: RetentionPolicies,
-        loss: float = 0.0,
-        twice: float = 0.0,
-        never: float = 0.0,
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
+        not_sent_rate: float = 0.0,
         failure_rate: float = 0.05,
     ) -> None:
-        self.seed, self.chance, self.now, self.failure_rate = seed, random.Random(seed), EPOCH, failure_rate
-        self.loss, self.twice, self.never, self.policies = loss, twice, never, policies
+        self.seed, self.random, self.now, self.failure_rate = seed, random.Random(seed), EPOCH, failure_rate
+        self.loss_rate, self.duplicate_rate, self.not_sent_rate, self.policies = (
+            loss_rate,
+            duplicate_rate,
+            not_sent_rate,
+            policies,
+        )
         self.names = [f"n{n}" for n in range(count)]
         self.replicas: dict[str, Replica] = {}
-        self.lives: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.suspended: dict[str, list] = {}  # by suspended router: the messages that arrived meanwhile
-        self.offset: dict[str, Time] = defaultdict(int)  # of each router's clock
+        self.clock_offsets: dict[str, Time] = defaultdict(int)  # of each router's clock
         self.cuts: set[tuple[str, str]] = set()  # blocked directions: (sender, receiver)
-        self.seen: dict[str, dict[str, int]] = {n: {} for n in self.names}
+        self.live_seen_by: dict[str, dict[str, int]] = {n: {} for n in self.names}
         self.liveness_changes: list[tuple[Time, int, str, str]] = []
         self.in_flight: list = []
         self.last_order = 0
         # By claim: idempotency key, ordering key, time of the query.
-        self.open: dict[tuple[str, int, int], tuple[str, str, Time]] = {}
+        self.open_claims: dict[tuple[str, int, int], tuple[str, str, Time]] = {}
         # Start and end of each run as engines saw them, by idempotency key and by ordering key.
         self.runs: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
-        self.keys: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
-        self.said: Counter[str] = Counter()
-        self.rule: Counter[str] = Counter()  # broken rules
+        self.runs_by_key: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
+        self.verdict_counts: Counter[str] = Counter()
+        self.broken_rules: Counter[str] = Counter()  # broken rules
         self.last_requested_at: dict[str, Time] = {}  # by idempotency key: time of the query of the last run
-        self.endings: list[tuple[Time, int, tuple[str, int, int], str, int]] = []  # of running queries
+        self.pending_completions: list[
+            tuple[Time, int, tuple[str, int, int], str, int]
+        ] = []  # of running queries
         self.erasures: list[tuple[Time, Time | None]] = []  # erase what is older; since when it is known
         self.waiting_times: list[Time] = []
         for name in self.names:
@@ -76,42 +84,42 @@
     # ---- routers ----------------------------------------------------------------------------------
 
     def clock(self, name: str) -> Time:
-        return self.now + self.offset[name]
+        return self.now + self.clock_offsets[name]
 
     def start(self, name: str) -> None:
         incarnation = self.clock(name) // 10
-        self.lives[name] = max(incarnation, self.lives.get(name, 0) + 1)
-        self.seen[name] = {}
+        self.incarnations[name] = max(incarnation, self.incarnations.get(name, 0) + 1)
+        self.live_seen_by[name] = {}
 
         def live_routers() -> dict[str, int]:
-            return {**self.seen[name], name: self.lives[name]}
+            return {**self.live_seen_by[name], name: self.incarnations[name]}
 
         now = self.clock(name)
         self.replicas[name] = self.new_replica(name, now, live_routers)
         self.schedule_liveness_changes()
 
     def new_replica(self, name: str, now: Time, live_routers: Callable[[], dict[str, int]]) -> Replica:
-        membership = Membership(name, self.lives[name], self.names, live_routers)
+        membership = Membership(name, self.incarnations[name], self.names, live_routers)
         return Replica(membership, self.policies, now)
 
     def kill(self, name: str) -> None:
         self.replicas.pop(name, None)
         self.suspended.pop(name, None)
-        self.open = {claim: about for claim, about in self.open.items() if claim[0] != name}
+        self.open_claims = {claim: about for claim, about in self.open_claims.items() if claim[0] != name}
         self.schedule_liveness_changes()
 
     def leave(self, name: str) -> None:
         """Starts a router's shutdown: the others no longer count it as alive, and it still answers."""
         self.replicas[name].prepare_to_leave()
         for other in self.names:
-            self.seen[other].pop(name, None)
+            self.live_seen_by[other].pop(name, None)
 
-    def stop(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         if name in self.replicas:
             self.suspended.setdefault(name, [])
             self.schedule_liveness_changes()
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         for sender, data in self.suspended.pop(name, ()):
             self.deliver(sender, name, data)
         self.schedule_liveness_changes()
@@ -122,7 +130,7 @@
             self.cuts |= {(b, a) for a in some for b in others if a != b}
         self.schedule_liveness_changes()
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         self.cuts.clear()
         self.schedule_liveness_changes()
 
@@ -132,15 +140,15 @@
             for other in self.names:
                 if name != other:
                     self.last_order += 1
-                    at = self.now + self.chance.randint(*NOTICE_DELAY)
+                    at = self.now + self.random.randint(*NOTICE_DELAY)
                     heappush(self.liveness_changes, (at, self.last_order, name, other))
 
     def update_liveness(self, name: str, other: str) -> None:
         lives = other in self.replicas and other not in self.suspended
         if lives and not {(name, other), (other, name)} & self.cuts:
-            self.seen[name][other] = self.lives[other]
+            self.live_seen_by[name][other] = self.incarnations[other]
         else:
-            self.seen[name].pop(other, None)
+            self.live_seen_by[name].pop(other, None)
 
     # ---- the network ------------------------------------------------------------------------------
 
@@ -160,9 +168,11 @@
 
     def transmit(self, message: Message) -> list[tuple[Time, bytes]]:
         """Returns the copies of a message that arrive, each as (delay, bytes)."""
-        copies = 1 + (self.chance.random() < self.twice)
+        copies = 1 + (self.random.random() < self.duplicate_rate)
         delays = [
-            self.chance.randint(*MESSAGE_DELAY) for _ in range(copies) if self.chance.random() >= self.loss
+            self.random.randint(*MESSAGE_DELAY)
+            for _ in range(copies)
+            if self.random.random() >= self.loss_rate
         ]
         return [(after, self.encode_message(message)) for after in delays]
 
@@ -199,30 +209,30 @@
     def ask(self, name: str, idempotency_key: str, key: str, client_timeout: Time = CLIENT_TIMEOUT) -> None:
         replica = self.replicas.get(name)
         if replica is None or name in self.suspended:
-            self.said["nobody there"] += 1
+            self.verdict_counts["nobody there"] += 1
             return
         deadline = self.clock(name) + client_timeout
         query = KeyedQuery(ordering_key=key, idempotency_key=idempotency_key, deadline=deadline, ordered=True)
         number = replica.claim(self.clock(name), query)
-        self.open[name, self.lives[name], number] = idempotency_key, key, self.now
+        self.open_claims[name, self.incarnations[name], number] = idempotency_key, key, self.now
         self.post(name)
 
     def handle_decisions(self, name: str, replica: Replica) -> None:
-        for number, verdict, reason, rows in replica.take_decided():
-            claim = name, self.lives[name], number
-            if claim not in self.open:
-                self.rule["answered twice"] += 1
+        for number, verdict, reason, rows in replica.take_decided_claims():
+            claim = name, self.incarnations[name], number
+            if claim not in self.open_claims:
+                self.broken_rules["answered twice"] += 1
                 continue
-            idempotency_key, key, asked_at = self.open[claim]
-            self.said[f"{verdict.name}: {reason}"] += 1
-            self.said[verdict.name] += 1
+            idempotency_key, key, asked_at = self.open_claims[claim]
+            self.verdict_counts[f"{verdict.name}: {reason}"] += 1
+            self.verdict_counts[verdict.name] += 1
             self.waiting_times.append(self.now - asked_at)
             if verdict is not ClaimDecision.RUN:
-                del self.open[claim]
+                del self.open_claims[claim]
             if verdict is ClaimDecision.REPLAY and rows != f"rows of {idempotency_key}".encode():
-                self.rule["wrong answer"] += 1
+                self.broken_rules["wrong answer"] += 1
             if verdict is ClaimDecision.REPLAY and self.is_erased(idempotency_key):
-                self.rule["kept too long"] += 1
+                self.broken_rules["kept too long"] += 1
             if verdict is ClaimDecision.RUN:
                 self.start_run(claim, idempotency_key, key)
             else:
@@ -236,47 +246,47 @@
         rows: bytes | None,
         about: tuple[str, str, Time],
     ) -> None:
-        """Handles a claim that does not run here; `about` is its entry of `open`."""
+        """Handles a claim that does not run here; `about` is its entry of `open_claims`."""
 
     def start_run(self, claim: tuple[str, int, int], idempotency_key: str, key: str) -> None:
         """Starts a run on an engine, which ends even if the router dies; then the result is lost."""
         # Each run has a random generator of its own, so that one run does not change the draws of others.
         rng = random.Random(f"{self.seed}:{idempotency_key}:{len(self.runs[idempotency_key])}")
-        if rng.random() < self.never:
-            self.ended(claim, RecordState.NOT_RUN)
+        if rng.random() < self.not_sent_rate:
+            self.complete_run(claim, RecordState.NOT_RUN)
             return
         if self.runs[idempotency_key] and self.must_not_rerun(idempotency_key):
-            self.rule["ran twice"] += 1
-        self.last_requested_at[idempotency_key] = self.open[claim][2]
+            self.broken_rules["ran twice"] += 1
+        self.last_requested_at[idempotency_key] = self.open_claims[claim][2]
         duration = rng.randint(300, 1 * SECOND)
         span = self.now, self.now + duration
-        if any(begin < span[1] and span[0] < end for begin, end in self.keys[key]):
-            self.rule["out of order"] += 1
+        if any(begin < span[1] and span[0] < end for begin, end in self.runs_by_key[key]):
+            self.broken_rules["out of order"] += 1
         self.runs[idempotency_key].append(span)
-        self.keys[key].append(span)
+        self.runs_by_key[key].append(span)
         self.last_order += 1
         outcome = RecordState.FAILED if rng.random() < self.failure_rate else RecordState.SERVED
-        heappush(self.endings, (span[1], self.last_order, claim, idempotency_key, outcome))
+        heappush(self.pending_completions, (span[1], self.last_order, claim, idempotency_key, outcome))
 
     def complete_runs(self) -> None:
         """Completes the runs that have ended by now, where their routers still run."""
         postponed = []
-        while self.endings and self.endings[0][0] <= self.now:
-            _, order, claim, idempotency_key, outcome = heappop(self.endings)
-            if claim[0] in self.suspended and self.lives[claim[0]] == claim[1]:
+        while self.pending_completions and self.pending_completions[0][0] <= self.now:
+            _, order, claim, idempotency_key, outcome = heappop(self.pending_completions)
+            if claim[0] in self.suspended and self.incarnations[claim[0]] == claim[1]:
                 postponed.append((self.now + STEP, order, claim, idempotency_key, outcome))
-            elif claim in self.open:
-                self.ended(
+            elif claim in self.open_claims:
+                self.complete_run(
                     claim,
                     outcome,
                     f"rows of {idempotency_key}".encode() if outcome == RecordState.SERVED else None,
                 )
         for ending in postponed:
-            heappush(self.endings, ending)
+            heappush(self.pending_completions, ending)
 
-    def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
+    def complete_run(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         name, _, number = claim
-        self.open.pop(claim, None)
+        self.open_claims.pop(claim, None)
         self.replicas[name].end_claim(self.clock(name), number, state, rows)
         self.post(name)
 
@@ -290,11 +300,11 @@
     def is_erased(self, idempotency_key: str) -> bool:
         """Returns whether an answer was to be erased and a majority of routers has known that for a lease."""
         return any(
-            since is not None and self.now > since + LEASE and self.runs[idempotency_key][-1][0] < before
+            since is not None and self.now > since + VIEW_LEASE and self.runs[idempotency_key][-1][0] < before
             for before, since in self.erasures
         )
 
-    def forget(self, name: str) -> None:
+    def request_erasure(self, name: str) -> None:
         """Requests, at one router, the erasure of everything that was accepted until now."""
         self.policies = msgspec.structs.replace(
             self.policies,
@@ -316,7 +326,7 @@
 
     # ---- inspection -------------------------------------------------------------------------------
 
-    def held(self, idempotency_key: str) -> list[str]:
+    def routers_with_record(self, idempotency_key: str) -> list[str]:
         """Returns the routers that hold a record; only for checks of erasure, which concerns replicas."""
         return [
             n
@@ -324,18 +334,18 @@
             if any(x.record.idempotency_key == idempotency_key for x in k.records.all_records())
         ]
 
-    def settled(self, max_seconds: float = 30) -> bool:
+    def wait_until_settled(self, max_seconds: float = 30) -> bool:
         """Simulates until every router has the same view in force and all of its slots; False on time-out."""
         since = self.now
         while self.now - since < max_seconds * SECOND:
             self.advance(0.5)
             replicas = [k for n, k in self.replicas.items() if n not in self.suspended]
             fine = all(
-                k.views.in_force(k.context.now) and not k.slots.wanted and not k.slots.outdated
+                k.views.in_force(k.context.now) and not k.slots.fetching and not k.slots.outdated
                 for k in replicas
             )
             if fine and len({k.views.view.id for k in replicas}) == 1:
-                members = {n: self.lives[n] for n in self.replicas if n not in self.suspended}
+                members = {n: self.incarnations[n] for n in self.replicas if n not in self.suspended}
                 if replicas[0].views.view.members == members:
                     return True
         return False
@@ -348,12 +358,12 @@
             self.record_policies_known()
 
 
-def founded(**about: object) -> RetentionPolicies:
+def initial_policies(**about: object) -> RetentionPolicies:
     """Returns the first policies of a fleet that starts now."""
     return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
 
 
-def storm(net: HistoryNet, seed: int, seconds: float, forgets: bool = False) -> bool:
+def run_random_faults(net: HistoryNet, seed: int, seconds: float, with_erasures: bool = False) -> bool:
     """Runs random queries, resends and faults, then heals all faults.
 
     The faults are deaths, restarts, cuts in one or both directions and suspended processes. Returns whether
@@ -369,20 +379,20 @@
             else:
                 net.ask(rng.choice(net.names), *rng.choice(queries[-30:]))
         if net.now >= next_fault_at:
-            inject_random_fault(net, rng, forgets)
+            inject_random_fault(net, rng, with_erasures)
             next_fault_at = net.now + rng.choice([0, 0, 2, 6, 12]) * SECOND
         net.advance(rng.choice([0.1, 0.2, 0.5]))
-    net.mend()
+    net.heal()
     for name in net.names:
         if name in net.suspended:
-            net.go_on(name)
+            net.resume(name)
         if name not in net.replicas:
             net.start(name)
-    return net.settled(60)
+    return net.wait_until_settled(60)
 
 
-def inject_random_fault(net: HistoryNet, rng: random.Random, forgets: bool) -> None:
-    """Injects one random fault, a recovery from one, or with `forgets` an erasure request."""
+def inject_random_fault(net: HistoryNet, rng: random.Random, with_erasures: bool) -> None:
+    """Injects one random fault, a recovery from one, or with `with_erasures` an erasure request."""
     what, names = rng.random(), rng.sample(net.names, len(net.names))
     if what < 0.25:
         for name in names[: rng.choice([1] * 9 + [2, 4])]:
@@ -395,14 +405,14 @@
         half = rng.randint(1, len(names) - 1)
         net.cut(names[:half], names[half:], both=rng.random() < 0.7)
     elif what < 0.75:
-        net.mend()
+        net.heal()
     elif what < 0.82:
-        net.stop(names[0])
+        net.suspend(names[0])
     elif what < 0.92:
         for name in list(net.suspended):
-            net.go_on(name)
-    elif forgets and names[0] in net.replicas and names[0] not in net.suspended:
-        net.forget(names[0])
+            net.resume(name)
+    elif with_erasures and names[0] in net.replicas and names[0] not in net.suspended:
+        net.request_erasure(names[0])
 
 
-__all__ = ["EPOCH", "LEASE", "SECOND", "HistoryNet", "founded", "storm"]
+__all__ = ["EPOCH", "SECOND", "VIEW_LEASE", "HistoryNet", "initial_policies", "run_random_faults"]
--- a/hillchute/lab/line_engine.py
+++ b/hillchute/lab/line_engine.py
@@ -34,7 +34,7 @@
         world = self.engine.world
         world.connection_count += 1
         number = world.connection_count
-        world.talks[number] = stream.extra(anyio.abc.SocketAttribute.remote_port)
+        world.open_connections[number] = stream.extra(anyio.abc.SocketAttribute.remote_port)
         connection = Connection(self, stream, number)
         try:
             async with anyio.create_task_group() as connection.tasks:
@@ -44,7 +44,7 @@
             pass
         finally:
             self.streams.discard(stream)
-            del world.talks[number]
+            del world.open_connections[number]
             with anyio.CancelScope(shield=True):
                 await stream.aclose()
 
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -378,7 +378,7 @@
 fleet_view.first_routers = lambda engine, routers, width: router_order(engine, routers)[:width]
 
 
-class Many(Simulation):
+class FleetSimulation(Simulation):
     """A fleet in which each router decides with its own scheduler."""
 
     def __init__(self, seed: int, *sizes: float, form: str = "alone", **overrides: object) -> None:
--- a/hillchute/lab/measure.py
+++ b/hillchute/lab/measure.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from hillchute.lab.clients import Flight, MySQL, Query
+from hillchute.lab.clients import FlightClient, MySQLClient, Query
 from hillchute.lab.fleet import Router, deployed
 from hillchute.lab.parity import operator
 from hillchute.protocol import Flight_pb2 as flight
@@ -37,29 +37,29 @@
     return int(text.partition(f"{name}:")[2].split()[0]) / 1024
 
 
-def query(rows: int, batches: int, wide: int, patience: int = 9_000, group: str = "report") -> Query:
+def query(rows: int, batches: int, wide: int, client_timeout_ms: int = 9_000, group: str = "report") -> Query:
     text = f"SELECT /* lab ms=0.1 rows={rows} batches={batches} wide={wide} */ day FROM sales_3.orders"
-    return Query(group, text, patience, weight=1.0)
+    return Query(group, text, client_timeout_ms, weight=1.0)
 
 
-def client_factory(front: str, fleet, router: Router) -> Callable[[], MySQL | Flight]:
+def client_factory(front: str, fleet, router: Router) -> Callable[[], MySQLClient | FlightClient]:
     if front == "mysql":
-        return lambda: MySQL(fleet.world, router.port)
+        return lambda: MySQLClient(fleet.world, router.port)
     return lambda: ByteCountingFlight(fleet.world, router.flight_port)
 
 
-class ByteCountingFlight(Flight):
+class ByteCountingFlight(FlightClient):
     """A Flight SQL client that counts bytes and does not decode batches, to keep its own cost low."""
 
     bytes = 0
     pause = 0.0
 
     async def run_select(self, query: Query) -> None:
-        get_info = self.channel.unary_unary(f"{arrow.SERVICE}GetFlightInfo")
-        command = arrow.command(sql.CommandStatementQuery(query=query.statement))
+        get_info = self.channel.unary_unary(f"{arrow.SERVICE_PATH}GetFlightInfo")
+        command = arrow.command_descriptor(sql.CommandStatementQuery(query=query.statement))
         raw = await get_info(command.SerializeToString(), metadata=self.metadata(query))
         ticket = flight.FlightInfo.FromString(raw).endpoint[0].ticket
-        do_get = self.channel.unary_stream(f"{arrow.SERVICE}DoGet")
+        do_get = self.channel.unary_stream(f"{arrow.SERVICE_PATH}DoGet")
         async for raw in do_get(ticket.SerializeToString(), metadata=self.metadata(query)):
             self.bytes += len(raw)
             if self.pause:
@@ -79,7 +79,7 @@
             client = make_client()
             while time.monotonic() - started_at < seconds:
                 q = query(rows, batches, 84)
-                await client.ask(q)
+                await client.run(q)
                 queries.append(q)
             await client.close()
 
@@ -88,7 +88,7 @@
                 tasks.start_soon(run_client)
         duration, cpu_used = time.monotonic() - started_at, cpu_seconds(router) - cpu_used
         peak_mb = memory_mb(router, "VmHWM")
-    finished = sum(q.how == "finished" for q in queries)
+    finished = sum(q.outcome == "finished" for q in queries)
     megabytes = finished * rows * 100 / 1e6
     return {
         "rows_a_second": round(finished * rows / duration),
@@ -100,8 +100,8 @@
     }
 
 
-async def run_query(client: MySQL | Flight, q: Query) -> None:
-    await client.ask(q)
+async def run_query(client: MySQLClient | FlightClient, q: Query) -> None:
+    await client.run(q)
     await client.close()
 
 
@@ -116,8 +116,8 @@
                 cpu_used = cpu_seconds(router)
             q = query(5, 1, 8, group="lookup")
             started_at = time.monotonic()
-            await client.ask(q)
-            if n >= 20 and q.how == "finished":
+            await client.run(q)
+            if n >= 20 and q.outcome == "finished":
                 times.append(1000 * (time.monotonic() - started_at))
         cpu_used = cpu_seconds(router) - cpu_used
         await client.close()
@@ -148,7 +148,7 @@
         "megabytes_each": round(batches * 4_000 * 100 / 1e6, 1),
         "before_mb": round(before_mb, 1),
         "peak_mb": round(peak_mb, 1),
-        "finished": sum(q.how == "finished" for q in queries),
+        "finished": sum(q.outcome == "finished" for q in queries),
     }
 
 
@@ -157,7 +157,7 @@
     batches = megabytes * 1_000_000 // 400_000
     async with deployed("flight", 1, operator("flight")) as (fleet, router):
         q, client = (
-            query(batches * 4_000, batches, 84, patience=6_000),
+            query(batches * 4_000, batches, 84, client_timeout_ms=6_000),
             ByteCountingFlight(fleet.world, router.flight_port),
         )
         before_mb, started_at, cpu_used = memory_mb(router, "VmRSS"), time.monotonic(), cpu_seconds(router)
@@ -170,7 +170,7 @@
             ),
             "before_mb": round(before_mb, 1),
             "peak_mb": round(memory_mb(router, "VmHWM"), 1),
-            "how": q.how,
+            "how": q.outcome,
         }
 
 
--- a/hillchute/lab/parity.py
+++ b/hillchute/lab/parity.py
@@ -12,7 +12,7 @@
 import anyio
 
 from hillchute.lab import rules
-from hillchute.lab.clients import Client, Flight, MySQL, Query
+from hillchute.lab.clients import Client, FlightClient, MySQLClient, Query
 from hillchute.lab.fleet import Fleet, deployed
 
 OPERATOR = """
@@ -47,7 +47,7 @@
         self.tokens += 1
         return f"{self.tokens:032x}"
 
-    def query(self, group: str, patience: int = 5_000, **script: float) -> Query:
+    def query(self, group: str, client_timeout_ms: int = 5_000, **script: float) -> Query:
         """Make a query whose behaviour on the engine is `script`, with the keys of world.py."""
         script = {"ms": WORK_MS} | script
         comment = " ".join(f"{name}={value}" for name, value in script.items())
@@ -58,13 +58,13 @@
             return Query(
                 group,
                 text,
-                patience,
-                token=self.token(),
-                key=f"{self.rng.getrandbits(60):016x}",
+                client_timeout_ms,
+                idempotency_key=self.token(),
+                ordering_key=f"{self.rng.getrandbits(60):016x}",
                 weight=script["ms"],
             )
         text = f"SELECT /* lab {comment} */ day, count(*) FROM sales_{table_group}.orders GROUP BY day"
-        return Query(group, text, patience, weight=script["ms"])
+        return Query(group, text, client_timeout_ms, weight=script["ms"])
 
     def normal(self) -> Query:
         """Make a query that finishes."""
@@ -83,13 +83,13 @@
             case "full":  # rejected by a full engine once, then run
                 return self.query(group, full=1)
             case "always_full":  # rejected by every engine
-                return self.query(group, patience=400, full=-1)
+                return self.query(group, client_timeout_ms=400, full=-1)
             case "error":  # fails once, then runs on another engine
                 return self.query(group, error=1)
             case "always_error":  # fails on every engine
                 return self.query(group, error=-1)
             case "hang":  # never ends
-                return self.query(group, patience=400, hang=1)
+                return self.query(group, client_timeout_ms=400, hang=1)
             case "cut":  # the result stream breaks off halfway
                 return self.query(group, rows=40, batches=4, cut=2)
             case "unknown_group":
@@ -121,7 +121,7 @@
         for n in range(6):
             client_queries = [self.query("event-load") for _ in range(8)]
             for q in client_queries:
-                q.key = f"{n + 1:016x}"
+                q.ordering_key = f"{n + 1:016x}"
             query_lists.append(client_queries)
         return query_lists
 
@@ -131,7 +131,17 @@
         for _ in range(20):
             q = self.query("event-load")
             pairs.append(
-                [q, Query(q.group, q.statement, q.patience, token=q.token, key=q.key, weight=q.weight)]
+                [
+                    q,
+                    Query(
+                        q.group,
+                        q.statement,
+                        q.client_timeout_ms,
+                        idempotency_key=q.idempotency_key,
+                        ordering_key=q.ordering_key,
+                        weight=q.weight,
+                    ),
+                ]
             )
         return pairs
 
@@ -170,7 +180,7 @@
 
 async def run_queries(client: Client, client_queries: list[Query], interval: float) -> None:
     for q in client_queries:
-        await client.ask(q)
+        await client.run(q)
         if interval:
             await anyio.sleep(interval)
     await client.close()
@@ -180,13 +190,13 @@
     """Run the workload through one front end; return the number of queries by outcome and violations."""
     script = Script(seed, count)
     async with deployed(engines, ENGINES, operator(engines), seed) as (fleet, router):
-        kind = MySQL if front == "mysql" else Flight
+        kind = MySQLClient if front == "mysql" else FlightClient
         port = router.port if front == "mysql" else router.flight_port
         await play(script, fleet, lambda: kind(fleet.world, port))
         await anyio.sleep(0.2)
-        faults = rules.broken(fleet.world, script.queries)
+        faults = rules.find_violations(fleet.world, script.queries)
         faults += [f"the router logged a fault: {entry}"[:300] for entry in router.faults()]
-    outcomes = Counter(q.how for q in script.queries if q.cancel_after is None)
+    outcomes = Counter(q.outcome for q in script.queries if q.cancel_after is None)
     return outcomes, faults
 
 
