--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -25,7 +25,7 @@
     CLIENT_TIMEOUT,
     SECOND,
     PartnersNet,
-    founded,
+    initial_policies,
     offer_majority,
     send_random_queries,
 )
@@ -40,7 +40,7 @@
 # ---- moves ----------------------------------------------------------------------------------------
 
 
-def least_moves(held: tuple, shares: Mapping[str, int]) -> int:
+def minimum_moves(held: tuple, shares: Mapping[str, int]) -> int:
     """Returns the minimum of moves: only surplus slots and slots without an owner move, each once."""
     total = sum(shares.values())
     floors = {n: SLOTS * s // total for n, s in shares.items()}
@@ -58,7 +58,7 @@
         some = rng.sample("abcdefgh", rng.randint(2, 8))
         shares = {name: rng.choice([0, *range(500, 5000)]) for name in some} | {some[0]: 1000}
         owners = allocate_slots(held, shares)
-        excess_moves += count_moves(held, owners) - least_moves(held, shares)
+        excess_moves += count_moves(held, owners) - minimum_moves(held, shares)
         by_count += count_moves(held, owners)
         work = [int(1000 * rng.paretovariate(1.3)) for _ in range(SLOTS)]
         owners_by_load = allocate_slots_by_load(owners, shares, work)
@@ -90,7 +90,10 @@
         self.had_owner: set[int] = set()
         self.original_complete, replica.leases.complete = replica.leases.complete, self.complete
         self.original_tick, replica.leases.tick = replica.leases.tick, self.tick
-        self.original_take_claim, replica.claims.take_claim = replica.claims.take_claim, self.take_claim
+        self.original_handle_claim, replica.claims.handle_claim = (
+            replica.claims.handle_claim,
+            self.handle_claim,
+        )
 
     def complete(self, number: int, transfer: LeaseTransfer) -> None:
         self.original_complete(number, transfer)
@@ -103,7 +106,7 @@
         self.original_tick()
         self.had_owner |= before & self.replica.leases.transfers.keys()
 
-    def take_claim(self, sender: str, claim: ClaimRequest) -> None:
+    def handle_claim(self, sender: str, claim: ClaimRequest) -> None:
         """Measures how long a claim waits for a run under the lease of an earlier owner."""
         number, now = slot_of(claim.customer, claim.ordering_key), self.replica.context.now
         lease, about = self.replica.slots.slots[number].lease, claim.claim_id(sender)
@@ -113,7 +116,7 @@
             self.waits.setdefault(about, now)
         elif about in self.waits:
             self.claim_waits.append(now - self.waits.pop(about))
-        self.original_take_claim(sender, claim)
+        self.original_handle_claim(sender, claim)
 
 
 class RecordingNet(PartnersNet):
@@ -132,16 +135,16 @@
 
 def measure_unowned_time(seed: int, rounds: int = 8) -> dict[str, object]:
     """Measures, under load, the time between a slot's loss of its owner and the new owner's lease."""
-    net, rng = RecordingNet(seed, 9, founded(copies=2, default=RETENTION)), random.Random(seed)
-    net.agree()
-    net.settled()
-    net.agreed()
+    net, rng = RecordingNet(seed, 9, initial_policies(copies=2, default=RETENTION)), random.Random(seed)
+    net.make_offers()
+    net.wait_until_settled()
+    net.wait_until_agreed()
     for n in range(rounds):
         offer_majority(net, "abc"[n % 3], 6000, 2000)
         until = net.now + 12 * SECOND
         while net.now < until:
             send_random_queries(net, rng, 2, 400)
-        net.agreed()
+        net.wait_until_agreed()
     gaps = sorted(gap / 10 for gap in net.gaps)
     cuts = quantiles(gaps, n=100)
     return {
@@ -152,16 +155,16 @@
         "unowned_ms_most": round(gaps[-1], 1),
         "waited_for_the_owner_before": len(net.claim_waits),
         "waited_ms_most": round(max(net.claim_waits, default=0) / 10, 1),
-        "two_owners": net.rule["two owners"],
+        "two_owners": net.broken_rules["two owners"],
     }
 
 
 def measure_blocked_keys(seed: int) -> dict[str, object]:
     """Measures how long the keys of a dead router's runs stay blocked once other partners own the slots."""
-    net = RecordingNet(seed, 9, founded(copies=2, default=RETENTION))
-    net.agree()
-    net.settled()
-    net.agreed()
+    net = RecordingNet(seed, 9, initial_policies(copies=2, default=RETENTION))
+    net.make_offers()
+    net.wait_until_settled()
+    net.wait_until_agreed()
     victims = net.partners["a"]
     for n in range(60):
         net.claim(victims[1], f"t{n}", f"k{n}", CLIENT_TIMEOUT)
@@ -175,7 +178,7 @@
     net.offer("a", 500)
     for partner in "bc":
         net.offer(partner, 7000)
-    net.agreed()
+    net.wait_until_agreed()
     unblocked_at, owners = {}, net.owners()
     first = {slot: holders(slot, net.replicas["n1"].views.view.members, 1)[0] for slot in range(SLOTS)}
     moved = [key for key in sorted(keys_out) if owners[slot_of("", key)] != "a"]
@@ -209,14 +212,14 @@
             for i, n in enumerate(self.names)
         }
         self.confined: set[str] = set()
-        self.told_of = dict.fromkeys(self.names, shares)
-        self.wants = dict.fromkeys(self.names, 0)
+        self.known_shares = dict.fromkeys(self.names, shares)
+        self.requested_units = dict.fromkeys(self.names, 0)
         self.max_usable = 0  # highest number of units that all routers together could use at an instant
         self.update_entitlements()
 
     def update_entitlements(self) -> None:
         for name, quotas in self.quotas.items():
-            home = router_allocations(TOTAL_UNITS, self.told_of[name], self.routers)[name]
+            home = router_allocations(TOTAL_UNITS, self.known_shares[name], self.routers)[name]
             ours, least = (
                 self.routers[self.partner_of[name]],
                 minimum_allocation(TOTAL_UNITS, len(self.names)),
@@ -238,7 +241,7 @@
         self.now += POOL_TICK
         self.update_entitlements()
         for name, quotas in self.quotas.items():
-            quotas.set_requested("pool", self.wants[name])
+            quotas.set_requested("pool", self.requested_units[name])
         demands = {name: quotas.demands(self.now) for name, quotas in self.quotas.items()}
         for name, wants in demands.items():
             for other, quotas in self.quotas.items():
@@ -250,16 +253,16 @@
                 self.now, name, request.limit, request.body
             ):
                 self.quotas[name].on_grant(request.recipient, back.limit, back.body)
-        self.max_usable = max(self.max_usable, sum(self.may_use(name) for name in self.names))
+        self.max_usable = max(self.max_usable, sum(self.usable_units(name) for name in self.names))
 
-    def may_use(self, name: str) -> int:
+    def usable_units(self, name: str) -> int:
         return self.quotas[name].usable("pool", self.now)
 
-    def of(self, partner: str) -> int:
-        return sum(self.may_use(name) for name in self.routers[partner])
+    def usable_units_of(self, partner: str) -> int:
+        return sum(self.usable_units(name) for name in self.routers[partner])
 
     def used(self, partner: str) -> int:
-        return sum(min(self.wants[name], self.may_use(name)) for name in self.routers[partner])
+        return sum(min(self.requested_units[name], self.usable_units(name)) for name in self.routers[partner])
 
 
 def measure_pool_shares(seed: int, seconds: float = 600.0, each: int = 8) -> dict[str, object]:
@@ -282,12 +285,12 @@
         for partner, some in routers.items():
             for name in some:
                 home = TOTAL_UNITS * shares[partner] // 10_000 // each
-                want = pool.wants[name] or home
+                want = pool.requested_units[name] or home
                 target = home * demand_factor[partner] * rng.choice([0.2, 1.0, 1.8])
-                pool.wants[name] = int(want + 0.1 * (target - want))
+                pool.requested_units[name] = int(want + 0.1 * (target - want))
         pool.step()
         steps += 1
-        asked = {p: sum(pool.wants[n] for n in some) for p, some in routers.items()}
+        asked = {p: sum(pool.requested_units[n] for n in some) for p, some in routers.items()}
         full = [p for p in routers if asked[p] >= TOTAL_UNITS * shares[p] / 10_000]
         for name, quotas in pool.quotas.items():
             limit = quotas.limits["pool"]
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -17,7 +17,7 @@
 from hillchute.history.retention import RetentionPolicy
 from hillchute.lab import history_mutants
 from hillchute.lab.history_mutants import ALLOWED_VIOLATIONS, MutatingNetwork
-from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, founded
+from hillchute.lab.partners_net import HISTORY, PARTNERS, PartnersNet, initial_policies
 from hillchute.partners import codec
 from hillchute.partners.messages import Message, PartnerMessage
 from hillchute.partners.signatures import SignedKind, content_digest, signed_bytes
@@ -33,16 +33,16 @@
 )
 KINDS = (*get_args(Message), *HISTORY_MESSAGE_TYPES)
 # Rules that a lying router may break.
-MAY_BE = (*ALLOWED_VIOLATIONS, "two owners", "deferred and ran", "overtaken")
+ALLOWED_PARTNER_VIOLATIONS = (*ALLOWED_VIOLATIONS, "two owners", "deferred and ran", "overtaken")
 
 
-class Net(MutatingNetwork, PartnersNet):
+class MutatedPartnersNet(MutatingNetwork, PartnersNet):
     """Six routers of three partners; one of their messages may be mutated."""
 
     def __init__(self, seed: int, index: int = -1, mutation: str = "", path: tuple = ()) -> None:
         self.select_mutant(index, mutation, path)
         policy = RetentionPolicy(rows=True, least_ms=90_000, most_ms=600_000)
-        super().__init__(seed, ROUTERS, founded(copies=1, default=policy), failure_rate=0.0)
+        super().__init__(seed, ROUTERS, initial_policies(copies=1, default=policy), failure_rate=0.0)
 
     def encode_unchecked(self, message: object) -> bytes:
         """Encodes a message without checking the bounds of its fields."""
@@ -55,22 +55,22 @@
         for n in range(first, first + count):
             self.ask(names[n % len(names)], f"t{n}", f"k{n % 4}")
             if n % 3 == 0:
-                self.change(names[n % len(names)], n % 3)
+                self.ask_mutating(names[n % len(names)], n % 3)
             self.advance(interval)
 
-    def script(self) -> "Net":
-        """Plays the whole run and records failures in `raised`."""
-        self.agree()
-        if not (self.settled() and self.agreed()):
-            self.raised.append("no agreement is in force at the start")
+    def script(self) -> "MutatedPartnersNet":
+        """Plays the whole run and records failures in `failures`."""
+        self.make_offers()
+        if not (self.wait_until_settled() and self.wait_until_agreed()):
+            self.failures.append("no agreement is in force at the start")
             return self
         self.renew_agreement_under_load()
         self.lose_routers()
         self.leave_agreement()
-        if not (self.settled(40) and self.agreed(40)):
-            self.raised.append("not settled at the end")
+        if not (self.wait_until_settled(40) and self.wait_until_agreed(40)):
+            self.failures.append("not settled at the end")
         if self.unanswered():
-            self.raised.append(f"{self.unanswered()} clients without an answer")
+            self.failures.append(f"{self.unanswered()} clients without an answer")
         self.check_agreements()
         return self
 
@@ -97,7 +97,7 @@
         self.advance(2)
         self.ask_all(30, 3, ["n0", "n5"])
         self.advance(7)
-        self.mend()
+        self.heal()
         self.advance(9)
 
     def leave_agreement(self) -> None:
@@ -114,7 +114,7 @@
         for name, protocol in self.protocols.items():
             for number, agreement in protocol.ledger.accepted.items():
                 if agreements.setdefault(number, agreement) != agreement:
-                    self.raised.append(f"{name} has a different agreement {number}")
+                    self.failures.append(f"{name} has a different agreement {number}")
                 for partner in agreement.shares:
                     signature = protocol.ledger.signatures.get(content_digest(agreement), {}).get(partner)
                     is_known = (
@@ -122,11 +122,11 @@
                     )
                     content = signed_bytes(SignedKind.AGREEMENT, number, content_digest(agreement))
                     if not is_known or not self.check(partner, content, signature.value):
-                        self.raised.append(
+                        self.failures.append(
                             f"{name} accepted agreement {number} without {partner}'s signature"
                         )
 
-    def end(self) -> dict[str, object]:
+    def final_state(self) -> dict[str, object]:
         """Returns the effective shares, the slots per owner and the highest number of runs of one key."""
         protocols = list(self.protocols.values())
         return {
@@ -141,4 +141,6 @@
 
 def play(seed: int, max_mutants: int | None = None, jobs: int | None = None) -> dict[str, object]:
     """Runs mutants as history_mutants.play does, with the messages of partners."""
-    return history_mutants.play(seed, max_mutants, jobs, Net, KINDS, MAY_BE)
+    return history_mutants.play(
+        seed, max_mutants, jobs, MutatedPartnersNet, KINDS, ALLOWED_PARTNER_VIOLATIONS
+    )
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -23,7 +23,7 @@
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.slot_placement import SLOTS, holders
 from hillchute.lab import history_net
-from hillchute.lab.history_net import CLIENT_TIMEOUT, EPOCH, SECOND, STEP, HistoryNet, founded
+from hillchute.lab.history_net import CLIENT_TIMEOUT, EPOCH, SECOND, STEP, HistoryNet, initial_policies
 from hillchute.partners import codec
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.forwarding import QueryForwarder
@@ -47,14 +47,14 @@
 ANSWER_GRACE: Time = 2 * SECOND
 
 
-def private(partner: str) -> bytes:
+def private_key_bytes(partner: str) -> bytes:
     """Returns a partner's fixed Ed25519 private key."""
     return partner.encode().ljust(32, b"-")
 
 
-def public(partner: str) -> bytes:
+def public_key_bytes(partner: str) -> bytes:
     """Returns a partner's Ed25519 public key."""
-    return Ed25519PrivateKey.from_private_bytes(private(partner)).public_key().public_bytes_raw()
+    return Ed25519PrivateKey.from_private_bytes(private_key_bytes(partner)).public_key().public_bytes_raw()
 
 
 class PartnersNet(HistoryNet):
@@ -70,7 +70,7 @@
         self.forwarders: dict[str, QueryForwarder] = {}
         self.journals: dict[str, dict[int, bytes]] = defaultdict(dict)  # by partner; survive restarts
         self.offers: dict[str, Offer] = {}
-        self.check: Verify = ed25519_verifier({p: public(p) for p in self.partners})
+        self.check: Verify = ed25519_verifier({p: public_key_bytes(p) for p in self.partners})
         # By client query: router, incarnation, time, time-out, number of answers.
         self.client_queries: dict[int, list] = {}
         self.query_by_claim: dict[tuple[str, int, int], int] = {}  # client query by claim
@@ -80,17 +80,19 @@
         self.last_run: dict[tuple[str, int, str], int] = {}
         self.query_by_forwarded: dict[tuple[str, int, int], int] = {}  # client query of every forwarded query
         self.session_by_claim: dict[tuple[str, int, int], int] = {}  # by claim of an incoming forwarded query
-        self.led: dict[str, list[tuple[Time, Time, str]]] = defaultdict(list)  # by key: start, end, partner
+        self.coordinated_runs: dict[str, list[tuple[Time, Time, str]]] = defaultdict(
+            list
+        )  # by key: start, end, partner
         self.executed_queries: set[int] = set()  # client queries that ran
         self.rejected_queries: set[int] = set()  # client queries that were rejected
-        self.hops: Counter[str] = Counter()
+        self.forwarding_counts: Counter[str] = Counter()
         self.query_count = 0
         super().__init__(seed, count, policies, **faults)
 
     # ---- routers ------------------------------------------------------------------------------------
 
     def new_replica(self, name: str, now: Time, live_routers: Callable[[], dict[str, int]]) -> Replica:
-        incarnation, partner = self.lives[name], self.partner_of[name]
+        incarnation, partner = self.incarnations[name], self.partner_of[name]
         protocol = AgreementProtocol(
             PartnerMembership(name, partner, self.partners, self.check),
             self.seed,
@@ -118,7 +120,7 @@
             journal[number] = digest
             return True
 
-        return AgreementSigner(partner, ed25519_signer(private(partner)), record, dict(journal))
+        return AgreementSigner(partner, ed25519_signer(private_key_bytes(partner)), record, dict(journal))
 
     def kill(self, name: str) -> None:
         for kept in (self.protocols, self.forwarders):
@@ -158,9 +160,9 @@
         try:
             self.protocols[name].make_offer(self.clock(name), offer)
         except InvalidAgreementError:
-            self.hops["offers rejected"] += 1
+            self.forwarding_counts["offers rejected"] += 1
 
-    def agree(self, **wants: int) -> None:
+    def make_offers(self, **wants: int) -> None:
         for partner in self.partners:
             self.offer(partner, wants.get(partner, SHARE_TOTAL // len(self.partners)))
 
@@ -192,7 +194,7 @@
 
     def tick(self, name: str) -> None:
         now = self.clock(name)
-        self.protocols[name].tick(now, self.seen[name].keys())
+        self.protocols[name].tick(now, self.live_seen_by[name].keys())
         self.forwarders[name].tick(now)
         super().tick(name)
 
@@ -211,9 +213,9 @@
     def ask(self, name: str, idempotency_key: str, key: str, client_timeout: Time = CLIENT_TIMEOUT) -> None:
         self.query_count += 1
         if name not in self.replicas or name in self.suspended:
-            self.said["nobody there"] += 1
+            self.verdict_counts["nobody there"] += 1
             return
-        self.client_queries[self.query_count] = [name, self.lives[name], self.now, client_timeout, 0]
+        self.client_queries[self.query_count] = [name, self.incarnations[name], self.now, client_timeout, 0]
         claim = self.claim(name, idempotency_key, key, client_timeout)
         self.query_by_claim[claim] = self.query_count
         self.post(name)
@@ -228,24 +230,24 @@
             is_transient=is_mutating,
         )
         number = self.replicas[name].claim(now, query)
-        claim = name, self.lives[name], number
-        self.open[claim] = idempotency_key, key, self.now
+        claim = name, self.incarnations[name], number
+        self.open_claims[claim] = idempotency_key, key, self.now
         return claim
 
-    def change(self, name: str, tables: int) -> None:
+    def ask_mutating(self, name: str, tables: int) -> None:
         """Sends a mutating query, whose answer is not kept for replay."""
         self.ask(name, f"once{self.query_count}", f"{TABLE_GROUP_PREFIX}{tables}")
 
     def record_answer(self, client_query: int, outcome: ForwardOutcome) -> None:
         """Records the final answer to a client query."""
-        self.said[f"answered {outcome}"] += 1
+        self.verdict_counts[f"answered {outcome}"] += 1
         if outcome is ForwardOutcome.REJECTED:
             self.rejected_queries.add(client_query)
-            self.rule["deferred and ran"] += client_query in self.executed_queries
+            self.broken_rules["deferred and ran"] += client_query in self.executed_queries
         if client_query in self.client_queries:
             self.client_queries[client_query][4] += 1
             if self.client_queries[client_query][4] > 1:
-                self.rule["two answers"] += 1
+                self.broken_rules["two answers"] += 1
 
     def handle_not_run(
         self,
@@ -265,7 +267,7 @@
             self.forwarders[name].answer(self.clock(name), session, outcome, reason, rows)
             return
         if verdict is ClaimDecision.FORWARD:
-            self.hops["forwarded"] += 1
+            self.forwarding_counts["forwarded"] += 1
             forwarder, now = self.forwarders[name], self.clock(name)
             to = forwarder.choose_target(self.partners.get(reason, ()), "", key)
             if to is not None:
@@ -294,20 +296,20 @@
 
     def run_forwarded(self, name: str) -> None:
         """Handles forwarded queries that arrived and those that completed."""
-        forwarder, incarnation = self.forwarders[name], self.lives[name]
+        forwarder, incarnation = self.forwarders[name], self.incarnations[name]
         arrivals, forwarder.arrivals = forwarder.arrivals, []
         for session, message in arrivals:
-            self.hops["arrived"] += 1
+            self.forwarding_counts["arrived"] += 1
             claim = self.claim(name, message.query_id, message.statement.decode(), message.time_left)
             self.session_by_claim[claim] = session
         completions, forwarder.completions = forwarder.completions, []
         for number, outcome, _, rows in completions:
             client_query, claim_number = self.claim_by_forwarded.pop((name, incarnation, number), (None, 0))
-            self.rule["ended twice"] += client_query is None
+            self.broken_rules["ended twice"] += client_query is None
             if claim_number:
                 self.replicas[name].end_claim(self.clock(name), claim_number, RecordState.NOT_RUN)
             if outcome is ForwardOutcome.SERVED and rows is None:
-                self.rule["wrong answer"] += 1
+                self.broken_rules["wrong answer"] += 1
             if client_query is not None:
                 self.record_answer(client_query, outcome)
         if arrivals or completions:
@@ -324,16 +326,16 @@
         client_query = self.query_of(claim)
         if client_query is not None:
             self.executed_queries.add(client_query)
-            self.rule["deferred and ran"] += client_query in self.rejected_queries
+            self.broken_rules["deferred and ran"] += client_query in self.rejected_queries
             if client_query in self.client_queries and not key.startswith(TABLE_GROUP_PREFIX):
                 client_and_key = (*self.client_queries[client_query][:2], key)
-                self.rule["overtaken"] += client_query < self.last_run.get(client_and_key, 0)
+                self.broken_rules["overtaken"] += client_query < self.last_run.get(client_and_key, 0)
                 self.last_run[client_and_key] = max(client_query, self.last_run.get(client_and_key, 0))
         begin, end = self.runs[idempotency_key][-1]
         partner = self.partner_of[claim[0]]
-        if any(b < end and begin < e and other != partner for b, e, other in self.led[key]):
-            self.rule["two owners"] += 1
-        self.led[key].append((begin, end, partner))
+        if any(b < end and begin < e and other != partner for b, e, other in self.coordinated_runs[key]):
+            self.broken_rules["two owners"] += 1
+        self.coordinated_runs[key].append((begin, end, partner))
 
     def query_of(self, claim: tuple[str, int, int]) -> int | None:
         """Returns the client query of a claim, also if it was forwarded."""
@@ -343,14 +345,14 @@
         incoming = self.forwarders[claim[0]].by_session[session]
         return self.query_by_forwarded.get((incoming.sender, incoming.incarnation, incoming.number))
 
-    def ended(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
+    def complete_run(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         session, client_query = self.session_by_claim.pop(claim, None), self.query_by_claim.pop(claim, None)
         outcome = OUTCOME_BY_STATE.get(state, ForwardOutcome.FAILED)
         if session is not None:
             self.forwarders[claim[0]].answer(self.clock(claim[0]), session, outcome, "", rows)
         elif client_query is not None:
             self.record_answer(client_query, outcome)
-        super().ended(claim, state, rows)
+        super().complete_run(claim, state, rows)
 
     # ---- inspection ---------------------------------------------------------------------------------
 
@@ -359,7 +361,7 @@
         return sum(
             not answers and self.now > asked + client_timeout + ANSWER_GRACE
             for name, incarnation, asked, client_timeout, answers in self.client_queries.values()
-            if self.lives[name] == incarnation and name in self.replicas and name not in self.suspended
+            if self.incarnations[name] == incarnation and name in self.replicas and name not in self.suspended
         )
 
     def owners(self) -> list[str]:
@@ -372,7 +374,7 @@
             found.append(lease.owner if lease is not None else "")
         return found
 
-    def agreed(self, most: float = 60) -> bool:
+    def wait_until_agreed(self, most: float = 60) -> bool:
         """Simulates until all follow one agreement and each slot has its owner; False on time-out."""
         since = self.now
         while self.now - since < most * SECOND:
@@ -392,7 +394,7 @@
     """Sends `many` queries for random ones of `keys` keys and table groups, and advances one step."""
     for name in rng.sample(net.names, many):
         if rng.random() < 0.5:
-            net.change(name, rng.randrange(keys))
+            net.ask_mutating(name, rng.randrange(keys))
         else:
             net.ask(name, f"r{net.query_count}", f"k{rng.randrange(keys)}")
     net.advance(STEP / SECOND)
@@ -404,7 +406,7 @@
         net.offer(partner, large_share if partner == gainer else small_share)
 
 
-def rush(net: PartnersNet, seed: int, rounds: int = 6) -> bool:
+def move_slots_under_load(net: PartnersNet, seed: int, rounds: int = 6) -> bool:
     """Moves most slots back and forth by new agreements while a few keys and table groups are queried.
 
     In some rounds a router is killed while it moves a lease. Returns whether the fleet settled afterwards.
@@ -423,13 +425,14 @@
         for name in net.names:
             if name not in net.replicas:
                 net.start(name)
-    return net.settled(60) and net.agreed(60)
+    return net.wait_until_settled(60) and net.wait_until_agreed(60)
 
 
-def storm(net: PartnersNet, seed: int, seconds: float, turns: float = 0.2) -> bool:
+def run_random_faults(net: PartnersNet, seed: int, seconds: float, offer_fraction: float = 0.2) -> bool:
     """Runs random queries, mutating queries, faults and new offers, then heals all faults.
 
-    `turns` is the fraction of offers among faults and offers. Returns whether the fleet settled afterwards.
+    `offer_fraction` is the fraction of offers among faults and offers. Returns whether the fleet settled
+    afterwards.
     """
     rng, queries = random.Random(seed), []
     next_fault_at, end = net.now, net.now + int(seconds * SECOND)
@@ -437,26 +440,34 @@
         for _ in range(rng.randint(0, 4)):
             name = rng.choice(net.names)
             if rng.random() < 0.3:
-                net.change(name, rng.randint(0, 9))
+                net.ask_mutating(name, rng.randint(0, 9))
             elif not queries or rng.random() >= 0.3:
                 queries.append((f"t{len(queries)}", f"k{rng.randint(0, 20)}"))
                 net.ask(name, *queries[-1])
             else:
                 net.ask(name, *rng.choice(queries[-30:]))
         if net.now >= next_fault_at:
-            if rng.random() < turns:
+            if rng.random() < offer_fraction:
                 net.offer(rng.choice(list(net.partners)), rng.randint(500, 6000))
             else:
                 history_net.inject_random_fault(net, rng, False)
             next_fault_at = net.now + rng.choice([0, 0, 2, 6, 12]) * SECOND
         net.advance(rng.choice([0.1, 0.2, 0.5]))
-    net.mend()
+    net.heal()
     for name in net.names:
         if name in net.suspended:
-            net.go_on(name)
+            net.resume(name)
         if name not in net.replicas:
             net.start(name)
-    return net.settled(60) and net.agreed(60)
-
-
-__all__ = ["SECOND", "PartnersNet", "founded", "offer_majority", "rush", "send_random_queries", "storm"]
+    return net.wait_until_settled(60) and net.wait_until_agreed(60)
+
+
+__all__ = [
+    "SECOND",
+    "PartnersNet",
+    "initial_policies",
+    "move_slots_under_load",
+    "offer_majority",
+    "run_random_faults",
+    "send_random_queries",
+]
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from hillchute.lab.partners_net import private, public
-from hillchute.lab.world import Ran, World
+from hillchute.lab.partners_net import private_key_bytes, public_key_bytes
+from hillchute.lab.world import EngineWorld, RunRecord
 from hillchute.router.request_rules import TABLE_GROUP_PREFIX
 
 PARTNERS = "abc"
@@ -37,14 +37,14 @@
         self.revisions = dict.fromkeys(PARTNERS, 1)
         self.desired_shares = dict.fromkeys(PARTNERS, 3333)
         for partner in PARTNERS:
-            (folder / f"{partner}.key").write_text(private(partner).hex())
+            (folder / f"{partner}.key").write_text(private_key_bytes(partner).hex())
 
     def settings(self, number: int) -> str:
         """Returns the current `partners` section of one router."""
         own, rows = partner_of(number), []
         for partner in PARTNERS:
             mine = ", ".join(f'"{r}"' for n, r in enumerate(self.routers) if partner_of(n) == partner)
-            rows.append(f'{{name: "{partner}", key: "{public(partner).hex()}", routers: [{mine}]}}')
+            rows.append(f'{{name: "{partner}", key: "{public_key_bytes(partner).hex()}", routers: [{mine}]}}')
         about = f'own: "{own}", members: [{", ".join(rows)}]'
         if number < len(PARTNERS):
             begins, ends = int(self.started_at * 1000) - 3_600_000, int(self.started_at * 1000) + 86_400_000
@@ -82,15 +82,15 @@
     }
 
 
-def ordering_unit(ran: Ran, key: str | None, statement: str) -> str:
+def ordering_unit(ran: RunRecord, key: str | None, statement: str) -> str:
     """Returns what a single owner coordinates at a time: an ordering key or a table group."""
-    if ran.token is not None:
-        return key or ran.token
+    if ran.idempotency_key is not None:
+        return key or ran.idempotency_key
     return f"{TABLE_GROUP_PREFIX}{TABLE_GROUP_PATTERN.search(statement)[1]}"
 
 
 def two_owners(
-    world: World, partner_by_connection: dict[int, str], info_by_query: dict[str, QueryInfo]
+    world: EngineWorld, partner_by_connection: dict[int, str], info_by_query: dict[str, QueryInfo]
 ) -> list[str]:
     """Describes overlapping runs of one key or table group that routers of two partners coordinated.
 
@@ -98,12 +98,17 @@
     their keys, statements and groups.
     """
     runs_by_unit = defaultdict(list)
-    for ran in world.ran:
-        if ran.id in info_by_query and ran.talk in partner_by_connection:
+    for ran in world.runs:
+        if ran.id in info_by_query and ran.connection in partner_by_connection:
             key, statement, group = info_by_query[ran.id]
             if group in ("event-load", "change"):
                 runs_by_unit[ordering_unit(ran, key, statement)].append(
-                    (ran.began, ran.ended or world.clock(), partner_by_connection[ran.talk], ran.id)
+                    (
+                        ran.started_at,
+                        ran.ended_at or world.clock(),
+                        partner_by_connection[ran.connection],
+                        ran.id,
+                    )
                 )
     return [
         f"{key!r}: {first} of partner {one} overlaps {second} of partner {other}"
@@ -115,7 +120,7 @@
 
 
 def over_quota(
-    world: World, partner_by_connection: dict[int, str], cores: int, routers: int, max_share: int
+    world: EngineWorld, partner_by_connection: dict[int, str], cores: int, routers: int, max_share: int
 ) -> list[str]:
     """Describes the windows in which a partner used more threads of a saturated engine than its share allows.
 
@@ -124,12 +129,12 @@
     probabilistically.
     """
     threads: dict[tuple[str, int], dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for ran in world.ran:
-        partner, width = partner_by_connection.get(ran.talk, "?"), THREADS_BY_GROUP.get(ran.group, 2)
-        end = ran.ended or world.clock()
-        first, last = int(ran.began / WINDOW_SECONDS), int(end / WINDOW_SECONDS)
+    for ran in world.runs:
+        partner, width = partner_by_connection.get(ran.connection, "?"), THREADS_BY_GROUP.get(ran.group, 2)
+        end = ran.ended_at or world.clock()
+        first, last = int(ran.started_at / WINDOW_SECONDS), int(end / WINDOW_SECONDS)
         for window in range(first, last + 1):
-            span = min(end, (window + 1) * WINDOW_SECONDS) - max(ran.began, window * WINDOW_SECONDS)
+            span = min(end, (window + 1) * WINDOW_SECONDS) - max(ran.started_at, window * WINDOW_SECONDS)
             threads[ran.engine, window][partner] += width * span / WINDOW_SECONDS
     bound = THREADS_PER_CORE * cores
     each = -(-routers // len(PARTNERS)) * max(THREADS_BY_GROUP.values())
@@ -143,4 +148,4 @@
 
 def query_info_by_id(queries: Iterable) -> dict[str, QueryInfo]:
     """Maps the id of each query to its key, statement and group."""
-    return {q.id: (q.key, q.statement, q.group) for q in queries}
+    return {q.id: (q.ordering_key, q.statement, q.group) for q in queries}
--- a/hillchute/lab/plays.py
+++ b/hillchute/lab/plays.py
@@ -7,7 +7,7 @@
 from statistics import mean
 
 from hillchute.decision.interface import SECOND
-from hillchute.lab.many import LOOKUP, REPORT, DelayedOracle, Many, Simulation
+from hillchute.lab.many import LOOKUP, REPORT, DelayedOracle, FleetSimulation, Simulation
 
 NAMES = {LOOKUP: "lookup", REPORT: "report"}
 # Length of the start-up phase, which is not counted, and of the time for the last queries to end; for a
@@ -55,7 +55,7 @@
 }
 
 
-def run(simulation: Simulation, play: str) -> float:
+def run_play(simulation: Simulation, play: str) -> float:
     """Run a play with a start-up phase before it; return the seconds in which queries were counted."""
     simulation.run_for(SETTLING_SECONDS * simulation.slowdown)
     simulation.reset_counts()
@@ -66,7 +66,7 @@
     return counted_seconds
 
 
-def figures(
+def run_and_measure(
     form: str,
     play: str,
     seed: int,
@@ -80,10 +80,10 @@
 
     `served` and `late_seeing` are the fraction of the requested value that the fleet and the baseline served.
     """
-    fleet = Many(seed, routers, engines, load, 1.0, slowdown, form=form, **overrides)
-    seconds = run(fleet, play)
+    fleet = FleetSimulation(seed, routers, engines, load, 1.0, slowdown, form=form, **overrides)
+    seconds = run_play(fleet, play)
     baseline = DelayedOracle(seed, routers, engines, load, 1.0, slowdown, **overrides)
-    run(baseline, play)
+    run_play(baseline, play)
     asked = {group: sum(n for (_, g), n in fleet.asked.items() if g == group) for group in NAMES}
     served = {group: sum(n for (_, g), n in fleet.served.items() if g == group) for group in NAMES}
     overload_fractions = [engine.peak_overload_fraction() for engine in fleet.replacement_engines()]
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -27,9 +27,9 @@
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import deployment, rules
 from hillchute.lab.between import FaultyRelay
-from hillchute.lab.clients import MySQL, Query
+from hillchute.lab.clients import MySQLClient, Query
 from hillchute.lab.fleet import Fleet, free_port
-from hillchute.lab.partner_settings import (
+from hillchute.lab.partnership import (
     PARTNERS,
     PartnerSettings,
     held_ports,
@@ -39,7 +39,7 @@
     socket_inodes,
     two_owners,
 )
-from hillchute.lab.world import Ran, World
+from hillchute.lab.world import EngineWorld, RunRecord
 
 ROUTERS, ENGINES, CORES = 4, 6, 8
 MAX_OFFERED_SHARE = 9000  # highest share that any partner offers to take, in parts of 10,000
@@ -79,7 +79,7 @@
     ) -> None:
         self.name, self.number, self.folder, self.skew = name, number, folder, skew
         self.port, self.peer_port = free_port(), free_port()
-        table = deployment.table(routers=router_count, mutating=mutating)
+        table = deployment.make_configuration(routers=router_count, mutating=mutating)
         table["settings"]["me"] = number
         table |= {"name": name, "listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
         table["seed"] = f"{number + 1:016x}"
@@ -169,7 +169,7 @@
         # Erasure requests: time before which accepted queries are erased, time at which a router was told.
         self.erasures: list[tuple[float, float]] = []
         self.random = random.Random(seed)
-        self.world, self.relay = World(seed=seed), FaultyRelay(seed)
+        self.world, self.relay = EngineWorld(seed=seed), FaultyRelay(seed)
         self.members: list[RouterProcess] = []
         self.queries: list[Query] = []
         self.excused: set[str] = set()  # queries whose router was killed or paused while they were open
@@ -251,7 +251,7 @@
         while True:
             new = {
                 number: port
-                for number, port in self.world.talks.items()
+                for number, port in self.world.open_connections.items()
                 if number not in self.partner_by_connection
             }
             new = {number: port for number, port in new.items() if lookups[number] < MAX_LOOKUPS}
@@ -291,12 +291,12 @@
             statement = f"SELECT /* lab ms={work} rows=3 */ a FROM sales_{tables}.orders"
             q = Query(group, statement, weight=float(work))
             if group == "event-load":
-                q.token = f"{self.seed % 65536:04x}{self.members.index(member):04x}{key:08x}"
+                q.idempotency_key = f"{self.seed % 65536:04x}{self.members.index(member):04x}{key:08x}"
                 # With partners, the same ordering key is used at routers of all partners.
                 where = self.random.randrange(4) if self.partners else self.members.index(member)
-                q.key = f"{where:04x}{key % 3:04x}"
+                q.ordering_key = f"{where:04x}{key % 3:04x}"
             self.start_query(member, q, tasks)
-            if self.history and q.token and self.random.random() < RESEND_FRACTION:
+            if self.history and q.idempotency_key and self.random.random() < RESEND_FRACTION:
                 tasks.start_soon(self.resend, q, until)
 
     def start_query(self, member: RouterProcess, q: Query, tasks: anyio.abc.TaskGroup) -> None:
@@ -316,17 +316,23 @@
         if not available or self.world.clock() > until:
             return
         member = self.random.choice(available)
-        q = Query(first.group, first.statement, weight=first.weight, token=first.token, key=first.key)
+        q = Query(
+            first.group,
+            first.statement,
+            weight=first.weight,
+            idempotency_key=first.idempotency_key,
+            ordering_key=first.ordering_key,
+        )
         q.router = member.name
         self.queries.append(q)
         self.resends.append((q, first))
         await self.run_query(member, q)
 
     async def run_query(self, member: RouterProcess, q: Query) -> None:
-        client, open_ids = MySQL(self.world, member.port), self.open_queries[member.name]
+        client, open_ids = MySQLClient(self.world, member.port), self.open_queries[member.name]
         open_ids.add(q.id)
         try:
-            await client.ask(q)
+            await client.run(q)
         finally:
             open_ids.discard(q.id)
             await client.close()
@@ -432,16 +438,16 @@
 
     def results(self) -> dict[str, object]:
         counted = [q for q in self.queries if q.id not in self.excused]
-        ends = Counter(q.how for q in counted)
-        broken = rules.broken(self.world, counted, slack=TIMING_SLACK)
+        ends = Counter(q.outcome for q in counted)
+        broken = rules.find_violations(self.world, counted, slack=TIMING_SLACK)
         # Keyed queries wait while the history cannot decide on them, so they are counted separately.
-        keyed = [q for q in counted if self.history and q.token]
-        plain = [q for q in counted if not (self.history and q.token)]
+        keyed = [q for q in counted if self.history and q.idempotency_key]
+        plain = [q for q in counted if not (self.history and q.idempotency_key)]
         served, known = (
-            sum(q.how == "finished" for q in some) / max(1, len(some)) for some in (plain, keyed)
+            sum(q.outcome == "finished" for q in some) / max(1, len(some)) for some in (plain, keyed)
         )
-        ids = {run.id for run in self.world.ran}
-        replayed = [q for q, _ in self.resends if q.how == "finished" and q.id not in ids]
+        ids = {run.id for run in self.world.runs}
+        replayed = [q for q, _ in self.resends if q.outcome == "finished" and q.id not in ids]
         faults = [line for member in self.members for line in member.log_events("fault")]
         return {
             "processes": sum(member.starts for member in self.members),
@@ -482,14 +488,14 @@
             else []
         )
 
-    def coordinated_runs(self) -> list[Ran]:
-        return [run for run in self.world.ran if run.group in ("event-load", "change")]
+    def coordinated_runs(self) -> list[RunRecord]:
+        return [run for run in self.world.runs if run.group in ("event-load", "change")]
 
     def attributed_fraction(self) -> float:
         """Returns the fraction of keyed and mutating runs whose partner is known."""
         coordinated_runs = self.coordinated_runs()
         return (
-            sum(run.talk in self.partner_by_connection for run in coordinated_runs)
+            sum(run.connection in self.partner_by_connection for run in coordinated_runs)
             / max(1, len(coordinated_runs))
             if self.partners
             else 0.0
@@ -501,9 +507,9 @@
         known = (
             run
             for run in self.coordinated_runs()
-            if run.talk in self.partner_by_connection and run.id in asked
+            if run.connection in self.partner_by_connection and run.id in asked
         )
-        return sum(self.partner_by_connection[run.talk] != asked[run.id] for run in known)
+        return sum(self.partner_by_connection[run.connection] != asked[run.id] for run in known)
 
     def over_quota(self) -> list[str]:
         if not self.partners:
@@ -517,23 +523,23 @@
         request in between, and the ids of mutating queries that ran more than once.
         """
         runs = defaultdict(list)
-        for run in sorted(self.world.ran, key=lambda run: run.began):
-            if run.token:
-                runs[run.token].append(run)
+        for run in sorted(self.world.runs, key=lambda run: run.started_at):
+            if run.idempotency_key:
+                runs[run.idempotency_key].append(run)
         sent = {q.id: q.sent for q in self.queries}
-        changes = Counter(run.id for run in self.world.ran if run.group == "change")
+        changes = Counter(run.id for run in self.world.runs if run.group == "change")
         return [
             token
             for token, line in runs.items()
             for first, again in pairwise(line)
             if first.id != again.id
-            and again.began - first.began < MIN_RETENTION_MS / 1000
+            and again.started_at - first.started_at < MIN_RETENTION_MS / 1000
             and not any(sent[first.id] < before + MAX_CLOCK_SKEW for before, _ in self.erasures)
         ] + [id for id, many in changes.items() if many > 1]
 
     def forgotten_too_soon(self) -> list[str]:
         """Returns those of `ran_twice` whose client had its answer: the history lost a finished record."""
-        finished = {q.token for q in self.queries if q.how == "finished"}
+        finished = {q.idempotency_key for q in self.queries if q.outcome == "finished"}
         return [token for token in self.ran_twice() if token in finished]
 
     @staticmethod
@@ -555,13 +561,19 @@
     def kept_too_long(self, replayed: list[Query]) -> list[str]:
         """Describes erased answers that were still given to clients, or still on a disk, too late."""
         kept, ended = [], defaultdict(float)
-        for run in self.world.ran:
-            if run.token:
-                ended[run.token] = max(ended[run.token], run.ended or self.world.clock())
+        for run in self.world.runs:
+            if run.idempotency_key:
+                ended[run.idempotency_key] = max(
+                    ended[run.idempotency_key], run.ended_at or self.world.clock()
+                )
         for before, told in self.erasures:
             erased = {token for token, end in ended.items() if end < before - MAX_CLOCK_SKEW}
-            late = [q for q in replayed if q.token in erased and q.sent > told + ERASURE_PROPAGATION_TIME]
-            kept += [f"{q.token} answered by {q.router}, {q.sent - told:.1f} s after" for q in late]
+            late = [
+                q
+                for q in replayed
+                if q.idempotency_key in erased and q.sent > told + ERASURE_PROPAGATION_TIME
+            ]
+            kept += [f"{q.idempotency_key} answered by {q.router}, {q.sent - told:.1f} s after" for q in late]
             if self.world.clock() > told + 2 * ERASURE_PROPAGATION_TIME:
                 for member in self.members:
                     if self.world.clock() < member.resumed_at + ERASURE_PROPAGATION_TIME:
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -41,7 +41,7 @@
 # Least time between two queries of one ordering key, after one on an open and after one on a new connection.
 KEY_INTERVAL_US, KEY_INTERVAL_NEW_CONNECTION_US = 62_000, 252_000
 MAX_CLIENT_TIMEOUT = 30_000
-HANGS = 0.05  # fraction of the runs on engines that never end
+HANGING_RUN_SHARE = 0.05  # fraction of the runs on engines that never end
 # SIGKILL follows SIGTERM after the longest queue timeout (at most 3 s) and this margin.
 SIGKILL_MARGIN = 7_000
 # After SIGTERM clients open connections for the first of these times, then use only open ones for the second.
@@ -68,9 +68,9 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.us = START * 100
+        self.now_us = START * 100
         # A heap of (time in µs, sequence number, function, arguments).
-        self.coming: list[tuple[int, int, object, tuple]] = []
+        self.event_queue: list[tuple[int, int, object, tuple]] = []
         self.event_count = 0
         self.ready: dict[SimulatedSocket, None] = {}  # sockets in the order in which they became ready
         self.stalls: list[tuple[int, int]] = []  # future stalls: (time, duration) in µs
@@ -78,25 +78,25 @@
 
     def clock(self) -> Clock:
         """Return the simulated time as the router's clock."""
-        return Clock(lambda: self.us * 1_000, lambda: self.us * 1_000)
+        return Clock(lambda: self.now_us * 1_000, lambda: self.now_us * 1_000)
 
     def spend(self, us: int) -> None:
         """Advance the clock by CPU time and by the stalls that begin in it."""
-        self.us += us
-        while self.stalls and self.stalls[0][0] <= self.us:
+        self.now_us += us
+        while self.stalls and self.stalls[0][0] <= self.now_us:
             _, length = self.stalls.pop(0)
-            self.past_stalls.append((self.us, length))
-            self.us += length
+            self.past_stalls.append((self.now_us, length))
+            self.now_us += length
 
-    def at(self, us: int, call, *values) -> None:
+    def call_at(self, us: int, call, *values) -> None:
         """Schedule `call(us, *values)` at an absolute time in µs."""
         self.event_count += 1
-        heappush(self.coming, (us, self.event_count, call, values))
+        heappush(self.event_queue, (us, self.event_count, call, values))
 
     def run_due_events(self) -> None:
         """Run the events that were due until now."""
-        while self.coming and self.coming[0][0] <= self.us:
-            when, _, call, values = heappop(self.coming)
+        while self.event_queue and self.event_queue[0][0] <= self.now_us:
+            when, _, call, values = heappop(self.event_queue)
             call(when, *values)
 
 
@@ -108,7 +108,7 @@
     def __init__(self, world: SimulatedKernel, peer) -> None:
         SimulatedSocket.numbers += 1
         self.number, self.world, self.peer = SimulatedSocket.numbers, world, peer
-        self.inbox, self.last_received, self.opened_at = bytearray(), world.us, world.us
+        self.inbox, self.last_received, self.opened_at = bytearray(), world.now_us, world.now_us
         self.ended = self.closed = self.shut_down = self.accepted = False
 
     def deliver(self, when: int, data: bytes) -> None:
@@ -133,25 +133,25 @@
         return data
 
     def send(self, data: bytes) -> int:
-        self.world.at(self.world.us + NETWORK_DELAY * 100, self.peer.receive, bytes(data))
+        self.world.call_at(self.world.now_us + NETWORK_DELAY * 100, self.peer.receive, bytes(data))
         self.world.spend(SYSTEM_CALL_US)  # a stall can begin before the call or after it
         return len(data)
 
     def getsockopt(self, *_) -> bytes:
         self.world.spend(SYSTEM_CALL_US)
         ms_since_send, ms_since_receive = (
-            (self.world.us - t) // 1000 for t in (self.opened_at, self.last_received)
+            (self.world.now_us - t) // 1000 for t in (self.opened_at, self.last_received)
         )
         return struct.pack("=44xI4xI8x", ms_since_send, ms_since_receive)
 
     def shutdown(self, _) -> None:
         self.shut_down = True
-        self.world.at(self.world.us + NETWORK_DELAY * 100, self.peer.on_close)
+        self.world.call_at(self.world.now_us + NETWORK_DELAY * 100, self.peer.on_close)
 
     def close(self) -> None:
         self.closed = True
         self.world.ready.pop(self, None)
-        self.world.at(self.world.us, self.peer.on_reset if self.inbox else self.peer.on_close)
+        self.world.call_at(self.world.now_us, self.peer.on_reset if self.inbox else self.peer.on_close)
 
     def fileno(self) -> int:
         return -1 if self.closed else self.number
@@ -191,13 +191,13 @@
     def close(self) -> None:
         self.closed = True
         for sock in self.waiting:
-            sock.peer.on_reset(self.world.us)
+            sock.peer.on_reset(self.world.now_us)
 
 
 class SimulatedSystemCalls(SystemCalls):
     """Connects to engines at once; all other calls go to the simulated sockets unchanged."""
 
-    def __init__(self, rig: "Rig") -> None:
+    def __init__(self, rig: "OverloadSimulation") -> None:
         self.rig = rig
 
     def open_stream(self, family: int) -> SimulatedSocket:
@@ -212,7 +212,7 @@
 class SimulatedPoller:
     """Replaces epoll: reports ready sockets in the order in which they became ready."""
 
-    def __init__(self, rig: "Rig") -> None:
+    def __init__(self, rig: "OverloadSimulation") -> None:
         self.world, self.owners, self.system = rig.world, {}, SimulatedSystemCalls(rig)
 
     def add(self, sock: SimulatedSocket, owner, writing: bool = False) -> None:
@@ -241,14 +241,14 @@
 
 
 @dataclass
-class Asked:
+class SimulatedQuery:
     """One query with its client's view of it; times in tenths of a millisecond."""
 
     id: str
     group: str
     patience: int
     key: str | None
-    fresh: bool | None = None  # whether it needs a new connection or an open one; None: either
+    needs_new_connection: bool | None = None  # whether it needs a new connection or an open one; None: either
     sent: int | None = None
     answers: list[tuple[int, str]] = field(default_factory=list)
     excluded: bool = False  # not checked: its connection closed while it was in transit, or never opened
@@ -259,15 +259,15 @@
 class Client:
     """A client's connection. Sends its first query along with the login, and one further query at a time."""
 
-    def __init__(self, rig: "Rig") -> None:
+    def __init__(self, rig: "OverloadSimulation") -> None:
         self.rig, self.sock, self.in_flight, self.closed = rig, None, [], False
         self.buffer, self.state, self.eof_packets = bytearray(), "greeting", 0
-        self.first: Asked | None = None
+        self.first: SimulatedQuery | None = None
 
     def on_connected(self, when: int) -> None:
         self.write(when, packet(1, LOGIN), self.first)
 
-    def write(self, when: int, prefix: bytes, asked: Asked) -> None:
+    def write(self, when: int, prefix: bytes, asked: SimulatedQuery) -> None:
         asked.sent = -(-when // 100)
         self.in_flight.append(asked)
         text = QUERY_TEXT.format(
@@ -279,7 +279,7 @@
         )
         self.sock.deliver(when, prefix + packet(0, b"\x03" + text.encode()))
 
-    def send_query(self, when: int, asked: Asked) -> None:
+    def send_query(self, when: int, asked: SimulatedQuery) -> None:
         """Send a further query on this connection, or on a new one if this one is closed or busy."""
         if self.closed or self.in_flight or self.state != "idle":
             self.rig.open_connection(when, asked)
@@ -325,7 +325,7 @@
         if not self.in_flight and self.first is None:
             return  # the router rejected a connection that sends nothing
         if not self.in_flight:
-            self.rig.faults.append(f"answer without a query: {outcome}")
+            self.rig.violations.append(f"answer without a query: {outcome}")
             return
         asked = self.in_flight.pop(0)
         asked.answers.append((-(-when // 100), outcome))
@@ -354,7 +354,7 @@
 class Engine:
     """An engine. Each run takes a random time; starts and ends are recorded by ordering key."""
 
-    def __init__(self, rig: "Rig") -> None:
+    def __init__(self, rig: "OverloadSimulation") -> None:
         self.rig, self.sock, self.buffer, self.cancelled = rig, None, b"", set()
 
     def receive(self, when: int, data: bytes) -> None:
@@ -374,33 +374,33 @@
             self.buffer = self.buffer[stop:]
 
     def start_run(self, when: int, id: str) -> None:
-        asked = self.rig.asked[id]
+        asked = self.rig.queries[id]
         if asked.left_at is not None and when - asked.left_at > MAX_START_DELAY_AFTER_DISCONNECT_US:
-            self.rig.faults.append(
+            self.rig.violations.append(
                 f"{id} started {(when - asked.left_at) // 1000} ms after its client had disconnected"
             )
         key = asked.key
         if key:
             self.rig.runs.setdefault(key, []).append((when, "start", id))
         rng = self.rig.world.rng
-        if rng.random() >= HANGS:
-            self.rig.world.at(when + int(1_000 * rng.choice((20, 40, 80, 300))), self.finish_run, id)
+        if rng.random() >= HANGING_RUN_SHARE:
+            self.rig.world.call_at(when + int(1_000 * rng.choice((20, 40, 80, 300))), self.finish_run, id)
 
     def cancel_run(self, when: int, id: str) -> None:
         self.cancelled.add(id)
-        key = self.rig.asked[id].key
+        key = self.rig.queries[id].key
         if key:
             self.rig.runs[key].append((when, "given up", id))
 
     def finish_run(self, when: int, id: str) -> None:
-        key = self.rig.asked[id].key
+        key = self.rig.queries[id].key
         if id not in self.cancelled:
             if key:
                 self.rig.runs[key].append((when, "end", id))
             self.send(when, f"{id} ACK work=20.0,peak=1.0 8\r\na\tb\t{'c' * 3}\n\r\n")
 
     def send(self, when: int, text: str) -> None:
-        self.rig.world.at(when + NETWORK_DELAY * 100, lambda at: self.sock.deliver(at, text.encode()))
+        self.rig.world.call_at(when + NETWORK_DELAY * 100, lambda at: self.sock.deliver(at, text.encode()))
 
     def on_close(self, when: int) -> None:
         pass
@@ -408,29 +408,31 @@
     on_reset = on_close
 
 
-class Rig:
+class OverloadSimulation:
     """One simulation run.
 
-    Clients offer `times` the load that the event loop can handle. Traffic, stalls and the time of SIGTERM (if
-    `term`) are drawn from the seed.
+    Clients offer `load_factor` times the load that the event loop can handle. Traffic, stalls and the time of
+    SIGTERM (if `with_sigterm`) are drawn from the seed.
     """
 
-    def __init__(self, seed: int, times: float = 3.0, term: bool = True) -> None:
+    def __init__(self, seed: int, load_factor: float = 3.0, with_sigterm: bool = True) -> None:
         self.world = SimulatedKernel(seed)
-        self.asked: dict[str, Asked] = {}
+        self.queries: dict[str, SimulatedQuery] = {}
         self.runs: dict[str, list] = {}
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.resets = 0
         self.clients: list[Client] = []
-        self.configuration = config.parse_configuration(deployment.table(engines=4, sockets=256), {})
+        self.configuration = config.parse_configuration(
+            deployment.make_configuration(engines=4, sockets=256), {}
+        )
         clock = self.world.clock()
         self.service = Service(self.configuration, Log("rig", -1), poller=SimulatedPoller(self), clock=clock)
         self.listener = ListeningSocket(self.world)
-        self.service.door.open(self.listener)
+        self.service.mysql_frontend.open(self.listener)
         self.sigterm_at: int | None = None
         self.exited_at: int | None = None
         self.query_delays: list[int] = []
-        self.schedule_traffic(times, term)
+        self.schedule_traffic(load_factor, with_sigterm)
         self.charge_costs()
 
     def charge_costs(self) -> None:
@@ -440,7 +442,7 @@
 
         def reduce_at_cost(event, now):
             effects = reduce(event, now)
-            world.spend(EVENT_US if type(event) is not events.Asked else QUERY_US)
+            world.spend(EVENT_US if type(event) is not events.QueryReceived else QUERY_US)
             world.spend(SUBMISSION_US * sum(isinstance(e, SendCommand) for e in effects))
             return effects
 
@@ -453,10 +455,10 @@
 
     # ---- traffic ----------------------------------------------------------------------------------
 
-    def schedule_traffic(self, times: float, term: bool) -> None:
-        rng, start = self.world.rng, self.world.us
+    def schedule_traffic(self, load_factor: float, with_sigterm: bool) -> None:
+        rng, start = self.world.rng, self.world.now_us
         capacity = 1e6 / (QUERY_US + 2 * EVENT_US + SUBMISSION_US + 12 * SYSTEM_CALL_US)
-        count = int(times * capacity * LOAD_DURATION / 10_000)
+        count = int(load_factor * capacity * LOAD_DURATION / 10_000)
         at = 0.0
         key_free_at: dict[str, int] = {}
         for n in range(count):
@@ -475,10 +477,12 @@
                     KEY_INTERVAL_NEW_CONNECTION_US if new_connection else KEY_INTERVAL_US
                 )
             patience = int(rng.choice((1_400, 2_000, 3_000))) * 10
-            asked = self.asked[id] = Asked(id, group, patience, key, fresh=new_connection)
-            self.world.at(when, self.come, asked)
+            asked = self.queries[id] = SimulatedQuery(
+                id, group, patience, key, needs_new_connection=new_connection
+            )
+            self.world.call_at(when, self.send_query, asked)
         for _ in range(rng.choice((0, 1, 2))):
-            self.world.at(
+            self.world.call_at(
                 start + int(rng.uniform(0, LOAD_DURATION) * 100),
                 self.open_silent_connections,
                 rng.randint(20, 150),
@@ -487,32 +491,36 @@
         while when < start + (LOAD_DURATION + MAX_CLIENT_TIMEOUT) * 100:
             self.world.stalls.append((when, rng.choice(STALLS) * 100))
             when += int(rng.uniform(1.2, 3) * max(STALLS) * 100)
-        if term:
-            self.world.at(start + int(rng.uniform(0.1, 1.2) * LOAD_DURATION * 100), self.terminate)
+        if with_sigterm:
+            self.world.call_at(start + int(rng.uniform(0.1, 1.2) * LOAD_DURATION * 100), self.terminate)
 
-    def come(self, when: int, asked: Asked) -> None:
+    def send_query(self, when: int, asked: SimulatedQuery) -> None:
         """Send a query, mostly on an open connection, else on a new one; drop it if neither is possible."""
         since_sigterm = None if self.sigterm_at is None else when - self.sigterm_at
         if (
             since_sigterm is not None
             and since_sigterm > (NEW_CONNECTIONS_AFTER_SIGTERM + QUERIES_AFTER_SIGTERM) * 100
         ):
-            del self.asked[asked.id]
+            del self.queries[asked.id]
             return
         idle = [c for c in self.clients if not c.closed and not c.in_flight and c.state == "idle"]
-        new = self.world.rng.random() < 0.2 if asked.fresh is None else asked.fresh
+        new = (
+            self.world.rng.random() < 0.2
+            if asked.needs_new_connection is None
+            else asked.needs_new_connection
+        )
         if idle and not new:
             self.world.rng.choice(idle).send_query(when, asked)
-        elif asked.fresh is not False and (
+        elif asked.needs_new_connection is not False and (
             since_sigterm is None or since_sigterm <= NEW_CONNECTIONS_AFTER_SIGTERM * 100
         ):
             self.open_connection(when, asked)
         else:
-            del self.asked[asked.id]
+            del self.queries[asked.id]
         if self.world.rng.random() < 0.01 and self.clients:
             self.world.rng.choice(self.clients).disconnect(when)
 
-    def open_connection(self, when: int, asked: Asked) -> None:
+    def open_connection(self, when: int, asked: SimulatedQuery) -> None:
         client = Client(self)
         client.first = asked
         self.clients = [c for c in self.clients if not c.closed]
@@ -532,7 +540,7 @@
 
     # ---- run --------------------------------------------------------------------------------------
 
-    async def play(self) -> "Rig":
+    async def play(self) -> "OverloadSimulation":
         """Run the simulation and check the rules; return self."""
         service, world = self.service, self.world
         async with anyio.create_task_group() as tasks:
@@ -540,7 +548,7 @@
             for watch_event in self.configuration.initial_watch_events:
                 service.handle(events.EndpointsChanged(watch_event))
             service.lifecycle.enter(Phase.SERVING)
-            last_sweep = world.us
+            last_sweep = world.now_us
             while self.exited_at is None:
                 await anyio.lowlevel.checkpoint()
                 if self.sigterm_at is not None and service.shutdown.schedule is None:
@@ -549,13 +557,16 @@
                 if service.shutdown.schedule is None:
                     service.event_loop.round()
                 elif service.shutdown.advance() is ShutdownStep.EXIT:
-                    self.exited_at = world.us
-                if world.us - last_sweep >= 100_000:
-                    last_sweep = world.us
-                    service.door.sweep()
+                    self.exited_at = world.now_us
+                if world.now_us - last_sweep >= 100_000:
+                    last_sweep = world.now_us
+                    service.mysql_frontend.sweep()
                 if service.rounds.idle and not world.ready:
                     self.advance_clock()
-                if service.shutdown.schedule is None and world.us - START * 100 > LOAD_DURATION * 100 * 12:
+                if (
+                    service.shutdown.schedule is None
+                    and world.now_us - START * 100 > LOAD_DURATION * 100 * 12
+                ):
                     break
             tasks.cancel_scope.cancel()
         self.check()
@@ -564,32 +575,32 @@
     def advance_clock(self) -> None:
         """Advance the clock to the next event or alarm, by 10 ms at most."""
         world = self.world
-        times = [world.us + 10_000]
-        if world.coming:
-            times.append(world.coming[0][0])
+        times = [world.now_us + 10_000]
+        if world.event_queue:
+            times.append(world.event_queue[0][0])
         if self.service.alarm.due_at is not None:
             times.append(self.service.alarm.due_at * 100)
-        world.us = max(world.us, min(times))
+        world.now_us = max(world.now_us, min(times))
 
     # ---- checks -----------------------------------------------------------------------------------
 
     def check(self) -> None:
         """Check rules 1 and 2 for every query that was received completely, and rule 5 for every key."""
-        for asked in self.asked.values():
+        for asked in self.queries.values():
             if asked.sent is None or asked.abandoned or asked.excluded:
                 continue
             latest = asked.sent + asked.patience + TOLERANCE
             if len(asked.answers) != 1:
-                self.faults.append(f"{asked.id} {asked.group} got {len(asked.answers)} answers")
+                self.violations.append(f"{asked.id} {asked.group} got {len(asked.answers)} answers")
             elif asked.answers[0][0] > latest:
-                self.faults.append(
+                self.violations.append(
                     f"{asked.id} {asked.group} answered "
                     f"{asked.answers[0][0] - latest} tenths of a ms too late"
                 )
         if self.sigterm_at is not None and self.exited_at is not None:
             shutdown_time = (self.exited_at - self.sigterm_at) // 100
-            if shutdown_time > self.configuration.longest_shutdown + SIGKILL_MARGIN:
-                self.faults.append(f"the shutdown took {shutdown_time} tenths of a ms")
+            if shutdown_time > self.configuration.max_shutdown_time + SIGKILL_MARGIN:
+                self.violations.append(f"the shutdown took {shutdown_time} tenths of a ms")
         for key, history in self.runs.items():
             self.check_key(key, sorted(history))
 
@@ -604,24 +615,24 @@
                     pause_until = when + self.configuration.settings.retries.order_pause * 100
                 continue
             if when < pause_until - TOLERANCE * 100:
-                self.faults.append(
+                self.violations.append(
                     f"key {key}: {id} started "
                     f"{(pause_until - when) // 100} tenths of a ms before the end of a pause"
                 )
             if running:
-                self.faults.append(f"key {key}: {id} started while {sorted(running)} ran")
+                self.violations.append(f"key {key}: {id} started while {sorted(running)} ran")
             if id in started:
-                self.faults.append(f"key {key}: {id} ran twice")
-            if started and self.asked[id].sent < self.asked[started[-1]].sent:
-                self.faults.append(f"key {key}: {id} ran after a later one")
+                self.violations.append(f"key {key}: {id} ran twice")
+            if started and self.queries[id].sent < self.queries[started[-1]].sent:
+                self.violations.append(f"key {key}: {id} ran after a later one")
             running.add(id)
             started.append(id)
 
     def summary(self) -> Counter:
         """Return the number of queries by outcome."""
-        return Counter(a.answers[0][1] for a in self.asked.values() if a.answers)
+        return Counter(a.answers[0][1] for a in self.queries.values() if a.answers)
 
 
-def play(seed: int, **known) -> Rig:
-    """Run the simulation of a seed; the finished Rig has the results."""
-    return anyio.run(Rig(seed, **known).play)
+def play(seed: int, **known) -> OverloadSimulation:
+    """Run the simulation of a seed; the finished OverloadSimulation has the results."""
+    return anyio.run(OverloadSimulation(seed, **known).play)
--- a/hillchute/lab/world.py
+++ b/hillchute/lab/world.py
@@ -76,31 +76,33 @@
 
 
 @dataclass
-class Ran:
+class RunRecord:
     """One run on an engine, as the engine recorded it; times are Unix times in seconds."""
 
     id: str
     group: str
-    token: str | None
+    idempotency_key: str | None
     engine: str
-    began: float
-    ended: float | None = None
+    started_at: float
+    ended_at: float | None = None
     result: str = "open"
-    effect: bool = False  # whether it changed data
-    talk: int = 0  # number of the connection that submitted it
+    had_effect: bool = False  # whether it changed data
+    connection: int = 0  # number of the connection that submitted it
 
 
 @dataclass
-class World:
+class EngineWorld:
     """State shared by all stand-in engines of a test: the record of runs, tokens and applied faults."""
 
     seed: int = 1
     dedupe_window: float = 25.0  # seconds for which an engine drops repeats of an idempotency token
-    ran: list[Ran] = field(default_factory=list)
+    runs: list[RunRecord] = field(default_factory=list)
     tokens: dict[str, float] = field(default_factory=dict)
     faults_applied: Counter = field(default_factory=Counter)
     drained: dict[str, float] = field(default_factory=dict)  # time of the drain notice, by engine
-    talks: dict[int, int] = field(default_factory=dict)  # port of the peer, by number of the open connection
+    open_connections: dict[int, int] = field(
+        default_factory=dict
+    )  # port of the peer, by number of the open connection
     connection_count: int = 0  # connections ever opened
 
     def clock(self) -> float:
@@ -118,12 +120,12 @@
     """One engine's work, used by the server of either protocol."""
 
     def __init__(
-        self, world: World, name: str, cores: int = 8, max_runs: int = 64, cold_seconds: float = 0.0
+        self, world: EngineWorld, name: str, cores: int = 8, max_runs: int = 64, cold_seconds: float = 0.0
     ) -> None:
         """`max_runs` limits the runs at once; for `cold_seconds` from its start the speed is a third."""
         self.world, self.name, self.cores, self.max_runs = world, name, cores, max_runs
         self.started_at, self.cold_seconds = world.clock(), cold_seconds
-        self.running: dict[str, Ran] = {}
+        self.running: dict[str, RunRecord] = {}
         self.active_runs = 0
         self.warm_table_groups: OrderedDict[int, None] = OrderedDict()
         self.bulk_loads: dict[int, anyio.Event] = {}  # table groups locked by a bulk load
@@ -142,8 +144,8 @@
         self, id: str, group: str, token: str | None, behaviour: StatementBehaviour, connection: int = 0
     ) -> float:
         """Run a submission to its end and return its work in milliseconds; raise RunFailedError."""
-        ran = Ran(id, group, token, self.name, self.world.clock(), talk=connection)
-        self.world.ran.append(ran)
+        ran = RunRecord(id, group, token, self.name, self.world.clock(), connection=connection)
+        self.world.runs.append(ran)
         self.running[id] = ran
         is_bulk_load = token is not None
         try:
@@ -158,7 +160,7 @@
                 self.active_runs -= 1
             if self.world.fault_applies("error", id, behaviour.error):
                 raise RunFailedError
-            ran.effect = token is not None and self.record_token(token)
+            ran.had_effect = token is not None and self.record_token(token)
             ran.result = "finished"
             return work
         except RunFailedError:
@@ -168,7 +170,7 @@
             ran.result = "given up"
             raise
         finally:
-            ran.ended = self.world.clock()
+            ran.ended_at = self.world.clock()
             self.running.pop(id, None)
             if is_bulk_load and behaviour.table_group in self.bulk_loads:
                 self.bulk_loads.pop(behaviour.table_group).set()
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -26,7 +26,7 @@
 class SocketOwner(Protocol):
     """The object to which the events of a socket are delivered."""
 
-    served: int
+    last_served_round: int
     """Number of the event loop round in which this object was last served."""
 
 
--- a/hillchute/operator/reading.py
+++ b/hillchute/operator/reading.py
@@ -26,10 +26,10 @@
         raise OperatorFileError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
         raise OperatorFileError(f"{path}: not UTF-8 text") from error
-    return hold(text, str(path))
+    return parse_settings(text, str(path))
 
 
-def hold(text: str, name: str = "operator file") -> dict[str, object]:
+def parse_settings(text: str, name: str = "operator file") -> dict[str, object]:
     """Return the settings in a text, as `read` does; errors name the text by `name`."""
     settings = Validator(schema(), parse(text, name)).validate()
     for n, user in enumerate((settings.get("flight") or {}).get("users", ())):
@@ -130,7 +130,7 @@
 
 def defaults() -> dict[str, object]:
     """Return the settings that apply without an operator file."""
-    return hold("", "no file")
+    return parse_settings("", "no file")
 
 
 def fields() -> list[tuple[str, str, str]]:
--- a/hillchute/partners/codec.py
+++ b/hillchute/partners/codec.py
@@ -14,8 +14,8 @@
     ForwardQuery,
     ForwardResult,
     ForwardResultAck,
-    Knowledge,
-    KnowledgeDigest,
+    LedgerDigest,
+    LedgerEntries,
     Message,
 )
 from hillchute.partners.offers import MAX_COUNTER, MAX_NAME_LENGTH, invalid_offer_field
@@ -31,9 +31,9 @@
 def invalid_message_field(message: Message) -> str:
     """Return the name of the first field that is out of bounds; "" for a valid message."""
     match message:
-        case KnowledgeDigest(digest):
+        case LedgerDigest(digest):
             return "" if len(digest) == DIGEST_BYTES else "digest"
-        case Knowledge():
+        case LedgerEntries():
             return _invalid_entries_field(message)
         case ForwardQuery():
             return _invalid_query_field(message) or _invalid_number(message.number, message.incarnation)
@@ -64,7 +64,7 @@
     return "" if known_outcome and len(result.reason) <= 4 * MAX_TEXT else "outcome"
 
 
-def _invalid_entries_field(message: Knowledge) -> str:
+def _invalid_entries_field(message: LedgerEntries) -> str:
     sizes = (
         (len(message.offers), MAX_PARTNERS),
         (len(message.agreements), MAX_SIGNATURES),
--- a/hillchute/partners/forwarding.py
+++ b/hillchute/partners/forwarding.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from hillchute.decision.interface import Time
-from hillchute.fronts.events import FIRST_GUEST
+from hillchute.fronts.events import FIRST_FORWARDED_SESSION
 from hillchute.history.slot_placement import slot_of, weight
 from hillchute.partners.messages import (
     ForwardAccepted,
@@ -111,7 +111,7 @@
         self.live_routers = live_routers
         self.is_over = is_over
         self.last_number = 0
-        self.last_session = FIRST_GUEST
+        self.last_session = FIRST_FORWARDED_SESSION
         self.outgoing: dict[int, OutgoingQuery] = {}
         self.incoming: dict[tuple[str, int, int], IncomingQuery] = {}  # by sender, incarnation and number
         self.by_session: dict[int, IncomingQuery] = {}
--- a/hillchute/partners/messages.py
+++ b/hillchute/partners/messages.py
@@ -28,13 +28,13 @@
     """Base class of the messages."""
 
 
-class KnowledgeDigest(PartnerMessage, frozen=True, tag=1):
-    """The digest of the sender's ledger; a receiver with another digest answers with Knowledge."""
+class LedgerDigest(PartnerMessage, frozen=True, tag=1):
+    """The digest of the sender's ledger; a receiver with another digest answers with LedgerEntries."""
 
     digest: bytes
 
 
-class Knowledge(PartnerMessage, frozen=True, tag=2):
+class LedgerEntries(PartnerMessage, frozen=True, tag=2):
     """The content of the sender's ledger. `reply_wanted`: the sender asks for the receiver's in return."""
 
     offers: tuple[SignedOffer, ...]
@@ -97,6 +97,6 @@
     incarnation: int
 
 
-AgreementMessage = KnowledgeDigest | Knowledge
+AgreementMessage = LedgerDigest | LedgerEntries
 ForwardingMessage = ForwardQuery | ForwardAccepted | ForwardResult | ForwardResultAck | ForwardCancel
 Message = AgreementMessage | ForwardingMessage
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -21,7 +21,7 @@
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.agreements import Agreement, derive_agreement, same_terms
 from hillchute.partners.codec import MAX_SIGNATURES
-from hillchute.partners.messages import AgreementMessage, Knowledge, KnowledgeDigest
+from hillchute.partners.messages import AgreementMessage, LedgerDigest, LedgerEntries
 from hillchute.partners.offers import Offer
 from hillchute.partners.signatures import Verify, tagged_digest
 from hillchute.partners.slot_ownership import SlotOwnership
@@ -110,16 +110,16 @@
     def receive(self, now: Time, sender: str, message: AgreementMessage) -> None:
         """Handle a message from another router."""
         match message:
-            case KnowledgeDigest(digest):
+            case LedgerDigest(digest):
                 if digest != self.state_digest():
                     self.outbox.append((sender, self.ledger_entries(reply_wanted=True)))
-            case Knowledge():
+            case LedgerEntries():
                 self._merge(message)
                 if message.reply_wanted and self.state_digest() != _digest_of(message):
                     self.outbox.append((sender, self.ledger_entries(reply_wanted=False)))
                 self.update(now)
 
-    def _merge(self, entries: Knowledge) -> None:
+    def _merge(self, entries: LedgerEntries) -> None:
         ledger = self.ledger
         genuine = [
             *(ledger.record_offer(offer, signature) for offer, signature in entries.offers),
@@ -130,12 +130,12 @@
         ]
         self.counts["entries_rejected"] += genuine.count(False)
 
-    def ledger_entries(self, *, reply_wanted: bool) -> Knowledge:
+    def ledger_entries(self, *, reply_wanted: bool) -> LedgerEntries:
         """Return the content of this router's ledger as a message, with its entries in a canonical order."""
         ledger = self.ledger
         signatures = [each for signed in ledger.signatures.values() for each in signed.values()]
         signatures.sort(key=lambda each: (each.number, each.partner, each.digest), reverse=True)
-        return Knowledge(
+        return LedgerEntries(
             offers=tuple(ledger.offers[partner] for partner in sorted(ledger.offers)),
             agreements=tuple(
                 ledger.agreements[digest]
@@ -161,7 +161,7 @@
         if others and (changed or now - self.last_exchange_at >= EXCHANGE_INTERVAL):
             self.last_exchange_at = now
             for name in self._select_targets(others, TARGETS_ON_CHANGE if changed else 1):
-                self.outbox.append((name, KnowledgeDigest(digest)))
+                self.outbox.append((name, LedgerDigest(digest)))
         if changed:
             self.update(now)
         self.ownership.update_owners(now)
@@ -256,7 +256,7 @@
             raise InvalidAgreementError(f"agreement {number} does not follow from the offers known here")
 
 
-def _digest_of(entries: Knowledge) -> bytes:
+def _digest_of(entries: LedgerEntries) -> bytes:
     return tagged_digest(DIGEST_TAG, msgspec.structs.replace(entries, reply_wanted=False))
 
 
--- a/hillchute/protocol/sql.py
+++ b/hillchute/protocol/sql.py
@@ -16,13 +16,13 @@
 MessageType = TypeVar("MessageType", bound=Message)
 
 COLUMN_NAMES = ("c1", "c2", "c3")  # each result of the platform has three text columns
-PLAIN = pa.schema([(name, pa.string()) for name in COLUMN_NAMES])
-SERVICE = "/arrow.flight.protocol.FlightService/"
+TEXT_RESULT_SCHEMA = pa.schema([(name, pa.string()) for name in COLUMN_NAMES])
+SERVICE_PATH = "/arrow.flight.protocol.FlightService/"
 PREFIX_BYTES = 8  # of an encapsulated message before its metadata: continuation marker and metadata length
-STEP = 8_192  # maximum rows of a batch that is built from rows
+MAX_ROWS_PER_BATCH = 8_192  # maximum rows of a batch that is built from rows
 
 
-class Unreadable(Exception):
+class InvalidFlightDataError(Exception):
     """A message does not follow the Flight SQL protocol; the text may be sent to the client."""
 
 
@@ -34,28 +34,31 @@
 
 
 def unwrap(data: bytes) -> Message:
-    """The Flight SQL message in a descriptor's command, a ticket or an action's body; raises Unreadable."""
+    """The Flight SQL message in a descriptor's command, a ticket or an action's body.
+
+    Raises InvalidFlightDataError if there is none.
+    """
     packed = Any()
     try:
         packed.ParseFromString(data)
         parts = packed.type_url.rpartition("/")[2].rpartition(".")
         message_type = getattr(sql, parts[2], None) if parts[0] == "arrow.flight.protocol.sql" else None
         if message_type is None:
-            raise Unreadable(f"no Flight SQL command: {packed.type_url[:80]!r}")
+            raise InvalidFlightDataError(f"no Flight SQL command: {packed.type_url[:80]!r}")
         return message_type.FromString(packed.value)
     except DecodeError:
-        raise Unreadable("not a Flight SQL command") from None
+        raise InvalidFlightDataError("not a Flight SQL command") from None
 
 
-def read(message_type: type[MessageType], data: bytes) -> MessageType:
-    """Parses a message of the given type; raises Unreadable if the data is not one."""
+def parse_message(message_type: type[MessageType], data: bytes) -> MessageType:
+    """Parses a message of the given type; raises InvalidFlightDataError if the data is not one."""
     try:
         return message_type.FromString(data)
     except DecodeError:
-        raise Unreadable(f"not a {message_type.DESCRIPTOR.name}") from None
+        raise InvalidFlightDataError(f"not a {message_type.DESCRIPTOR.name}") from None
 
 
-def command(message: Message) -> flight.FlightDescriptor:
+def command_descriptor(message: Message) -> flight.FlightDescriptor:
     """The descriptor of a Flight SQL command."""
     return flight.FlightDescriptor(type=flight.FlightDescriptor.CMD, cmd=wrap(message))
 
@@ -80,59 +83,62 @@
     return b"\xff\xff\xff\xff" + len(metadata).to_bytes(4, "little") + metadata + data.data_body
 
 
-def framed(part: pa.Schema | pa.RecordBatch) -> flight.FlightData:
+def to_flight_data(part: pa.Schema | pa.RecordBatch) -> flight.FlightData:
     """A schema or a record batch as one FlightData."""
     metadata, body = split_message(part.serialize().to_pybytes())
     return flight.FlightData(data_header=metadata, data_body=body)
 
 
-def batches(schema: pa.Schema, parts: Iterable[pa.RecordBatch]) -> Iterator[flight.FlightData]:
+def encode_batches(schema: pa.Schema, parts: Iterable[pa.RecordBatch]) -> Iterator[flight.FlightData]:
     """A result as FlightData: its schema, then each record batch."""
-    yield framed(schema)
+    yield to_flight_data(schema)
     for part in parts:
-        yield framed(part)
+        yield to_flight_data(part)
 
 
 def from_rows(rows: list[list[bytes]]) -> Iterator[flight.FlightData]:
-    """Rows of three text columns as FlightData, schema first; raises Unreadable if a value is not UTF-8."""
-    yield framed(PLAIN)
-    for start in range(0, len(rows), STEP):
-        columns = zip(*rows[start : start + STEP], strict=True)
+    """Rows of three text columns as FlightData, schema first.
+
+    Raises InvalidFlightDataError if a value is not UTF-8.
+    """
+    yield to_flight_data(TEXT_RESULT_SCHEMA)
+    for start in range(0, len(rows), MAX_ROWS_PER_BATCH):
+        columns = zip(*rows[start : start + MAX_ROWS_PER_BATCH], strict=True)
         try:
             arrays = [pa.array([value.decode() for value in column], pa.string()) for column in columns]
         except UnicodeDecodeError:
-            raise Unreadable("a value is not UTF-8 text") from None
-        yield framed(pa.record_batch(arrays, schema=PLAIN))
+            raise InvalidFlightDataError("a value is not UTF-8 text") from None
+        yield to_flight_data(pa.record_batch(arrays, schema=TEXT_RESULT_SCHEMA))
 
 
-class Reading:
+class BatchDecoder:
     """Decodes the record batches of one stream of FlightData."""
 
     def __init__(self) -> None:
         self.schema: pa.Schema | None = None
 
-    def take(self, raw: bytes) -> pa.RecordBatch | None:
+    def decode(self, raw: bytes) -> pa.RecordBatch | None:
         """The record batch in one serialized FlightData; None if it holds the schema or only metadata.
 
-        Raises Unreadable if it is neither, or does not fit the schema that came before.
+        Raises InvalidFlightDataError if it is neither, or does not fit the schema that came before.
         """
-        data = read(flight.FlightData, raw)
+        data = parse_message(flight.FlightData, raw)
         if not data.data_header:
             return None
         try:
             message = pa.ipc.read_message(pa.py_buffer(join_message(data)))
             if message.type == "schema":
                 if self.schema is not None:
-                    raise Unreadable("the schema changes between two batches")
+                    raise InvalidFlightDataError("the schema changes between two batches")
                 self.schema = pa.ipc.read_schema(message)
                 return None
             if self.schema is None:
-                raise Unreadable("a batch ahead of its schema")
+                raise InvalidFlightDataError("a batch ahead of its schema")
             batch = pa.ipc.read_record_batch(message, self.schema)
             batch.validate(full=True)
             return batch
         except (pa.ArrowException, OSError, ValueError) as fault:
-            raise Unreadable(f"not an Arrow message: {str(fault)[:80]}") from None
+            raise InvalidFlightDataError(f"not an Arrow message: {str(fault)[:80]}") from None
 
 
 def to_rows(batch: pa.RecordBatch) -> Iterator[list[bytes | None]]:
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -76,6 +76,6 @@
             outcome=outcome,
             attempts=attempts,
             elapsed_ms=(self.context.now - received_at) / MILLISECOND,
-            client_timeout_ms=query.request.patience / MILLISECOND,
+            client_timeout_ms=query.request.client_timeout / MILLISECOND,
             session=query.session,
         )
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -83,8 +83,10 @@
         connection.attempts[request.id] = attempt
         connection.last_used_at = now
         milliseconds = -(-(attempt.deadline - now) // MILLISECOND)
-        token = request.token if self.rules.group_of(request) in self.rules.idempotent else None
-        run = words.Run(request.id, request.group, milliseconds, query.priority, token, request.statement)
+        token = request.idempotency_key if self.rules.group_of(request) in self.rules.idempotent else None
+        run = words.StartRun(
+            request.id, request.group, milliseconds, query.priority, token, request.statement
+        )
         self.context.emit(SendCommand(connection.number, run))
 
     def cancel(self, attempt: Attempt) -> None:
@@ -98,7 +100,7 @@
             if attempt.connection is None or not attempt.sent:
                 continue
             if not attempt.ended and attempt.completion is None:
-                hurry = words.Hurry(query.request.id, priority)
+                hurry = words.SetPriority(query.request.id, priority)
                 self.context.emit(SendCommand(attempt.connection.number, hurry))
 
     # ---- ends of attempts -------------------------------------------------------------------------
@@ -128,7 +130,7 @@
             if attempt.stream is not None:
                 self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
             elif attempt.completion is not None and attempt.connection is not None:
-                unwanted = words.Unwanted(query.request.id)
+                unwanted = words.DiscardResult(query.request.id)
                 self.context.emit(SendCommand(attempt.connection.number, unwanted))
                 self.end(attempt, AttemptResult.SERVED)
 
@@ -145,7 +147,7 @@
         *,
         cancel_run: bool = False,
         final: bool = False,
-        message: words.Over | words.Whole | words.Ended | None = None,
+        message: words.RunCompleted | words.ResultReceived | words.RunEnded | None = None,
     ) -> None:
         """Ends an attempt and notifies the scheduler; does nothing if the attempt has already ended.
 
@@ -180,7 +182,7 @@
         if attempt.sent:
             connection.attempts.pop(query_id, None)
             if cancel_run:
-                self.context.emit(SendCommand(connection.number, words.GiveUp(query_id)))
+                self.context.emit(SendCommand(connection.number, words.CancelRun(query_id)))
         elif attempt in connection.waiting:
             connection.waiting.remove(attempt)
 
@@ -189,12 +191,12 @@
         attempt: Attempt,
         result: AttemptResult,
         final: bool,
-        message: words.Over | words.Whole | words.Ended | None,
+        message: words.RunCompleted | words.ResultReceived | words.RunEnded | None,
     ) -> None:
         cost = None
         report = None
         if message is not None:
-            cost = round((message.work or 0) * MILLISECOND) or None
+            cost = round((message.cpu_ms or 0) * MILLISECOND) or None
             report = message.report
         now = self.context.now
         elapsed = now - attempt.started_at
@@ -204,29 +206,29 @@
 
     # ---- messages of engines ----------------------------------------------------------------------
 
-    def on_message(self, connection: EngineConnection, message: words.Said) -> None:
+    def on_message(self, connection: EngineConnection, message: words.EngineMessage) -> None:
         """Handles an engine's message on an attempt; messages on attempts that have ended are ignored."""
-        if message is None or isinstance(message, words.Probed):
+        if message is None or isinstance(message, words.HealthCheckAnswer):
             return
         attempt = connection.attempts.get(message.id)
         if attempt is None:
             return
         match message:
-            case words.Whole():
+            case words.ResultReceived():
                 self._on_result(attempt, message)
-            case words.Over(query_id):
+            case words.RunCompleted(query_id):
                 attempt.completion = message
                 if attempt.query.answered:
-                    self.context.emit(SendCommand(connection.number, words.Unwanted(query_id)))
+                    self.context.emit(SendCommand(connection.number, words.DiscardResult(query_id)))
                     self.end(attempt, AttemptResult.SERVED)
-            case words.Began(_, stream):
+            case words.StreamStarted(_, stream):
                 self._on_stream_started(attempt, stream)
-            case words.Noted(query_id, topic, value):
+            case words.ProgressReported(query_id, topic, value):
                 self.scheduler.on_progress(self.context.now, query_id, attempt.number, topic, value)
-            case words.Ended(_, result):
+            case words.RunEnded(_, result):
                 self.end(attempt, AttemptResult(result), message=message)
 
-    def _on_result(self, attempt: Attempt, message: words.Whole) -> None:
+    def _on_result(self, attempt: Attempt, message: words.ResultReceived) -> None:
         query = attempt.query
         if query.claim is not ClaimState.NONE:
             query.rows = message.rows
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from hillchute.decision.interface import MAY_STILL_RUN, NEVER_RAN, AttemptResult, QueryId, Time
-from hillchute.fronts.events import FIRST_GUEST
+from hillchute.fronts.events import FIRST_FORWARDED_SESSION
 from hillchute.router.effects import (
     CancelForward,
     ClaimOutcome,
@@ -51,16 +51,17 @@
         self.owner = owner
         self.order_pause = order_pause
 
-    def claim(self, query: QueryState, *, ordered: bool = False, once: bool = False) -> None:
+    def claim(self, query: QueryState, *, ordered: bool = False, is_transient: bool = False) -> None:
         """Asks the answer history whether a query may run.
 
-        `ordered`: the query's group keeps the order of a key; `once`: the query has no idempotency key.
+        `ordered`: the query's group keeps the order of a key; `is_transient`: the query has no idempotency
+        key.
         """
         query.claim = ClaimState.ASKED
         time_left = max(0, query.deadline - self.context.now)
         customer, key, token = history_key(query.request)
         self.context.emit(
-            ClaimQuery(query.request.id, query.number, customer, key, token, time_left, ordered, once)
+            ClaimQuery(query.request.id, query.number, customer, key, token, time_left, ordered, is_transient)
         )
 
     def on_decided(self, decided: ClaimDecided) -> None:
@@ -74,7 +75,7 @@
             query.claim = ClaimState.RETURNED
         else:
             query.claim = ClaimState.NONE
-        if decided.verdict == ClaimVerdict.FORWARD and query.session >= FIRST_GUEST:
+        if decided.verdict == ClaimVerdict.FORWARD and query.session >= FIRST_FORWARDED_SESSION:
             # A query is forwarded only once.
             reason = "its slot has another owner meanwhile"
             decided = decided._replace(verdict=ClaimVerdict.REJECT, reason=reason)
--- a/hillchute/router/config.py
+++ b/hillchute/router/config.py
@@ -54,9 +54,9 @@
     event_bus_address: tuple[str, int]  # host and port of the event bus
     initial_watch_events: tuple[event_bus.WatchEvent, ...]  # the endpoint list at the start
     initial_offset: int  # offset of the last of these events
-    stated_catalog: Mapping[str, object]  # the settings by dotted key, for needs_restart()
+    catalog: Mapping[str, object]  # the settings by dotted key, for needs_restart()
     settings: Settings
-    longest_shutdown: Time  # time limit for answering all queries in a planned shutdown
+    max_shutdown_time: Time  # time limit for answering all queries in a planned shutdown
 
     @property
     def max_connected_sessions(self) -> int:
@@ -92,7 +92,7 @@
     EDGE_LISTEN and EDGE_NAME in `environ` override the file's `listen` and `name`.
     """
     listen = environ.get("EDGE_LISTEN")
-    host, port = address(listen, "EDGE_LISTEN") if listen else _required_address(table, "listen")
+    host, port = parse_address(listen, "EDGE_LISTEN") if listen else _required_address(table, "listen")
     sockets = _optional(table, "limits.sockets", int, DEFAULT_SOCKETS)
     _check_at_least(MIN_SOCKETS, sockets, "limits.sockets")
     memory_mb = _optional(table, "limits.memory_mb", int, DEFAULT_MEMORY_MB)
@@ -113,9 +113,9 @@
         event_bus_address=_required_address(table, "bus"),
         initial_offset=offset,
         initial_watch_events=initial_watch_events,
-        stated_catalog=catalog,
+        catalog=catalog,
         settings=settings,
-        longest_shutdown=min(settings.longest_queue_timeout, MAX_SHUTDOWN_TIME),
+        max_shutdown_time=min(settings.longest_queue_timeout, MAX_SHUTDOWN_TIME),
     )
 
 
@@ -133,11 +133,11 @@
     """
     fields = ("name", "host", "port", "seed", "sockets")
     changed = [field for field in fields if getattr(running, field) != getattr(reloaded, field)]
-    before, after = running.stated_catalog, reloaded.stated_catalog
+    before, after = running.catalog, reloaded.catalog
     return changed + sorted(key for key in {*before, *after} if before.get(key) != after.get(key))
 
 
-def address(text: str, path: str) -> tuple[str, int]:
+def parse_address(text: str, path: str) -> tuple[str, int]:
     """Returns the host and port of an address; raises ConfigurationError with key `path` if it is invalid."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
@@ -181,7 +181,7 @@
 
 
 def _required_address(table: JsonObject, path: str) -> tuple[str, int]:
-    return address(_required(table, path, str), path)
+    return parse_address(_required(table, path, str), path)
 
 
 def _check_at_least(minimum: int, value: int, path: str) -> None:
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -22,7 +22,7 @@
 )
 from hillchute.discovery import event_bus
 from hillchute.engines import words
-from hillchute.engines.events import ConnectFault
+from hillchute.engines.events import ConnectFailure
 from hillchute.router.effects import CloseConnection, OpenConnection, SendCommand
 from hillchute.router.query_state import Attempt, QueryState
 from hillchute.router.reducer_context import ReducerContext
@@ -177,7 +177,7 @@
         connection.is_open = True
         connection.last_received_at = now
         for tag in connection.health_checks:
-            self.context.emit(SendCommand(number, words.Probe(tag)))
+            self.context.emit(SendCommand(number, words.HealthCheckRequest(tag)))
         while connection.waiting:
             self.on_open(connection.waiting.popleft(), connection)
         self.context.call_at(now + self.silence_limit, self._check_silence, number)
@@ -205,18 +205,18 @@
         connection = self.connections.get(number)
         if connection is not None and not connection.is_open:
             self.context.emit(CloseConnection(number))
-            self.on_not_connected(number, ConnectFault.UNREACHED)
+            self.on_not_connected(number, ConnectFailure.UNREACHABLE)
 
-    def on_not_connected(self, number: int, fault: ConnectFault) -> None:
+    def on_not_connected(self, number: int, failure: ConnectFailure) -> None:
         """Handles a connection that could not be opened.
 
-        `fault` distinguishes a lack of local resources, which says nothing about the engine.
+        `failure` distinguishes a lack of local resources, which says nothing about the engine.
         """
         connection = self.connections.get(number)
         if connection is None:
             return
         self._forget(connection)
-        result = AttemptResult(fault.value)
+        result = AttemptResult(failure.value)
         for tag in connection.health_checks:
             self.scheduler.on_health_check(self.context.now, connection.engine, result, None)
             name = event_bus.engine_name(connection.engine)
@@ -258,9 +258,9 @@
         connection.last_used_at = now
         self.context.call_at(now + self.connect_timeout, self._on_health_check_timeout, connection, tag)
         if connection.is_open:
-            self.context.emit(SendCommand(connection.number, words.Probe(tag)))
+            self.context.emit(SendCommand(connection.number, words.HealthCheckRequest(tag)))
 
-    def on_health_check_answer(self, connection: EngineConnection, answer: words.Probed) -> None:
+    def on_health_check_answer(self, connection: EngineConnection, answer: words.HealthCheckAnswer) -> None:
         """Reports the answer to a health check; one that comes late was already reported as timed out."""
         started_at = connection.health_checks.pop(answer.tag, None)
         if started_at is None:
--- a/hillchute/router/effect_executor.py
+++ b/hillchute/router/effect_executor.py
@@ -11,8 +11,8 @@
 import anyio.abc
 
 from hillchute.engines import words
-from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST, Spoilt
-from hillchute.fronts.mysql.door import Door
+from hillchute.fronts.events import FIRST_FLIGHT_SESSION, FIRST_FORWARDED_SESSION, StreamUnreadable
+from hillchute.fronts.mysql.door import MysqlFrontend
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.router.alarm import Alarm
@@ -55,7 +55,7 @@
     """
 
     reducer: Reducer
-    door: Door
+    mysql_frontend: MysqlFrontend
     flight: FlightFrontend | None  # None if the Flight SQL frontend is not enabled
     extension: RouterExtension | None  # None if no peers are configured
     links: EngineLinks
@@ -131,7 +131,7 @@
             case OpenConnection(connection, host, port):
                 self.links.open(connection, host, port, self.tasks)
             case CloseConnection(connection):
-                self.links.hang_up(connection)
+                self.links.close_connection(connection)
             case StartStream(session, stream):
                 self._start_stream(session, stream)
             case AbortStream() | RejectQuery() | FailQuery():
@@ -142,14 +142,14 @@
     def frontend_of(self, session: int) -> Frontend:
         """Returns the frontend that answers the client of a session.
 
-        MySQL sessions have the lowest numbers; calls of the Flight SQL frontend start at FIRST_CALL, and
-        queries forwarded by other routers at FIRST_GUEST.
+        MySQL sessions have the lowest numbers; calls of the Flight SQL frontend start at
+        FIRST_FLIGHT_SESSION, and queries forwarded by other routers at FIRST_FORWARDED_SESSION.
         """
-        if session < FIRST_CALL:
-            return self.door
-        if session >= FIRST_GUEST:
+        if session < FIRST_FLIGHT_SESSION:
+            return self.mysql_frontend
+        if session >= FIRST_FORWARDED_SESSION:
             return self._forwarding_frontend()
-        return self.door if self.flight is None else self.flight
+        return self.mysql_frontend if self.flight is None else self.flight
 
     def _forwarding_frontend(self) -> ForwardingFrontend:
         if self.extension is None or self.extension.forwarded_queries is None:
@@ -160,11 +160,11 @@
         frontend = self.frontend_of(effect.session)
         match effect:
             case RejectQuery(session, retry_after):
-                frontend.defer(session, retry_after)
+                frontend.reject(session, retry_after)
             case FailQuery(session, reason):
-                frontend.kill(session, reason)
+                frontend.fail(session, reason)
             case AbortStream(session, reason):
-                frontend.cut(session, reason)
+                frontend.abort_stream(session, reason)
 
     def _carry_out_in_extension(self, effect: ExtensionEffect) -> None:
         if self.extension is None:
@@ -179,22 +179,22 @@
     # ---- streams ----------------------------------------------------------------------------------
 
     def _start_stream(self, session: int, stream: words.Stream) -> None:
-        if session < FIRST_CALL:
+        if session < FIRST_FLIGHT_SESSION:
             self.tasks.start_soon(self._deliver_stream, session, stream)
-        elif session >= FIRST_GUEST:
-            self._forwarding_frontend().begin(session, stream)
+        elif session >= FIRST_FORWARDED_SESSION:
+            self._forwarding_frontend().start_stream(session, stream)
         elif self.flight is None:
             raise LookupError("the Flight SQL frontend is not enabled")
         else:
-            self.flight.begin(session, stream)
+            self.flight.start_stream(session, stream)
 
     async def _deliver_stream(self, session: int, stream: words.Stream) -> None:
         """Passes a stream on to a MySQL client. An exception ends only this stream."""
         try:
-            await self.door.pass_on(session, stream)
+            await self.mysql_frontend.deliver_stream(session, stream)
         except BaseException as error:
             if not isinstance(error, Exception) and self.tasks.cancel_scope.cancel_called:
                 raise
             self.log.write("fault", what=f"stream of {session}", reason=repr(error))
             stream.close()
-            self.handle(Spoilt(session, "a fault of ours"))
+            self.handle(StreamUnreadable(session, "a fault of ours"))
--- a/hillchute/router/effects.py
+++ b/hillchute/router/effects.py
@@ -86,7 +86,7 @@
     token: str
     time_left: Time
     ordered: bool
-    once: bool = False  # no idempotency key: the history lists the query only while it runs
+    is_transient: bool = False  # no idempotency key: the history lists the query only while it runs
 
 
 class ClaimOutcome(StrEnum):
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -13,9 +13,9 @@
 import anyio.lowlevel
 
 from hillchute.decision.interface import MILLISECOND, Time
-from hillchute.engines.line.links import Link, Links
-from hillchute.fronts.events import Asked
-from hillchute.fronts.mysql.door import Client, Door
+from hillchute.engines.line.links import LineConnection, LineConnections
+from hillchute.fronts.events import QueryReceived
+from hillchute.fronts.mysql.door import Client, MysqlFrontend
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.net.poller import Poller, ReadySocket
@@ -36,7 +36,7 @@
     """The ready sockets of one poll, by owner, in the kernel's order."""
 
     clients: dict[Client, ReadySocket]
-    links: dict[Link, ReadySocket]
+    links: dict[LineConnection, ReadySocket]
     listener: bool  # new connections are in the backlog
 
 
@@ -48,8 +48,10 @@
     """
 
     poller: Poller
-    door: Door
-    line_links: Links | None  # None if engines speak another protocol, whose sockets are not in the poller
+    mysql_frontend: MysqlFrontend
+    line_links: (
+        LineConnections | None
+    )  # None if engines speak another protocol, whose sockets are not in the poller
     rounds: RoundSchedule
     loop_lag: LoopLag
     alarm: Alarm
@@ -86,7 +88,7 @@
         """Ends sessions that exceed the time limit of one protocol step, forever."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL)
-            self.door.sweep()
+            self.mysql_frontend.sweep()
 
     # ---- rounds -----------------------------------------------------------------------------------
 
@@ -101,16 +103,16 @@
             self._read_clients(clients)
             clients = {}
             if listener_ready:
-                self.door.accept(self.rounds.accept_limit)
-                listener_ready = not self.door.paused
+                self.mysql_frontend.accept(self.rounds.accept_limit)
+                listener_ready = not self.mysql_frontend.paused
         self.check_alarm(began)
         self._read_engines(links, began)
         self._read_clients(clients)
-        self.rounds.record_sockets_read(began, listener_ready or self.door.paused)
+        self.rounds.record_sockets_read(began, listener_ready or self.mysql_frontend.paused)
         self._take_queries()
         if listener_ready:
             before = self.clock()
-            backlog_empty = self.door.accept(self.rounds.accept_limit)
+            backlog_empty = self.mysql_frontend.accept(self.rounds.accept_limit)
             self.rounds.record_connections_accepted(before, backlog_empty=backlog_empty)
         ended = self.clock()
         if ended - began > ENGINE_READ_BUDGET + QUERY_BUDGET:
@@ -119,13 +121,13 @@
     def _poll(self) -> ReadySockets:
         self.polled_at = self.clock()
         clients: dict[Client, ReadySocket] = {}
-        links: dict[Link, ReadySocket] = {}
+        links: dict[LineConnection, ReadySocket] = {}
         listener = False
         for ready in self.poller.poll():
             owner = ready.owner
             if isinstance(owner, Client):
                 clients[owner] = ready
-            elif isinstance(owner, Link):
+            elif isinstance(owner, LineConnection):
                 links[owner] = ready
             else:
                 listener = True
@@ -145,10 +147,10 @@
             return
         with self.executor.events_held():
             for client in disconnected:
-                if client.pipe.closed:
+                if client.buffered_socket.closed:
                     continue
                 try:
-                    self.door.ended(client)
+                    self.mysql_frontend.ended(client)
                 except Exception as error:  # noqa: BLE001 - an exception ends only this session
                     self._end_faulty_session(client, error)
 
@@ -156,18 +158,18 @@
         for count, (client, ready) in enumerate(clients.items(), start=1):
             if count % CLIENTS_PER_ALARM_CHECK == 0:
                 self.check_alarm(self.clock())
-            if client.pipe.closed:
+            if client.buffered_socket.closed:
                 continue
             try:
-                self.door.ready(client, ready.readable, ready.writable, ready.ended)
+                self.mysql_frontend.ready(client, ready.readable, ready.writable, ready.ended)
             except Exception as error:  # noqa: BLE001 - an exception ends only this session
                 self._end_faulty_session(client, error)
 
     def _end_faulty_session(self, client: Client, error: Exception) -> None:
         self.faults.write(type(client).__name__, error)
-        self.door.drop(client)
+        self.mysql_frontend.drop(client)
 
-    def _read_engines(self, links: dict[Link, ReadySocket], began: Time) -> None:
+    def _read_engines(self, links: dict[LineConnection, ReadySocket], began: Time) -> None:
         """Reads engine connections, least recently served first, until the budget since `began` is spent."""
         if self.line_links is None:
             return
@@ -175,13 +177,13 @@
             if count and self.clock() - began > ENGINE_READ_BUDGET:
                 self.rounds.work_left = True
                 break
-            link.served = self.rounds.number
+            link.last_served_round = self.rounds.number
             ready = links[link]
             try:
                 self.line_links.ready(link, ready.readable, ready.writable)
             except Exception as error:  # noqa: BLE001 - an exception ends only this connection
                 self.faults.write(type(link).__name__, error)
-                self.line_links.lost(link, "internal error")
+                self.line_links.drop(link, "internal error")
 
     def _take_queries(self) -> None:
         """Takes due queries, at least one if there are any, until the time budget is spent."""
@@ -189,7 +191,7 @@
         for count, query in enumerate(self.rounds.take_queries(began)):
             now = self.clock()
             self.loop_lag.record_query_delay(now, now - query.ready_at)
-            self.handle(Asked(query.session, query.request, query.received_at))
+            self.handle(QueryReceived(query.session, query.request, query.received_at))
             if count and now - began > QUERY_BUDGET:
                 break
 
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -10,8 +10,8 @@
 from hillchute.decision.interface import EngineId, QueryId, Report, Time
 from hillchute.discovery import event_bus
 from hillchute.engines import words
-from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
-from hillchute.fronts.events import Asked, Left, Passed, Spoilt
+from hillchute.engines.events import Connected, ConnectFailed, ConnectionLost, MessageReceived, RunNotSent
+from hillchute.fronts.events import ClientGone, QueryReceived, StreamDelivered, StreamUnreadable
 
 
 class EndpointsChanged(NamedTuple):
@@ -60,15 +60,15 @@
 
 
 Event: TypeAlias = (
-    Asked
-    | Left
-    | Passed
-    | Spoilt
+    QueryReceived
+    | ClientGone
+    | StreamDelivered
+    | StreamUnreadable
     | Connected
-    | NotConnected
-    | NotSent
-    | Said
-    | Lost
+    | ConnectFailed
+    | RunNotSent
+    | MessageReceived
+    | ConnectionLost
     | EndpointsChanged
     | PeersChanged
     | ClaimDecided
@@ -80,10 +80,10 @@
 def describe(event: Event) -> tuple[object, ...]:
     """Returns the trace entry of an event: its name and the identifiers of its subject."""
     match event:
-        case Asked(session, request, since):
-            return "Asked", request.id, session, since
-        case Said(connection, message):
-            return "Said", connection, type(message).__name__, message and message[0]
+        case QueryReceived(session, request, received_at):
+            return "QueryReceived", request.id, session, received_at
+        case MessageReceived(connection, message):
+            return "MessageReceived", connection, type(message).__name__, message and message[0]
         case EndpointsChanged(update):
             return "EndpointsChanged", update.offset
         case PeersChanged(reports):
--- a/hillchute/router/graceful_shutdown.py
+++ b/hillchute/router/graceful_shutdown.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from hillchute.decision.interface import MILLISECOND, Time
-from hillchute.fronts.mysql.door import Door
+from hillchute.fronts.mysql.door import MysqlFrontend
 from hillchute.log import Log
 from hillchute.net.clock import Clock
 from hillchute.router.effect_executor import EffectExecutor
@@ -31,7 +31,7 @@
     executor: EffectExecutor
     reducer: Reducer
     rounds: RoundSchedule
-    door: Door
+    mysql_frontend: MysqlFrontend
     extension: RouterExtension | None
     signals: SignalReceiver
     lifecycle: Lifecycle
@@ -63,24 +63,30 @@
         activity = self._client_activity()
         if self.schedule.sessions_closed_at is None and self.schedule.may_close_sessions(activity):
             # Connections in the backlog are accepted and read; if they have queries, closing is put off.
-            self.door.accept(LISTEN_BACKLOG)
+            self.mysql_frontend.accept(LISTEN_BACKLOG)
             self.event_loop.round()
             activity = self._client_activity()
-        step = self.schedule.next_step(activity, len(self.door.clients))
+        step = self.schedule.next_step(activity, len(self.mysql_frontend.clients))
         if step is not ShutdownStep.ACCEPT and self.lifecycle.enter(Phase.FLUSHING):
             self._reject_unhandled()
-            self.door.close()
+            self.mysql_frontend.close()
         if step is ShutdownStep.CLOSE_SESSIONS:
-            self.door.hang_up()  # again each time, for sessions whose last bytes have been sent since
+            # Again each time, for sessions whose last bytes have been sent since.
+            self.mysql_frontend.close_sessions()
         return step
 
     def _client_activity(self) -> ClientActivity:
         """Returns the activity of clients as of the last round."""
         open_queries = len(self.reducer.unanswered) + len(self.rounds.pending)
-        return ClientActivity(self.clock(), self.rounds.last_client_activity, open_queries, self.door.owed())
+        return ClientActivity(
+            self.clock(),
+            self.rounds.last_client_activity,
+            open_queries,
+            self.mysql_frontend.sessions_with_unsent_output(),
+        )
 
     def _reject_unhandled(self) -> None:
         """Rejects queries that were read but not taken: their order within a key was not known in time."""
         for session in list(self.rounds.pending):
             self.rounds.discard(session)
-            self.executor.frontend_of(session).defer(session, 0)
+            self.executor.frontend_of(session).reject(session, 0)
--- a/hillchute/router/integrations/fleet_scheduler.py
+++ b/hillchute/router/integrations/fleet_scheduler.py
@@ -168,17 +168,17 @@
 
     # ---- inputs that only the scheduler needs -----------------------------------------------------------
 
-    def admits(self, now: Time, group: int, lateness: float) -> bool:
+    def admits(self, now: Time, group: int, loop_lag: float) -> bool:
         """Whether a query of this group is admitted at this event loop lag."""
-        return self.scheduler.admits(now, group, lateness)
+        return self.scheduler.admits(now, group, loop_lag)
 
     def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
         """Handles a load report relayed by another router; it is not relayed again."""
         self.scheduler.on_load_report(now, engine, report, age)
 
-    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, figure: float) -> None:
+    def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, value: float) -> None:
         """Handles an engine's progress report on an attempt."""
-        self.scheduler.on_progress(now, query, attempt, topic, figure)
+        self.scheduler.on_progress(now, query, attempt, topic, value)
 
     def on_stream_started(self, now: Time, query: QueryId) -> None:
         """Handles the first part of a streamed result."""
@@ -189,7 +189,7 @@
         self.scheduler.on_shutdown(now, deadline)
 
     def on_timer(self, now: Time, name: str) -> None:
-        """Handles the expiry of a `Wake`."""
+        """Handles the expiry of a `SetTimer`."""
         self.scheduler.on_timer(now, name)
 
     # ---- decisions --------------------------------------------------------------------------------------
--- a/hillchute/router/integrations/forwarded_queries.py
+++ b/hillchute/router/integrations/forwarded_queries.py
@@ -11,7 +11,7 @@
 
 from hillchute.decision.interface import Time
 from hillchute.engines.words import Rows, Stream
-from hillchute.fronts.events import Asked, Left, Spoilt
+from hillchute.fronts.events import ClientGone, QueryReceived, StreamUnreadable
 from hillchute.partners import messages
 from hillchute.partners.forwarding import Arrival, Completion, QueryForwarder
 from hillchute.partners.messages import ForwardOutcome
@@ -86,9 +86,9 @@
                 del self.forward_numbers[query]
                 self.context.handle(claim_decided(query, completion))
         for arrival in arrivals:
-            self.context.handle(Asked(arrival.session, request_of(arrival), self.router_clock()))
+            self.context.handle(QueryReceived(arrival.session, request_of(arrival), self.router_clock()))
         for session in abandoned:
-            self.context.handle(Left(session))
+            self.context.handle(ClientGone(session))
 
     @property
     def has_unacknowledged_results(self) -> bool:
@@ -101,24 +101,24 @@
         """Answers with the rows of a served query."""
         self._answer(session, ForwardOutcome.SERVED, "", encode_rows(rows))
 
-    def defer(self, session: int, after: Time) -> None:
+    def reject(self, session: int, after: Time) -> None:
         """Answers that the query was rejected without effect. The forwarding router chooses its own retry
         delay."""
         del after
         self._answer(session, ForwardOutcome.REJECTED, "its owner's router turned it away")
 
-    def kill(self, session: int, reason: str) -> None:
+    def fail(self, session: int, reason: str) -> None:
         """Answers that the query failed; it may have run."""
         self._answer(session, ForwardOutcome.FAILED, reason)
 
-    def cut(self, session: int, reason: str) -> None:
+    def abort_stream(self, session: int, reason: str) -> None:
         """Answers that a result was aborted after its start."""
         self._answer(session, ForwardOutcome.FAILED, reason)
 
-    def begin(self, session: int, stream: Stream) -> None:
+    def start_stream(self, session: int, stream: Stream) -> None:
         """Rejects a streamed result: only short results are forwarded."""
         stream.close()
-        self.context.handle(Spoilt(session, "a result that comes as a stream can't be passed on"))
+        self.context.handle(StreamUnreadable(session, "a result that comes as a stream can't be passed on"))
 
     def _answer(self, session: int, outcome: ForwardOutcome, reason: str, rows: bytes | None = None) -> None:
         self.forwarder.answer(self.context.clock(), session, outcome, reason, rows)
@@ -161,10 +161,10 @@
         query_id=request.id,
         group=request.group,
         statement=request.statement,
-        idempotency_key=request.token,
+        idempotency_key=request.idempotency_key,
         cost=request.cost,
-        memory=request.memory,
-        ordering_key=request.key,
+        memory=request.memory_mb,
+        ordering_key=request.ordering_key,
         customer=request.customer,
         time_left=time_left,
     )
@@ -176,11 +176,11 @@
     return Request(
         id=query.query_id,
         group=query.group,
-        patience=query.time_left,
+        client_timeout=query.time_left,
         statement=query.statement,
-        token=query.idempotency_key,
+        idempotency_key=query.idempotency_key,
         cost=query.cost,
-        memory=query.memory,
-        key=query.ordering_key,
+        memory_mb=query.memory,
+        ordering_key=query.ordering_key,
         customer=query.customer,
     )
--- a/hillchute/router/integrations/history.py
+++ b/hillchute/router/integrations/history.py
@@ -15,7 +15,7 @@
 from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.codec import codec
 from hillchute.history.messages import Message
-from hillchute.history.own_claims import Decided, KeyedQuery
+from hillchute.history.own_claims import DecidedClaim, KeyedQuery
 from hillchute.history.ownership_leases import PartnerAgreement
 from hillchute.history.records import RecordState
 from hillchute.history.replica import Replica
@@ -70,7 +70,7 @@
         membership = Membership(node.name, node.generation, [node.name, *node.keys], node.generations)
         self.replica = Replica(membership, retention_policies(settings), now, self.store, agreement)
         if self.store is not None:
-            self.replica.recall(now, self.store.read())
+            self.replica.restore(now, self.store.read())
         self.claim_numbers: dict[QueryKey, int] = {}  # the replica's numbers of open claims
         self.queries: dict[int, QueryKey] = {}  # by claim number, until the claim is decided or ends
         self.statistics_logged_at = now
@@ -86,7 +86,7 @@
             idempotency_key=effect.token,
             deadline=now + effect.time_left,
             ordered=effect.ordered,
-            is_transient=effect.once,
+            is_transient=effect.is_transient,
         )
         number = self.replica.claim(now, keyed_query)
         query = (effect.query, effect.number)
@@ -106,7 +106,7 @@
 
     def _deliver(self) -> None:
         """Passes decided claims to the reducer and schedules the replica's messages."""
-        for decided in self.replica.take_decided():
+        for decided in self.replica.take_decided_claims():
             query = self.queries.get(decided.number)
             if query is None:
                 continue
@@ -150,7 +150,7 @@
             in_force=replica.views.in_force(now),
             records=replica.records.count_by_customer.total(),
             bytes=replica.records.size_bytes,
-            fetching=len(replica.slots.wanted),
+            fetching=len(replica.slots.fetching),
             claims=len(replica.own_claims.claims),
             **dict(replica.counters),
         )
@@ -184,7 +184,7 @@
     def on_routers_named(self) -> None:
         """Handles a reload of the router names: majorities are then counted among the routers that the node
         knows."""
-        self.replica.name_routers([self.node.name, *self.node.keys], self.context.clock())
+        self.replica.set_configured_routers([self.node.name, *self.node.keys], self.context.clock())
 
     @property
     def is_handed_over(self) -> bool:
@@ -206,7 +206,7 @@
         return None
 
 
-def claim_decided(query: QueryKey, decided: Decided) -> ClaimDecided:
+def claim_decided(query: QueryKey, decided: DecidedClaim) -> ClaimDecided:
     """The event for a replica's decision; a failure if the retained rows can't be read."""
     query_id, number = query
     try:
--- a/hillchute/router/integrations/interface.py
+++ b/hillchute/router/integrations/interface.py
@@ -20,21 +20,21 @@
     def finish(self, session: int, rows: Rows, /) -> None:
         """Answers with the complete rows of a served query."""
 
-    def defer(self, session: int, after: Time, /) -> None:
+    def reject(self, session: int, after: Time, /) -> None:
         """Answers that the query was rejected without effect; the client may retry after `after` (0: not
         stated)."""
 
-    def kill(self, session: int, reason: str, /) -> None:
+    def fail(self, session: int, reason: str, /) -> None:
         """Answers that the query failed; it may have run."""
 
-    def cut(self, session: int, reason: str, /) -> None:
+    def abort_stream(self, session: int, reason: str, /) -> None:
         """Aborts the result stream that is being sent to the session."""
 
 
 class ForwardingFrontend(Frontend, Protocol):
     """Answers queries forwarded by other routers."""
 
-    def begin(self, session: int, stream: Stream, /) -> None:
+    def start_stream(self, session: int, stream: Stream, /) -> None:
         """Starts a streamed result."""
 
 
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -19,7 +19,7 @@
 from hillchute.peers.datagrams import DropReason
 from hillchute.peers.node import Node, RouterIdentity
 from hillchute.peers.transport import Address, PeerTransport, SteadyUnixClock, TransportCallbacks
-from hillchute.router.config import RouterConfiguration, address
+from hillchute.router.config import RouterConfiguration, parse_address
 from hillchute.router.effects import CancelForward, ClaimQuery, EndClaim, ForwardQuery
 from hillchute.router.events import Event, PeersChanged
 from hillchute.router.integrations.fleet_scheduler import (
@@ -63,7 +63,7 @@
             listen=section["listen"],
             keys={other["name"]: other["key"].encode() for other in others},
             addresses={
-                other["name"]: Address(*address(other["address"], "peers.others")) for other in others
+                other["name"]: Address(*parse_address(other["address"], "peers.others")) for other in others
             },
         )
 
@@ -143,7 +143,7 @@
 
     def _make_transport(self) -> PeerTransport:
         return PeerTransport(
-            Address(*address(self.settings.listen, "peers.listen")),
+            Address(*parse_address(self.settings.listen, "peers.listen")),
             self.settings.addresses,
             self.node,
             self.clock,
--- a/hillchute/router/integrations/pool_quota.py
+++ b/hillchute/router/integrations/pool_quota.py
@@ -10,7 +10,7 @@
 from hillchute.coordination.quota_leases import LENDER_HOLD, Entitlement, QuotaLeases
 from hillchute.decision.interface import EndpointState, Listing, Time
 from hillchute.history.view_protocol import ViewProtocol
-from hillchute.history.views import DRIFT, LEASE
+from hillchute.history.views import MAX_CLOCK_DRIFT, VIEW_LEASE
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.negotiation import AgreementProtocol
 from hillchute.router.integrations.fleet_scheduler import POOL_LIMIT
@@ -18,7 +18,7 @@
 from hillchute.settings import Settings
 
 # A larger share under a new agreement takes effect after this time: by then all smaller shares are in effect.
-ENTITLEMENT_SETTLING_TIME: Time = int(LEASE * (1 + 2 * DRIFT)) + LENDER_HOLD
+ENTITLEMENT_SETTLING_TIME: Time = int(VIEW_LEASE * (1 + 2 * MAX_CLOCK_DRIFT)) + LENDER_HOLD
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/hillchute/router/interfaces.py
+++ b/hillchute/router/interfaces.py
@@ -19,12 +19,12 @@
     """
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts to connect; Connected or NotConnected follows unless the connection is closed first."""
+        """Starts to connect; Connected or ConnectFailed follows unless the connection is closed first."""
 
     def send(self, number: int, commands: list[words.Command]) -> None:
         """Sends commands in order; they are dropped if the connection no longer exists."""
 
-    def hang_up(self, number: int) -> None:
+    def close_connection(self, number: int) -> None:
         """Closes a connection without an event."""
 
 
@@ -37,5 +37,5 @@
     async def close(self, grace: float) -> None:
         """Stops accepting calls, and ends calls that are still open after `grace` seconds."""
 
-    def renew(self, settings: Mapping[str, Any]) -> list[str]:
+    def reload_settings(self, settings: Mapping[str, Any]) -> list[str]:
         """Applies reloaded settings; returns the names of those that need a restart."""
--- a/hillchute/router/query_state.py
+++ b/hillchute/router/query_state.py
@@ -51,7 +51,7 @@
     sent: bool = False  # the command was passed to the connection
     ended: bool = False
     result: AttemptResult | None = None  # how it ended
-    completion: words.Over | None = None  # set once the engine has finished the run; its result follows
+    completion: words.RunCompleted | None = None  # set once the run has completed; its result follows
     stream: words.Stream | None = None  # the streamed result, once it has started
 
 
--- a/hillchute/router/reducer.py
+++ b/hillchute/router/reducer.py
@@ -17,15 +17,15 @@
     Reject,
     Report,
     Scheduler,
-    SetTerms,
+    SetExecutionOptions,
+    SetTimer,
     Submit,
     Time,
-    Wake,
     WatchEndpoints,
 )
 from hillchute.engines import words
-from hillchute.engines.events import Connected, Lost, NotConnected, NotSent, Said
-from hillchute.fronts.events import Asked, Left, Passed, Spoilt
+from hillchute.engines.events import Connected, ConnectFailed, ConnectionLost, MessageReceived, RunNotSent
+from hillchute.fronts.events import ClientGone, QueryReceived, StreamDelivered, StreamUnreadable
 from hillchute.router.answer_log import AnswerLog, outcome_text
 from hillchute.router.attempts import Attempts
 from hillchute.router.claims import Claims
@@ -76,7 +76,7 @@
         """Handles one event; returns the resulting effects in order."""
         context = self.context
         # An engine's message gives the scheduler nothing to decide unless it ends an attempt.
-        context.begin_event(now, scheduler_notified=not isinstance(event, Said))
+        context.begin_event(now, scheduler_notified=not isinstance(event, MessageReceived))
         if context.timers and context.timers[0].due <= now:
             # After a pause, any event may be the first to find the timers late, not only the alarm.
             self.loop_lag.record_lag(now, now - context.timers[0].due)
@@ -93,15 +93,15 @@
     def handle(self, event: Event) -> None:
         """Dispatches an event to its handler."""
         match event:
-            case Said(number, message):  # by far the most frequent
+            case MessageReceived(number, message):  # by far the most frequent
                 self.on_engine_message(number, message)
-            case Asked(session, request, received_at):
+            case QueryReceived(session, request, received_at):
                 self.on_query(session, request, received_at)
-            case Left(session):
+            case ClientGone(session):
                 self.on_client_left(session)
-            case Passed(session):
+            case StreamDelivered(session):
                 self.on_stream_delivered(session)
-            case Spoilt(session, reason):
+            case StreamUnreadable(session, reason):
                 self.on_stream_unreadable(session, reason)
             case ClaimDecided():
                 self.claims.on_decided(event)
@@ -115,19 +115,19 @@
                 self.handle_engine_event(event)
 
     def handle_engine_event(
-        self, event: Connected | NotConnected | NotSent | Lost | EndpointsChanged
+        self, event: Connected | ConnectFailed | RunNotSent | ConnectionLost | EndpointsChanged
     ) -> None:
         """Dispatches an event of the endpoint list or of an engine connection to its handler."""
         match event:
             case Connected(number):
                 self.pool.on_connected(number)
-            case NotConnected(number, fault):
-                self.pool.on_not_connected(number, fault)
-            case NotSent(number, query):
+            case ConnectFailed(number, failure):
+                self.pool.on_not_connected(number, failure)
+            case RunNotSent(number, query):
                 connection = self.pool.connections.get(number)
                 if connection is not None:
                     self.attempts.on_not_sent(connection, query)
-            case Lost(number, reason, never_sent):
+            case ConnectionLost(number, reason, never_sent):
                 self.pool.on_lost(number, reason, never_sent)
             case EndpointsChanged(update):
                 self.pool.on_endpoints_changed(update)
@@ -147,7 +147,7 @@
         match decision:
             case Submit(query_id, engine, time_limit):
                 self.attempts.submit(self.pool, self.queries[query_id], engine, time_limit)
-            case SetTerms(query_id, _, priority):
+            case SetExecutionOptions(query_id, _, priority):
                 self.attempts.set_priority(self.queries[query_id], priority)
             case Reject(query_id, retry_after, reason):
                 query = self.queries[query_id]
@@ -160,7 +160,7 @@
                     self.attempts.cancel(self.queries[query_id].attempts[number])
             case HealthCheck(engine):
                 self.pool.start_health_check(engine)
-            case Wake(time, name):
+            case SetTimer(time, name):
                 self.context.call_at(time, self.on_scheduler_timer, name)
             case WatchEndpoints():
                 pass  # the event bus is always watched
@@ -177,13 +177,13 @@
 
     # ---- engines ----------------------------------------------------------------------------------
 
-    def on_engine_message(self, number: int, message: words.Said) -> None:
+    def on_engine_message(self, number: int, message: words.EngineMessage) -> None:
         """Handles a message of an engine; None only shows that the connection is alive."""
         connection = self.pool.connections.get(number)
         if connection is None:
             return
         connection.last_received_at = self.context.now
-        if isinstance(message, words.Probed):
+        if isinstance(message, words.HealthCheckAnswer):
             self.pool.on_health_check_answer(connection, message)
         else:
             self.attempts.on_message(connection, message)
@@ -216,10 +216,10 @@
             )
             return
         query = self.add_query(session, request, received_at)
-        if self.claims_idempotent and group in self.rules.idempotent and request.token is not None:
+        if self.claims_idempotent and group in self.rules.idempotent and request.idempotency_key is not None:
             self.claims.claim(query, ordered=group in self.rules.ordered)
         elif self.claims_non_idempotent and group in self.rules.non_idempotent:
-            self.claims.claim(query, once=True)
+            self.claims.claim(query, is_transient=True)
         else:
             self.schedule(query)
 
@@ -235,7 +235,7 @@
 
     def add_query(self, session: int, request: Request, received_at: Time) -> QueryState:
         """Adds a query. Its deadline leaves time to send the answer, based on the loop's recent lag."""
-        client_timeout = request.patience
+        client_timeout = request.client_timeout
         deadline = received_at + client_timeout - self.loop_lag.answer_margin(client_timeout)
         if self.shutdown_deadline is not None:
             deadline = min(deadline, self.shutdown_deadline)
@@ -254,10 +254,10 @@
             request.id,
             group,
             query.deadline,
-            table_group=request.tables,
+            table_group=request.table_group,
             cost=request.cost,
-            memory_mb=request.memory,
-            ordering_key=request.key if group in self.rules.ordered else None,
+            memory_mb=request.memory_mb,
+            ordering_key=request.ordering_key if group in self.rules.ordered else None,
         )
         self.scheduler.on_query(self.context.now, new_query)
 
@@ -320,7 +320,7 @@
             self.answer(query, failure, QueryOutcome.FAILED, "forwarded: no answer in time")
             return
         # After a pause of the process, this timer and the scheduler's own are due at the same time.
-        last_moment = query.received_at + query.request.patience - LAST_ANSWER_MARGIN
+        last_moment = query.received_at + query.request.client_timeout - LAST_ANSWER_MARGIN
         late = self.context.now - max(query.deadline, last_moment)
         event = "answered_late" if late > LAST_ANSWER_MARGIN else "fault"
         self.context.log(event, what="unanswered at its deadline", query=query.request.id)
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -80,7 +80,7 @@
         restart = [section for section in ("engines", "log") if settings[section] != running[section]]
         flight = settings.get("flight")
         if self.flight is not None and flight is not None:
-            restart += [f"flight.{name}" for name in self.flight.renew(flight)]
+            restart += [f"flight.{name}" for name in self.flight.reload_settings(flight)]
         elif running.get("flight") != flight:
             restart.append("flight")
         peers = settings.get("peers")
--- a/hillchute/router/request_rules.py
+++ b/hillchute/router/request_rules.py
@@ -35,15 +35,15 @@
     def invalid_reason(self, request: Request) -> str | None:
         """Returns why a request is invalid, naming the field as clients write it, or None if it is valid."""
         group = self.group_of(request)
-        if group in self.idempotent and request.token is None:
+        if group in self.idempotent and request.idempotency_key is None:
             return "field nonce is absent"
-        if group in self.ordered and request.key is None:
+        if group in self.ordered and request.ordering_key is None:
             return "field entity is absent"
-        if request.patience > self.max_timeout:
+        if request.client_timeout > self.max_timeout:
             return "field patience is out of range"
         if (request.cost or 0) > self.max_timeout * self.max_cores:
             return "field weight is out of range"
-        if request.memory > self.max_memory_mb:
+        if request.memory_mb > self.max_memory_mb:
             return "field mb is out of range"
         return None
 
@@ -54,6 +54,6 @@
     Without an ordering key, the idempotency key serves as the key. A query without an idempotency key is
     listed under its table group for all customers, distinguished by its id.
     """
-    if request.token is None:
-        return "", f"{TABLE_GROUP_PREFIX}{request.tables}", request.id
-    return request.customer, request.key or request.token, request.token
+    if request.idempotency_key is None:
+        return "", f"{TABLE_GROUP_PREFIX}{request.table_group}", request.id
+    return request.customer, request.ordering_key or request.idempotency_key, request.idempotency_key
--- a/hillchute/router/round_schedule.py
+++ b/hillchute/router/round_schedule.py
@@ -32,7 +32,7 @@
 class ServedConnection(Protocol):
     """A connection that records the number of the round in which it was last served."""
 
-    served: int
+    last_served_round: int
 
 
 ConnectionT = TypeVar("ConnectionT", bound=ServedConnection)
@@ -79,7 +79,7 @@
 
     def least_recently_served(self, connections: Iterable[ConnectionT]) -> list[ConnectionT]:
         """Returns the connections, least recently served first; the kernel reports them in a fixed order."""
-        return sorted(connections, key=lambda connection: connection.served)
+        return sorted(connections, key=lambda connection: connection.last_served_round)
 
     def record_sockets_read(self, polled_at: Time, connections_waiting: bool) -> None:
         """Records that all sockets that were ready in a poll, made at `polled_at` or later, were read once.
@@ -111,7 +111,7 @@
         query = PendingQuery(session, request, received_at, ready_at)
         self.pending[session] = query
         self.enqueued_count += 1
-        if request.key is not None:
+        if request.ordering_key is not None:
             answer_by += ORDERED_TIMEOUT_GRACE
         heappush(self.arrivals, QueueEntry(received_at, self.enqueued_count, query))
         heappush(self.timeouts, QueueEntry(answer_by, self.enqueued_count, query))
@@ -154,7 +154,10 @@
                 query = entry.query
                 if query.done:
                     continue
-                if query.request.key is not None and query.received_at - ORDER_SPACING > self.read_horizon:
+                if (
+                    query.request.ordering_key is not None
+                    and query.received_at - ORDER_SPACING > self.read_horizon
+                ):
                     deferred.append(entry)
                     self.waits_for_horizon = True
                     continue
--- a/hillchute/router/service.py
+++ b/hillchute/router/service.py
@@ -15,9 +15,9 @@
 from hillchute.decision.interface import QueryId, Time
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery.watcher import EndpointWatcher
-from hillchute.engines.line.links import Links
-from hillchute.fronts.events import FIRST_CALL, Left, Passed, Spoilt
-from hillchute.fronts.mysql.door import Door
+from hillchute.engines.line.links import LineConnections
+from hillchute.fronts.events import FIRST_FLIGHT_SESSION, ClientGone, StreamDelivered, StreamUnreadable
+from hillchute.fronts.mysql.door import MysqlFrontend
 from hillchute.log import Log
 from hillchute.net.clock import Clock, EngineStartTimes
 from hillchute.net.poller import Poller
@@ -86,7 +86,7 @@
         self.reducer = Reducer(scheduler, configuration.settings, configuration.max_engine_connections)
         if self.extension is not None:
             self._connect_extension(self.extension)
-        self.door = self._build_door()
+        self.mysql_frontend = self._build_mysql_frontend()
         self.links = self._build_links(settings.get("engines", {}))
         self.flight = self._build_flight_frontend(settings.get("flight"))
         self.executor = self._build_executor()
@@ -115,27 +115,27 @@
         self.reducer.claims_idempotent = extension.claims_idempotent
         self.reducer.claims_non_idempotent = extension.claims_non_idempotent
 
-    def _build_door(self) -> Door:
-        return Door(
+    def _build_mysql_frontend(self) -> MysqlFrontend:
+        return MysqlFrontend(
             self.configuration.max_connected_sessions,
             self.configuration.max_packet_bytes,
             self.poller,
             self.rounds,
             self.log,
             self.clock,
-            left=self.on_client_gone,
-            margin=self.reducer.loop_lag.answer_margin,
-            passed=self.on_stream_delivered,
-            unreadable=self.on_stream_unreadable,
+            on_client_gone=self.on_client_gone,
+            answer_margin=self.reducer.loop_lag.answer_margin,
+            on_stream_delivered=self.on_stream_delivered,
+            on_stream_unreadable=self.on_stream_unreadable,
         )
 
     def _build_links(self, settings: OperatorSettings) -> EngineLinks:
         if settings.get("protocol") != "flight":
-            return Links(self.poller, self.log, self.handle, self.clock, self.client_is_waiting)
-        from hillchute.engines.flight.links import Links as FlightLinks
+            return LineConnections(self.poller, self.log, self.handle, self.clock, self.client_is_waiting)
+        from hillchute.engines.flight.links import FlightConnections
 
         pool = self.reducer.pool
-        return FlightLinks(settings, self.log, self.handle, pool.connect_timeout, pool.silence_limit)
+        return FlightConnections(settings, self.log, self.handle, pool.connect_timeout, pool.silence_limit)
 
     def _build_flight_frontend(self, settings: OperatorSettings | None) -> FlightFrontend | None:
         if not settings:
@@ -147,7 +147,7 @@
     def _build_executor(self) -> EffectExecutor:
         return EffectExecutor(
             reducer=self.reducer,
-            door=self.door,
+            mysql_frontend=self.mysql_frontend,
             flight=self.flight,
             extension=self.extension,
             links=self.links,
@@ -161,8 +161,8 @@
     def _build_event_loop(self) -> EventLoop:
         return EventLoop(
             poller=self.poller,
-            door=self.door,
-            line_links=self.links if isinstance(self.links, Links) else None,
+            mysql_frontend=self.mysql_frontend,
+            line_links=self.links if isinstance(self.links, LineConnections) else None,
             rounds=self.rounds,
             loop_lag=self.reducer.loop_lag,
             alarm=self.alarm,
@@ -202,12 +202,12 @@
 
     def _build_shutdown(self) -> GracefulShutdown:
         return GracefulShutdown(
-            longest_timeout=self.configuration.longest_shutdown,
+            longest_timeout=self.configuration.max_shutdown_time,
             event_loop=self.event_loop,
             executor=self.executor,
             reducer=self.reducer,
             rounds=self.rounds,
-            door=self.door,
+            mysql_frontend=self.mysql_frontend,
             extension=self.extension,
             signals=self.signals,
             lifecycle=self.lifecycle,
@@ -231,15 +231,15 @@
     def on_client_gone(self, session: int) -> None:
         """Handles a client that cancelled its query, which may not have been taken yet, or disconnected."""
         if not self.rounds.discard(session) and session in self.reducer.unanswered:
-            self.handle(Left(session))
+            self.handle(ClientGone(session))
 
     def on_stream_delivered(self, session: int) -> None:
         """Handles a stream that was delivered completely."""
-        self.handle(Passed(session))
+        self.handle(StreamDelivered(session))
 
     def on_stream_unreadable(self, session: int, reason: str) -> None:
         """Handles a stream that can't be read while it is passed on to a client."""
-        self.handle(Spoilt(session, reason))
+        self.handle(StreamUnreadable(session, reason))
 
     def client_is_waiting(self, query_id: QueryId) -> bool:
         """Whether the client of a query waits for its answer, as of a poll at most MAX_POLL_AGE ago."""
@@ -248,7 +248,7 @@
         session = self.reducer.waiting_session(query_id)
         if session is None:
             return False
-        return session >= FIRST_CALL or session in self.door.clients
+        return session >= FIRST_FLIGHT_SESSION or session in self.mysql_frontend.clients
 
     def endpoint_list_offset(self) -> int:
         """Returns the offset of the last watch event that was applied."""
@@ -287,7 +287,7 @@
             self.endpoint_updates.on_watch_event(update)
         family = socket.AF_INET6 if ":" in self.configuration.host else socket.AF_INET
         address = (self.configuration.host, self.configuration.port)
-        self.door.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
+        self.mysql_frontend.open(socket.create_server(address, family=family, backlog=LISTEN_BACKLOG))
         self.tasks.start_soon(self.signals.listen, self.on_signal)
         self.tasks.start_soon(self.event_loop.run_alarm)
         self.tasks.start_soon(self.event_loop.run_sweep)
--- a/hillchute/settings.py
+++ b/hillchute/settings.py
@@ -133,7 +133,7 @@
     # Priority weight: the value of an answer in time.
     weight: float = field(default=1.0, metadata=from_key("value", zero_is_absent=True))
     # Whether its queries are bulk loads: those of one table group block each other on an engine.
-    is_load: bool = field(default=False, metadata=from_list_by_group("domain.group_load"))
+    is_bulk_load: bool = field(default=False, metadata=from_list_by_group("domain.group_load"))
     # Whether a bulk load of the same table group blocks its queries on an engine.
     waits_for_bulk_loads: bool = field(default=False, metadata=from_list_by_group("domain.yields_to_loads"))
     # Whether queries with the same ordering key run one after another.
--- a/hillchute/statements/request.py
+++ b/hillchute/statements/request.py
@@ -1,7 +1,7 @@
 """Parses a client statement: the fields in its leading comment, and the table group that it refers to.
 
-Raises Misread with the name of the offending field where a statement cannot be parsed. Never modifies the SQL
-text after the comment.
+Raises InvalidStatementError with the name of the offending field where a statement cannot be parsed. Never
+modifies the SQL text after the comment.
 """
 
 import re
@@ -15,53 +15,56 @@
 NUMBER = re.compile(r"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,3})?")
 
 
-class Misread(Exception):
+class InvalidStatementError(Exception):
     """The statement does not follow the platform's protocol; the text is sent to the client."""
 
 
 class Request(NamedTuple):
     """One query as requested by a client.
 
-    `patience` and `cost` are in tenths of a millisecond, `memory` is in MB.
+    `client_timeout` and `cost` are in tenths of a millisecond, `memory_mb` is in MB.
     """
 
     id: str
     group: str
-    patience: int
+    client_timeout: int
     statement: bytes
-    token: str | None = None
+    idempotency_key: str | None = None
     cost: int | None = None
-    memory: float = 0.0
-    key: str | None = None
+    memory_mb: float = 0.0
+    ordering_key: str | None = None
     customer: str = ""  # as authenticated by the frontend; "" where it does not distinguish customers
 
     @property
-    def tables(self) -> int | None:
+    def table_group(self) -> int | None:
         """The table group. Parsed on each access, since a rejected query never needs it."""
         return table_group(self.statement)
 
 
 def parse_number(name: str, text: str, minimum: float, maximum: float) -> float:
-    """The value of a numeric field; raises Misread unless it is in range."""
+    """The value of a numeric field; raises InvalidStatementError unless it is in range."""
     if not NUMBER.fullmatch(text):
-        raise Misread(f"field {name} is not a number: {text[:40]}")
+        raise InvalidStatementError(f"field {name} is not a number: {text[:40]}")
     value = float(text)
     if not minimum <= value <= maximum:
-        raise Misread(f"field {name} is out of range: {text[:40]}")
+        raise InvalidStatementError(f"field {name} is out of range: {text[:40]}")
     return value
 
 
 def parse_hex(name: str, text: str | None) -> str | None:
-    """The value of an optional field of hex digits, unchanged; raises Misread if it has other characters."""
+    """The value of an optional field of hex digits, unchanged.
+
+    Raises InvalidStatementError if it has other characters.
+    """
     if text is not None and not HEX_DIGITS.fullmatch(text):
-        raise Misread(f"field {name} is not hex digits: {text[:40]}")
+        raise InvalidStatementError(f"field {name} is not hex digits: {text[:40]}")
     return text
 
 
-def read(
+def parse_statement(
     text: bytes, headers: Mapping[str, str] | None = None, defaults: Mapping[str, str] | None = None
 ) -> Request:
-    """Parses a statement and its fields; raises Misread where a field is absent or invalid.
+    """Parses a statement and its fields; raises InvalidStatementError where a field is absent or invalid.
 
     Fields come from the leading comment and from `headers`; a field that is in both must have the same
     value. `defaults` apply to fields that are in neither. `headers` is None for a protocol without headers,
@@ -73,47 +76,50 @@
     fields = dict(headers or {})
     if comment is None:
         if headers is None:
-            raise Misread("no comment with fields ahead of the statement")
+            raise InvalidStatementError("no comment with fields ahead of the statement")
         comment_fields, statement = {}, text.lstrip()
     else:
         comment_fields, statement = parse_comment(comment[1]), text[comment.end() :].lstrip()
     for name, value in comment_fields.items():
         if fields.setdefault(name, value) != value:
-            raise Misread(f"field {name[:40]} stands twice")
+            raise InvalidStatementError(f"field {name[:40]} stands twice")
     fields = {**(defaults or {}), **fields}
     for name in ("route", "trace", "patience"):
         if name not in fields:
-            raise Misread(f"field {name} is absent")
+            raise InvalidStatementError(f"field {name} is absent")
     if not HEX_16_DIGITS.fullmatch(fields["trace"]):
-        raise Misread("field trace is not 16 hex digits")
+        raise InvalidStatementError("field trace is not 16 hex digits")
     if not statement:
-        raise Misread("no statement after the comment")
+        raise InvalidStatementError("no statement after the comment")
     return Request(
         id=fields["trace"],
         group=fields["route"],
-        patience=int(parse_number("patience", fields["patience"], 1, 86_400_000) * 10),
+        client_timeout=int(parse_number("patience", fields["patience"], 1, 86_400_000) * 10),
         statement=statement,
-        token=parse_hex("nonce", fields.get("nonce")),
+        idempotency_key=parse_hex("nonce", fields.get("nonce")),
         cost=round(parse_number("weight", fields["weight"], 0, 1e9) * 10) if "weight" in fields else None,
-        memory=parse_number("mb", fields["mb"], 0, 1e9) if "mb" in fields else 0.0,
-        key=parse_hex("entity", fields.get("entity")),
+        memory_mb=parse_number("mb", fields["mb"], 0, 1e9) if "mb" in fields else 0.0,
+        ordering_key=parse_hex("entity", fields.get("entity")),
     )
 
 
 def parse_comment(text: bytes) -> dict[str, str]:
-    """The fields of a leading comment, by name; raises Misread for a field without a value or given twice."""
+    """The fields of a leading comment, by name.
+
+    Raises InvalidStatementError for a field without a value or given twice.
+    """
     fields: dict[str, str] = {}
     try:
         pairs = text.decode("ascii").strip().split(",")
     except UnicodeDecodeError:
-        raise Misread("the comment with the fields is not ASCII") from None
+        raise InvalidStatementError("the comment with the fields is not ASCII") from None
     for pair in pairs:
         name, separator, value = pair.partition("=")
         name, value = name.strip(), value.strip()
         if not separator or not value:
-            raise Misread(f"field {name[:40]} has no value")
+            raise InvalidStatementError(f"field {name[:40]} has no value")
         if name in fields:
-            raise Misread(f"field {name[:40]} stands twice")
+            raise InvalidStatementError(f"field {name[:40]} stands twice")
         fields[name] = value
     return fields
 
@@ -158,7 +164,7 @@
     return first_group
 
 
-def tokens(statement: bytes) -> Iterator[bytes]:
+def split_parameter_markers(statement: bytes) -> Iterator[bytes]:
     """The statement in pieces whose concatenation is the statement.
 
     A question mark outside of strings, names and comments (a parameter marker) is a piece of its own.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
     ListMode,
     NewQuery,
 )
-from hillchute.decision.query_state import Attempt, QueryPlace
+from hillchute.decision.query_state import Attempt, QueryStage
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.settings import Settings
 
@@ -59,50 +59,50 @@
 
     def __init__(self, **overrides):
         catalog = CATALOG | {name.replace("__", "."): value for name, value in overrides.items()}
-        self.router = QueryScheduler(7, Settings.from_catalog(catalog), 0)
+        self.scheduler = QueryScheduler(7, Settings.from_catalog(catalog), 0)
         self.list_engines(1, 2, 3)
         self.names = (f"q{n}" for n in count())
 
     def list_engines(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
         """Passes an endpoint list of these engines to the scheduler."""
         listings = [Listing(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
-        self.router.on_endpoint_list(self.router.now, mode, listings)
+        self.scheduler.on_endpoint_list(self.scheduler.now, mode, listings)
 
-    def arrive(self, group, now=0, cost=1000, deadline=7 * SECOND, **fields):
+    def add_query(self, group, now=0, cost=1000, deadline=7 * SECOND, **fields):
         """Adds a query at time `now` and returns its state in the scheduler."""
         name = next(self.names)
-        self.router.on_query(now, NewQuery(name, group, deadline, cost=cost, **fields))
-        return self.router.queries[name]
+        self.scheduler.on_query(now, NewQuery(name, group, deadline, cost=cost, **fields))
+        return self.scheduler.queries[name]
 
-    def attempted(self, group, engine=1, sent=0, result=None, **fields):
+    def add_attempted_query(self, group, engine=1, sent=0, result=None, **fields):
         """Adds a query that has had one attempt and waits in no queue."""
-        q = self.arrive(group, **fields)
-        for queue in (self.router.queues.teams, self.router.queues.dashboards):
+        q = self.add_query(group, **fields)
+        for queue in (self.scheduler.queues.teams, self.scheduler.queues.dashboards):
             if q in queue:
                 queue.remove(q)
-        q.place = QueryPlace.RUNNING
-        self.attempt(q, engine, sent, result)
+        q.stage = QueryStage.RUNNING
+        self.add_attempt(q, engine, sent, result)
         return q
 
-    def attempt(self, q, engine, sent=0, result=None):
+    def add_attempt(self, q, engine, sent=0, result=None):
         """Adds an attempt to a query; where `result` is given, the attempt ends with it at once."""
         q.attempts.append(Attempt(engine, sent, q.cost, q.cost / q.threads))
-        e = self.router.engines[engine]
+        e = self.scheduler.engines[engine]
         e.attempt_started(sent, q.threads, q.memory_mb)
-        if q.group.settings.is_load:
-            e.running_loads.append(q.table_group)
+        if q.group.settings.is_bulk_load:
+            e.running_bulk_loads.append(q.table_group)
         if result:
-            self.router.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
+            self.scheduler.on_attempt_ended(sent, AttemptEnded(q.id, len(q.attempts) - 1, result, False, 0))
 
-    def fill(self, engine, attempts, threads=4):
+    def add_load(self, engine, attempts, threads=4):
         """Adds a number of in-flight attempts of other queries to an engine."""
         for _ in range(attempts):
-            engine.attempt_started(self.router.now, threads, 0.0)
+            engine.attempt_started(self.scheduler.now, threads, 0.0)
 
-    def decisions(self, now=0):
+    def take_decisions(self, now=0):
         """Returns all decisions that the scheduler makes at time `now`, in order."""
         decisions = []
-        while (decision := self.router.next_decision(now)) is not None:
+        while (decision := self.scheduler.next_decision(now)) is not None:
             decisions.append(decision)
         return decisions
 
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -1,6 +1,6 @@
 """A router on real sockets whose event loop is stepped by the test, with clients and an engine in one thread.
 
-Nothing runs between two calls of turn(), so a test decides the order of events and can make two of them
+Nothing runs between two calls of run_rounds(), so a test decides the order of events and can make two of them
 arrive in the same round.
 """
 
@@ -24,12 +24,12 @@
 
 MILLISECOND = 10  # in the router's time unit, 0.1 ms
 DEFAULT_CLIENT_TIMEOUT_MS = 3_000
-WAIT_SECONDS = 10.0  # until() fails after this time
-ROUND_NS = 500_000  # by which the router's clock advances each round where `time_by_turns` is set
+WAIT_SECONDS = 10.0  # run_until() fails after this time
+ROUND_NS = 500_000  # by which the router's clock advances each round where `clock_advances_by_rounds` is set
 SELECT = "SELECT 1 FROM sales_17.orders"
 
 
-def short_deadlines(max_ms, table):
+def limit_deadlines(max_ms, table):
     """Limits all deadlines of a platform configuration to `max_ms`; changes the table in place.
 
     The first resource group's deadline becomes exactly `max_ms`.
@@ -63,7 +63,7 @@
     return TCP_INFO.pack(0, received_ms_ago).ljust(TCP_INFO_SIZE, b"\0")
 
 
-class JustReceived(SystemCalls):
+class ZeroIdleTimeSystemCalls(SystemCalls):
     """System calls where each connection has received bytes just now.
 
     The kernel counts idle times by the machine's clock, which may differ from the router's clock in a test.
@@ -73,7 +73,7 @@
         return tcp_info()
 
 
-class Signals:
+class SignalReceiverStandIn:
     """Stand-in for anyio's signal receiver: delivers the given signals in order and ends."""
 
     def __init__(self, *numbers):
@@ -90,7 +90,7 @@
             yield number
 
 
-class Kept(Log):
+class RecordingLog(Log):
     """A log that keeps its lines in memory as pairs of event and fields."""
 
     def __init__(self):
@@ -109,7 +109,7 @@
     """A MySQL client's side of one connection to the router."""
 
     def __init__(self, rig):
-        self.rig, self.heard, self.ended, self.was_reset = rig, b"", False, False
+        self.rig, self.received, self.closed_by_peer, self.was_reset = rig, b"", False, False
         self.sock = socket.create_connection(rig.address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock.setblocking(False)
@@ -117,19 +117,19 @@
     def write(self, data):
         self.sock.sendall(data)
 
-    def hear(self):
+    def read_payloads(self):
         """Reads what has arrived without waiting; returns the payloads of all complete packets so far."""
         with suppress(BlockingIOError):
             try:
                 while data := self.sock.recv(65_536):
-                    self.heard += data
-                self.ended = True
+                    self.received += data
+                self.closed_by_peer = True
             except ConnectionError:
-                self.ended = self.was_reset = True
+                self.closed_by_peer = self.was_reset = True
         return self.payloads()
 
     def payloads(self):
-        payloads, rest = [], self.heard
+        payloads, rest = [], self.received
         while len(rest) >= 4 and len(rest) >= 4 + int.from_bytes(rest[:3], "little"):
             size = int.from_bytes(rest[:3], "little")
             payloads.append(rest[4 : 4 + size])
@@ -142,7 +142,7 @@
         A result set has two EOF packets: after its columns and after its rows. OK packets are not listed.
         """
         answers, eof_packets = [], 0
-        for payload in self.hear()[1:]:  # the first packet is the greeting
+        for payload in self.read_payloads()[1:]:  # the first packet is the greeting
             if payload[:1] == b"\xff":
                 answers.append(int.from_bytes(payload[1:3], "little"))
             elif payload == packets.EOF:
@@ -165,7 +165,7 @@
 
     def __init__(self, sock):
         sock.setblocking(False)
-        self.sock, self.unparsed, self.ended = sock, b"", False
+        self.sock, self.unparsed, self.closed_by_peer = sock, b"", False
 
     def commands(self):
         """Returns the complete commands since the last call, each as (verb, words, statement)."""
@@ -173,9 +173,9 @@
             try:
                 while data := self.sock.recv(65_536):
                     self.unparsed += data
-                self.ended = True
+                self.closed_by_peer = True
             except ConnectionError:
-                self.ended = True
+                self.closed_by_peer = True
         commands = []
         while (line_end := self.unparsed.find(b"\r\n")) >= 0:
             verb, *words = self.unparsed[:line_end].decode().split(" ")
@@ -198,38 +198,49 @@
         self.sock.close()
 
 
-class Rig:
-    """One router and one engine. `self.wants` has the ids of the attempts the engine received, in order."""
+class RouterHarness:
+    """One router and one engine.
+
+    `self.received_attempts` has the ids of the attempts the engine received, in order.
+    """
 
     def __init__(
-        self, system=SYSTEM_CALLS, backlog=64, sockets=128, table=None, clock=None, time_by_turns=False
+        self,
+        system=SYSTEM_CALLS,
+        backlog=64,
+        sockets=128,
+        table=None,
+        clock=None,
+        clock_advances_by_rounds=False,
     ):
         """Starts the router's service and lists the engine as endpoint 1.
 
-        With `time_by_turns` the router's clock advances only by ROUND_NS each round and by pass_time, so that
-        a pause of the machine does not affect the test.
+        With `clock_advances_by_rounds` the router's clock advances only by ROUND_NS each round and by
+        advance_clock, so that a pause of the machine does not affect the test.
         """
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.address = self.door.getsockname()
-        table = table or deployment.table(sockets=sockets)
+        table = table or deployment.make_configuration(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
         self.configuration = config.parse_configuration(table, {})
-        self.log, self.system = Kept(), system
-        self.ahead = 0  # nanoseconds by which the router's clock is ahead of its base clock
-        self.round_ns, start = (ROUND_NS if time_by_turns else 0), time.monotonic_ns()
-        self.clock = clock or Clock(lambda: (start if time_by_turns else time.monotonic_ns()) + self.ahead)
+        self.log, self.system = RecordingLog(), system
+        self.clock_offset_ns = 0  # nanoseconds by which the router's clock is ahead of its base clock
+        self.round_ns, start = (ROUND_NS if clock_advances_by_rounds else 0), time.monotonic_ns()
+        self.clock = clock or Clock(
+            lambda: (start if clock_advances_by_rounds else time.monotonic_ns()) + self.clock_offset_ns
+        )
         self.service = Service(self.configuration, self.log, poller=Poller(system), clock=self.clock)
         self.service.attach_tasks(None)
-        self.service.door.open(self.door)
+        self.service.mysql_frontend.open(self.door)
         self.service.lifecycle.enter(Phase.SERVING)
-        self.talks, self.wants, self.clients = [], [], []
-        self.fields = {}  # by attempt id: the fields of the command that started it
-        self.serving = True  # the engine answers each attempt as soon as it reads it
-        self.list(1)
+        self.engine_connections, self.received_attempts, self.clients = [], [], []
+        self.attempt_fields = {}  # by attempt id: the fields of the command that started it
+        self.answers_at_once = True  # the engine answers each attempt as soon as it reads it
+        self.list_engine(1)
 
-    def list(self, offset, state=EndpointState.READY, started=0, engine=1, port=None):
+    def list_engine(self, offset, state=EndpointState.READY, started=0, engine=1, port=None):
         """Delivers a partial endpoint list with one engine to the router, as the watch event at `offset`."""
         listing = Listing(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
@@ -237,73 +248,78 @@
             WatchEvent(offset, "Partial", (Endpoint(listing, "127.0.0.1", port),))
         )
 
-    def client(self, data=LOGIN):
+    def connect_client(self, data=LOGIN):
         """Connects a client, which writes `data` at once."""
         client = Client(self)
         self.clients.append(client)
         client.write(data)
         return client
 
-    def engine(self):
-        """Runs the engine once: accepts connections, reads commands, answers attempts if `self.serving`."""
+    def run_engine(self):
+        """Runs the engine once: accepts connections and reads commands.
+
+        Answers attempts if `self.answers_at_once`.
+        """
         with suppress(BlockingIOError):
             while True:
-                self.talks.append(EngineConnection(self.listener.accept()[0]))
-        for talk in [talk for talk in self.talks if talk.sock.fileno() >= 0]:
-            for verb, words, statement in talk.commands():
+                self.engine_connections.append(EngineConnection(self.listener.accept()[0]))
+        for connection in [
+            connection for connection in self.engine_connections if connection.sock.fileno() >= 0
+        ]:
+            for verb, words, statement in connection.commands():
                 if verb == "want":
-                    self.wants.append(words[0])
-                    self.fields[words[0]] = dict(pair.split("=") for pair in words[1].split(","))
+                    self.received_attempts.append(words[0])
+                    self.attempt_fields[words[0]] = dict(pair.split("=") for pair in words[1].split(","))
                     assert statement == SELECT.encode()
-                    if self.serving:
+                    if self.answers_at_once:
                         with suppress(ConnectionError):
-                            talk.serve(words[0])
+                            connection.serve(words[0])
 
-    def pass_time(self, seconds):
+    def advance_clock(self, seconds):
         """Advances the router's clock by `seconds`."""
-        self.ahead += int(seconds * 1e9)
+        self.clock_offset_ns += int(seconds * 1e9)
 
-    def pass_turn_time(self):
-        """Advances the router's clock by the time of one round, which is 0 without `time_by_turns`."""
-        self.ahead += self.round_ns
+    def advance_clock_one_round(self):
+        """Advances the router's clock by one round's time, which is 0 without `clock_advances_by_rounds`."""
+        self.clock_offset_ns += self.round_ns
 
-    def turn(self, rounds=1):
+    def run_rounds(self, rounds=1):
         """Runs the event loop and then the engine, `rounds` times."""
         for _ in range(rounds):
-            self.pass_turn_time()
+            self.advance_clock_one_round()
             self.service.event_loop.round()
-            self.engine()
+            self.run_engine()
 
-    def until(self, done):
+    def run_until(self, done):
         """Runs rounds until `done()` holds; fails after WAIT_SECONDS."""
         end = time.monotonic() + WAIT_SECONDS
         while not done():
             assert time.monotonic() < end, f"condition not met within {WAIT_SECONDS} s"
-            self.turn()
-            self.service.door.sweep()
+            self.run_rounds()
+            self.service.mysql_frontend.sweep()
             time.sleep(0.0005)
 
-    def connected(self):
+    def client_after_served_query(self):
         """Returns a logged-in client after one served query, so that a connection to the engine is open.
 
-        That query is not listed in `self.wants`.
+        That query is not listed in `self.received_attempts`.
         """
         client_timeout_ms = self.configuration.settings.groups[0].queue_timeout // MILLISECOND
-        client = self.client(LOGIN + query(0xFFFF, patience=client_timeout_ms))
-        self.until(lambda: client.answers() == ["served"])
-        self.wants.clear()
+        client = self.connect_client(LOGIN + query(0xFFFF, patience=client_timeout_ms))
+        self.run_until(lambda: client.answers() == ["served"])
+        self.received_attempts.clear()
         return client
 
-    def closing(self, end):
+    def start_shutdown(self, end):
         """Starts the graceful shutdown, in which each query must be answered by time `end`."""
         self.service.handle(events.ShutdownStarted(end))
 
     def close(self):
-        for resource in (*self.clients, *self.talks, self.listener):
+        for resource in (*self.clients, *self.engine_connections, self.listener):
             resource.close()
-        self.service.door.close()
-        for client in list(self.service.door.clients.values()):
-            client.pipe.close()
-        for link in list(self.service.links.links.values()):
-            self.service.links.hang_up(link.number)
+        self.service.mysql_frontend.close()
+        for client in list(self.service.mysql_frontend.clients.values()):
+            client.buffered_socket.close()
+        for link in list(self.service.links.connections.values()):
+            self.service.links.close_connection(link.number)
         self.service.poller.epoll.close()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from rounds_by_hand import LOGIN, Rig, query
+from rounds_by_hand import LOGIN, RouterHarness, query
 
 from hillchute.net.clock import Clock, EngineStartTimes, round_down_to_time_units, round_up_to_time_units
 from hillchute.peers.transport import SteadyUnixClock
@@ -102,31 +102,33 @@
     def unix_ns() -> int:
         return time.time_ns() + wall["step"]
 
-    rig = Rig(clock=Clock(time.monotonic_ns, unix_ns))
+    rig = RouterHarness(clock=Clock(time.monotonic_ns, unix_ns))
     try:
-        client = rig.connected()
-        rig.serving = False
-        first = rig.client(LOGIN + query(1))
-        rig.until(lambda: len(rig.wants) == 1)
+        client = rig.client_after_served_query()
+        rig.answers_at_once = False
+        first = rig.connect_client(LOGIN + query(1))
+        rig.run_until(lambda: len(rig.received_attempts) == 1)
         wall["step"] = seconds * 10**9
-        rig.turn(5)
+        rig.run_rounds(5)
         assert len(rig.service.reducer.unanswered) == 1  # it has neither timed out nor been answered
         assert first.answers() == []
-        rig.talks[0].serve(rig.wants[0])
-        rig.until(lambda: first.answers())
-        rig.serving = True
+        rig.engine_connections[0].serve(rig.received_attempts[0])
+        rig.run_until(lambda: first.answers())
+        rig.answers_at_once = True
         rig.service.reducer.scheduler.engines[1].ejected_until = rig.clock() + 500
         sent_at = time.monotonic()
         client.write(query(2))
-        rig.until(lambda: len(client.answers()) == 2)
+        rig.run_until(lambda: len(client.answers()) == 2)
         assert 0.04 <= time.monotonic() - sent_at < 5
         rig.service.shutdown.begin()
-        assert 0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.configuration.longest_shutdown
+        assert (
+            0 < rig.service.shutdown.schedule.answer_by - rig.clock() <= rig.configuration.max_shutdown_time
+        )
         client.write(query(3))  # the listener is still open
-        rig.until(lambda: len(client.answers()) == 3)
+        rig.run_until(lambda: len(client.answers()) == 3)
         assert first.answers() == ["served"]
         assert client.answers() == ["served"] * 3
-        assert rig.wants == [f"{n:016x}" for n in (1, 2, 3)]
+        assert rig.received_attempts == [f"{n:016x}" for n in (1, 2, 3)]
     finally:
         rig.close()
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -235,26 +235,26 @@
 
 
 def draw_engine(harness, group=REPORT, **fields):
-    q = harness.arrive(group, **fields)
-    harness.decisions()
+    q = harness.add_query(group, **fields)
+    harness.take_decisions()
     return q.checked_engine or (q.attempts and q.attempts[-1].engine)
 
 
 def test_engines_of_the_subset_are_drawn_first(checking_harness):
-    checking_harness.router.on_subset(0, frozenset({2}))
+    checking_harness.scheduler.on_subset(0, frozenset({2}))
     assert {draw_engine(checking_harness, LOOKUP) for _ in range(12)} == {2}
 
 
 @pytest.mark.parametrize("state", ["overloaded", "ejected", "gone", "warming"])
 def test_other_engines_are_used_if_none_of_the_subset_can_take_the_query(checking_harness, state):
-    router = checking_harness.router
-    router.on_subset(0, frozenset({2}))
-    e = router.engines[2]
+    scheduler = checking_harness.scheduler
+    scheduler.on_subset(0, frozenset({2}))
+    e = scheduler.engines[2]
     if state == "overloaded":
-        router.on_health_check(
+        scheduler.on_health_check(
             0, 2, AttemptResult.SERVED, {"inflight": 8 * 2}
         )  # above the knee, below the load at which heavy queries are kept out
-        router.load.mean_load = 1.0
+        scheduler.load.mean_load = 1.0
     elif state == "ejected":
         e.ejected_until = 10 * SECOND
     elif state == "gone":
@@ -265,17 +265,17 @@
 
 
 def test_affinity_to_an_engine_outside_the_subset_is_kept(checking_harness):
-    checking_harness.router.on_subset(0, frozenset({2}))
-    checking_harness.router.placement.affinity[4] = 3
+    checking_harness.scheduler.on_subset(0, frozenset({2}))
+    checking_harness.scheduler.placement.affinity[4] = 3
     assert draw_engine(checking_harness, table_group=4) == 3
 
 
 def test_query_triggers_a_health_check_if_that_is_cheap_for_its_value(make_harness):
     for price, group, checks in [(0.0086, LOOKUP, 1), (0.08, LOOKUP, 0), (0.08, REPORT, 1)]:
         harness = make_harness(report__via="probe", limits__probes=True, costs__probe=price)
-        harness.router.admission.mean_weight, harness.router.health_checks.credit = 1.7, -9
-        harness.arrive(group, cost=1)
-        decisions = harness.decisions()
+        harness.scheduler.admission.mean_weight, harness.scheduler.health_checks.credit = 1.7, -9
+        harness.add_query(group, cost=1)
+        decisions = harness.take_decisions()
         assert len([d for d in decisions if isinstance(d, HealthCheck)]) == checks
         assert len([d for d in decisions if isinstance(d, Submit)]) == 1 - checks
 
@@ -285,10 +285,10 @@
     harness = make_harness(report__via="probe", limits__probes=True, costs__probe=price)
     count = 0
     for n in range(60):
-        harness.router.now = n * SECOND
-        for e in harness.router.engines.values():
+        harness.scheduler.now = n * SECOND
+        for e in harness.scheduler.engines.values():
             # Too recent for a health check by a query, old enough for a paced one.
             e.reported_at = n * SECOND - 4500
-        harness.arrive(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
-        count += len([d for d in harness.decisions(n * SECOND) if isinstance(d, HealthCheck)])
+        harness.add_query(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
+        count += len([d for d in harness.take_decisions(n * SECOND) if isinstance(d, HealthCheck)])
     assert most - 5 <= count <= most + 5
--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -29,14 +29,14 @@
     Fail,
     HealthCheck,
     Reject,
-    SetTerms,
+    SetExecutionOptions,
+    SetTimer,
     Submit,
-    Wake,
     WatchEndpoints,
 )
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.lab import plays, slowloop
-from hillchute.lab.many import Many
+from hillchute.lab.many import FleetSimulation
 
 PINNED = Path(__file__).parent / "data" / "decision_traces.json"
 
@@ -86,9 +86,9 @@
             return f"health_check engine={engine}"
         case WatchEndpoints():
             return "watch_endpoints"
-        case Wake(at, _):
+        case SetTimer(at, _):
             return f"wake at={at}"
-        case SetTerms(query, megabytes, priority):
+        case SetExecutionOptions(query, megabytes, priority):
             return f"set_priority {query} megabytes={megabytes} priority={priority}"
     raise AssertionError(f"no canonical text for {decision!r}")
 
@@ -118,12 +118,12 @@
 
 
 def play_fleet(form: str, play: str, seed: int, **settings: object) -> None:
-    plays.run(Many(seed, ROUTERS, ENGINES, LOAD, form=form, **settings), play)
+    plays.run_play(FleetSimulation(seed, ROUTERS, ENGINES, LOAD, form=form, **settings), play)
 
 
 def play_few_routers(play: str, seed: int) -> None:
     """Fewer routers than half of the engines, and overload: bulk loads wait behind other bulk loads."""
-    plays.run(Many(seed, 2, 4, 1.5, **LOADS), play)
+    plays.run_play(FleetSimulation(seed, 2, 4, 1.5, **LOADS), play)
 
 
 def fleet_cases() -> dict[str, Callable[[], object]]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,7 +5,7 @@
 
 import anyio
 import pytest
-from rounds_by_hand import LOGIN, Kept, Rig, query
+from rounds_by_hand import LOGIN, RecordingLog, RouterHarness, query
 
 from hillchute.decision.interface import EndpointState, Listing
 from hillchute.discovery import event_bus, watcher
@@ -29,7 +29,7 @@
     def __init__(self, monkeypatch):
         self.connects = []
         self.closed = []
-        self.log = Kept()
+        self.log = RecordingLog()
         self.events = []  # all events that the watcher passed on
         self.subscription = None  # the last one sent
         self.gates = {}  # by address: an event that connects wait for
@@ -195,7 +195,7 @@
 
 @pytest.fixture
 def rig():
-    rig = Rig()
+    rig = RouterHarness()
     yield rig
     rig.close()
 
@@ -207,67 +207,67 @@
 
 
 def test_repeated_and_old_offsets_are_ignored_and_gaps_are_accepted(rig):
-    rig.list(7, state=EndpointState.DRAINING)
+    rig.list_engine(7, state=EndpointState.DRAINING)
     for number in (7, 3, 1):
-        rig.list(number, state=EndpointState.READY)
+        rig.list_engine(number, state=EndpointState.READY)
     assert not rig.service.reducer.scheduler.engines[1].ready
-    rig.list(40, state=EndpointState.READY)
+    rig.list_engine(40, state=EndpointState.READY)
     assert rig.service.reducer.scheduler.engines[1].ready and rig.service.reducer.pool.list_offset == 40
 
 
 def test_engine_that_drains_goes_and_returns_in_one_event_is_a_new_process(rig):
-    client = rig.connected()
-    (old,) = rig.service.links.links.values()
+    client = rig.client_after_served_query()
+    (old,) = rig.service.links.connections.values()
     started = rig.clock() - 200_000  # long enough ago for the warm-up to be over
     entries = [endpoint(rig, "Terminating"), endpoint(rig, "Gone"), endpoint(rig, "Ready", started)]
     rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", tuple(entries)))
     assert rig.service.reducer.scheduler.engines[1].ready
-    assert old.pipe.closed  # its process no longer exists
+    assert old.buffered_socket.closed  # its process no longer exists
     client.write(query(1))
-    rig.until(lambda: len(client.answers()) == 2)
-    assert client.answers()[1] == "served" and len(rig.talks) == 2
+    rig.run_until(lambda: len(client.answers()) == 2)
+    assert client.answers()[1] == "served" and len(rig.engine_connections) == 2
 
 
 def test_attempt_at_the_previous_process_may_still_answer_beside_a_new_one(rig):
-    client, other = rig.connected(), rig.client()
-    rig.serving = False
+    client, other = rig.client_after_served_query(), rig.connect_client()
+    rig.answers_at_once = False
     client.write(query(1))
-    rig.until(lambda: rig.wants)
+    rig.run_until(lambda: rig.received_attempts)
     rig.service.endpoint_updates.on_watch_event(
         WatchEvent(2, "Partial", (endpoint(rig, "Ready", rig.clock() - 200_000),))
     )
     other.write(query(2))
-    rig.until(lambda: len(rig.wants) == 2)
-    assert len(rig.talks) == 2  # the new attempt uses a new connection to the new process
-    rig.talks[0].serve(rig.wants[0])
-    rig.talks[1].serve(rig.wants[1])
-    rig.until(lambda: len(client.answers()) == 2 and other.answers())
+    rig.run_until(lambda: len(rig.received_attempts) == 2)
+    assert len(rig.engine_connections) == 2  # the new attempt uses a new connection to the new process
+    rig.engine_connections[0].serve(rig.received_attempts[0])
+    rig.engine_connections[1].serve(rig.received_attempts[1])
+    rig.run_until(lambda: len(client.answers()) == 2 and other.answers())
     assert client.answers()[1] == "served" and other.answers() == ["served"]
 
 
 def test_address_of_a_gone_engine_can_be_reused_by_a_new_one(rig):
-    client = rig.connected()
-    rig.serving = False
+    client = rig.client_after_served_query()
+    rig.answers_at_once = False
     client.write(query(1))
-    rig.until(lambda: rig.wants)
+    rig.run_until(lambda: rig.received_attempts)
     rig.service.endpoint_updates.on_watch_event(
         WatchEvent(2, "Partial", (endpoint(rig, "Gone"), endpoint(rig, "Ready", engine=2)))
     )
-    other = rig.client(LOGIN + query(2))
-    rig.until(lambda: len(rig.wants) == 2)
-    assert len(rig.talks) == 2
-    rig.talks[0].close()
-    rig.talks[1].serve(rig.wants[1])
-    rig.until(lambda: other.answers())
+    other = rig.connect_client(LOGIN + query(2))
+    rig.run_until(lambda: len(rig.received_attempts) == 2)
+    assert len(rig.engine_connections) == 2
+    rig.engine_connections[0].close()
+    rig.engine_connections[1].serve(rig.received_attempts[1])
+    rig.run_until(lambda: other.answers())
     assert other.answers() == ["served"]
 
 
 def test_drain_in_the_same_loop_iteration_as_a_query_applies_to_it(rig):
-    client = rig.connected()
+    client = rig.client_after_served_query()
     client.write(query(1))
-    rig.list(2, state=EndpointState.DRAINING)
-    rig.turn(5)
-    assert rig.wants == []
+    rig.list_engine(2, state=EndpointState.DRAINING)
+    rig.run_rounds(5)
+    assert rig.received_attempts == []
 
 
 def test_engine_of_an_unknown_kind_is_unusable_and_the_rest_of_the_list_applies(rig):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -12,7 +12,7 @@
 
 import orjson
 import pytest
-from rounds_by_hand import Rig
+from rounds_by_hand import RouterHarness
 
 from hillchute import errors
 from hillchute.decision.interface import EndpointState, Listing
@@ -135,9 +135,9 @@
         event_bus_address=("", 0),
         initial_watch_events=(),
         initial_offset=0,
-        stated_catalog={"parties.count": 0},
+        catalog={"parties.count": 0},
         settings=NO_TENANTS,
-        longest_shutdown=1,
+        max_shutdown_time=1,
     )
     peers = {"name": "a", "listen": "127.0.0.1:1", "others": []}
     return PeerExtension(
@@ -178,7 +178,7 @@
 def history_extension(log: RecordingLog, **changes: object) -> tuple[HistoryExtension, Mapping[str, Any]]:
     """A history extension with these changes to its settings, and the settings."""
     text = "history: {number: 2, default: {}}\n" + 'peers: {name: "a", listen: "127.0.0.1:1", others: []}'
-    settings = reading.hold(text)["history"] | changes
+    settings = reading.parse_settings(text)["history"] | changes
     return HistoryExtension(settings=settings, context=extension_context(log)), settings
 
 
@@ -189,7 +189,7 @@
 
 def policies_stale(log: RecordingLog, tmp_path: Path) -> None:
     extension, _ = history_extension(log)
-    extension.replica.context.living = lambda: {"a": 1, "b": 1}
+    extension.replica.context.live_routers = lambda: {"a": 1, "b": 1}
     extension.replica.views.proposed, extension.replica.views.policies_numbers = object(), {"b": 1}
     extension.log_statistics(EPOCH)
 
@@ -199,15 +199,15 @@
 
 
 def accept_paused(log: RecordingLog, tmp_path: Path) -> None:
-    rig = Rig(FaultySystemCalls(Fault("accept", "ENFILE")))
-    rig.service.door.log = log
-    rig.client()
-    rig.turn()
+    rig = RouterHarness(FaultySystemCalls(Fault("accept", "ENFILE")))
+    rig.service.mysql_frontend.log = log
+    rig.connect_client()
+    rig.run_rounds()
     rig.close()
 
 
 def unknown_kind(log: RecordingLog, tmp_path: Path) -> None:
-    rig = Rig()
+    rig = RouterHarness()
     rig.service.endpoint_updates.log = log
     listing = Listing(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
     rig.service.endpoint_updates.on_watch_event(
@@ -221,7 +221,7 @@
       peers: {{name: "a", listen: "127.0.0.1:1", others: []}}
       partners: {{own: "x", members: [{{name: "x", key: "{"0" * 64}", routers: ["a"]}}]}}"""
     extension = PartnerExtension(
-        settings=reading.hold(text)["partners"],
+        settings=reading.parse_settings(text)["partners"],
         context=extension_context(log),
         seed=1,
         router_clock=lambda: EPOCH,
@@ -286,7 +286,7 @@
 
 
 def test_router_that_cannot_start_prints_the_remedy(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_bytes(orjson.dumps(deployment.table()))
+    (tmp_path / "c.json").write_bytes(orjson.dumps(deployment.make_configuration()))
     (tmp_path / "o.cue").write_text("peers: 5")
     environ = os.environ | {
         "EDGE_CONFIG": str(tmp_path / "c.json"),
