--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import CATALOG, LOOKUP, REPORT
-from test_router import TABLE
+from test_router import PLATFORM_CONFIGURATION
 
 from hillchute.decision.interface import (
     SECOND,
@@ -21,7 +21,7 @@
 )
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.lab import many, plays
-from hillchute.lab.many import Many
+from hillchute.lab.many import FleetSimulation
 from hillchute.router import config, events
 from hillchute.router.effects import OpenConnection
 from hillchute.router.reducer import Reducer
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("seed, work_factor, restarted", [(1, 1.0, 0.0), (2, 1.5, 0.0), (3, 1.0, 0.7)])
 def test_cold_engines_are_used_but_stay_far_from_overload(seed, work_factor, restarted):
     """All routers learn of new engines at once. Estimates are too low, or 70 % of the routers restart."""
-    fleet = Many(seed, routers=200, engines=10, load=0.6, work_factor=work_factor)
+    fleet = FleetSimulation(seed, routers=200, engines=10, load=0.6, work_factor=work_factor)
     fleet.run_for(5)
     fleet.replace_engines(6)
     fleet.restart_routers(restarted)
@@ -50,7 +50,7 @@
     """Without warm-up permits and health checks before submission, 0.34 and 0.40 of the value were served and
     engines held up to 105 queries.
     """
-    found = plays.figures("subset", "replaced", seed, 60, 20, 0.7)
+    found = plays.run_and_measure("subset", "replaced", seed, 60, 20, 0.7)
     assert found["served"] > 0.6 * found["late_seeing"] and found["jain"] > 0.95
     assert found["most_held"] < 4 * many.CORES
     assert found["most_of_what_tips"] < 1 / 2 and found["cold_falls"] == 0
@@ -58,14 +58,14 @@
 
 @pytest.mark.parametrize("play", ["killed", "cut", "doubled"])
 def test_router_restarts_partitions_and_resizing_cost_little_of_the_possible_value(play):
-    found = plays.figures("subset", play, 3, 40, 16, 0.6, 2.5, **{"costs.probe": 0.08})
+    found = plays.run_and_measure("subset", play, 3, 40, 16, 0.6, 2.5, **{"costs.probe": 0.08})
     assert found["served"] > 0.9 * found["late_seeing"] and found["jain"] > 0.95
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_routers_that_exchange_reports_serve_more_with_fewer_health_checks(seed):
     subset, shared = (
-        plays.figures(form, "replaced", seed, 40, 16, 0.7, **{"costs.probe": 0.0086})
+        plays.run_and_measure(form, "replaced", seed, 40, 16, 0.7, **{"costs.probe": 0.0086})
         for form in ("subset", "shared")
     )
     assert shared["served"] > max(0.85 * shared["late_seeing"], subset["served"])
@@ -75,14 +75,14 @@
 
 @pytest.mark.parametrize("play", ["killed", "cut", "doubled"])
 def test_shared_fleet_keeps_serving_during_router_restarts_partitions_and_resizing(play):
-    found = plays.figures("shared", play, 3, 24, 10, 0.6)
+    found = plays.run_and_measure("shared", play, 3, 24, 10, 0.6)
     assert found["served"] > 0.9 * found["late_seeing"] and found["jain"] > 0.95
 
 
 def test_expensive_health_checks_are_made_less_often():
     """At a cost of 8 % of the value per query, a fifth of the health checks serves as much, within 0.1."""
     cheap, expensive = (
-        plays.figures("subset", "replaced", 4, 40, 16, 0.6, 2.5, **{"costs.probe": cost})
+        plays.run_and_measure("subset", "replaced", 4, 40, 16, 0.6, 2.5, **{"costs.probe": cost})
         for cost in (0.0086, 0.08)
     )
     assert expensive["probes_a_query"] < 0.3 * cheap["probes_a_query"]
@@ -104,67 +104,69 @@
 
 
 def test_query_is_submitted_after_a_health_check_of_its_selected_engine(probing):
-    q = probing.arrive(LOOKUP)
-    decisions = probing.decisions()
+    q = probing.add_query(LOOKUP)
+    decisions = probing.take_decisions()
     assert q.checked_engine in checked_engines(decisions) and not [
         d for d in decisions if isinstance(d, Submit)
     ]
     selected = q.checked_engine
-    probing.router.on_health_check(5, selected, AttemptResult.SERVED, {"inflight": 3})
-    assert (q.id, selected) in [(d.query, d.engine) for d in probing.decisions(5) if isinstance(d, Submit)]
+    probing.scheduler.on_health_check(5, selected, AttemptResult.SERVED, {"inflight": 3})
+    assert (q.id, selected) in [
+        (d.query, d.engine) for d in probing.take_decisions(5) if isinstance(d, Submit)
+    ]
 
 
 def test_overloaded_engine_is_skipped_after_one_health_check(probing):
-    q = probing.arrive(LOOKUP)
-    probing.decisions()
+    q = probing.add_query(LOOKUP)
+    probing.take_decisions()
     first = q.checked_engine
-    probing.router.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
-    probing.decisions(5)
+    probing.scheduler.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
+    probing.take_decisions(5)
     assert q.checked_engine not in (None, first) and q.overloaded_checks == 1
 
 
 def test_engine_without_an_answer_to_the_health_check_is_skipped(probing):
-    q = probing.arrive(LOOKUP)
-    probing.decisions()
+    q = probing.add_query(LOOKUP)
+    probing.take_decisions()
     first = q.checked_engine
-    assert not [d for d in probing.decisions(999) if isinstance(d, Submit)]
-    probing.decisions(1000)
+    assert not [d for d in probing.take_decisions(999) if isinstance(d, Submit)]
+    probing.take_decisions(1000)
     assert q.checked_engine not in (None, first)
 
 
 def test_lookup_is_rejected_when_all_checked_engines_are_full(probing):
-    q = probing.arrive(LOOKUP)
-    decisions, now = probing.decisions(), 0
+    q = probing.add_query(LOOKUP)
+    decisions, now = probing.take_decisions(), 0
     while not [d for d in decisions if isinstance(d, Submit | Reject)]:
         now += 10
-        probing.router.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
-        decisions = probing.decisions(now)
+        probing.scheduler.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
+        decisions = probing.take_decisions(now)
     assert q.id in [d.query for d in decisions if isinstance(d, Reject)]
 
 
 def test_engine_with_a_recent_report_needs_no_health_check(probing):
-    for e in probing.router.engines.values():
-        probing.router.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
-    q = probing.arrive(LOOKUP, now=100)
-    assert [d.query for d in probing.decisions(100) if isinstance(d, Submit)] == [q.id]
+    for e in probing.scheduler.engines.values():
+        probing.scheduler.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
+    q = probing.add_query(LOOKUP, now=100)
+    assert [d.query for d in probing.take_decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_report_of_an_overloaded_engine_keeps_its_weight_longer(harness):
-    overloaded, idle, _ = harness.router.engines.values()
-    harness.router.load.mean_load, harness.router.now = 1.0, 2 * SECOND
+    overloaded, idle, _ = harness.scheduler.engines.values()
+    harness.scheduler.load.mean_load, harness.scheduler.now = 1.0, 2 * SECOND
     overloaded.reported_threads, idle.reported_threads = 8 * 8, 2
     overloaded.reported_at = idle.reported_at = 0
     assert (
-        harness.router.load.report_weight(harness.router.now, overloaded) > 0.8
-        and harness.router.load.report_weight(harness.router.now, idle) == 0.25
+        harness.scheduler.load.report_weight(harness.scheduler.now, overloaded) > 0.8
+        and harness.scheduler.load.report_weight(harness.scheduler.now, idle) == 0.25
     )
 
 
 def test_unreachable_engine_does_not_count_as_warming_up(harness):
-    harness.attempted(LOOKUP, engine=1, result=AttemptResult.UNREACHABLE)
-    harness.attempted(LOOKUP, engine=2, sent=1, result=AttemptResult.CONNECTION_REFUSED)
-    harness.router.now = 2
-    assert [e.is_warming_up(harness.router.now) for e in harness.router.engines.values()] == [
+    harness.add_attempted_query(LOOKUP, engine=1, result=AttemptResult.UNREACHABLE)
+    harness.add_attempted_query(LOOKUP, engine=2, sent=1, result=AttemptResult.CONNECTION_REFUSED)
+    harness.scheduler.now = 2
+    assert [e.is_warming_up(harness.scheduler.now) for e in harness.scheduler.engines.values()] == [
         False,
         True,
         False,
@@ -219,10 +221,13 @@
         for n in range(1024)
     ]
     known = {"offset": 1, "batch": [{"offset": 1, "topology": {"snapshot": True, "endpoints": items}}]}
-    limits = TABLE["settings"]["limits"] | {"open_cap": 100}
-    kind = TABLE["settings"]["classes"][0] | {"goal_time_ns": 10**9, "deadline_ns": 8 * 10**9}
-    settings = TABLE["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
-    table = TABLE | {"known": known, "settings": settings}
+    limits = PLATFORM_CONFIGURATION["settings"]["limits"] | {"open_cap": 100}
+    kind = PLATFORM_CONFIGURATION["settings"]["classes"][0] | {
+        "goal_time_ns": 10**9,
+        "deadline_ns": 8 * 10**9,
+    }
+    settings = PLATFORM_CONFIGURATION["settings"] | {"n_instances": 1024, "limits": limits, "classes": [kind]}
+    table = PLATFORM_CONFIGURATION | {"known": known, "settings": settings}
     configuration = config.parse_configuration(table, {})
     reducer = Reducer(
         QueryScheduler(configuration.seed, configuration.settings, 0),
@@ -233,17 +238,19 @@
         reducer.reduce(events.EndpointsChanged(watch_event), 0)
     assert len(reducer.pool.endpoints) == 1024
     group = next(iter(reducer.rules.groups))
-    request = statement.Request("a" * 16, group, 8 * SECOND, b"SELECT 1 FROM sales_4.t", token="t")
-    assert [e for e in reducer.reduce(events.Asked(1, request, 1), 1) if isinstance(e, OpenConnection)]
+    request = statement.Request("a" * 16, group, 8 * SECOND, b"SELECT 1 FROM sales_4.t", idempotency_key="t")
+    assert [
+        e for e in reducer.reduce(events.QueryReceived(1, request, 1), 1) if isinstance(e, OpenConnection)
+    ]
 
 
 def test_lookup_is_rejected_without_a_health_check_under_known_overload(probing):
     """A health check would take a tenth of a second and confirm what the mean load says already."""
-    probing.arrive(LOOKUP)
-    probing.decisions()
-    probing.router.load.mean_load = 3.1  # threads per core, more than 1.5 times the limit
-    q = probing.arrive(LOOKUP, cost=1)
-    assert Reject(q.id, 0, Reason.ENGINES_OVERLOADED) in probing.decisions()
+    probing.add_query(LOOKUP)
+    probing.take_decisions()
+    probing.scheduler.load.mean_load = 3.1  # threads per core, more than 1.5 times the limit
+    q = probing.add_query(LOOKUP, cost=1)
+    assert Reject(q.id, 0, Reason.ENGINES_OVERLOADED) in probing.take_decisions()
     assert q.checked_engine is None
 
 
@@ -254,22 +261,23 @@
 def half_cold(probing):
     """Engine 1 is warm and full, 2 and 3 are cold and empty; all are in the router's subset."""
     probing.list_engines(2, 3, mode=ListMode.PARTIAL, started=10)
-    probing.router.on_subset(20, frozenset({1, 2, 3}))
+    probing.scheduler.on_subset(20, frozenset({1, 2, 3}))
     for engine, in_flight in ((1, 28), (2, 0), (3, 0)):
-        probing.router.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": in_flight})
+        probing.scheduler.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": in_flight})
     return probing
 
 
 def test_query_is_too_heavy_by_the_load_of_the_engines_it_may_use_not_by_the_mean(half_cold):
-    router = half_cold.router
-    without_permit, with_permit = half_cold.arrive(REPORT, now=20), half_cold.arrive(REPORT, now=20)
+    scheduler = half_cold.scheduler
+    without_permit, with_permit = half_cold.add_query(REPORT, now=20), half_cold.add_query(REPORT, now=20)
     without_permit.permit_engine, with_permit.permit_engine = None, 2
     for q in (without_permit, with_permit):
         q.cost = (
-            1.2 * (q.group.mean_cost * q.group.settings.weight * router.admission.mean_cost_per_weight) ** 0.5
+            1.2
+            * (q.group.mean_cost * q.group.settings.weight * scheduler.admission.mean_cost_per_weight) ** 0.5
         )
-    router.load.mean_load = 1.5  # the mean over all engines would admit both
-    assert [router.admission.is_too_heavy(router.now, q) for q in (without_permit, with_permit)] == [
+    scheduler.load.mean_load = 1.5  # the mean over all engines would admit both
+    assert [scheduler.admission.is_too_heavy(scheduler.now, q) for q in (without_permit, with_permit)] == [
         True,
         False,
     ]
@@ -277,60 +285,60 @@
 
 def test_query_with_a_permit_goes_to_its_cold_engine_without_a_health_check(probing):
     probing.list_engines(2, mode=ListMode.PARTIAL, started=10)
-    q = probing.arrive(LOOKUP, now=20)
+    q = probing.add_query(LOOKUP, now=20)
     q.permit_engine = 2
-    decisions = probing.decisions(20)
+    decisions = probing.take_decisions(20)
     assert (q.id, 2) in [(d.query, d.engine) for d in decisions if isinstance(d, Submit)]
-    other = probing.arrive(LOOKUP, now=20)
+    other = probing.add_query(LOOKUP, now=20)
     other.permit_engine = None
-    probing.decisions(20)
+    probing.take_decisions(20)
     assert other.checked_engine in (1, 3)  # a warm engine without a report is checked first
 
 
 def test_health_checks_go_to_the_engine_of_the_subset_with_the_oldest_report(probing):
-    router = probing.router
-    router.on_subset(0, frozenset({1, 2}))
+    scheduler = probing.scheduler
+    scheduler.on_subset(0, frozenset({1, 2}))
     for engine, at in ((1, 9000), (2, 5000), (3, 0)):
-        router.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
-    router.health_checks.credit, router.health_checks.next_check = 3, 0
-    checked = checked_engines(probing.decisions(10_000))
+        scheduler.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
+    scheduler.health_checks.credit, scheduler.health_checks.next_check = 3, 0
+    checked = checked_engines(probing.take_decisions(10_000))
     assert checked == [2]  # 3 is not in the subset, 1 has reported recently
-    router.on_load_report(13_500, 2, {"inflight": 0}, age=100)
-    router.health_checks.credit, router.health_checks.next_check = 3, 0
-    assert checked_engines(probing.decisions(14_000)) == [1]
+    scheduler.on_load_report(13_500, 2, {"inflight": 0}, age=100)
+    scheduler.health_checks.credit, scheduler.health_checks.next_check = 3, 0
+    assert checked_engines(probing.take_decisions(14_000)) == [1]
 
 
 def test_relayed_report_is_used_by_its_age(probing):
-    router, e = probing.router, probing.router.engines[1]
-    router.on_load_report(5000, 1, {"inflight": 4}, age=1000)
+    scheduler, e = probing.scheduler, probing.scheduler.engines[1]
+    scheduler.on_load_report(5000, 1, {"inflight": 4}, age=1000)
     assert (e.reported_threads, e.reported_at) == (4, 4000)
-    router.on_load_report(5000, 1, {"inflight": 9}, age=2000)
+    scheduler.on_load_report(5000, 1, {"inflight": 9}, age=2000)
     assert e.reported_threads == 4
-    router.on_health_check(5000, 1, AttemptResult.SERVED, {"inflight": 2})
+    scheduler.on_health_check(5000, 1, AttemptResult.SERVED, {"inflight": 2})
     assert (e.reported_threads, e.reported_at) == (2, 5000)
-    router.on_load_report(5001, 1, None, age=1)
+    scheduler.on_load_report(5001, 1, None, age=1)
     assert e.reported_at == 5000 and not e.failures
 
 
 def test_recent_relayed_report_saves_the_health_check(probing):
     for engine in (1, 2, 3):
-        probing.router.on_load_report(100, engine, {"inflight": 1}, age=90)
-    probing.router.on_subset(100, frozenset({1, 2, 3}), 2, FleetShares(health_checks=0.0))
-    q = probing.arrive(LOOKUP, now=100)
-    assert [d.query for d in probing.decisions(100) if isinstance(d, Submit)] == [q.id]
+        probing.scheduler.on_load_report(100, engine, {"inflight": 1}, age=90)
+    probing.scheduler.on_subset(100, frozenset({1, 2, 3}), 2, FleetShares(health_checks=0.0))
+    q = probing.add_query(LOOKUP, now=100)
+    assert [d.query for d in probing.take_decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_granted_shares_of_limits_take_precedence_over_equal_shares(make_harness):
     harness = make_harness(parties__0__fraction=0.5, parties__0__quota_per_s=4, n_instances=4)
-    router = harness.router
+    scheduler = harness.scheduler
     for _ in range(3):
-        harness.arrive(LOOKUP)
+        harness.add_query(LOOKUP)
     # Three queries in a second, where the equal share of one router in four is one.
-    assert router.admission.is_over_share(router.now, 0)
-    router.on_subset(0, frozenset(), 4, FleetShares(tenants={0: 0.9}, warm_up=0.25))
-    assert not router.admission.is_over_share(router.now, 0)
-    router.on_subset(0, frozenset(), 2, FleetShares(tenants={0: 0.1}))
-    assert router.admission.is_over_share(router.now, 0) and router.pool.routers == 2
+    assert scheduler.admission.is_over_share(scheduler.now, 0)
+    scheduler.on_subset(0, frozenset(), 4, FleetShares(tenants={0: 0.9}, warm_up=0.25))
+    assert not scheduler.admission.is_over_share(scheduler.now, 0)
+    scheduler.on_subset(0, frozenset(), 2, FleetShares(tenants={0: 0.1}))
+    assert scheduler.admission.is_over_share(scheduler.now, 0) and scheduler.pool.routers == 2
 
 
 def test_number_of_warm_up_permits_follows_the_share_of_the_warm_up_budget(make_harness):
@@ -338,7 +346,7 @@
     for share in (0.05, 0.5):
         harness = make_harness(n_instances=10)
         harness.list_engines(2, 3, mode=ListMode.PARTIAL, started=1)
-        harness.router.on_subset(1, frozenset({1, 2, 3}), 10, FleetShares(warm_up=share))
-        taken = [harness.arrive(LOOKUP, now=1 + n * 400) for n in range(200)]
+        harness.scheduler.on_subset(1, frozenset({1, 2, 3}), 10, FleetShares(warm_up=share))
+        taken = [harness.add_query(LOOKUP, now=1 + n * 400) for n in range(200)]
         permits.append(sum(q.permit_engine is not None for q in taken))
     assert permits[0] * 4 < permits[1]
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -20,14 +20,14 @@
 from hillchute.engines.flight import links
 from hillchute.fronts.flight import answers, catalog, identity, server, tickets
 from hillchute.lab import rules
-from hillchute.lab.clients import Flight, MySQL, Query
+from hillchute.lab.clients import FlightClient, MySQLClient, Query
 from hillchute.lab.fleet import deployed
 from hillchute.log import Log
 from hillchute.operator import reading
 from hillchute.protocol import Flight_pb2 as flight
 from hillchute.protocol import FlightSql_pb2 as sql
 from hillchute.protocol import sql as arrow
-from hillchute.protocol.status import DETAILS, reason
+from hillchute.protocol.status import DETAILS_TRAILER, error_reason
 from hillchute.router import events
 from hillchute.router.effects import (
     AbortStream,
@@ -51,7 +51,7 @@
 
 
 def test_ticket_is_valid_once_for_its_owner_until_it_expires():
-    table = tickets.Table(b"k", 10, 100)
+    table = tickets.TokenTable(b"k", 10, 100)
     token = table.put(0, "bi", "query")
     for owner, now, why in (("other", 0, "another client"), ("bi", 100, "too old")):
         with pytest.raises(tickets.InvalidTokenError, match=why):
@@ -65,14 +65,14 @@
     "forge", [lambda t: b"", lambda t: t[:-1] + b"x", lambda t: b"\1" + t[1:], lambda t: t + b"x"]
 )
 def test_forged_ticket_is_rejected(forge):
-    table = tickets.Table(b"k", 10, 100)
+    table = tickets.TokenTable(b"k", 10, 100)
     token = table.put(0, "bi", "query")
     with pytest.raises(tickets.InvalidTokenError, match="not one that was given out"):
         table.take(0, "bi", forge(token))
 
 
 def test_open_tickets_are_limited_and_expired_ones_make_room():
-    table = tickets.Table(b"k", 10_000, 100)
+    table = tickets.TokenTable(b"k", 10_000, 100)
     for n in range(10_000):
         table.put(n // 1000, "bi", n)
     with pytest.raises(tickets.LimitReachedError):
@@ -101,10 +101,10 @@
 
 def test_reload_applies_settings_and_names_those_that_need_a_restart(tmp_path):
     text = 'flight: {listen: "127.0.0.1:1", tickets: 5, users: [{name: "bi", token: "old"}]}'
-    made = server.Server(reading.hold(text)["flight"], {}, Log("n", -1), lambda: 0, None)
+    made = server.Server(reading.parse_settings(text)["flight"], {}, Log("n", -1), lambda: 0, None)
     given = made.authenticator.issue_token(0, "bi")
     text = text.replace("old", "new").replace(":1", ":2").replace("tickets: 5", "tickets: 1")
-    assert made.renew(reading.hold(text)["flight"]) == ["listen"]
+    assert made.reload_settings(reading.parse_settings(text)["flight"]) == ["listen"]
     assert made.settings["listen"] == "127.0.0.1:1" and made.tickets.max_entries == 1
     assert (
         made.authenticator.authenticate(0, "Bearer new")
@@ -115,7 +115,7 @@
         made.authenticator.authenticate(0, "Bearer old")
     gone = text.replace('token: "new"', f'token_file: "{tmp_path}/none"')
     with pytest.raises(ValueError, match="flight.users"):
-        made.renew(reading.hold(gone)["flight"])
+        made.reload_settings(reading.parse_settings(gone)["flight"])
     assert made.authenticator.authenticate(0, "Bearer new") == "bi"
 
 
@@ -125,14 +125,14 @@
 def test_fields_come_from_headers_comment_or_defaults_and_must_not_repeat():
     text = b"/* route=report */ SELECT 1"
     beside = {"route": "report", "patience": "5"}
-    read = statements.read(text, beside, {"trace": "a" * 16, "patience": "9"})
-    assert (read.group, read.patience, read.id, read.statement) == ("report", 50, "a" * 16, b"SELECT 1")
-    with pytest.raises(statements.Misread, match="route stands twice"):
-        statements.read(text, {"route": "lookup"}, {"trace": "a" * 16, "patience": "9"})
-    plain = statements.read(b"/* of BI */ SELECT 1", beside, {"trace": "a" * 16})
+    read = statements.parse_statement(text, beside, {"trace": "a" * 16, "patience": "9"})
+    assert (read.group, read.client_timeout, read.id, read.statement) == ("report", 50, "a" * 16, b"SELECT 1")
+    with pytest.raises(statements.InvalidStatementError, match="route stands twice"):
+        statements.parse_statement(text, {"route": "lookup"}, {"trace": "a" * 16, "patience": "9"})
+    plain = statements.parse_statement(b"/* of BI */ SELECT 1", beside, {"trace": "a" * 16})
     assert plain.statement == b"/* of BI */ SELECT 1"
-    with pytest.raises(statements.Misread, match="no comment"):
-        statements.read(b"SELECT 1")
+    with pytest.raises(statements.InvalidStatementError, match="no comment"):
+        statements.parse_statement(b"SELECT 1")
 
 
 def test_parameters_replace_question_marks_outside_strings_names_and_comments():
@@ -140,7 +140,7 @@
     assert catalog.count_parameters(text) == 2
     bound = catalog.bind_parameters(text, ["it's \\", None])
     assert bound == text.replace("a=? AND b = ?", "a='it''s \\\\' AND b = NULL")
-    with pytest.raises(statements.Misread, match="2 are wanted, 1 are bound"):
+    with pytest.raises(statements.InvalidStatementError, match="2 are wanted, 1 are bound"):
         catalog.bind_parameters(text, [1])
 
 
@@ -148,29 +148,31 @@
 
 
 def test_rows_are_encoded_as_batches_and_decoded_again():
-    rows = [[b"1", b"", "ü".encode()]] * (arrow.STEP + 1)
-    reading = arrow.Reading()
-    parts = [reading.take(part.SerializeToString()) for part in arrow.from_rows(rows)]
+    rows = [[b"1", b"", "ü".encode()]] * (arrow.MAX_ROWS_PER_BATCH + 1)
+    reading = arrow.BatchDecoder()
+    parts = [reading.decode(part.SerializeToString()) for part in arrow.from_rows(rows)]
     assert [row for part in parts[1:] for row in arrow.to_rows(part)] == rows
     assert len(list(arrow.from_rows([]))) == 1  # the schema alone
-    with pytest.raises(arrow.Unreadable, match="UTF-8"):
+    with pytest.raises(arrow.InvalidFlightDataError, match="UTF-8"):
         list(arrow.from_rows([[b"\xff", b"", b""]]))
 
 
 def test_batches_that_do_not_match_the_schema_or_are_truncated_are_unreadable():
-    whole = arrow.framed(arrow.PLAIN).SerializeToString()
-    other = arrow.framed(pa.schema([("x", pa.int32())])).SerializeToString()
-    batch = arrow.framed(pa.record_batch([["a"]] * 3, schema=arrow.PLAIN)).SerializeToString()
+    whole = arrow.to_flight_data(arrow.TEXT_RESULT_SCHEMA).SerializeToString()
+    other = arrow.to_flight_data(pa.schema([("x", pa.int32())])).SerializeToString()
+    batch = arrow.to_flight_data(
+        pa.record_batch([["a"]] * 3, schema=arrow.TEXT_RESULT_SCHEMA)
+    ).SerializeToString()
     for parts in ([batch], [whole, other], [whole, batch[:-9]], [whole, b"\xff\xff"]):
-        reading = arrow.Reading()
-        with pytest.raises(arrow.Unreadable):
+        reading = arrow.BatchDecoder()
+        with pytest.raises(arrow.InvalidFlightDataError):
             for part in parts:
-                reading.take(part)
+                reading.decode(part)
 
 
 def test_message_that_is_not_a_command_is_unreadable():
     for data in (b"\xff", b"", arrow.wrap(flight.Ticket(ticket=b"x"))):
-        with pytest.raises(arrow.Unreadable):
+        with pytest.raises(arrow.InvalidFlightDataError):
             arrow.unwrap(data)
 
 
@@ -198,10 +200,12 @@
         entry = events.event_bus.Endpoint(listing, "127.0.0.1", 1)
         self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (entry,))))
         asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
-        (connect,) = self.do(events.Asked(1, asked, 0), kind=OpenConnection)
-        self.line, self.stream = connect.connection, StreamStandIn()
-        self.do(events.Connected(self.line))
-        self.start_effects = self.do(events.Said(self.line, words.Began("a" * 16, self.stream)), 10)
+        (connect,) = self.do(events.QueryReceived(1, asked, 0), kind=OpenConnection)
+        self.connection, self.stream = connect.connection, StreamStandIn()
+        self.do(events.Connected(self.connection))
+        self.start_effects = self.do(
+            events.MessageReceived(self.connection, words.StreamStarted("a" * 16, self.stream)), 10
+        )
 
     def do(self, event, now=0, kind=None):
         effects = self.reducer.reduce(event, now)
@@ -218,18 +222,20 @@
 
 def test_complete_stream_is_finished_once_it_is_delivered(streaming):
     assert StartStream(1, streaming.stream) in streaming.start_effects
-    assert not streaming.final_effects(events.Said(streaming.line, words.Ended("a" * 16, "finished")))
+    assert not streaming.final_effects(
+        events.MessageReceived(streaming.connection, words.RunEnded("a" * 16, "finished"))
+    )
     assert streaming.reducer.unanswered
-    assert not streaming.final_effects(events.Passed(1)) and not streaming.reducer.queries
+    assert not streaming.final_effects(events.StreamDelivered(1)) and not streaming.reducer.queries
     assert streaming.reducer.answer_log.counts[("lookup", "served")][0] == 1
 
 
 @pytest.mark.parametrize(
     "event",
     [
-        lambda s: events.Said(s.line, words.Ended("a" * 16, "severed")),
-        lambda s: events.Lost(s.line, "reset"),
-        lambda s: events.Spoilt(1, "noise"),
+        lambda s: events.MessageReceived(s.connection, words.RunEnded("a" * 16, "severed")),
+        lambda s: events.ConnectionLost(s.connection, "reset"),
+        lambda s: events.StreamUnreadable(1, "noise"),
     ],
 )
 def test_broken_stream_has_one_answer_and_no_retry(streaming, event):
@@ -240,21 +246,21 @@
 
 
 def test_run_is_cancelled_when_its_client_leaves_the_stream(streaming):
-    effects = streaming.do(events.Left(1), 20)
-    assert SendCommand(streaming.line, words.GiveUp("a" * 16)) in effects and streaming.stream.closed
+    effects = streaming.do(events.ClientGone(1), 20)
+    assert SendCommand(streaming.connection, words.CancelRun("a" * 16)) in effects and streaming.stream.closed
     assert not [e for e in effects if isinstance(e, AbortStream | FailQuery | RejectQuery)]
 
 
 def test_stream_that_is_not_read_is_aborted_at_the_deadline(streaming):
-    streaming.do(events.Said(streaming.line, words.Ended("a" * 16, "finished")), 20)
+    streaming.do(events.MessageReceived(streaming.connection, words.RunEnded("a" * 16, "finished")), 20)
     due = streaming.reducer.queries["a" * 16].deadline
     assert not streaming.final_effects(events.AlarmDue(), due - 1)
     assert [type(e) for e in streaming.final_effects(events.AlarmDue(), due)] == [AbortStream]
-    assert not streaming.final_effects(events.Passed(1), due + 1)
+    assert not streaming.final_effects(events.StreamDelivered(1), due + 1)
 
 
 def test_call_that_is_cancelled_or_raises_ends_only_its_own_task():
-    made = links.Links({}, Log("n", -1), None, 1, 1)
+    made = links.FlightConnections({}, Log("n", -1), None, 1, 1)
 
     async def cancelled():
         raise anyio.get_cancelled_exc_class()
@@ -265,7 +271,7 @@
     async def run():
         async with anyio.create_task_group() as made.tasks:
             for work in (cancelled, faulty):
-                made.tasks.start_soon(made.alone, work)
+                made.tasks.start_soon(made.run_isolated, work)
             await anyio.sleep(0.01)
             assert not made.tasks.cancel_scope.cancel_called
 
@@ -302,23 +308,25 @@
         options |= {prefix + name: value for name, value in headers.items()}
         return adbc.connect(self.uri, db_kwargs=options, autocommit=True)
 
-    def ask(self, *queries, front=Flight):
+    def ask(self, *queries, front=FlightClient):
         """Sends queries one after the other on one connection of the lab's client; returns their outcomes."""
 
         async def send_all():
-            port = self.router.flight_port if front is Flight else self.router.port
+            port = self.router.flight_port if front is FlightClient else self.router.port
             client = (
-                Flight(self.fleet.world, port, "secret") if front is Flight else front(self.fleet.world, port)
+                FlightClient(self.fleet.world, port, "secret")
+                if front is FlightClient
+                else front(self.fleet.world, port)
             )
             for q in queries:
-                await client.ask(q)
+                await client.run(q)
             await client.close()
 
         self.portal.call(send_all)
-        return [q.how for q in queries]
+        return [q.outcome for q in queries]
 
     def runs(self, q):
-        return [r for r in self.fleet.world.ran if r.id == q.id]
+        return [r for r in self.fleet.world.runs if r.id == q.id]
 
 
 def run_deployment(engines):
@@ -380,7 +388,7 @@
         for _ in range(2):
             cursor.adbc_statement.set_sql_query(LOAD)
             assert cursor.adbc_statement.execute_update() == 1
-    effects = [r for r in deployment.fleet.world.ran if r.token == "ab" * 16 and r.effect]
+    effects = [r for r in deployment.fleet.world.runs if r.idempotency_key == "ab" * 16 and r.had_effect]
     assert len(effects) == 1
 
 
@@ -400,14 +408,14 @@
         with pytest.raises(adbc.Error):
             cursor.execute("SELECT /* lab hang=1 */ day FROM sales_17.orders")
             cursor.fetchall()
-    wait_for(lambda: all(r.ended for r in on_flight.fleet.world.ran if r.result != "finished"))
+    wait_for(lambda: all(r.ended_at for r in on_flight.fleet.world.runs if r.result != "finished"))
 
 
 def test_pyarrow_client_is_served_with_its_password_and_rejected_with_a_wrong_one(deployment):
     client = pa.flight.connect(deployment.uri)
     token = client.authenticate_basic_token(b"bi", b"pw")
     options = pa.flight.FlightCallOptions(headers=[token])
-    command = arrow.command(sql.CommandStatementQuery(query=SELECT)).cmd
+    command = arrow.command_descriptor(sql.CommandStatementQuery(query=SELECT)).cmd
     info = client.get_flight_info(pa.flight.FlightDescriptor.for_command(command), options)
     assert client.do_get(info.endpoints[0].ticket, options).read_all().num_rows == 30
     with pytest.raises(pa.ArrowException, match="used already"):
@@ -425,7 +433,7 @@
         pa.flight.FlightCallOptions(headers=[(b"authorization", b"Bearer " + token)])
         for token in (b"secret", b"other")
     )
-    command = arrow.command(sql.CommandStatementQuery(query=SELECT)).cmd
+    command = arrow.command_descriptor(sql.CommandStatementQuery(query=SELECT)).cmd
     info = client.get_flight_info(pa.flight.FlightDescriptor.for_command(command), mine)
     with pytest.raises(pa.ArrowException, match="another client"):
         client.do_get(info.endpoints[0].ticket, theirs).read_all()
@@ -441,48 +449,52 @@
     assert on_flight.ask(Query("lookup", SELECT)) == ["finished"]
 
 
-@pytest.mark.parametrize("front", [MySQL, Flight])
+@pytest.mark.parametrize("front", [MySQLClient, FlightClient])
 def test_stream_aborted_by_its_engine_has_one_answer_and_one_run(on_flight, front):
     q = Query("report", "SELECT /* lab rows=30 batches=3 cut=2 */ day FROM sales_17.orders")
     assert on_flight.ask(q, front=front) == ["killed"]
     assert len(on_flight.runs(q)) == 1 and 0 < q.rows < 30
 
 
-@pytest.mark.parametrize("front", [MySQL, Flight])
+@pytest.mark.parametrize("front", [MySQLClient, FlightClient])
 def test_corrupt_result_is_not_delivered_as_finished(deployment, front):
-    q = Query("lookup", "SELECT /* lab rows=30 batches=3 spoilt=1 */ day FROM sales_17.orders", patience=900)
+    q = Query(
+        "lookup",
+        "SELECT /* lab rows=30 batches=3 spoilt=1 */ day FROM sales_17.orders",
+        client_timeout_ms=900,
+    )
     (how,) = deployment.ask(q, front=front)
-    undecoded = (front, deployment.fleet.protocol) == (Flight, "flight")
+    undecoded = (front, deployment.fleet.protocol) == (FlightClient, "flight")
     assert how in (("unreadable",) if undecoded else ("killed", "deferred"))
 
 
-@pytest.mark.parametrize("front", [MySQL, Flight])
+@pytest.mark.parametrize("front", [MySQLClient, FlightClient])
 def test_deadline_aborts_a_stream(on_flight, front):
     slow = "SELECT /* lab rows=30 batches=30 pause=100 */ day FROM sales_17.orders"
-    q = Query("report", slow, patience=1_500)
+    q = Query("report", slow, client_timeout_ms=1_500)
     assert on_flight.ask(q, front=front) == ["killed"]
-    assert not rules.one_answer(q) and len(on_flight.runs(q)) == 1 and 0 < q.rows < 30
+    assert not rules.check_answer(q) and len(on_flight.runs(q)) == 1 and 0 < q.rows < 30
 
 
 def test_load_retried_over_the_other_frontend_has_its_effect_once(deployment):
     token, key = "cd" * 16, "1e" * 8
-    light = {"key": key, "weight": 0.1}  # admitted even if earlier tests made engines appear slow
-    first, second = (Query("event-load", LOAD, token=token, **light) for _ in range(2))
-    assert deployment.ask(first, front=MySQL) + deployment.ask(second) == ["finished"] * 2
-    third, fourth = (Query("event-load", LOAD, token="ef" * 16, **light) for _ in range(2))
-    assert deployment.ask(third) + deployment.ask(fourth, front=MySQL) == ["finished"] * 2
-    assert not rules.broken(deployment.fleet.world, [first, second, third, fourth])
-    assert sum(r.effect for q in (first, second, third, fourth) for r in deployment.runs(q)) == 2
+    light = {"ordering_key": key, "weight": 0.1}  # admitted even if earlier tests made engines appear slow
+    first, second = (Query("event-load", LOAD, idempotency_key=token, **light) for _ in range(2))
+    assert deployment.ask(first, front=MySQLClient) + deployment.ask(second) == ["finished"] * 2
+    third, fourth = (Query("event-load", LOAD, idempotency_key="ef" * 16, **light) for _ in range(2))
+    assert deployment.ask(third) + deployment.ask(fourth, front=MySQLClient) == ["finished"] * 2
+    assert not rules.find_violations(deployment.fleet.world, [first, second, third, fourth])
+    assert sum(r.had_effect for q in (first, second, third, fourth) for r in deployment.runs(q)) == 2
 
 
 def test_calls_that_are_not_served_have_their_status_codes(deployment):
-    never = Query("lookup", "SELECT /* lab full=-1 */ day FROM sales_17.orders", patience=400)
-    hangs = Query("lookup", "SELECT /* lab hang=1 */ day FROM sales_17.orders", patience=400)
+    never = Query("lookup", "SELECT /* lab full=-1 */ day FROM sales_17.orders", client_timeout_ms=400)
+    hangs = Query("lookup", "SELECT /* lab hang=1 */ day FROM sales_17.orders", client_timeout_ms=400)
     fails = Query("lookup", "SELECT /* lab error=-1 */ day FROM sales_17.orders")
     assert deployment.ask(never, hangs, fails) == ["deferred"] * 3
     status = answers.Status.of(answers.DEFERRED, "x", retry_after_ms=1500)
     assert status.code is grpc.StatusCode.UNAVAILABLE
-    assert reason([(DETAILS, status.details)]) == "DEFERRED"
+    assert error_reason([(DETAILS_TRAILER, status.details)]) == "DEFERRED"
 
 
 def test_draining_or_killed_engines_get_no_queries_and_no_query_is_lost(own_deployment):
@@ -491,14 +503,14 @@
     assert own_deployment.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
     own_deployment.portal.call(own_deployment.fleet.drain, number)
     time.sleep(0.3)
-    own_deployment.fleet.world.ran.clear()
+    own_deployment.fleet.world.runs.clear()
     assert own_deployment.ask(*[Query("lookup", SELECT) for _ in range(20)]) == ["finished"] * 20
-    assert f"s-{number:08x}" not in {r.engine for r in own_deployment.fleet.world.ran}
+    assert f"s-{number:08x}" not in {r.engine for r in own_deployment.fleet.world.runs}
     # The engine ends without notice: with a reset on one protocol, with GOAWAY on the other.
     own_deployment.portal.call(own_deployment.fleet.kill, 1)
     queries = [Query("lookup", SELECT) for _ in range(20)]
     assert own_deployment.ask(*queries) == ["finished"] * 20
-    assert not rules.broken(own_deployment.fleet.world, queries)
+    assert not rules.find_violations(own_deployment.fleet.world, queries)
 
 
 def wait_for(condition, seconds=5):
@@ -549,8 +561,8 @@
     credentials = grpc.ssl_channel_credentials(authority.read_bytes(), **pair)
     options = [("grpc.use_local_subchannel_pool", 1)]
     with grpc.secure_channel(f"localhost:{port}", credentials, options=options) as channel:
-        ask = channel.unary_unary(f"{arrow.SERVICE}GetSchema")
-        command = arrow.command(sql.CommandGetCatalogs()).SerializeToString()
+        ask = channel.unary_unary(f"{arrow.SERVICE_PATH}GetSchema")
+        command = arrow.command_descriptor(sql.CommandGetCatalogs()).SerializeToString()
         try:
             return bool(ask(command, timeout=3))
         except grpc.RpcError:
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -5,9 +5,9 @@
 import pytest
 from conftest import LOAD, LOOKUP, REPORT
 
-from hillchute.decision.admission import MOST_LATE
+from hillchute.decision.admission import MAX_LOOP_LAG
 from hillchute.decision.interface import SECOND
-from hillchute.fronts.mysql.door import Client, Door
+from hillchute.fronts.mysql.door import Client, MysqlFrontend
 from hillchute.lab import slowloop
 from hillchute.net.system_calls import SYSTEM_CALLS
 from hillchute.router import loop_lag, round_schedule, shutdown
@@ -19,7 +19,7 @@
 
 
 def request(key=None):
-    return Request("a" * 16, "lookup", SECOND, b"SELECT 1", key=key)
+    return Request("a" * 16, "lookup", SECOND, b"SELECT 1", ordering_key=key)
 
 
 # ---- simulations ----------------------------------------------------------------------------------
@@ -27,12 +27,14 @@
 
 @pytest.mark.parametrize("first", range(1, 201, 25))
 def test_rules_hold_at_three_times_the_load_with_stalls_and_a_shutdown(first):
-    failed = {seed: rig.faults for seed in range(first, first + 25) if (rig := slowloop.play(seed)).faults}
+    failed = {
+        seed: rig.violations for seed in range(first, first + 25) if (rig := slowloop.play(seed)).violations
+    }
     assert not failed
 
 
 def faults(seeds=12, **options):
-    return [fault for seed in range(1, seeds + 1) for fault in slowloop.play(seed, **options).faults]
+    return [fault for seed in range(1, seeds + 1) for fault in slowloop.play(seed, **options).violations]
 
 
 def test_checker_finds_answers_that_leave_no_time_for_a_pause(monkeypatch):
@@ -53,7 +55,7 @@
 
 @pytest.fixture
 def no_hangs(monkeypatch):
-    monkeypatch.setattr(slowloop, "HANGS", 0)
+    monkeypatch.setattr(slowloop, "HANGING_RUN_SHARE", 0)
 
 
 def stalled_key():
@@ -61,20 +63,24 @@
 
     The first arrives on a new connection, the second on an open one.
     """
-    rig = slowloop.Rig(1, times=0, term=False)
-    start = rig.world.us
-    rig.world.coming.clear()
+    rig = slowloop.OverloadSimulation(1, load_factor=0, with_sigterm=False)
+    start = rig.world.now_us
+    rig.world.event_queue.clear()
     rig.world.stalls = [(start + 500_000, 600_000)]
     times = {"a" * 16: 0, "b" * 16: 550_000, "c" * 16: 810_000}
     for id, at in times.items():
         key = None if id[0] == "a" else "1" * 16
-        rig.asked[id] = slowloop.Asked(
-            id, "event-load" if key else "lookup", 30_000, key, fresh=(id[0] == "b") if key else None
+        rig.queries[id] = slowloop.SimulatedQuery(
+            id,
+            "event-load" if key else "lookup",
+            30_000,
+            key,
+            needs_new_connection=(id[0] == "b") if key else None,
         )
-        rig.world.at(start + at, rig.come, rig.asked[id])
+        rig.world.call_at(start + at, rig.send_query, rig.queries[id])
     slowloop.anyio.run(rig.play)
-    assert [query.answers[0][1] for query in rig.asked.values()] == ["finished"] * 3
-    return rig.faults
+    assert [query.answers[0][1] for query in rig.queries.values()] == ["finished"] * 3
+    return rig.violations
 
 
 def test_key_keeps_its_order_over_a_stall_even_if_its_second_query_is_read_first(no_hangs):
@@ -138,7 +144,7 @@
 def test_connections_left_over_from_a_round_are_served_first_in_the_next():
     schedule = RoundSchedule()
     clients = [Client(n, 100) for n in (1, 2, 3)]
-    clients[0].served, clients[1].served = 7, 6
+    clients[0].last_served_round, clients[1].last_served_round = 7, 6
     assert schedule.least_recently_served(clients) == [clients[2], clients[1], clients[0]]
 
 
@@ -177,12 +183,14 @@
 
 def test_late_loop_rejects_the_least_valuable_group_first(harness):
     for _ in range(20):
-        harness.router.admits(0, LOOKUP, 0.0)
-        harness.router.admits(0, REPORT, 0.0)
-    assert harness.router.admits(0, LOOKUP, MOST_LATE / 10)
-    assert not harness.router.admits(0, LOOKUP, MOST_LATE / 2)
-    assert harness.router.admits(0, REPORT, MOST_LATE - 1) and harness.router.admits(0, LOAD, MOST_LATE - 1)
-    assert not harness.router.admits(0, REPORT, MOST_LATE)
+        harness.scheduler.admits(0, LOOKUP, 0.0)
+        harness.scheduler.admits(0, REPORT, 0.0)
+    assert harness.scheduler.admits(0, LOOKUP, MAX_LOOP_LAG / 10)
+    assert not harness.scheduler.admits(0, LOOKUP, MAX_LOOP_LAG / 2)
+    assert harness.scheduler.admits(0, REPORT, MAX_LOOP_LAG - 1) and harness.scheduler.admits(
+        0, LOAD, MAX_LOOP_LAG - 1
+    )
+    assert not harness.scheduler.admits(0, REPORT, MAX_LOOP_LAG)
 
 
 # ---- shutdown ---------------------------------------------------------------------------------------
@@ -254,40 +262,40 @@
         self.closed = True
 
 
-def make_door(*pipes):
-    """Returns a door whose places are all taken by sessions in an incomplete step."""
+def make_full_frontend(*pipes):
+    """Returns a frontend whose places are all taken by sessions in an incomplete step."""
     poller = SimpleNamespace(system=SYSTEM_CALLS)
-    door = Door(
+    frontend = MysqlFrontend(
         len(pipes), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
     )
     for number, pipe in enumerate(pipes):
-        client = door.clients[number] = Client(number, 1000)
-        client.pipe = pipe
-        door.seats.in_step(number, number)
-    return door
+        client = frontend.clients[number] = Client(number, 1000)
+        client.buffered_socket = pipe
+        frontend.session_limiter.mark_in_step(number, number)
+    return frontend
 
 
 def test_session_with_an_unsent_answer_is_not_evicted():
-    door = make_door(PipeStub(unsent=b"rows"), PipeStub(unread=True), PipeStub())
-    candidates = door.seats.give_way()
-    assert door.make_room(iter(list(candidates)))
-    assert sorted(door.clients) == [0, 1]
-    assert door.make_room(iter(()))  # there is a free place now
+    frontend = make_full_frontend(PipeStub(unsent=b"rows"), PipeStub(unread=True), PipeStub())
+    candidates = frontend.session_limiter.eviction_candidates()
+    assert frontend.make_room(iter(list(candidates)))
+    assert sorted(frontend.clients) == [0, 1]
+    assert frontend.make_room(iter(()))  # there is a free place now
 
 
 def test_unread_sessions_are_checked_once_per_burst_of_new_connections():
-    door = make_door(*[PipeStub(unread=True) for _ in range(5)], PipeStub())
-    candidates = iter(list(door.seats.give_way()))
-    assert door.make_room(candidates)
-    door.seats.in_step(9, 0)
-    assert not door.make_room(candidates) and next(candidates, None) is None
+    frontend = make_full_frontend(*[PipeStub(unread=True) for _ in range(5)], PipeStub())
+    candidates = iter(list(frontend.session_limiter.eviction_candidates()))
+    assert frontend.make_room(candidates)
+    frontend.session_limiter.mark_in_step(9, 0)
+    assert not frontend.make_room(candidates) and next(candidates, None) is None
 
 
 def test_first_query_sent_with_the_login_is_timed_from_its_connection():
-    door = make_door(PipeStub(), PipeStub())
-    early, later = door.clients[0], door.clients[1]
-    early.knocked = later.knocked = SECOND
-    early.let_in = later.let_in = 2 * SECOND
-    assert door.sent(early, 2 * SECOND) == SECOND
-    assert door.sent(early, 2 * SECOND) == 2 * SECOND  # no longer the first
-    assert door.sent(later, 3 * SECOND) == 3 * SECOND  # sent after the answer to the login
+    frontend = make_full_frontend(PipeStub(), PipeStub())
+    early, later = frontend.clients[0], frontend.clients[1]
+    early.connected_at = later.connected_at = SECOND
+    early.logged_in_at = later.logged_in_at = 2 * SECOND
+    assert frontend.earliest_send_time(early, 2 * SECOND) == SECOND
+    assert frontend.earliest_send_time(early, 2 * SECOND) == 2 * SECOND  # no longer the first
+    assert frontend.earliest_send_time(later, 3 * SECOND) == 3 * SECOND  # sent after the answer to the login
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,13 @@
 from hillchute.history.records import COMPLETION_GRACE
 from hillchute.history.retention import RetentionPolicy
 from hillchute.history.slot_placement import holders, slot_of
-from hillchute.lab.partners_net import SECOND, PartnersNet, founded, rush, storm
+from hillchute.lab.partners_net import (
+    SECOND,
+    PartnersNet,
+    initial_policies,
+    move_slots_under_load,
+    run_random_faults,
+)
 from hillchute.partners import forwarding, handover
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.forwarding import KEPT_AFTER_DEADLINE, RETRANSMIT_AFTER, QueryForwarder
@@ -20,7 +26,7 @@
     ForwardQuery,
     ForwardResult,
     ForwardResultAck,
-    Knowledge,
+    LedgerEntries,
 )
 from hillchute.partners.negotiation import AgreementProtocol
 from hillchute.partners.signatures import Signature
@@ -30,9 +36,9 @@
 
 
 def net_of(count=6, seed=1, copies=1, **faults) -> PartnersNet:
-    net = PartnersNet(seed, count, founded(copies=copies, default=POLICY), **faults)
-    net.agree()
-    assert net.settled() and net.agreed()
+    net = PartnersNet(seed, count, initial_policies(copies=copies, default=POLICY), **faults)
+    net.make_offers()
+    assert net.wait_until_settled() and net.wait_until_agreed()
     return net
 
 
@@ -48,7 +54,7 @@
 
 
 def assert_no_violations(net):
-    assert not +net.rule and not net.unanswered()
+    assert not +net.broken_rules and not net.unanswered()
 
 
 def test_owner_runs_queries_and_others_forward_them_with_one_answer_each():
@@ -56,12 +62,15 @@
     key = key_of(net, "a")
     net.ask("n0", "t0", key)
     net.advance(3)
-    assert net.said["RUN: new"] == 1 and not net.hops["forwarded"]
+    assert net.verdict_counts["RUN: new"] == 1 and not net.forwarding_counts["forwarded"]
     net.ask("n1", "t1", key)
     net.advance(3)
-    assert net.hops["forwarded"] == net.hops["arrived"] == 1 and net.said["RUN: new"] == 2
-    assert net.said["answered finished"] == 2
-    assert {partner for _, _, partner in net.led[key]} == {"a"}
+    assert (
+        net.forwarding_counts["forwarded"] == net.forwarding_counts["arrived"] == 1
+        and net.verdict_counts["RUN: new"] == 2
+    )
+    assert net.verdict_counts["answered finished"] == 2
+    assert {partner for _, _, partner in net.coordinated_runs[key]} == {"a"}
     assert_no_violations(net)
 
 
@@ -90,16 +99,19 @@
     net.advance(3)
     net.ask("n2", "t0", key)
     net.advance(2)
-    assert net.said["REPLAY: finished before"] == 1 and not net.hops["forwarded"]
+    assert net.verdict_counts["REPLAY: finished before"] == 1 and not net.forwarding_counts["forwarded"]
     assert_no_violations(net)
 
 
 def test_mutating_query_runs_at_its_table_groups_owner_and_is_recorded_only_while_in_flight():
     net = net_of()
     for tables in range(9):
-        net.change("n0", tables)
+        net.ask_mutating("n0", tables)
     net.advance(4)
-    assert net.said["answered finished"] + net.said["answered killed"] == 9 and net.hops["forwarded"]
+    assert (
+        net.verdict_counts["answered finished"] + net.verdict_counts["answered killed"] == 9
+        and net.forwarding_counts["forwarded"]
+    )
     assert any(
         k.record.is_transient for replica in net.replicas.values() for k in replica.records.all_records()
     )
@@ -114,12 +126,12 @@
     net = net_of(copies=2)
     before = net.owners()
     net.offer("a", 8000)
-    assert net.agreed()
+    assert net.wait_until_agreed()
     after = net.owners()
     moved = [slot for slot in range(1024) if before[slot] != after[slot]]
     assert moved and all(after[slot] == "a" for slot in moved)
     # Back to equal shares, with queries of a's routers in flight in a slot that moves.
-    rng = net.chance
+    rng = net.random
     net.offer("a", 3333)
     key = next(key for n in range(9999) if slot_of("", key := f"k{n}") in moved)
     slot = slot_of("", key)
@@ -130,8 +142,10 @@
     for n in range(6):
         net.ask(rng.choice(net.names), f"after{n}", key)
         net.advance(1)
-    assert {partner for _, _, partner in net.led[key]} >= {"a"} and len(net.led[key]) >= 3
-    assert len({partner for _, _, partner in net.led[key]}) == 2
+    assert {partner for _, _, partner in net.coordinated_runs[key]} >= {"a"} and len(
+        net.coordinated_runs[key]
+    ) >= 3
+    assert len({partner for _, _, partner in net.coordinated_runs[key]}) == 2
     assert_no_violations(net)
 
 
@@ -140,7 +154,7 @@
     net.offer("a", 8000)
     net.offer("b", 1000)
     net.offer("c", 1000)
-    assert net.agreed()
+    assert net.wait_until_agreed()
     before = net.owners()
     key = key_of(net, "a", avoid=("n0", "n3"))
     claim = net.claim("n0", "t0", key, 4 * SECOND)  # is granted before its router dies
@@ -153,7 +167,7 @@
         net.play(0.05)
     died, slot = net.now, slot_of("", key)
     net.kill("n0")
-    assert claim not in net.open
+    assert claim not in net.open_claims
     net.start("n0")
     net.offers.clear()  # revisions start again below, so all routers must forget the earlier offers
     net.offer("a", 500, 0, 600)
@@ -166,7 +180,7 @@
             net.offers["a"], partner=partner, maximum_share=8000, desired_share=5000
         )
         net.publish_offer(net.partners[partner][0], net.offers[partner])
-    assert net.settled() and net.agreed()
+    assert net.wait_until_settled() and net.wait_until_agreed()
     assert before[slot] == "a" != net.owners()[slot]
     other = next(n for n in net.names if net.partner_of[n] == net.owners()[slot])
     net.ask(other, "t1", key)
@@ -188,10 +202,10 @@
     net.kill(mover)
     net.play(10)
     for n in range(40):
-        net.ask(net.chance.choice([n for n in net.names if n != mover]), f"t{n}", f"k{n % 9}")
+        net.ask(net.random.choice([n for n in net.names if n != mover]), f"t{n}", f"k{n % 9}")
         net.advance(0.2)
     net.start(mover)
-    assert net.settled() and net.agreed()
+    assert net.wait_until_settled() and net.wait_until_agreed()
     assert_no_violations(net)
 
 
@@ -201,9 +215,9 @@
     net.advance(12)
     for n in range(5):
         net.ask("n0", f"t{n}", key := f"k{n}")
-        net.change("n3", n)
+        net.ask_mutating("n3", n)
     net.advance(6)
-    assert not net.runs and net.said["answered deferred"] == 10
+    assert not net.runs and net.verdict_counts["answered deferred"] == 10
     assert key
     assert_no_violations(net)
 
@@ -216,7 +230,7 @@
     net.advance(15)
     net.ask("n1", "t0", key)
     net.advance(5)
-    assert not net.runs and net.said["answered deferred"] == 1
+    assert not net.runs and net.verdict_counts["answered deferred"] == 1
     assert_no_violations(net)
 
 
@@ -225,26 +239,26 @@
     net = net_of()
     key = key_of(net, "a", avoid=("n0",))
     net.ask("n0", "t0", key)
-    net.stop("n0")
+    net.suspend("n0")
     net.advance(3)
     net.offer("a", 500, 0, 600)
     net.offer("b", 7000)
     net.advance(20)
-    net.go_on("n0")
+    net.resume("n0")
     net.advance(5)
     assert not net.runs["t0"]  # its claim is past the deadline; the reducer also checks that
-    assert net.settled() and net.agreed()
+    assert net.wait_until_settled() and net.wait_until_agreed()
     assert_no_violations(net)
 
 
 def test_without_an_agreement_no_query_runs():
-    net = PartnersNet(1, 6, founded(copies=1, default=POLICY))
-    assert net.settled()
+    net = PartnersNet(1, 6, initial_policies(copies=1, default=POLICY))
+    assert net.wait_until_settled()
     net.ask("n0", "t0", "k0")
     net.advance(5)
-    assert not net.runs and net.said["answered deferred"] == 1
-    net.agree()
-    assert net.agreed()
+    assert not net.runs and net.verdict_counts["answered deferred"] == 1
+    net.make_offers()
+    assert net.wait_until_agreed()
     net.ask("n0", "t1", "k0")
     net.advance(4)
     assert net.runs["t1"]
@@ -253,9 +267,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_faults_violate_no_rule(seed):
-    net = net_of(seed=seed, loss=0.05, twice=0.05, never=0.05)
-    assert storm(net, seed, 45)
-    assert net.hops["forwarded"] and len(net.runs) > 10
+    net = net_of(seed=seed, loss_rate=0.05, duplicate_rate=0.05, not_sent_rate=0.05)
+    assert run_random_faults(net, seed, 45)
+    assert net.forwarding_counts["forwarded"] and len(net.runs) > 10
     assert_no_violations(net)
 
 
@@ -384,9 +398,9 @@
 
 
 def test_alternating_agreements_under_load_violate_no_rule():
-    net = net_of(loss=0.05, twice=0.05)
-    assert rush(net, 1)
-    assert net.hops["arrived"] > 200 and len(net.runs) > 200
+    net = net_of(loss_rate=0.05, duplicate_rate=0.05)
+    assert move_slots_under_load(net, 1)
+    assert net.forwarding_counts["arrived"] > 200 and len(net.runs) > 200
     assert_no_violations(net)
 
 
@@ -424,7 +438,7 @@
     "ledger entries are not sent": (
         AgreementProtocol,
         "ledger_entries",
-        lambda self, reply_wanted: Knowledge((), (), (), (), (), reply_wanted),
+        lambda self, reply_wanted: LedgerEntries((), (), (), (), (), reply_wanted),
     ),
     "announcements are ignored": (SlotOwnership, "on_announcement", lambda self, now, number: None),
     "signatures are on another digest": (
@@ -442,10 +456,10 @@
 def test_planted_fault_is_detected(description, monkeypatch):
     owner, name, fault = PLANTED[description]
     monkeypatch.setattr(owner, name, fault)
-    net = PartnersNet(1, 6, founded(copies=1, default=POLICY), loss=0.05, twice=0.05)
-    net.agree()
-    settled = net.settled() and net.agreed(20) and rush(net, 1, 3)
-    assert not settled or +net.rule or net.unanswered()
+    net = PartnersNet(1, 6, initial_policies(copies=1, default=POLICY), loss_rate=0.05, duplicate_rate=0.05)
+    net.make_offers()
+    settled = net.wait_until_settled() and net.wait_until_agreed(20) and move_slots_under_load(net, 1, 3)
+    assert not settled or +net.broken_rules or net.unanswered()
 
 
 def test_records_have_the_number_of_their_lease():
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -29,8 +29,16 @@
     ProposerAction,
     ViewProtocol,
 )
-from hillchute.history.views import DRIFT, HEARTBEAT_INTERVAL, LEASE, NO_VIEW, View, ViewId, majority_of
-from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, founded, storm
+from hillchute.history.views import (
+    HEARTBEAT_INTERVAL,
+    MAX_CLOCK_DRIFT,
+    NO_VIEW,
+    VIEW_LEASE,
+    View,
+    ViewId,
+    majority_of,
+)
+from hillchute.lab.history_net import EPOCH, SECOND, HistoryNet, initial_policies, run_random_faults
 
 POLICY = RetentionPolicy(rows=True, least_ms=20_000, most_ms=60_000)
 
@@ -225,14 +233,14 @@
     replica = net.replicas["n0"]
     query = KeyedQuery(ordering_key="k", idempotency_key="t", deadline=net.clock("n0") + 9 * SECOND)
     number = replica.claim(net.clock("n0"), query)
-    net.open["n0", net.lives["n0"], number] = "t", "k", net.now
+    net.open_claims["n0", net.incarnations["n0"], number] = "t", "k", net.now
     net.post("n0")
     while not net.runs["t"]:
         net.advance(0.05)
-    net.endings.clear()
-    net.ended(("n0", net.lives["n0"], number), RecordState.SERVED, b"x" * (5 << 20))
+    net.pending_completions.clear()
+    net.complete_run(("n0", net.incarnations["n0"], number), RecordState.SERVED, b"x" * (5 << 20))
     net.advance(2)
-    assert not replica.own_claims.claims and len(net.held("t")) == 2
+    assert not replica.own_claims.claims and len(net.routers_with_record("t")) == 2
     assert decision_at(net, "n3", "t", "k") == "FAIL"
 
 
@@ -256,7 +264,7 @@
 def test_restarted_router_grants_nothing_for_two_leases():
     views = ViewProtocol("a", 2, ["a", "b", "c"], EPOCH)
     assert views.adopt(EPOCH * 2, View(5, "b", {"a": 2, "b": 1}))
-    too_early, later = EPOCH + 2 * LEASE, int(EPOCH + 2 * LEASE * (1 + DRIFT)) + 1
+    too_early, later = EPOCH + 2 * VIEW_LEASE, int(EPOCH + 2 * VIEW_LEASE * (1 + MAX_CLOCK_DRIFT)) + 1
     assert not views.answer_heartbeat(too_early, ViewId(5, "b"), 0, 0).given
     assert not views.answer_request(too_early, ViewId(6, "b")).given
     assert views.answer_heartbeat(later, ViewId(5, "b"), 0, 0).given
@@ -264,7 +272,7 @@
 
 
 def test_router_grants_no_view_below_one_that_it_promised():
-    now = EPOCH + 3 * LEASE
+    now = EPOCH + 3 * VIEW_LEASE
     views = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH)
     views.adopt(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
     assert views.answer_heartbeat(now, ViewId(5, "b"), 0, 0).given
@@ -278,13 +286,13 @@
 def test_lease_counts_from_the_grant_and_is_limited():
     views = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH)
     views.adopt(EPOCH * 2, View(5, "b", {"a": 1, "b": 1}))
-    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, LEASE // 2)
-    assert views.in_force(EPOCH + LEASE // 2 - 1) and not views.in_force(EPOCH + LEASE // 2)
-    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, 100 * LEASE)
-    assert not views.in_force(EPOCH + LEASE)
-    views.extend_lease(EPOCH + LEASE, ViewId(4, "b"), EPOCH + LEASE, LEASE)
-    views.extend_lease(EPOCH + LEASE, ViewId(5, "b"), EPOCH + 9 * LEASE, LEASE)
-    assert not views.in_force(EPOCH + LEASE)
+    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, VIEW_LEASE // 2)
+    assert views.in_force(EPOCH + VIEW_LEASE // 2 - 1) and not views.in_force(EPOCH + VIEW_LEASE // 2)
+    views.extend_lease(EPOCH, ViewId(5, "b"), EPOCH, 100 * VIEW_LEASE)
+    assert not views.in_force(EPOCH + VIEW_LEASE)
+    views.extend_lease(EPOCH + VIEW_LEASE, ViewId(4, "b"), EPOCH + VIEW_LEASE, VIEW_LEASE)
+    views.extend_lease(EPOCH + VIEW_LEASE, ViewId(5, "b"), EPOCH + 9 * VIEW_LEASE, VIEW_LEASE)
+    assert not views.in_force(EPOCH + VIEW_LEASE)
 
 
 def test_view_without_its_coordinator_or_a_majority_is_not_adopted():
@@ -296,7 +304,7 @@
 
 def test_view_number_far_ahead_of_the_clock_is_refused():
     views, far = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH), EPOCH // 10 + 2 * MAX_NUMBER_AHEAD
-    now = EPOCH + 3 * LEASE
+    now = EPOCH + 3 * VIEW_LEASE
     assert not views.answer_request(now, ViewId(far, "b")).given
     assert not views.adopt(now, View(far, "b", {"a": 1, "b": 1}))
     assert not views.answer_heartbeat(now, ViewId(far, "b"), now, 0).given
@@ -309,7 +317,7 @@
     `granters`: the routers that have granted an earlier view.
     """
     live = dict.fromkeys("abcde", 1)
-    views, now = ViewProtocol("a", 1, live, EPOCH), EPOCH + 3 * LEASE
+    views, now = ViewProtocol("a", 1, live, EPOCH), EPOCH + 3 * VIEW_LEASE
     views.next_action(now, live)
     assert views.next_action(now + SETTLE_TIME, live) is ProposerAction.REQUEST_PROMISES
     old = View(5, "e", live, 1)
@@ -352,10 +360,11 @@
         granter = ViewProtocol(name, 1, live, EPOCH)
         granter.adopt(EPOCH * 2, view)
         views.handle_grant(now, name, granter.answer_heartbeat(now, view.id, now, 0))
-    assert 0 < views.lease_remaining(now) < LEASE and views.lease_remaining(now + LEASE) == 0
-    assert views.next_action(now + LEASE, live) is ProposerAction.SEND_HEARTBEATS
+    assert 0 < views.lease_remaining(now) < VIEW_LEASE and views.lease_remaining(now + VIEW_LEASE) == 0
+    assert views.next_action(now + VIEW_LEASE, live) is ProposerAction.SEND_HEARTBEATS
     assert (
-        views.next_action(now + 2 * LEASE, live) is ProposerAction.REQUEST_PROMISES and views.proposed is None
+        views.next_action(now + 2 * VIEW_LEASE, live) is ProposerAction.REQUEST_PROMISES
+        and views.proposed is None
     )
 
 
@@ -372,8 +381,8 @@
             sent.append((to, type(message))),
             receive(now, sender, message),
         )
-    net.mend()
-    assert net.settled()
+    net.heal()
+    assert net.wait_until_settled()
     assert ("n1", messages.ViewUpdate) in sent and ("n1", messages.ViewAnnouncement) not in sent
     assert ("n3", messages.ViewAnnouncement) in sent
     views = [replica.views.view for replica in net.replicas.values()]
@@ -386,7 +395,7 @@
     live = {"a": 1, "b": 1}
     views = ViewProtocol("a", 1, "abcde", EPOCH)
     assert views.next_action(EPOCH, live) is ProposerAction.NOTHING
-    assert views.next_action(EPOCH + 9 * LEASE, live) is ProposerAction.NOTHING
+    assert views.next_action(EPOCH + 9 * VIEW_LEASE, live) is ProposerAction.NOTHING
     assert majority_of(5) == 3 and majority_of(4) == 3 and NO_VIEW.id == ViewId(0, "")
 
 
@@ -428,8 +437,8 @@
 
 
 def settled_net(count=5, copies=1, seed=1, policy=POLICY, **faults) -> HistoryNet:
-    net = HistoryNet(seed, count, founded(copies=copies, default=policy), **faults)
-    assert net.settled()
+    net = HistoryNet(seed, count, initial_policies(copies=copies, default=policy), **faults)
+    assert net.wait_until_settled()
     return net
 
 
@@ -442,18 +451,18 @@
 
 def decision_at(net: HistoryNet, name: str, token: str, key: str) -> str:
     """Sends a query to a router and returns the name of the decision."""
-    before = net.said.copy()
+    before = net.verdict_counts.copy()
     net.ask(name, token, key)
     net.advance(5)
-    (decided,) = [d.name for d in ClaimDecision if net.said[d.name] > before[d.name]] or ["NONE"]
+    (decided,) = [d.name for d in ClaimDecision if net.verdict_counts[d.name] > before[d.name]] or ["NONE"]
     return decided
 
 
 def test_retry_is_answered_by_every_router():
-    net = settled_net(loss=0.05, twice=0.05)
+    net = settled_net(loss_rate=0.05, duplicate_rate=0.05)
     assert decision_at(net, "n0", "t", "k") == "RUN"
     assert [decision_at(net, name, "t", "k") for name in net.names] == ["REPLAY"] * 5
-    assert len(net.runs["t"]) == 1 and not net.rule
+    assert len(net.runs["t"]) == 1 and not net.broken_rules
 
 
 def test_record_survives_the_loss_of_its_first_holder_and_is_replicated_again():
@@ -461,12 +470,12 @@
     key = key_first_held_by(net, "n2")
     assert decision_at(net, "n0", "t", key) == "RUN"
     for name in ("n2", "n4"):
-        first = net.held("t")
+        first = net.routers_with_record("t")
         net.kill(first[0])
-        assert net.settled()
-        assert len(net.held("t")) == 2, name
+        assert net.wait_until_settled()
+        assert len(net.routers_with_record("t")) == 2, name
     assert decision_at(net, next(iter(net.replicas)), "t", key) == "REPLAY"
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_query_whose_holders_all_died_is_rejected_for_the_least_time():
@@ -474,11 +483,11 @@
     key = key_first_held_by(net, "n2")
     assert decision_at(net, "n0", "t", key) == "RUN"
     net.kill("n2")
-    assert net.settled()
+    assert net.wait_until_settled()
     assert decision_at(net, "n0", "t", key) == "REJECT"
     net.advance(30)
     assert decision_at(net, "n0", "t", key) == "RUN"  # after 20 s, the policy's least time
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_slot_transfer_waits_for_a_live_source():
@@ -488,12 +497,12 @@
     assert decision_at(net, "n0", "t", key) == "RUN"
     net.cuts |= {("n4", other), (other, "n4")}  # the new holder cannot reach the source but takes it for live
     net.leave("n4")
-    net.seen[other]["n4"] = net.lives["n4"]
+    net.live_seen_by[other]["n4"] = net.incarnations["n4"]
     net.advance(15)
-    assert net.replicas[other].slots.wanted and decision_at(net, "n1", "t", key) == "REJECT"
+    assert net.replicas[other].slots.fetching and decision_at(net, "n1", "t", key) == "REJECT"
     net.cuts.clear()
     net.advance(3)
-    assert not net.replicas[other].slots.wanted and decision_at(net, "n1", "t", key) == "REPLAY"
+    assert not net.replicas[other].slots.fetching and decision_at(net, "n1", "t", key) == "REPLAY"
 
 
 def test_query_whose_router_died_while_it_ran_is_not_run_again():
@@ -502,7 +511,7 @@
     while not net.runs["t"]:
         net.advance(0.05)
     net.kill("n4")
-    key = next(key for key in net.keys)
+    key = next(key for key in net.runs_by_key)
     assert decision_at(net, "n1", "t", key) == "REJECT"
     net.advance(COMPLETION_GRACE / SECOND + 10)
     assert decision_at(net, "n1", "t", key) == "FAIL"
@@ -518,10 +527,10 @@
     assert decision_at(net, "n4", "t", key) == "REJECT"
     assert decision_at(net, "n0", "new", key) == "RUN"  # lost records would be past their least time
     assert decision_at(net, "n4", "new", key) == "REJECT"
-    net.mend()
-    assert net.settled()
+    net.heal()
+    assert net.wait_until_settled()
     assert decision_at(net, "n4", "new", key) == "REPLAY"
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_no_run_starts_before_every_holder_has_the_record():
@@ -533,11 +542,11 @@
     net.advance(0.8)
     assert not net.runs["t"]
     net.kill("n2")
-    net.mend()
-    assert net.settled()
+    net.heal()
+    assert net.wait_until_settled()
     net.ask("n0", "t", key)
     net.advance(5)
-    assert len(net.runs["t"]) == 1 and not net.rule
+    assert len(net.runs["t"]) == 1 and not net.broken_rules
 
 
 def test_restart_of_a_majority_loses_records_and_rejects_their_queries():
@@ -550,35 +559,37 @@
     assert decision_at(net, "n0", "t", key) == "RUN"
     for name in ("n0", "n1", "n2", "n3"):
         net.kill(name)
-    net.mend()
+    net.heal()
     for name in ("n0", "n1", "n2", "n3"):
         net.start(name)
-    assert net.settled()
+    assert net.wait_until_settled()
     assert decision_at(net, "n0", "t", key) == "REJECT"
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_order_of_a_key_is_kept_across_routers():
-    net = settled_net(copies=1, never=0.2)
+    net = settled_net(copies=1, not_sent_rate=0.2)
     for n in range(12):
         net.ask(net.names[n % 5], f"t{n}", "k")
     net.advance(8)
-    assert net.said["RUN"] >= 4 and not net.rule
+    assert net.verdict_counts["RUN"] >= 4 and not net.broken_rules
     positions = (
-        sorted(r.record.sequence for r in net.replicas[net.held("t0")[0]].records.all_records())
-        if net.held("t0")
+        sorted(
+            r.record.sequence for r in net.replicas[net.routers_with_record("t0")[0]].records.all_records()
+        )
+        if net.routers_with_record("t0")
         else []
     )
     assert len(positions) == len(set(positions))
 
 
 def test_queries_of_one_key_at_one_router_run_in_order_of_arrival():
-    net = settled_net(copies=1, loss=0.1, twice=0.1)
+    net = settled_net(copies=1, loss_rate=0.1, duplicate_rate=0.1)
     for n in range(8):
         net.ask("n1", f"t{n}", "k", 20 * SECOND)
     net.advance(20)
     starts = [net.runs[f"t{n}"][0][0] for n in range(8) if net.runs[f"t{n}"]]
-    assert len(starts) >= 6 and starts == sorted(starts) and not net.rule
+    assert len(starts) >= 6 and starts == sorted(starts) and not net.broken_rules
 
 
 def test_granted_run_that_its_router_does_not_know_is_ended():
@@ -591,7 +602,7 @@
         RecordState.RUNNING,
         key=key,
         router="n1",
-        incarnation=net.lives["n1"],
+        incarnation=net.incarnations["n1"],
         claim_number=99,
         granted_at=net.now,
         rows=None,
@@ -601,7 +612,7 @@
     net.ask("n0", "t", key)
     net.advance(1)
     assert not net.runs["t"]
-    net.advance(LEASE / SECOND + 3)
+    net.advance(VIEW_LEASE / SECOND + 3)
     states = {
         r.record.state
         for name in key_holders
@@ -609,53 +620,53 @@
         if r.record.idempotency_key == "unknown"
     }
     assert states == {RecordState.NOT_RUN}
-    assert decision_at(net, "n3", "t", key) in ("RUN", "REPLAY") and not net.rule
+    assert decision_at(net, "n3", "t", key) in ("RUN", "REPLAY") and not net.broken_rules
 
 
 def test_erasure_reaches_a_holder_that_was_partitioned():
     net = settled_net(copies=2)
     assert decision_at(net, "n0", "t", "k") == "RUN"
-    t_holders = net.held("t")
+    t_holders = net.routers_with_record("t")
     assert len(t_holders) == 3
     isolated = t_holders[-1]
     net.cut([isolated], [n for n in net.names if n != isolated])
     net.advance(5)
-    net.forget(next(n for n in t_holders if n != isolated))
-    net.advance(LEASE / SECOND + 3)
-    assert net.held("t") == [isolated]  # it has not received the request, and answers nothing
+    net.request_erasure(next(n for n in t_holders if n != isolated))
+    net.advance(VIEW_LEASE / SECOND + 3)
+    assert net.routers_with_record("t") == [isolated]  # it has not received the request, and answers nothing
     assert decision_at(net, isolated, "t", "k") == "REJECT"
-    net.mend()
-    assert net.settled()
-    assert net.held("t") == []
+    net.heal()
+    assert net.wait_until_settled()
+    assert net.routers_with_record("t") == []
     assert decision_at(net, isolated, "t", "k") == "RUN"
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_hold_keeps_records_of_an_erasure_request_until_it_ends():
     hold = msgspec.structs.replace(POLICY, hold=True)
     net = settled_net(copies=1, policy=hold)
     assert decision_at(net, "n0", "t", "k") == "RUN"
-    net.forget("n1")
+    net.request_erasure("n1")
     net.advance(5)
-    assert len(net.held("t")) == 2
+    assert len(net.routers_with_record("t")) == 2
     net.policies = msgspec.structs.replace(net.policies, number=9, default=POLICY)
     net.replicas["n1"].apply_policies(net.clock("n1"), net.policies)
     net.advance(5)
-    assert net.held("t") == []
+    assert net.routers_with_record("t") == []
 
 
 def test_erasure_reaches_holders_without_a_majority():
     net = settled_net()
     assert decision_at(net, "n0", "t", "k") == "RUN"
     net.advance(3)
-    survivors = net.held("t")
+    survivors = net.routers_with_record("t")
     assert len(survivors) == 2
     for name in [name for name in net.names if name not in survivors]:
         net.kill(name)
     net.advance(8)  # after this no view can be in force
-    net.forget(survivors[0])
+    net.request_erasure(survivors[0])
     net.advance(2 * 2 + 2)
-    assert not net.held("t")
+    assert not net.routers_with_record("t")
 
 
 def test_holder_without_the_latest_policies_answers_nothing_and_is_reported():
@@ -664,7 +675,7 @@
     assert decision_at(net, "n0", "t", key) == "RUN"
     replica = net.replicas["n2"]
     replica.policy_distribution.apply = lambda policies: False  # it does not apply the new policies
-    net.forget("n0")
+    net.request_erasure("n0")
     net.advance(5)
     assert decision_at(net, "n0", "t", key) == "REJECT"
     (error,) = net.replicas["n0"].outdated_routers()
@@ -674,30 +685,30 @@
 def test_paused_holder_does_not_answer_after_its_lease_has_expired():
     net = settled_net(copies=0, policy=msgspec.structs.replace(POLICY, least_ms=5_000))
     key = key_first_held_by(net, "n2")
-    net.stop("n2")
+    net.suspend("n2")
     net.advance(20)
     assert decision_at(net, "n0", "t", key) == "RUN"
-    net.go_on("n2")
+    net.resume("n2")
     net.ask("n2", "t", key)
     net.advance(0.3)
     assert len(net.runs["t"]) == 1
     net.advance(5)
-    assert not net.rule
+    assert not net.broken_rules
 
 
 def test_clock_offsets_do_not_change_retention_times():
-    net = HistoryNet(4, 5, founded(copies=1, default=POLICY))
+    net = HistoryNet(4, 5, initial_policies(copies=1, default=POLICY))
     for n, name in enumerate(net.names):
-        net.offset[name] = n * 20 * SECOND
+        net.clock_offsets[name] = n * 20 * SECOND
         net.kill(name)
         net.start(name)
-    assert net.settled(60)
+    assert net.wait_until_settled(60)
     assert decision_at(net, "n0", "t", "k") == "RUN"
-    net.kill(net.held("t")[0])
-    assert net.settled()
+    net.kill(net.routers_with_record("t")[0])
+    assert net.wait_until_settled()
     assert decision_at(net, next(iter(net.replicas)), "t", "k") == "REPLAY"
     net.advance(POLICY.most_ms / 1000 + 1)
-    assert net.held("t") == []
+    assert net.routers_with_record("t") == []
 
 
 @pytest.mark.parametrize("name", ["n0", "n2"])  # n0, the first by name, is also the coordinator
@@ -711,17 +722,17 @@
     net.advance(12)
     assert replica.is_handed_over and net.replicas["n1"].counters["views"] == views + 1
     net.kill(name)
-    assert net.settled()
+    assert net.wait_until_settled()
     assert decision_at(net, "n3", "t", key) == "REPLAY"
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_random_faults_violate_no_invariant(seed):
     policy = msgspec.structs.replace(POLICY, least_ms=8_000)
-    net = settled_net(6, seed % 3, seed, policy, loss=0.05, twice=0.05, never=0.05)
-    assert storm(net, seed, 90, forgets=seed % 2 == 0)
-    assert net.said["RUN"] > 30 and net.said["REPLAY"] > 10
-    assert not net.rule
+    net = settled_net(6, seed % 3, seed, policy, loss_rate=0.05, duplicate_rate=0.05, not_sent_rate=0.05)
+    assert run_random_faults(net, seed, 90, with_erasures=seed % 2 == 0)
+    assert net.verdict_counts["RUN"] > 30 and net.verdict_counts["REPLAY"] > 10
+    assert not net.broken_rules
 
 
 def test_messages_to_a_replica_without_a_view_have_no_effect():
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -13,8 +13,14 @@
 from hillchute.history.retention import RetentionPolicies
 from hillchute.history.slot_table import SlotTable
 from hillchute.history.view_protocol import ViewProtocol
-from hillchute.history.views import LEASE
-from hillchute.lab.history_mutants import LIES, NETWORK, Net, drawn, play
+from hillchute.history.views import VIEW_LEASE
+from hillchute.lab.history_mutants import (
+    BYZANTINE_MUTATIONS,
+    NETWORK_MUTATIONS,
+    MutatedHistoryNet,
+    play,
+    sample_mutants,
+)
 
 
 def test_mutants_violate_no_invariant_and_network_faults_do_not_change_the_result():
@@ -24,17 +30,22 @@
 
 
 def test_same_seed_gives_the_same_run():
-    runs = [Net(seed).script() for seed in (1, 1)]
-    assert runs[0].messages == runs[1].messages and runs[0].end() == runs[1].end()
+    runs = [MutatedHistoryNet(seed).script() for seed in (1, 1)]
+    assert runs[0].messages == runs[1].messages and runs[0].final_state() == runs[1].final_state()
 
 
 def test_every_message_type_is_mutated_in_every_way():
-    unchanged = Net(1).script()
-    mutated = {(type(unchanged.messages[at]).__name__, change) for at, change, _ in drawn(unchanged, 1, None)}
+    unchanged = MutatedHistoryNet(1).script()
+    mutated = {
+        (type(unchanged.messages[at]).__name__, change)
+        for at, change, _ in sample_mutants(unchanged, 1, None)
+    }
     # The script has no redirected slot request and no partners.
     absent = {SlotRedirect, LeaseUpdate, LeaseReply}
     kinds = {kind.__name__ for kind in MESSAGE_TYPES if kind not in absent}
-    assert mutated >= {(kind, change) for kind in kinds for change in (*NETWORK, *LIES)}
+    assert mutated >= {
+        (kind, change) for kind in kinds for change in (*NETWORK_MUTATIONS, *BYZANTINE_MUTATIONS)
+    }
 
 
 # ---- planted faults ----
@@ -59,7 +70,7 @@
     if (
         known is not None
         and known.record.state == RecordState.RUNNING
-        and known.record.router not in self._context.living()
+        and known.record.router not in self._context.live_routers()
     ):
         self._records.remove(known.record)
         return DECIDE_CLAIM(self, sender, claim)
@@ -95,17 +106,17 @@
     ],
 )
 def test_planted_fault_is_found_by_the_scripted_run(monkeypatch, owner, name, fault, rule):
-    assert not Net(1).script().rule
+    assert not MutatedHistoryNet(1).script().broken_rules
     monkeypatch.setattr(owner, name, fault)
-    assert Net(1).script().rule[rule]
+    assert MutatedHistoryNet(1).script().broken_rules[rule]
 
 
 def test_planted_fault_in_record_versions_changes_the_result(monkeypatch):
-    end = Net(1).script().end()
+    end = MutatedHistoryNet(1).script().final_state()
     monkeypatch.setattr(
         Record, "version", property(lambda self: (self.attempt, self.state == RecordState.RUNNING))
     )
-    assert Net(1).script().end() != end
+    assert MutatedHistoryNet(1).script().final_state() != end
 
 
 # ---- planted faults in the view protocol ----
@@ -116,7 +127,7 @@
 
 
 def always_has_granted(self, now, sender, promise, *about):
-    return HANDLE_PROMISE(self, now, sender, msgspec.structs.replace(promise, remembers=True), *about)
+    return HANDLE_PROMISE(self, now, sender, msgspec.structs.replace(promise, has_granted=True), *about)
 
 
 def promise_not_kept(self, now, view_id):
@@ -170,7 +181,7 @@
         ("is_plausible", lambda *about: True, tests.test_view_number_far_ahead_of_the_clock_is_refused),
         (
             "lease_remaining",
-            lambda self, now: LEASE,
+            lambda self, now: VIEW_LEASE,
             tests.test_proposed_view_not_in_force_for_a_lease_is_dropped,
         ),
     ],
--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -11,14 +11,14 @@
 from hillchute.history.claim_decision import ClaimDecision
 from hillchute.history.ownership_leases import OwnershipLease
 from hillchute.history.slot_placement import SLOTS
-from hillchute.lab.partners_net import EPOCH, SECOND, private, public
+from hillchute.lab.partners_net import EPOCH, SECOND, private_key_bytes, public_key_bytes
 from hillchute.partners import codec
 from hillchute.partners.agreement_ledger import MAX_SIGNED_AGREEMENTS
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.agreements import Agreement, derive_agreement
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
 from hillchute.partners.handover import grant_refusal, next_lease
-from hillchute.partners.messages import ForwardQuery, ForwardResult, Knowledge, KnowledgeDigest
+from hillchute.partners.messages import ForwardQuery, ForwardResult, LedgerDigest, LedgerEntries
 from hillchute.partners.negotiation import EXCHANGE_INTERVAL, AgreementProtocol, PartnerMembership
 from hillchute.partners.offers import SHARE_TOTAL, Offer
 from hillchute.partners.signature_journal import SignatureJournal
@@ -34,14 +34,14 @@
 from hillchute.partners.slot_allocation import count_moves
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"], "c": ["c0", "c1"]}
-VERIFY = ed25519_verifier({name: public(name) for name in ROUTERS})
+VERIFY = ed25519_verifier({name: public_key_bytes(name) for name in ROUTERS})
 LATER = EPOCH + 3_600 * SECOND
 
 
 def signer_of(partner, journal=None):
     journal = {} if journal is None else journal
     record = lambda number, digest: journal.update({number: digest}) is None  # noqa: E731
-    return AgreementSigner(partner, ed25519_signer(private(partner)), record, dict(journal))
+    return AgreementSigner(partner, ed25519_signer(private_key_bytes(partner)), record, dict(journal))
 
 
 def offer(partner, want=3000, turn=1, least=500, most=8000, begins=0, ends=LATER, **other_terms):
@@ -63,7 +63,7 @@
 
     def __init__(self, routers=ROUTERS, seed=1):
         self.now, self.rng, self.routers = EPOCH, random.Random(seed), routers
-        self.verify = ed25519_verifier({name: public(name) for name in routers})
+        self.verify = ed25519_verifier({name: public_key_bytes(name) for name in routers})
         self.journals = {name: {} for name in routers}
         self.protocols = {}
         for partner, names in routers.items():
@@ -302,7 +302,7 @@
         "a",
         1,
         content_digest(other),
-        ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other))),
+        ed25519_signer(private_key_bytes("a"))(signed_bytes(SignedKind.AGREEMENT, 1, content_digest(other))),
     )
     fleet.protocols["c1"].ledger.record_signature(conflicting)
     fleet.advance()
@@ -369,7 +369,7 @@
     fleet = Fleet()
     fleet.agree()
     ledger = fleet.protocols["a0"].ledger
-    sign = ed25519_signer(private("c"))
+    sign = ed25519_signer(private_key_bytes("c"))
     for n in range(3 * MAX_SIGNED_AGREEMENTS):
         digest = bytes([n]) * 32
         assert ledger.record_signature(
@@ -434,13 +434,16 @@
 @pytest.mark.parametrize(
     ("message", "field"),
     [
-        (KnowledgeDigest(b"short"), "digest"),
+        (LedgerDigest(b"short"), "digest"),
         (msgspec.structs.replace(QUERY, query_id=""), "query_id"),
         (msgspec.structs.replace(QUERY, idempotency_key="t" * 500), "idempotency_key"),
         (msgspec.structs.replace(QUERY, cost=-1), "cost"),
         (msgspec.structs.replace(QUERY, time_left=-1), "time_left"),
         (msgspec.structs.replace(QUERY, number=-1), "number"),
-        (Knowledge((), (), (), (), (Equivocation(*[Signature("a", 1, b"", b"")] * 2),), False), "signatures"),
+        (
+            LedgerEntries((), (), (), (), (Equivocation(*[Signature("a", 1, b"", b"")] * 2),), False),
+            "signatures",
+        ),
     ],
 )
 def test_field_out_of_bounds_is_named(message, field):
@@ -523,7 +526,7 @@
     journal = SignatureJournal(path)
     journal.path = tmp_path / "none" / "signatures.txt"
     assert not journal.save(1, b"") and journal.error is not None
-    signer = AgreementSigner("a", ed25519_signer(private("a")), journal.save, journal.signed)
+    signer = AgreementSigner("a", ed25519_signer(private_key_bytes("a")), journal.save, journal.signed)
     with pytest.raises(InvalidAgreementError, match="kept"):
         signer.sign_agreement(derive_agreement([offer(n) for n in "abc"], 1), offer("a"))
 
@@ -561,7 +564,7 @@
         "a",
         2,
         content_digest(other),
-        ed25519_signer(private("a"))(signed_bytes(SignedKind.AGREEMENT, 2, content_digest(other))),
+        ed25519_signer(private_key_bytes("a"))(signed_bytes(SignedKind.AGREEMENT, 2, content_digest(other))),
     )
     protocol.ledger.record_signature(conflicting)
     protocol.ledger.record_agreement(other)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -25,11 +25,11 @@
 
 
 def test_file_with_definitions_comments_and_defaults_is_read():
-    settings = reading.hold(GOOD)
+    settings = reading.parse_settings(GOOD)
     assert settings["flight"]["users"] == [{"name": "bi", "token": "t"}, {"name": "etl", "password": "p"}]
     assert settings["flight"]["tickets"] == 5 and settings["flight"]["ticket_ms"] == 60_000
     assert settings["engines"]["protocol"] == "line" and "tls" not in settings["flight"]
-    assert reading.defaults() == {"engines": reading.hold("")["engines"], "log": {"alike": 20}}
+    assert reading.defaults() == {"engines": reading.parse_settings("")["engines"], "log": {"alike": 20}}
 
 
 @pytest.mark.parametrize(
@@ -52,13 +52,13 @@
 )
 def test_error_names_file_line_path_and_expected_value(text, expected):
     with pytest.raises(OperatorFileError) as error:
-        reading.hold(text, "f.cue")
+        reading.parse_settings(text, "f.cue")
     assert expected in str(error.value)
 
 
 def test_all_errors_are_reported_at_once():
     with pytest.raises(OperatorFileError) as error:
-        reading.hold('engines: {protocol: 1}\nlog: {alike: "x"}\nmore: 1')
+        reading.parse_settings('engines: {protocol: 1}\nlog: {alike: "x"}\nmore: 1')
     assert len(str(error.value).split("\n")) == 3
 
 
@@ -93,7 +93,7 @@
 def test_any_text_is_read_or_rejected_with_its_line(text):
     with cpu_limit():
         try:
-            reading.hold(text, "f")
+            reading.parse_settings(text, "f")
         except OperatorFileError as error:
             assert str(error).startswith("f:")
 
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -11,10 +11,10 @@
 from hillchute.coordination.quota_leases import LENDER_HOLD, QuotaLeases
 from hillchute.decision.interface import SECOND, EndpointState, Listing
 from hillchute.decision.scheduler import QueryScheduler
-from hillchute.fronts.events import FIRST_GUEST
+from hillchute.fronts.events import FIRST_FORWARDED_SESSION
 from hillchute.lab import partners
 from hillchute.lab.history_net import EPOCH
-from hillchute.lab.partners_net import private, public
+from hillchute.lab.partners_net import private_key_bytes, public_key_bytes
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
 from hillchute.partners.forwarding import Completion
@@ -59,7 +59,7 @@
         key = "cd" if token else None
         request = Request(query_id, group, 5 * SECOND, b"UPDATE x_3.t SET a = 1", token, 1000, 1.0, key, "a")
         session = self.count if session is None else session
-        return query_id, self.reducer.reduce(events.Asked(session, request, now), now)
+        return query_id, self.reducer.reduce(events.QueryReceived(session, request, now), now)
 
     def decide(self, query_id, verdict, reason="why", rows=None, now=10):
         number = self.reducer.queries[query_id].number
@@ -74,7 +74,7 @@
     rig = Rig()
     query_id, effects = rig.submit("write")
     (claim,) = of_type(effects, ClaimQuery)
-    assert claim.once and not claim.ordered and (claim.customer, claim.token) == ("", query_id)
+    assert claim.is_transient and not claim.ordered and (claim.customer, claim.token) == ("", query_id)
     assert claim.key == "\0tables 3" and query_id not in rig.scheduler.queries
     rig.decide(query_id, "RUN")
     assert query_id in rig.scheduler.queries
@@ -89,7 +89,7 @@
     rig = Rig()
     query_id, _ = rig.submit("load", "ab")
     (forwarded,) = of_type(rig.decide(query_id, "FORWARD", "b"), ForwardQuery)
-    assert (forwarded.query, forwarded.owner, forwarded.request.token) == (query_id, "b", "ab")
+    assert (forwarded.query, forwarded.owner, forwarded.request.idempotency_key) == (query_id, "b", "ab")
     assert 0 < forwarded.time_left <= 5 * SECOND and query_id not in rig.scheduler.queries
     effects = rig.decide(query_id, "REPLAY", "", [[b"1"], [b"2"], [b"3"]])
     assert [(e.session, e.rows) for e in of_type(effects, SendResult)] == [(1, [[b"1"], [b"2"], [b"3"]])]
@@ -108,7 +108,7 @@
 
 def test_forwarded_query_is_not_forwarded_again():
     rig = Rig()
-    query_id, _ = rig.submit("load", "ab", session=FIRST_GUEST + 1)
+    query_id, _ = rig.submit("load", "ab", session=FIRST_FORWARDED_SESSION + 1)
     effects = rig.decide(query_id, "FORWARD", "c")
     assert not of_type(effects, ForwardQuery) and len(of_type(effects, RejectQuery)) == 1
 
@@ -128,7 +128,7 @@
     rig = Rig()
     query_id, _ = rig.submit("load", "ab")
     rig.decide(query_id, "FORWARD", "b")
-    effects = rig.reducer.reduce(events.Left(rig.count), 10)
+    effects = rig.reducer.reduce(events.ClientGone(rig.count), 10)
     assert (
         [e.query for e in of_type(effects, CancelForward)]
         == [query_id]
@@ -139,14 +139,18 @@
 
 def test_history_key_is_the_ordering_key_or_the_table_group():
     about = "id", "g", 1, b"UPDATE x_7.t SET a = 1"
-    assert history_key(Request(*about, token="ab", key="cd", customer="a")) == ("a", "cd", "ab")
-    assert history_key(Request(*about, token="ab", customer="a")) == ("a", "ab", "ab")
+    assert history_key(Request(*about, idempotency_key="ab", ordering_key="cd", customer="a")) == (
+        "a",
+        "cd",
+        "ab",
+    )
+    assert history_key(Request(*about, idempotency_key="ab", customer="a")) == ("a", "ab", "ab")
     assert history_key(Request(*about, customer="a")) == ("", "\0tables 7", "id")
 
 
 # ---- the operator file ----
 
-KEYS = {name: public(name).hex() for name in "ab"}
+KEYS = {name: public_key_bytes(name).hex() for name in "ab"}
 MEMBERS = f"""members: [{{name: "a", key: "{KEYS["a"]}", routers: ["r0"], zones: ["north"]}},
   {{name: "b", key: "{KEYS["b"]}", routers: ["r1"], kinds: ["large"]}}]"""
 PEERS = """peers: {name: "r0", listen: "127.0.0.1:1",
@@ -191,7 +195,7 @@
 )
 def test_invalid_partner_settings_are_reported_with_their_path(partners, overrides, message):
     with pytest.raises(OperatorFileError) as fault:
-        reading.hold(text(partners, **overrides), "o.cue")
+        reading.parse_settings(text(partners, **overrides), "o.cue")
     assert message in str(fault.value) and "o.cue" in str(fault.value)
 
 
@@ -199,16 +203,16 @@
     (tmp_path / "k").write_text("00ff")
     section = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
     with pytest.raises(OperatorFileError, match="64 hex digits"):
-        reading.hold(text(section))
+        reading.parse_settings(text(section))
 
 
 def test_private_key_is_not_printed_with_the_settings(tmp_path, capsysbinary):
-    (tmp_path / "k").write_text(private("a").hex())
+    (tmp_path / "k").write_text(private_key_bytes("a").hex())
     section = f'own: "a", {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "m", {MEMBERS}'
     (tmp_path / "o.cue").write_text(text(section))
     assert commands.main(["check", str(tmp_path / "o.cue"), "--json"]) == 0
     output = capsysbinary.readouterr().out
-    assert b'"offer"' in output and private("a").hex().encode() not in output
+    assert b'"offer"' in output and private_key_bytes("a").hex().encode() not in output
 
 
 class Log:
@@ -220,11 +224,11 @@
 
 
 def partner_extension(tmp_path, signs=True, handle=lambda event: None, **changed):
-    (tmp_path / "k").write_text(private("a").hex())
+    (tmp_path / "k").write_text(private_key_bytes("a").hex())
     section = f'own: "a", {MEMBERS}'
     if signs:
         section += f', {OFFER}, key_file: "{tmp_path / "k"}", marks_file: "{tmp_path / "m"}"'
-    settings_section = reading.hold(text(section))["partners"] | changed
+    settings_section = reading.parse_settings(text(section))["partners"] | changed
     node = Node(RouterIdentity("r0", EPOCH // 10), {"r1": b"0123456789abcdef"}, 1, EPOCH, None)
     log = Log()
     context = ExtensionContext(
@@ -358,35 +362,38 @@
 
     def step(self):
         super().step()
-        assert sum(self.may_use(name) for name in ALL_ROUTERS) <= TOTAL
+        assert sum(self.usable_units(name) for name in ALL_ROUTERS) <= TOTAL
 
 
 def test_partners_get_their_shares_and_borrow_what_others_do_not_request():
     pool = Pool({"a": 7000, "b": 3000})
-    pool.wants = dict.fromkeys(ALL_ROUTERS, TOTAL)
+    pool.requested_units = dict.fromkeys(ALL_ROUTERS, TOTAL)
     pool.play(20)
-    assert abs(pool.of("a") / TOTAL - 0.7) < 0.02 and abs(pool.of("b") / TOTAL - 0.3) < 0.02
-    pool.wants |= {"a0": 100_000, "a1": 100_000}
+    assert (
+        abs(pool.usable_units_of("a") / TOTAL - 0.7) < 0.02
+        and abs(pool.usable_units_of("b") / TOTAL - 0.3) < 0.02
+    )
+    pool.requested_units |= {"a0": 100_000, "a1": 100_000}
     pool.play(20)
-    used_by_b = pool.of("b")
-    assert used_by_b > 0.5 * TOTAL and pool.may_use("a0") >= 100_000
-    pool.wants |= {"a0": TOTAL, "a1": TOTAL}
+    used_by_b = pool.usable_units_of("b")
+    assert used_by_b > 0.5 * TOTAL and pool.usable_units("a0") >= 100_000
+    pool.requested_units |= {"a0": TOTAL, "a1": TOTAL}
     pool.play(1 + LENDER_HOLD / SECOND + 1)  # lent units are returned within a lease duration and a request
-    assert pool.of("a") / TOTAL > 0.68
+    assert pool.usable_units_of("a") / TOTAL > 0.68
 
 
 def test_changed_shares_never_exceed_the_total_while_routers_learn_of_them_one_by_one():
     pool = Pool({"a": 8000, "b": 2000})
-    pool.wants = dict.fromkeys(ALL_ROUTERS, TOTAL)
+    pool.requested_units = dict.fromkeys(ALL_ROUTERS, TOTAL)
     pool.play(15)
     new_shares = {"a": 1000, "b": 9000}
-    pool.told_of |= {"b0": new_shares, "a0": new_shares}
+    pool.known_shares |= {"b0": new_shares, "a0": new_shares}
     pool.play(4)  # a view lease: by then routers that do not know the new shares are confined
     pool.confined = {"a1"}
     pool.play(10)
-    pool.told_of, pool.confined = dict.fromkeys(ALL_ROUTERS, new_shares), set()
+    pool.known_shares, pool.confined = dict.fromkeys(ALL_ROUTERS, new_shares), set()
     pool.play(15)
-    assert pool.of("b") / TOTAL > 0.85
+    assert pool.usable_units_of("b") / TOTAL > 0.85
 
 
 @settings(max_examples=25, deadline=None)
@@ -396,7 +403,7 @@
 def test_usable_units_never_exceed_the_total_for_any_requests(requests, share):
     pool = Pool({"a": share * 1000, "b": 10_000 - share * 1000})
     for name, units in requests:
-        pool.wants[name] = units
+        pool.requested_units[name] = units
         pool.play(2)
     pool.play(10)
 
@@ -404,6 +411,6 @@
 def test_greedy_partner_gets_no_units_that_others_request():
     """It requests all units and reports that it has none."""
     pool = Pool({"a": 5000, "b": 5000})
-    pool.wants = {"a0": TOTAL, "a1": TOTAL, "b0": 250_000, "b1": 250_000}
+    pool.requested_units = {"a0": TOTAL, "a1": TOTAL, "b0": 250_000, "b1": 250_000}
     pool.play(30)
-    assert pool.of("b") / TOTAL > 0.48
+    assert pool.usable_units_of("b") / TOTAL > 0.48
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -10,7 +10,7 @@
 
 from hillchute.errors import InvalidAgreementError
 from hillchute.history.slot_placement import SLOTS
-from hillchute.lab.partners import least_moves
+from hillchute.lab.partners import minimum_moves
 from hillchute.partners.agreement_ledger import AgreementLedger
 from hillchute.partners.agreement_signer import AgreementSigner
 from hillchute.partners.agreements import derive_agreement, invalid_agreement_field
@@ -47,7 +47,7 @@
         assert abs(owners.count(name) - SLOTS * share / total) < 1
         assert share or not owners.count(name)
     assert set(owners) <= shares.keys()
-    assert count_moves(current, owners) == least_moves(current, shares)
+    assert count_moves(current, owners) == minimum_moves(current, shares)
     assert allocate_slots(owners, shares) == owners
 
 
--- a/tests/test_partners_mutants.py
+++ b/tests/test_partners_mutants.py
@@ -10,19 +10,19 @@
 from hillchute.history import messages as history
 from hillchute.history.lease_transfer import LeaseTransfers
 from hillchute.lab import partners_mutants
-from hillchute.lab.history_mutants import drawn, mutant, paths
-from hillchute.lab.partners_mutants import KINDS, MAY_BE, Net
+from hillchute.lab.history_mutants import field_paths, run_mutant, sample_mutants
+from hillchute.lab.partners_mutants import ALLOWED_PARTNER_VIOLATIONS, KINDS, MutatedPartnersNet
 from hillchute.partners.agreement_ledger import AgreementLedger
 from hillchute.partners.forwarding import Completion, QueryForwarder
-from hillchute.partners.messages import ForwardResult, Knowledge
+from hillchute.partners.messages import ForwardResult, LedgerEntries
 from hillchute.partners.negotiation import AgreementProtocol
 from hillchute.partners.signatures import Signature, SignedKind, SignedOffer, content_digest
 
 
 @pytest.fixture(scope="module")
 def unchanged_run():
-    net = Net(1).script()
-    assert not net.raised and not +net.rule
+    net = MutatedPartnersNet(1).script()
+    assert not net.failures and not +net.broken_rules
     return net
 
 
@@ -33,28 +33,30 @@
 
 
 def test_every_message_type_and_its_nested_fields_are_mutated(unchanged_run):
-    mutated = {type(unchanged_run.messages[at]) for at, _, _ in drawn(unchanged_run, 1, None, KINDS)}
+    mutated = {type(unchanged_run.messages[at]) for at, _, _ in sample_mutants(unchanged_run, 1, None, KINDS)}
     assert mutated == set(KINDS)
     message = next(
-        m for m in unchanged_run.messages if isinstance(m, Knowledge) and m.offers and m.agreements
+        m for m in unchanged_run.messages if isinstance(m, LedgerEntries) and m.offers and m.agreements
     )
-    depths = {len(path) for path in paths(message)}
+    depths = {len(path) for path in field_paths(message)}
     assert depths == {1, 3, 4} or max(depths) >= 4  # a field of an offer, in a pair, in a tuple
 
 
 def detects_fault(unchanged_run, message_type, changes, min_depth=0, limit=8):
     """Returns whether the run without mutation, or one of some mutants of a message type, shows a fault."""
-    end = unchanged_run.end()
-    run = Net(1).script()
-    if run.raised or +run.rule or run.end() != end:
+    end = unchanged_run.final_state()
+    run = MutatedPartnersNet(1).script()
+    if run.failures or +run.broken_rules or run.final_state() != end:
         return True
     candidates = [
         (at, change, path)
-        for at, change, path in drawn(unchanged_run, 1, None, (message_type,))
+        for at, change, path in sample_mutants(unchanged_run, 1, None, (message_type,))
         if change in changes and (not path or len(path) >= min_depth)
     ]
     for at, change, path in random.Random(2).sample(candidates, min(limit, len(candidates))):
-        _, broken, differs = mutant(Net, MAY_BE, 1, at, change, path, end)
+        _, broken, differs = run_mutant(
+            MutatedPartnersNet, ALLOWED_PARTNER_VIOLATIONS, 1, at, change, path, end
+        )
         if broken or differs:
             return True
     return False
@@ -93,7 +95,7 @@
         AgreementLedger,
         "is_genuine",
         accept_any_signature,
-        Knowledge,
+        LedgerEntries,
         FORGERIES,
         3,
     ),
@@ -101,7 +103,7 @@
         AgreementLedger,
         "accept_if_signed",
         accept_unsigned,
-        Knowledge,
+        LedgerEntries,
         ("left out", "none"),
         0,
     ),
@@ -109,7 +111,7 @@
         AgreementLedger,
         "record_offer",
         record_any_offer,
-        Knowledge,
+        LedgerEntries,
         FORGERIES,
         4,
     ),
@@ -123,7 +125,7 @@
     ),
     "lease replies are ignored": (
         LeaseTransfers,
-        "take_reply",
+        "handle_reply",
         ignore_message,
         history.LeaseReply,
         NETWORK_FAULTS[:1],
@@ -141,7 +143,7 @@
         AgreementProtocol,
         "state_digest",
         lambda self: bytes(32),
-        Knowledge,
+        LedgerEntries,
         NETWORK_FAULTS[:1],
         0,
     ),
@@ -156,7 +158,7 @@
 
 
 def test_unchanged_code_is_reported_without_faults(unchanged_run):
-    assert not detects_fault(unchanged_run, Knowledge, FORGERIES, 3, limit=4)
+    assert not detects_fault(unchanged_run, LedgerEntries, FORGERIES, 3, limit=4)
 
 
 def test_accepted_agreements_have_all_signatures(unchanged_run):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -10,7 +10,7 @@
 
 import anyio
 import pytest
-from test_router import TABLE
+from test_router import PLATFORM_CONFIGURATION
 
 from hillchute.coordination.fleet_view import FleetSettings, FleetView
 from hillchute.coordination.messages import DrainNotice, Observations
@@ -31,7 +31,7 @@
 from hillchute.lab.clients import Query
 from hillchute.lab.fleet import free_port
 from hillchute.lab.partnership import over_quota, two_owners
-from hillchute.lab.world import Ran, World
+from hillchute.lab.world import EngineWorld, RunRecord
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
 from hillchute.peers import transport
@@ -57,7 +57,7 @@
 
     anyio.run(start_query_and_excuse)
     assert cluster.excused == {query.id}
-    assert not query.answered
+    assert not query.answers
     assert not cluster.open_queries["r0"]
 
 
@@ -80,8 +80,10 @@
     assert found["passed_on"] > 10 and found["led_known"] > 0.8
 
 
-def ran(id, began, ended, talk, group="event-load", token="t"):
-    return Ran(id, group, token if group == "event-load" else None, "e", began, ended, talk=talk)
+def ran(id, started_at, ended_at, connection, group="event-load", token="t"):
+    return RunRecord(
+        id, group, token if group == "event-load" else None, "e", started_at, ended_at, connection=connection
+    )
 
 
 def test_overlapping_runs_of_two_partners_are_reported_as_two_owners():
@@ -89,22 +91,22 @@
         n: ("k", "UPDATE sales_3.orders", g) for n, g in (("q", "event-load"), ("p", "event-load"))
     }
     info_by_query |= {n: (None, "UPDATE sales_3.orders", "change") for n in "xy"}
-    world, partner_by_connection = World(), {1: "a", 2: "b"}
-    world.ran = [ran("q", 0.0, 1.0, 1), ran("p", 1.0, 2.0, 2)]
-    world.ran += [ran("x", 0.0, 1.0, 1, "change"), ran("y", 1.0, 2.0, 2, "change")]
+    world, partner_by_connection = EngineWorld(), {1: "a", 2: "b"}
+    world.runs = [ran("q", 0.0, 1.0, 1), ran("p", 1.0, 2.0, 2)]
+    world.runs += [ran("x", 0.0, 1.0, 1, "change"), ran("y", 1.0, 2.0, 2, "change")]
     assert not two_owners(world, partner_by_connection, info_by_query)
-    world.ran[1].began = world.ran[3].began = 0.5
+    world.runs[1].started_at = world.runs[3].started_at = 0.5
     assert len(two_owners(world, partner_by_connection, info_by_query)) == 2
     assert not two_owners(world, {1: "a", 2: "a"}, info_by_query)
 
 
 def test_partner_over_its_quota_is_reported_only_on_a_saturated_engine():
-    world, partner_by_connection = World(), dict.fromkeys(range(40), "a") | {50: "b"}
-    world.ran = [ran(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
+    world, partner_by_connection = EngineWorld(), dict.fromkeys(range(40), "a") | {50: "b"}
+    world.runs = [ran(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
     # Used are 40 of 16 threads; 8 threads and one query for each of two routers are allowed.
     assert over_quota(world, partner_by_connection, 8, 6, 5000)
     assert not over_quota(world, partner_by_connection, 64, 6, 5000)  # the engine is not saturated
-    world.ran = [ran(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [ran("p", 0.0, 1.0, 50, "report")]
+    world.runs = [ran(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [ran("p", 0.0, 1.0, 50, "report")]
     assert not over_quota(world, partner_by_connection, 8, 6, 5000)
 
 
@@ -248,7 +250,10 @@
 @pytest.fixture
 def fleet_scheduler():
     """A fleet scheduler with engines 1 to 3, an adjustable clock and a fleet of four routers."""
-    catalog = config.parse_catalog(TABLE) | {"report.columns": ["inflight"], "guarantees.tip_multiple": 4}
+    catalog = config.parse_catalog(PLATFORM_CONFIGURATION) | {
+        "report.columns": ["inflight"],
+        "guarantees.tip_multiple": 4,
+    }
     clock = [NOW]
     settings = FleetSettings(
         name="r0", router_names=["r0", "r1", "r2", "r3"], columns=["inflight"], limits=["cold"], seed=1
@@ -390,14 +395,14 @@
 )
 def test_error_in_the_list_of_peers_names_its_location(others, expected_error):
     with pytest.raises(OperatorFileError) as fault:
-        reading.hold(PEERS % others)
+        reading.parse_settings(PEERS % others)
     assert expected_error in str(fault.value)
 
 
 def test_peer_key_can_be_read_from_a_file(tmp_path):
     (tmp_path / "key").write_text("0123456789abcdef\n")
     row = f'{{name: "b", address: "x:1", key_file: "{tmp_path / "key"}"}}'
-    assert reading.hold(PEERS % row)["peers"]["others"][0]["key"] == "0123456789abcdef"
+    assert reading.parse_settings(PEERS % row)["peers"]["others"][0]["key"] == "0123456789abcdef"
 
 
 def callbacks(on_change, on_fault):
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -30,9 +30,9 @@
     HealthCheck,
     Listing,
     Reject,
-    SetTerms,
+    SetExecutionOptions,
+    SetTimer,
     Submit,
-    Wake,
     WatchEndpoints,
 )
 from hillchute.discovery import event_bus
@@ -235,14 +235,14 @@
     yield example(
         "promise",
         messages.PromiseReply(
-            promise=views.Promise(requested=one, given=True, highest=two, remembers=False, adopted=view)
+            promise=views.Promise(requested=one, given=True, highest=two, has_granted=False, adopted=view)
         ),
     )
     yield example(
         "promise, optional fields absent",
         messages.PromiseReply(
             promise=views.Promise(
-                requested=one, given=False, highest=two, remembers=False, adopted=views.View()
+                requested=one, given=False, highest=two, has_granted=False, adopted=views.View()
             )
         ),
     )
@@ -457,10 +457,10 @@
         ends_at=645,
     )
 
-    yield example("gossip-digest", partner_messages.KnowledgeDigest(digest=bytes(range(32))))
+    yield example("gossip-digest", partner_messages.LedgerDigest(digest=bytes(range(32))))
     yield example(
         "gossip-state",
-        partner_messages.Knowledge(
+        partner_messages.LedgerEntries(
             offers=(
                 signatures.SignedOffer(offer, signature(11)),
                 signatures.SignedOffer(bare_offer, signature(13)),
@@ -474,7 +474,7 @@
     )
     yield example(
         "gossip-state, empty",
-        partner_messages.Knowledge(
+        partner_messages.LedgerEntries(
             offers=(), agreements=(), signatures=(), notices=(), equivocations=(), reply_wanted=False
         ),
     )
@@ -542,18 +542,25 @@
 
 
 def line_examples() -> Iterator[Example]:
-    full = line.Want(
-        id="query-1", group="group-1", ttl=701, rank=702, token="token-1", statement=b"select \x00\xff\r\n"
+    full = line.StartRun(
+        id="query-1",
+        group="group-1",
+        timeout_ms=701,
+        priority=702,
+        idempotency_key="token-1",
+        statement=b"select \x00\xff\r\n",
+    )
+    bare = line.StartRun(
+        id="query-1", group="group-1", timeout_ms=701, priority=None, idempotency_key=None, statement=b""
     )
-    bare = line.Want(id="query-1", group="group-1", ttl=701, rank=None, token=None, statement=b"")
     for name, command in (
         ("submit", full),
         ("submit, optional fields absent", bare),
-        ("cancel", line.NeverMind(id="query-2")),
-        ("prioritize", line.Hurry(id="query-3", rank=703)),
-        ("next-page", line.Turn(id="query-4", page=704)),
-        ("close-result", line.Shut(id="query-5")),
-        ("load-report-request", line.Busy(tag="tag-1")),
+        ("cancel", line.CancelRun(id="query-2")),
+        ("prioritize", line.SetPriority(id="query-3", priority=703)),
+        ("next-page", line.FetchPage(id="query-4", page=704)),
+        ("close-result", line.DiscardResult(id="query-5")),
+        ("load-report-request", line.LoadReportRequest(tag="tag-1")),
     ):
         yield Example(f"engine-line/{name}", command, line.encode)
 
@@ -564,11 +571,11 @@
         ("reject", Reject(query="query-2", retry_after=713, reason="a reason")),
         ("fail", Fail(query="query-3", reason="a reason")),
         ("cancel", Cancel(query="query-4", attempt=714)),
-        ("set-terms", SetTerms(query="query-5", memory_mb=715.25, priority=716)),
-        ("set-terms, whole megabytes", SetTerms(query="query-5", memory_mb=717.0, priority=0)),
+        ("set-terms", SetExecutionOptions(query="query-5", memory_mb=715.25, priority=716)),
+        ("set-terms, whole megabytes", SetExecutionOptions(query="query-5", memory_mb=717.0, priority=0)),
         ("health-check", HealthCheck(engine=718)),
         ("watch", WatchEndpoints()),
-        ("timer", Wake(at=719, name="a-name")),
+        ("timer", SetTimer(at=719, name="a-name")),
     ):
         yield Example(f"simulator/{name}", decision, lambda value: simulator.encode(value).encode())
 
@@ -609,13 +616,19 @@
 
     def row_by_row(session: mysql.Session) -> bytes:
         rows = [(b"a", None), (b"", b"x" * 251)]
-        return session.begin(["first", "zweite \u00e4"]) + session.more(rows) + session.end()
+        return (
+            session.begin_result(["first", "zweite \u00e4"])
+            + session.result_rows(rows)
+            + session.end_result()
+        )
 
     yield example("greeting", lambda session: session.greeting())
     yield example("ok", lambda session: session.ok())
     for number, kind in sorted(mysql_error_kinds().items()):
-        yield example(f"error {number}", lambda session, kind=kind: session.failed(kind, "a message \u00e4"))
-    yield example("error, message cut", lambda session: session.failed(mysql.REFUSED, "m" * 500))
+        yield example(
+            f"error {number}", lambda session, kind=kind: session.error_answer(kind, "a message \u00e4")
+        )
+    yield example("error, message cut", lambda session: session.error_answer(mysql.REFUSED, "m" * 500))
     yield example("error, at close", lambda session: session.close(mysql.FAILED, "a message"))
     yield example("result, empty", lambda session: session.result([]))
     yield example(
@@ -639,7 +652,7 @@
     yield example("client-setting-answer", reply_to(b"\x03SET autocommit=1"))
     yield example("packet-too-large", oversized)
     for number in (0, 250, 251, 65_535, 65_536, 0xFFFFFF, 0x1000000):
-        yield Example(f"mysql/length {number}", number, mysql.length)
+        yield Example(f"mysql/length {number}", number, mysql.lenenc_integer)
 
 
 def oversized(session: mysql.Session) -> bytes:
@@ -655,7 +668,7 @@
 
 def flight_examples() -> Iterator[Example]:
     def ticket(number: int) -> bytes:
-        table = tickets.Table(b"a secret", 9, 1000)
+        table = tickets.TokenTable(b"a secret", 9, 1000)
         return [table.put(0, "owner", n) for n in range(number)][-1]
 
     yield Example("flight/ticket, first", 1, ticket)
@@ -828,45 +841,45 @@
 
 REPORT = b"rep=cpu:0.5;mem:7"
 ENGINE_ANSWERS = {
-    "accepted": (b"id-1 ACK - 0\r\n\r\n", line.Answer(id="id-1", word="ACK")),
+    "accepted": (b"id-1 ACK - 0\r\n\r\n", line.Answer(id="id-1", kind="ACK")),
     "result page, every field": (
         b"id-2 BLOCK parts=3,part_no=2,why=disk,value=1.5,work=2.25,"
         b"rep=cpu:0.5;mem:7,new=1 6\r\na\tb\tc\n\r\n",
         line.Answer(
             id="id-2",
-            word="BLOCK",
+            kind="BLOCK",
             body=b"a\tb\tc\n",
-            parts=3,
-            part=2,
+            page_count=3,
+            page=2,
             topic=2,
             value=1.5,
-            work=2.25,
+            cpu_ms=2.25,
             report={"cpu": 0.5, "mem": 7.0},
         ),
     ),
     "note advance": (
         b"id-3 EVENT why=advance,value=0.5 0\r\n\r\n",
-        line.Answer(id="id-3", word="EVENT", topic=1, value=0.5),
+        line.Answer(id="id-3", kind="EVENT", topic=1, value=0.5),
     ),
     "note stall": (
         b"id-3 EVENT why=stall,value=2 0\r\n\r\n",
-        line.Answer(id="id-3", word="EVENT", topic=3, value=2.0),
+        line.Answer(id="id-3", kind="EVENT", topic=3, value=2.0),
     ),
     "note unknown": (
         b"id-3 EVENT why=other,value=2 0\r\n\r\n",
-        line.Answer(id="id-3", word="EVENT", topic=0, value=2.0),
+        line.Answer(id="id-3", kind="EVENT", topic=0, value=2.0),
     ),
     "ready": (
         b"id-4 READY " + REPORT + b" 0\r\n\r\n",
-        line.Answer(id="id-4", word="READY", report={"cpu": 0.5, "mem": 7.0}),
+        line.Answer(id="id-4", kind="READY", report={"cpu": 0.5, "mem": 7.0}),
     ),
-    "ailing": (b"id-5 AILING - 0\r\n\r\n", line.Answer(id="id-5", word="AILING")),
+    "ailing": (b"id-5 AILING - 0\r\n\r\n", line.Answer(id="id-5", kind="AILING")),
     "saturated": (
         b"id-6 AGAIN work=1 4\r\nbusy\r\n",
-        line.Answer(id="id-6", word="AGAIN", body=b"busy", work=1.0),
+        line.Answer(id="id-6", kind="AGAIN", body=b"busy", cpu_ms=1.0),
     ),
-    "errored": (b"id-7 EIO - 0\r\n\r\n", line.Answer(id="id-7", word="EIO")),
-    "superseded": (b"id-8 STALE - 0\r\n\r\n", line.Answer(id="id-8", word="STALE")),
+    "errored": (b"id-7 EIO - 0\r\n\r\n", line.Answer(id="id-7", kind="EIO")),
+    "superseded": (b"id-8 STALE - 0\r\n\r\n", line.Answer(id="id-8", kind="STALE")),
 }
 
 
@@ -877,8 +890,8 @@
 
 
 def test_each_answer_of_an_engine_has_an_example():
-    assert {answer[1] for _, answer in ENGINE_ANSWERS.values()} == line.WORDS
-    assert line.ENDINGS == {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}
+    assert {answer[1] for _, answer in ENGINE_ANSWERS.values()} == line.ANSWER_KINDS
+    assert line.RESULT_BY_KIND == {"AGAIN": "saturated", "EIO": "errored", "STALE": "superseded"}
 
 
 BUS_RECORD = "01020304 0a010203 1f90 {state} 05 06 0007 000009c4 0000000000000064"
@@ -886,7 +899,7 @@
     BUS_RECORD.format(state=state) for state in ("00", "01", "02")
 )
 BUS_ENDPOINT = event_bus.Endpoint(
-    listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", nominal=2.5),
+    listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", weight=2.5),
     host="10.1.2.3",
     port=8080,
 )
@@ -931,12 +944,12 @@
         {"offset": 18, "topology": {"endpoints": [endpoint_without_optional_fields]}},
     ]
     first = event_bus.Endpoint(
-        listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", nominal=2.5),
+        listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", weight=2.5),
         host="10.1.2.3",
         port=8080,
     )
     second = event_bus.Endpoint(
-        listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", nominal=1.0),
+        listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", weight=1.0),
         host="10.1.2.4",
         port=8081,
     )
@@ -949,8 +962,8 @@
 
 MYSQL_COMMANDS = {
     "quit": (b"\x01", mysql.Quit()),
-    "query": (b"\x03select \x00\xff", mysql.Query(text=b"select \x00\xff", since=9)),
-    "query, commented": (b"\x03/* a */ set x", mysql.Query(text=b"/* a */ set x", since=9)),
+    "query": (b"\x03select \x00\xff", mysql.Query(text=b"select \x00\xff", received_at=9)),
+    "query, commented": (b"\x03/* a */ set x", mysql.Query(text=b"/* a */ set x", received_at=9)),
     "kill query": (b"\x03KILL  QUERY 731;", mysql.KillQuery(session=731)),
     "ping": (b"\x0e", mysql.Ping()),
     "process kill": (b"\x0c\x01\x02\x00\x00", mysql.KillQuery(session=513)),
@@ -979,7 +992,7 @@
 
 
 def test_recorded_ticket_is_accepted():
-    table = tickets.Table(b"a secret", 9, 1000)
+    table = tickets.TokenTable(b"a secret", 9, 1000)
     table.put(0, "owner", "held")
     assert table.get(999, "owner", bytes.fromhex(recorded()["flight/ticket, first"])) == "held"
 
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -19,7 +19,7 @@
 from hillchute.history.retention import ErasureRequest, RetentionPolicies, RetentionPolicy
 from hillchute.history.sqlite_store import SqliteStore
 from hillchute.lab import processes
-from hillchute.lab.history_net import EPOCH, HistoryNet, founded
+from hillchute.lab.history_net import EPOCH, HistoryNet, initial_policies
 from hillchute.operator import reading
 from hillchute.operator.records import OperatorFileError
 from hillchute.peers import fragmentation
@@ -54,11 +54,13 @@
         self.group = "load"
         self.count = 0
 
-    def submit(self, token="ab", now=0, patience=5 * SECOND):
+    def submit(self, token="ab", now=0, client_timeout=5 * SECOND):
         self.count += 1
         query_id = f"{self.count:016x}"
-        request = Request(query_id, self.group, patience, b"UPDATE t SET a = 1", token, 1000, 1.0, "cd", "a")
-        return query_id, self.reducer.reduce(events.Asked(self.count, request, now), now)
+        request = Request(
+            query_id, self.group, client_timeout, b"UPDATE t SET a = 1", token, 1000, 1.0, "cd", "a"
+        )
+        return query_id, self.reducer.reduce(events.QueryReceived(self.count, request, now), now)
 
     def decide(self, query_id, verdict, rows=None, now=10):
         number = self.reducer.queries[query_id].number
@@ -104,7 +106,7 @@
 def test_claim_ends_when_the_client_leaves():
     rig = Rig()
     query_id, _ = rig.submit()
-    effects = rig.reducer.reduce(events.Left(rig.count), 10)
+    effects = rig.reducer.reduce(events.ClientGone(rig.count), 10)
     assert [(c.query, c.outcome) for c in of_type(effects, EndClaim)] == [(query_id, "not_run")]
 
 
@@ -152,7 +154,7 @@
     text = """history: {number: 3, copies: 1, founded_ms: 5, default: {rows: true, least_ms: 5000},
       customers: [{name: "a", policy: {hold: true}}], forget: [{before_ms: 7, customer: "a", key: "k"}]}
       peers: {name: "a", listen: "127.0.0.1:1", others: []}"""
-    policies = retention_policies(reading.hold(text)["history"])
+    policies = retention_policies(reading.parse_settings(text)["history"])
     assert (policies.number, policies.copies, policies.founded) == (3, 1, 50)
     assert policies.default == RetentionPolicy(rows=True, least_ms=5000) and policies.policy_for("a").hold
     assert policies.erasure_requests == (ErasureRequest(70, "a", "k"),)
@@ -160,7 +162,7 @@
 
 def test_defaults_of_the_operator_file_are_those_of_the_retention_policies():
     text = 'history: {number: 1, default: {}}\npeers: {name: "a", listen: "127.0.0.1:1", others: []}'
-    assert retention_policies(reading.hold(text)["history"]) == RetentionPolicies(number=1)
+    assert retention_policies(reading.parse_settings(text)["history"]) == RetentionPolicies(number=1)
 
 
 @pytest.mark.parametrize(
@@ -176,7 +178,7 @@
 def test_invalid_history_settings_are_reported_with_their_path(text, path):
     peers = '\npeers: {name: "a", listen: "127.0.0.1:1", others: []}' if "expected" not in path else ""
     with pytest.raises(OperatorFileError, match=path):
-        reading.hold(text + peers)
+        reading.parse_settings(text + peers)
 
 
 # ---- messages in fragments ----
@@ -219,9 +221,9 @@
 
 def replica_on(path, policies=None, now=EPOCH) -> Replica:
     membership = Membership("n0", 1, ["n0"], lambda: {"n0": 1})
-    policies = policies or founded(copies=0, default=DISK)
+    policies = policies or initial_policies(copies=0, default=DISK)
     replica = Replica(membership, policies, now, SqliteStore(path))
-    replica.recall(now, replica.durability.durable_store.read())
+    replica.restore(now, replica.durability.durable_store.read())
     return replica
 
 
@@ -277,10 +279,10 @@
 
 
 def test_restored_backup_of_the_disk_runs_nothing_twice(tmp_path):
-    path, net = tmp_path / "h.db", HistoryNet(1, 1, founded(copies=0, default=DISK))
+    path, net = tmp_path / "h.db", HistoryNet(1, 1, initial_policies(copies=0, default=DISK))
     disk = SqliteStore(path)
     net.replicas["n0"].durability.durable_store = disk
-    assert net.settled()
+    assert net.wait_until_settled()
     net.advance(61)  # past the founding period, in which an unknown key counts as new
     net.ask("n0", "first", "k")
     net.advance(3)
@@ -288,7 +290,7 @@
     backup = path.read_bytes()
     net.ask("n0", "second", "k")
     net.advance(3)
-    assert net.said["RUN"] == 2
+    assert net.verdict_counts["RUN"] == 2
     net.kill("n0")
     disk.close()
     for file in tmp_path.iterdir():
@@ -297,34 +299,35 @@
     net.start("n0")
     replica = net.replicas["n0"]
     replica.durability.durable_store = SqliteStore(path)
-    replica.recall(net.now, replica.durability.durable_store.read())
-    assert net.settled()
+    replica.restore(net.now, replica.durability.durable_store.read())
+    assert net.wait_until_settled()
     net.ask("n0", "first", "k")
     net.ask("n0", "second", "k")
     net.advance(6)
-    assert net.said["RUN"] == 2 and net.said["REJECT"] >= 1 and not net.rule
+    assert net.verdict_counts["RUN"] == 2 and net.verdict_counts["REJECT"] >= 1 and not net.broken_rules
     assert (
-        replica.records.find("", "k", "first").record.state == RecordState.SERVED and net.said["REPLAY"] == 1
+        replica.records.find("", "k", "first").record.state == RecordState.SERVED
+        and net.verdict_counts["REPLAY"] == 1
     )
 
 
 def test_full_disk_grants_no_claims_until_there_is_space(tmp_path):
-    net = HistoryNet(1, 1, founded(copies=0, default=DISK))
+    net = HistoryNet(1, 1, initial_policies(copies=0, default=DISK))
     disk = net.replicas["n0"].durability.durable_store = SqliteStore(tmp_path / "h.db")
-    assert net.settled()
+    assert net.wait_until_settled()
     (pages,) = disk.connection.execute("PRAGMA page_count").fetchone()
     disk.connection.execute(f"PRAGMA max_page_count = {pages}")
     for n in range(40):
         net.ask("n0", f"t{n}", f"k{n}" + "x" * 100)
     net.advance(6)
-    refused = net.said["REJECT"]
-    assert refused > 0 and net.said["RUN"] + refused == 40
+    refused = net.verdict_counts["REJECT"]
+    assert refused > 0 and net.verdict_counts["RUN"] + refused == 40
     (error,) = disk.faults()
     assert "full" in str(error) and error.remedy and not disk.faults()
     disk.connection.execute("PRAGMA max_page_count = 100000")
     net.ask("n0", "late", "k")
     net.advance(3)
-    assert net.said["REJECT"] == refused and not net.rule
+    assert net.verdict_counts["REJECT"] == refused and not net.broken_rules
 
 
 def test_damaged_or_read_only_disk_is_reported(tmp_path):
@@ -359,17 +362,17 @@
 
 
 def test_replica_without_the_required_disk_grants_no_claim():
-    net = HistoryNet(1, 3, founded(copies=1, default=DISK))
-    assert net.settled()
+    net = HistoryNet(1, 3, initial_policies(copies=1, default=DISK))
+    assert net.wait_until_settled()
     net.ask("n0", "t", "k")
     net.advance(6)
-    assert not net.runs["t"] and net.said["REJECT"] == 1
+    assert not net.runs["t"] and net.verdict_counts["REJECT"] == 1
 
 
 def test_attempt_in_flight_when_the_only_router_ended_is_not_run_again(tmp_path):
-    path, net = tmp_path / "h.db", HistoryNet(2, 1, founded(copies=0, default=DISK))
+    path, net = tmp_path / "h.db", HistoryNet(2, 1, initial_policies(copies=0, default=DISK))
     net.replicas["n0"].durability.durable_store = SqliteStore(path)
-    assert net.settled()
+    assert net.wait_until_settled()
     net.ask("n0", "t", "k")
     while not net.runs["t"]:
         net.advance(0.05)
@@ -377,14 +380,14 @@
     net.start("n0")
     replica = net.replicas["n0"]
     replica.durability.durable_store = SqliteStore(path)
-    replica.recall(net.now, replica.durability.durable_store.read())
+    replica.restore(net.now, replica.durability.durable_store.read())
     assert [k.record.state for k in replica.records.all_records()] == [RecordState.RUNNING]
-    assert net.settled()
+    assert net.wait_until_settled()
     net.ask("n0", "t", "k")
     net.advance(40)
     net.ask("n0", "t", "k")
     net.advance(6)
-    assert (net.said["RUN"], net.said["REJECT"], net.said["FAIL"]) == (1, 1, 1)
+    assert (net.verdict_counts["RUN"], net.verdict_counts["REJECT"], net.verdict_counts["FAIL"]) == (1, 1, 1)
 
 
 # ---- processes ----
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -9,16 +9,16 @@
 import orjson
 import pytest
 from conftest import CATALOG
-from rounds_by_hand import Signals
+from rounds_by_hand import SignalReceiverStandIn
 
 from hillchute.benchlink.codec import Fields
 from hillchute.decision.interface import SECOND, AttemptResult, EndpointState, Listing, Reason
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
-from hillchute.engines.events import ConnectFault
+from hillchute.engines.events import ConnectFailure
 from hillchute.engines.line import wire
-from hillchute.engines.line.exchange import Exchange
+from hillchute.engines.line.exchange import LineProtocol
 from hillchute.engines.line.wire import Answer
 from hillchute.errors import ConfigurationError, EventBusProtocolError
 from hillchute.fronts import seats
@@ -52,10 +52,10 @@
 
 
 def test_statement_is_passed_on_unchanged_without_its_fields():
-    request = statement.read(COMMENT + SELECT + b"  ")
+    request = statement.parse_statement(COMMENT + SELECT + b"  ")
     assert request.statement == SELECT + b"  "
-    assert (request.id, request.group, request.patience) == ("9b1f03aa5c7e2d41", "report", 15_000)
-    assert (request.cost, request.memory, request.tables) == (8200, 96.0, 17)
+    assert (request.id, request.group, request.client_timeout) == ("9b1f03aa5c7e2d41", "report", 15_000)
+    assert (request.cost, request.memory_mb, request.table_group) == (8200, 96.0, 17)
 
 
 @pytest.mark.parametrize(
@@ -76,8 +76,8 @@
     ],
 )
 def test_error_names_the_invalid_field(fields, invalid_field):
-    with pytest.raises(statement.Misread, match=invalid_field):
-        statement.read(b"/* %s */ SELECT 1" % fields.encode())
+    with pytest.raises(statement.InvalidStatementError, match=invalid_field):
+        statement.parse_statement(b"/* %s */ SELECT 1" % fields.encode())
 
 
 @pytest.mark.parametrize(
@@ -133,13 +133,13 @@
 def test_invalid_login_gets_its_error_code(session, changed, number):
     session.feed(packet(1, login(**changed)))
     command, out = session.command()
-    assert command is None and session.over
+    assert command is None and session.closing
     assert struct.unpack_from("<H", out, 5)[0] == number
 
 
 def test_malformed_login_ends_the_session_with_an_error(session):
     session.feed(packet(1, b"\xff" * 9))
-    assert session.command()[1][4] == 0xFF and session.over
+    assert session.command()[1][4] == 0xFF and session.closing
 
 
 def test_next_command_waits_for_the_answer_to_the_previous_one(session):
@@ -161,7 +161,7 @@
         payloads.append(data[4:end])
         data = data[end:]
     assert payloads[0] == b"\x03" and payloads[4] == payloads[6] == mysql.EOF
-    assert payloads[5] == b"\x01a" + mysql.length(size) + b"x" * size + b"\x00"
+    assert payloads[5] == b"\x01a" + mysql.lenenc_integer(size) + b"x" * size + b"\x00"
 
 
 # ---- engines and the event bus --------------------------------------------------------------------
@@ -172,9 +172,9 @@
     data = b"q1 ACK parts=2,work=12.5,rep=util:0.5;inflight:7 6\r\na\tb\tc\n\r\nq2 EIO - 0\r\n\r\n"
     answers = [answer for n in range(len(data)) for answer in decoder.feed(data[n : n + 1])]
     assert answers == list(wire.Decoder().feed(data))
-    assert [a.word for a in answers] == ["ACK", "EIO"]
-    assert (answers[0].report, answers[0].work) == ({"util": 0.5, "inflight": 7.0}, 12.5)
-    assert wire.rows(answers[0].body) == [[b"a", b"b", b"c"]]
+    assert [a.kind for a in answers] == ["ACK", "EIO"]
+    assert (answers[0].report, answers[0].cpu_ms) == ({"util": 0.5, "inflight": 7.0}, 12.5)
+    assert wire.parse_rows(answers[0].body) == [[b"a", b"b", b"c"]]
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
 def test_answers_before_an_unreadable_one_are_returned(data):
     answers = wire.Decoder().feed(b"q1 EIO - 0\r\n\r\n" + data)
     assert next(answers).id == "q1"
-    with pytest.raises(wire.Unreadable):
+    with pytest.raises(wire.MalformedAnswerError):
         next(answers)
 
 
@@ -237,7 +237,7 @@
     "limits": {"connect_timeout_ns": 250_000_000, "keepalive_ns": 30_000_000_000},
     "parties": [],
 }
-TABLE = {
+PLATFORM_CONFIGURATION = {
     "name": "n1",
     "listen": "127.0.0.1:6565",
     "seed": "ff",
@@ -256,9 +256,9 @@
     pairs += " limits.keepalive_ns=30000000000 parties="
     fields = Fields(f"UP 7 {pairs}", 1)
     fields.required_integer("init_seed")
-    configuration = config.parse_configuration(TABLE, {})
-    assert configuration.stated_catalog == fields.catalog() | {"sessions": 1024 // 3}
-    assert configuration.settings == Settings.from_catalog(configuration.stated_catalog)
+    configuration = config.parse_configuration(PLATFORM_CONFIGURATION, {})
+    assert configuration.catalog == fields.catalog() | {"sessions": 1024 // 3}
+    assert configuration.settings == Settings.from_catalog(configuration.catalog)
 
 
 @pytest.mark.parametrize(
@@ -274,7 +274,7 @@
     ],
 )
 def test_error_names_the_faulty_key_by_its_path(path, value):
-    table = orjson.loads(orjson.dumps(TABLE | {"limits": {}}))
+    table = orjson.loads(orjson.dumps(PLATFORM_CONFIGURATION | {"limits": {}}))
     *parents, last = path.split(".")
     section = table
     for name in parents:
@@ -300,7 +300,7 @@
 
     def __init__(self, **changes):
         catalog = CATALOG | NAMES | LIMITS | {name.replace("__", "."): v for name, v in changes.items()}
-        self.exchanges = {}
+        self.protocols = {}
         settings = Settings.from_catalog(catalog)
         self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
         listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
@@ -312,12 +312,16 @@
         effects = self.reducer.reduce(event, now)
         for effect in effects:
             if isinstance(effect, SendCommand):
-                self.exchanges.setdefault(effect.connection, Exchange()).encode(effect.command)
+                self.protocols.setdefault(effect.connection, LineProtocol()).encode(effect.command)
         return [e for e in effects if kind is None or isinstance(e, kind)]
 
-    def submit(self, group="lookup", id="a" * 16, session=1, now=0, patience=5 * SECOND, cost=1000, **fields):
-        request = statement.Request(id, group, patience, b"SELECT 1 FROM sales_4.orders", cost=cost, **fields)
-        return self.handle(events.Asked(session, request, now), now)
+    def submit(
+        self, group="lookup", id="a" * 16, session=1, now=0, client_timeout=5 * SECOND, cost=1000, **fields
+    ):
+        request = statement.Request(
+            id, group, client_timeout, b"SELECT 1 FROM sales_4.orders", cost=cost, **fields
+        )
+        return self.handle(events.QueryReceived(session, request, now), now)
 
     def send_query(self, now=0, **fields):
         """Submits a query that is sent to an engine; returns the number of its connection."""
@@ -325,17 +329,17 @@
             e.connection for e in self.submit(now=now, **fields) if isinstance(e, OpenConnection)
         ]
         assert [type(e.command) for e in self.handle(events.Connected(connection), now, SendCommand)] == [
-            words.Run
+            words.StartRun
         ]
         return connection
 
     def receive(self, connection, word, now=10, id="a" * 16, kind=None, **fields):
         """Handles an answer of an engine."""
         try:
-            message = self.exchanges[connection].said(Answer(id, word, **fields))
-        except wire.Unreadable as error:
-            return self.handle(events.Lost(connection, str(error)), now, kind)
-        return self.handle(events.Said(connection, message), now, kind)
+            message = self.protocols[connection].handle_answer(Answer(id, word, **fields))
+        except wire.MalformedAnswerError as error:
+            return self.handle(events.ConnectionLost(connection, str(error)), now, kind)
+        return self.handle(events.MessageReceived(connection, message), now, kind)
 
 
 @pytest.fixture
@@ -345,10 +349,12 @@
 
 def test_all_pages_are_requested_at_once_and_put_in_order(rig):
     connection = rig.send_query()
-    rig.receive(connection, "ACK", parts=3, body=b"1\t1\t1\n")
-    assert rig.exchanges[connection].owed == b"".join(wire.encode(wire.Turn("a" * 16, n)) for n in (1, 2))
-    assert not rig.receive(connection, "BLOCK", part=2, body=b"3\t3\t3\n", kind=SendResult)
-    (result,) = rig.receive(connection, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
+    rig.receive(connection, "ACK", page_count=3, body=b"1\t1\t1\n")
+    assert rig.protocols[connection].pending_output == b"".join(
+        wire.encode(wire.FetchPage("a" * 16, n)) for n in (1, 2)
+    )
+    assert not rig.receive(connection, "BLOCK", page=2, body=b"3\t3\t3\n", kind=SendResult)
+    (result,) = rig.receive(connection, "BLOCK", page=1, body=b"2\t2\t2\n", kind=SendResult)
     assert result.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
     assert not rig.reducer.queries and not rig.reducer.unanswered
 
@@ -363,13 +369,13 @@
 
 def test_duplicate_and_unrequested_pages_are_ignored(rig):
     connection = rig.send_query()
-    rig.receive(connection, "BLOCK", part=1, body=b"0\t0\t0\n")
-    rig.receive(connection, "ACK", parts=3, body=b"1\t1\t1\n")
-    rig.receive(connection, "ACK", parts=1, body=b"0\t0\t0\n")
-    rig.receive(connection, "BLOCK", part=2, body=b"3\t3\t3\n")
-    rig.receive(connection, "BLOCK", part=2, body=b"0\t0\t0\n")
-    rig.receive(connection, "BLOCK", part=9, body=b"0\t0\t0\n")
-    (result,) = rig.receive(connection, "BLOCK", part=1, body=b"2\t2\t2\n", kind=SendResult)
+    rig.receive(connection, "BLOCK", page=1, body=b"0\t0\t0\n")
+    rig.receive(connection, "ACK", page_count=3, body=b"1\t1\t1\n")
+    rig.receive(connection, "ACK", page_count=1, body=b"0\t0\t0\n")
+    rig.receive(connection, "BLOCK", page=2, body=b"3\t3\t3\n")
+    rig.receive(connection, "BLOCK", page=2, body=b"0\t0\t0\n")
+    rig.receive(connection, "BLOCK", page=9, body=b"0\t0\t0\n")
+    (result,) = rig.receive(connection, "BLOCK", page=1, body=b"2\t2\t2\n", kind=SendResult)
     assert result.rows == [[b"1"] * 3, [b"2"] * 3, [b"3"] * 3]
 
 
@@ -396,7 +402,7 @@
     engine = rig.reducer.pool.connections[connection].engine
     list_engine(2, "Gone")
     assert engine in rig.reducer.pool.endpoints
-    rig.handle(events.Lost(connection, "reset"), 10)
+    rig.handle(events.ConnectionLost(connection, "reset"), 10)
     list_engine(3, "Gone")
     assert engine not in rig.reducer.pool.endpoints and engine not in rig.reducer.scheduler.engines
     list_engine(4, "Ready")
@@ -413,10 +419,19 @@
 @pytest.mark.parametrize(
     "event, result",
     [
-        (lambda connection: events.Said(connection, words.Ended("a" * 16, "saturated")), "saturated"),
-        (lambda connection: events.Said(connection, words.Ended("a" * 16, "errored")), "errored"),
-        (lambda connection: events.Said(connection, words.Ended("a" * 16, "superseded")), "superseded"),
-        (lambda connection: events.Lost(connection, "reset"), "severed"),
+        (
+            lambda connection: events.MessageReceived(connection, words.RunEnded("a" * 16, "saturated")),
+            "saturated",
+        ),
+        (
+            lambda connection: events.MessageReceived(connection, words.RunEnded("a" * 16, "errored")),
+            "errored",
+        ),
+        (
+            lambda connection: events.MessageReceived(connection, words.RunEnded("a" * 16, "superseded")),
+            "superseded",
+        ),
+        (lambda connection: events.ConnectionLost(connection, "reset"), "severed"),
     ],
 )
 def test_results_of_attempts_are_distinguished(rig, event, result):
@@ -429,14 +444,14 @@
 
 def test_query_is_retried_on_another_engine_after_a_refused_connection(rig):
     (first,) = [e for e in rig.submit() if isinstance(e, OpenConnection)]
-    (second,) = rig.handle(events.NotConnected(first.connection, ConnectFault.REFUSED), 10, OpenConnection)
+    (second,) = rig.handle(events.ConnectFailed(first.connection, ConnectFailure.REFUSED), 10, OpenConnection)
     assert second.port != first.port
 
 
 def test_timers_of_a_query_do_not_affect_the_next_one_with_its_id(rig):
-    connection = rig.send_query(patience=2 * SECOND)
-    rig.receive(connection, "ACK", parts=1, body=b"1\t1\t1\n")
-    rig.submit(now=SECOND, patience=4 * SECOND, session=2)
+    connection = rig.send_query(client_timeout=2 * SECOND)
+    rig.receive(connection, "ACK", page_count=1, body=b"1\t1\t1\n")
+    rig.submit(now=SECOND, client_timeout=4 * SECOND, session=2)
     effects = rig.handle(events.AlarmDue(), 2 * SECOND + 1)
     assert not [e for e in effects if isinstance(e, WriteLog) and e.event == "fault"]
     assert 2 in rig.reducer.unanswered
@@ -477,10 +492,10 @@
 
 
 def test_timed_out_attempt_is_cancelled_and_its_late_answer_is_ignored(rig):
-    connection = rig.send_query(patience=SECOND)
+    connection = rig.send_query(client_timeout=SECOND)
     margin = loop_lag.LoopLag().answer_margin(SECOND) + rig.reducer.scheduler.answer_margin
     effects = rig.handle(events.AlarmDue(), SECOND - margin)
-    assert words.GiveUp("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
+    assert words.CancelRun("a" * 16) in [e.command for e in effects if isinstance(e, SendCommand)]
     assert [type(e) for e in effects if isinstance(e, RejectQuery | FailQuery)] == [RejectQuery]
     assert not rig.receive(connection, "ACK", now=SECOND, kind=SendResult)
 
@@ -491,13 +506,13 @@
     entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
     rig.handle(events.EndpointsChanged(event_bus.WatchEvent(2, "Partial", (entry,))), 5)
     sends = rig.handle(events.Connected(opening.connection), 10, SendCommand)
-    assert not [e for e in sends if isinstance(e.command, words.Run)]
+    assert not [e for e in sends if isinstance(e.command, words.StartRun)]
     assert rig.reducer.queries["a" * 16].attempts[0].ended
 
 
 def test_client_that_left_gets_no_answer(rig):
     connection = rig.send_query()
-    assert not rig.handle(events.Left(1), 5, FailQuery | RejectQuery)
+    assert not rig.handle(events.ClientGone(1), 5, FailQuery | RejectQuery)
     assert not rig.receive(connection, "ACK", kind=SendResult)
     assert not rig.reducer.queries
 
@@ -506,7 +521,7 @@
     connection = rig.send_query()
     rig.reducer.context.effects = []
     rig.reducer.attempts.set_priority(rig.reducer.queries["a" * 16], 3)
-    assert rig.reducer.context.effects == [SendCommand(connection, words.Hurry("a" * 16, 3))]
+    assert rig.reducer.context.effects == [SendCommand(connection, words.SetPriority("a" * 16, 3))]
 
 
 @pytest.mark.parametrize(
@@ -514,10 +529,10 @@
     [
         ({"group": "x"}, "route"),
         ({"group": "load"}, "nonce"),
-        ({"group": "load", "token": "t"}, "entity"),
-        ({"patience": 20 * SECOND}, "patience"),
+        ({"group": "load", "idempotency_key": "t"}, "entity"),
+        ({"client_timeout": 20 * SECOND}, "patience"),
         ({"cost": 9 * SECOND * 8}, "weight"),
-        ({"memory": 1001.0}, "mb"),
+        ({"memory_mb": 1001.0}, "mb"),
     ],
 )
 def test_invalid_query_is_failed_with_the_name_of_its_field(fields, invalid_field):
@@ -529,20 +544,20 @@
 
 def test_exception_in_the_scheduler_leaves_no_query_unanswered(rig):
     rig.reducer.scheduler.next_decision = lambda now: 1 / 0
-    log_lines = [e for e in rig.submit(patience=SECOND) if isinstance(e, WriteLog)]
+    log_lines = [e for e in rig.submit(client_timeout=SECOND) if isinstance(e, WriteLog)]
     assert "ZeroDivisionError" in log_lines[0].fields["trace"]
     assert [type(e) for e in rig.handle(events.AlarmDue(), SECOND, FailQuery)] == [FailQuery]
 
 
 def test_pause_of_the_loop_shortens_the_deadline_whichever_event_comes_first(rig):
-    rig.submit(id="b" * 16, session=2, patience=SECOND // 2)
+    rig.submit(id="b" * 16, session=2, client_timeout=SECOND // 2)
     first_timer = rig.reducer.context.timers[0].due
-    rig.submit(now=first_timer + 6000, patience=5 * SECOND)
+    rig.submit(now=first_timer + 6000, client_timeout=5 * SECOND)
     assert rig.reducer.queries["a" * 16].deadline == first_timer + 5 * SECOND - loop_lag.CONNECT_DELAY
 
 
 def test_shutdown_answers_everything_by_its_deadline(rig):
-    rig.send_query(patience=9 * SECOND)
+    rig.send_query(client_timeout=9 * SECOND)
     rig.handle(events.ShutdownStarted(2 * SECOND), SECOND)
     rejections = rig.handle(events.AlarmDue(), 2 * SECOND - rig.reducer.scheduler.answer_margin, RejectQuery)
     assert [e.session for e in rejections] == [1]
@@ -608,7 +623,7 @@
 
 @pytest.fixture
 def configuration():
-    return config.parse_configuration(TABLE, {})
+    return config.parse_configuration(PLATFORM_CONFIGURATION, {})
 
 
 @pytest.fixture
@@ -637,7 +652,9 @@
         monkeypatch.setattr(config, "read_configuration", read)
         monkeypatch.setattr(router.signals, "record_arrival", lambda number: None)  # not in the main thread
         monkeypatch.setattr(
-            signal_handling.anyio, "open_signal_receiver", lambda *_: Signals(*[signal.SIGHUP] * 2)
+            signal_handling.anyio,
+            "open_signal_receiver",
+            lambda *_: SignalReceiverStandIn(*[signal.SIGHUP] * 2),
         )
         router.configuration = configuration._replace(
             event_bus_address=buses[0].getsockname(), initial_offset=7
@@ -661,20 +678,20 @@
 
 
 def test_changes_that_need_a_restart_are_named(configuration):
-    table = orjson.loads(orjson.dumps(TABLE))
+    table = orjson.loads(orjson.dumps(PLATFORM_CONFIGURATION))
     table["settings"]["limits"]["keepalive_ns"] = 1_000_000
     table["bus"] = "127.0.0.1:9"
     assert config.needs_restart(configuration, config.parse_configuration(table, {})) == ["limits.keepalive"]
 
 
 def test_changed_sockets_are_named_with_the_sessions_derived_from_them(configuration):
-    changed = config.parse_configuration(TABLE | {"limits": {"sockets": 512}}, {})
+    changed = config.parse_configuration(PLATFORM_CONFIGURATION | {"limits": {"sockets": 512}}, {})
     assert config.needs_restart(configuration, changed) == ["sockets", "sessions"]
 
 
 @pytest.mark.parametrize("seed, number", [("ff", 255), (17, 17)])
 def test_seed_is_hexadecimal_text_or_a_number(seed, number):
-    assert config.parse_configuration(TABLE | {"seed": seed}, {}).seed == number
+    assert config.parse_configuration(PLATFORM_CONFIGURATION | {"seed": seed}, {}).seed == number
 
 
 @pytest.mark.parametrize(
@@ -692,14 +709,14 @@
 )
 def test_configuration_error_describes_the_problem(path, value, message):
     with pytest.raises(ConfigurationError) as error:
-        config.parse_configuration(TABLE | {path: value}, {})
+        config.parse_configuration(PLATFORM_CONFIGURATION | {path: value}, {})
     assert str(error.value) == message
 
 
 def test_malformed_setting_without_a_check_of_its_own_is_rejected():
     domain = SETTINGS["domain"] | {"report_x0": ["a", "b"]}
     with pytest.raises(ConfigurationError) as error:
-        config.parse_configuration(TABLE | {"settings": SETTINGS | {"domain": domain}}, {})
+        config.parse_configuration(PLATFORM_CONFIGURATION | {"settings": SETTINGS | {"domain": domain}}, {})
     assert error.value.location == "settings"
 
 
@@ -707,35 +724,35 @@
 
 
 def test_incomplete_sessions_are_evicted_first_then_the_longest_idle_and_never_one_with_a_query():
-    sessions = seats.Seats(4)
+    sessions = seats.SessionLimiter(4)
     for session in (1, 2, 3, 4):
-        sessions.in_step(session, 0)
-    sessions.ask(1)
-    sessions.rest(2)
-    sessions.rest(3)
-    sessions.rest(2)
-    assert sessions.full and list(sessions.give_way()) == [4, 3, 2]
+        sessions.mark_in_step(session, 0)
+    sessions.mark_busy(1)
+    sessions.mark_idle(2)
+    sessions.mark_idle(3)
+    sessions.mark_idle(2)
+    assert sessions.full and list(sessions.eviction_candidates()) == [4, 3, 2]
 
 
 def test_step_is_late_by_its_start_time_and_an_idle_session_never_is():
-    sessions = seats.Seats(4)
-    sessions.in_step(1, 0)
-    sessions.in_step(2, 5)
-    sessions.rest(2)
-    sessions.in_step(3, 10)
-    sessions.in_step(1, 20)
-    assert sessions.late(seats.STEP) == [1]
+    sessions = seats.SessionLimiter(4)
+    sessions.mark_in_step(1, 0)
+    sessions.mark_in_step(2, 5)
+    sessions.mark_idle(2)
+    sessions.mark_in_step(3, 10)
+    sessions.mark_in_step(1, 20)
+    assert sessions.timed_out_sessions(seats.STEP_TIMEOUT) == [1]
 
 
 def test_waiting_commands_are_bounded_in_total_size_and_each_is_answered():
-    session = mysql.Session(7, longest=1000)
+    session = mysql.Session(7, max_packet_bytes=1000)
     session.greeting()
     session.feed(packet(1, login()))
     session.command()
     session.feed(packet(0, b"\x03" + b"x" * 600))
     assert not session.full
     session.feed(packet(0, b"\x03" + b"y" * 600))
-    assert session.full and not session.over  # no more is read until one of them is answered
+    assert session.full and not session.closing  # no more is read until one of them is answered
     assert session.command()[0].text == b"x" * 600
     assert not session.full
     session.ok()
@@ -745,9 +762,9 @@
 def test_more_commands_than_the_queue_limit_are_all_answered_in_order(session):
     session.feed(packet(1, login()))
     session.command()
-    count = 3 * mysql.MOST_WAITING
-    session.feed(b"".join(packet(0, b"\x03%d" % n) for n in range(count)), since=5)
-    assert len(session.waiting) == mysql.MOST_WAITING and session.full
+    count = 3 * mysql.MAX_QUEUED_COMMANDS
+    session.feed(b"".join(packet(0, b"\x03%d" % n) for n in range(count)), received_at=5)
+    assert len(session.queue) == mysql.MAX_QUEUED_COMMANDS and session.full
     for n in range(count):
         command, _ = session.command()
         assert command == mysql.Query(b"%d" % n, 5)
@@ -756,28 +773,28 @@
 
 
 def test_commands_before_an_oversized_packet_are_answered_before_it_ends_the_session():
-    session = mysql.Session(7, longest=1000)
+    session = mysql.Session(7, max_packet_bytes=1000)
     session.greeting()
     session.feed(packet(1, login()) + packet(0, b"\x03one") + packet(0, b"x" * 1001) + packet(0, b"\x0e"))
     assert session.command()[0] == mysql.Query(b"one")
     assert session.full and session.command() == (None, b"")
     session.ok()
     command, out = session.command()
-    assert command is None and session.over
+    assert command is None and session.closing
     assert struct.unpack_from("<H", out, 5)[0] == mysql.TOO_LARGE[0]
 
 
 async def serve(router, client):
     """Serves MySQL clients on a free port while `client` runs in a thread with the router's address."""
     listener = socket.create_server(("127.0.0.1", 0))
-    router.door.open(listener)
+    router.mysql_frontend.open(listener)
     async with anyio.create_task_group() as tasks:
         router.attach_tasks(tasks)
         tasks.start_soon(router.event_loop.run)
         tasks.start_soon(router.event_loop.run_sweep)
         await anyio.to_thread.run_sync(client, listener.getsockname())
         tasks.cancel_scope.cancel()
-    router.door.close()
+    router.mysql_frontend.close()
 
 
 def read_until_closed(sock):
@@ -791,11 +808,14 @@
 
 def test_active_client_is_served_among_hundreds_of_silent_ones(router):
     def client(address):
-        silent = [socket.create_connection(address) for _ in range(router.door.seats.most + 20)]
+        silent = [
+            socket.create_connection(address)
+            for _ in range(router.mysql_frontend.session_limiter.max_sessions + 20)
+        ]
         with socket.create_connection(address) as sock:
             sock.sendall(packet(1, login()) + packet(0, b"\x0e") + packet(0, b"\x01"))
             assert read_until_closed(sock).endswith(packet(2, mysql.OK) + packet(1, mysql.OK))
-        assert len(router.door.clients) <= router.door.seats.most
+        assert len(router.mysql_frontend.clients) <= router.mysql_frontend.session_limiter.max_sessions
         for sock in silent:
             sock.close()
 
@@ -815,7 +835,7 @@
 
 
 def test_stalled_login_is_ended(router, monkeypatch):
-    monkeypatch.setattr(seats, "STEP", 500)
+    monkeypatch.setattr(seats, "STEP_TIMEOUT", 500)
 
     def client(address):
         with socket.create_connection(address) as sock:
@@ -869,7 +889,7 @@
 @pytest.mark.parametrize(("result", "name"), LOGGED_RESULTS.items())
 def test_log_has_the_member_name_of_an_attempt_result(rig, result, name):
     connection = rig.send_query()
-    log_lines = rig.handle(events.Said(connection, words.Ended("a" * 16, result)), 10, WriteLog)
+    log_lines = rig.handle(events.MessageReceived(connection, words.RunEnded("a" * 16, result)), 10, WriteLog)
     (ended,) = [line for line in log_lines if line.event == "attempt_ended"]
     assert ended.fields["result"] == name
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import CATALOG, LOAD, LOOKUP, REPORT
-from rounds_by_hand import Rig
+from rounds_by_hand import RouterHarness
 
 from hillchute.coordination.subsetting import Subset
 from hillchute.decision.interface import (
@@ -97,7 +97,7 @@
 
 def count_connections(engines):
     """Returns the connections opened for 300 queries that are answered at once, and those open at the end."""
-    configuration = config.parse_configuration(deployment.table(routers=200, sockets=576), {})
+    configuration = config.parse_configuration(deployment.make_configuration(routers=200, sockets=576), {})
     reducer = Reducer(
         QueryScheduler(1, configuration.settings, 0),
         configuration.settings,
@@ -109,17 +109,21 @@
     for n in range(300):
         now = 10 + n * 500
         text = f"/* route=lookup,trace={n:016x},patience=3000,weight=20.0,mb=1 */ SELECT 1 FROM s_{n % 40}.t"
-        effects += reducer.reduce(events.Asked(n + 1, statement.read(text.encode()), now), now)
+        effects += reducer.reduce(
+            events.QueryReceived(n + 1, statement.parse_statement(text.encode()), now), now
+        )
         while effects:
             match effects.pop(0):
                 case OpenConnection(connection, _, _):
                     opened += 1
                     effects += reducer.reduce(events.Connected(connection), now)
-                case SendCommand(connection, words.Probe(tag)):
-                    answer = words.Probed(tag, "finished", {"util": 0.3, "inflight": 3.0})
-                    effects += reducer.reduce(events.Said(connection, answer), now)
-                case SendCommand(connection, words.Run(id=id)):
-                    effects += reducer.reduce(events.Said(connection, words.Whole(id, [], 20.0)), now)
+                case SendCommand(connection, words.HealthCheckRequest(tag)):
+                    answer = words.HealthCheckAnswer(tag, "finished", {"util": 0.3, "inflight": 3.0})
+                    effects += reducer.reduce(events.MessageReceived(connection, answer), now)
+                case SendCommand(connection, words.StartRun(id=id)):
+                    effects += reducer.reduce(
+                        events.MessageReceived(connection, words.ResultReceived(id, [], 20.0)), now
+                    )
     assert not reducer.unanswered
     return opened, len(reducer.pool.connections)
 
@@ -133,7 +137,7 @@
 def test_memory_for_three_thousand_engines_is_within_the_limit():
     def peak_memory(engines):
         tracemalloc.start()
-        rig = Rig(table=deployment.table(routers=200))
+        rig = RouterHarness(table=deployment.make_configuration(routers=200))
         entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
         rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Complete", entries))
         _, peak = tracemalloc.get_traced_memory()
@@ -176,7 +180,7 @@
         e.started = router.now - SECOND if rng.random() < 0.2 else 0
         e.ready = rng.random() < 0.9
         e.threads = rng.randrange(20)
-        e.running_loads = [rng.randrange(3)] if rng.random() < 0.3 else []
+        e.running_bulk_loads = [rng.randrange(3)] if rng.random() < 0.3 else []
     for n in range(20):
         group = rng.choice([LOOKUP, REPORT, LOAD])
         table_group = rng.randrange(3)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -12,57 +12,57 @@
 
 
 def test_affinity_set_joins_the_leader_and_bulk_loads_are_sent_alone(harness):
-    leader, other = harness.arrive(REPORT, table_group=4), harness.arrive(REPORT, table_group=5)
-    mate, load = harness.arrive(REPORT, table_group=4), harness.arrive(LOAD, table_group=4)
-    harness.router.teams.send_next(harness.router.now)
-    sent = [d.query for d in harness.router.planned if isinstance(d, Submit)]
+    leader, other = harness.add_query(REPORT, table_group=4), harness.add_query(REPORT, table_group=5)
+    mate, load = harness.add_query(REPORT, table_group=4), harness.add_query(LOAD, table_group=4)
+    harness.scheduler.teams.send_next(harness.scheduler.now)
+    sent = [d.query for d in harness.scheduler.planned if isinstance(d, Submit)]
     assert sent == [leader.id, mate.id]
-    assert list(harness.router.queues.teams) == [other, load]
+    assert list(harness.scheduler.queues.teams) == [other, load]
 
 
 def test_leader_is_sent_to_the_engine_that_last_ran_its_table_group(harness):
-    q = harness.arrive(REPORT, table_group=4)
-    harness.router.placement.affinity[4] = 3
-    harness.router.teams.send_next(harness.router.now)
-    assert engines_of(harness.router.planned, q) == [3]
+    q = harness.add_query(REPORT, table_group=4)
+    harness.scheduler.placement.affinity[4] = 3
+    harness.scheduler.teams.send_next(harness.scheduler.now)
+    assert engines_of(harness.scheduler.planned, q) == [3]
 
 
 def test_own_share_of_the_thread_limit_applies_only_under_pressure(harness):
-    e, q = harness.router.engines[1], harness.arrive(REPORT)
-    harness.fill(e, attempts=2)
-    harness.router.now = 3 * SECOND  # late enough that reports include these attempts
-    harness.router.load.mean_load = 1.0
-    harness.router.load.mean_own_threads = 8.0
-    harness.router.load.reports_count_queries = True
-    assert harness.router.teams.free_slots(harness.router.now, e, q) == 2
-    harness.router.load.read_report(harness.router.now, e, {"queue": 2.0})
-    assert harness.router.teams.free_slots(harness.router.now, e, q) == 0
+    e, q = harness.scheduler.engines[1], harness.add_query(REPORT)
+    harness.add_load(e, attempts=2)
+    harness.scheduler.now = 3 * SECOND  # late enough that reports include these attempts
+    harness.scheduler.load.mean_load = 1.0
+    harness.scheduler.load.mean_own_threads = 8.0
+    harness.scheduler.load.reports_count_queries = True
+    assert harness.scheduler.teams.free_slots(harness.scheduler.now, e, q) == 2
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"queue": 2.0})
+    assert harness.scheduler.teams.free_slots(harness.scheduler.now, e, q) == 0
 
 
 def test_leader_waits_when_no_engine_is_eligible(harness):
-    q = harness.arrive(REPORT)
-    for e in harness.router.engines.values():
-        harness.fill(e, attempts=4)
-    harness.router.teams.send_next(harness.router.now)
-    assert list(harness.router.queues.teams) == [q]
+    q = harness.add_query(REPORT)
+    for e in harness.scheduler.engines.values():
+        harness.add_load(e, attempts=4)
+    harness.scheduler.teams.send_next(harness.scheduler.now)
+    assert list(harness.scheduler.queues.teams) == [q]
 
 
 def test_dashboard_bypasses_the_queue_and_the_thread_limit(harness):
-    for e in harness.router.engines.values():
-        harness.fill(e, attempts=2)
-    waiting, q = harness.arrive(REPORT), harness.arrive(LOOKUP)
-    harness.router.dashboards.send_next(harness.router.now)
-    harness.router.teams.send_next(harness.router.now)
-    assert engines_of(harness.router.planned, q)
-    assert list(harness.router.queues.teams) == [waiting]
+    for e in harness.scheduler.engines.values():
+        harness.add_load(e, attempts=2)
+    waiting, q = harness.add_query(REPORT), harness.add_query(LOOKUP)
+    harness.scheduler.dashboards.send_next(harness.scheduler.now)
+    harness.scheduler.teams.send_next(harness.scheduler.now)
+    assert engines_of(harness.scheduler.planned, q)
+    assert list(harness.scheduler.queues.teams) == [waiting]
 
 
 def test_dashboard_is_rejected_when_every_engine_is_overloaded(harness):
-    for e in harness.router.engines.values():
-        harness.fill(e, attempts=4)
-    q = harness.arrive(LOOKUP)
-    harness.router.dashboards.send_next(harness.router.now)
-    answer = harness.router.planned[0]
+    for e in harness.scheduler.engines.values():
+        harness.add_load(e, attempts=4)
+    q = harness.add_query(LOOKUP)
+    harness.scheduler.dashboards.send_next(harness.scheduler.now)
+    answer = harness.scheduler.planned[0]
     assert isinstance(answer, Reject) and answer.query == q.id
 
 
@@ -71,12 +71,12 @@
         engine_halves = []
         for harness in (make_harness(), make_harness()):
             load, lookup = (
-                harness.arrive(LOAD, table_group=tables),
-                harness.arrive(LOOKUP, table_group=tables),
+                harness.add_query(LOAD, table_group=tables),
+                harness.add_query(LOOKUP, table_group=tables),
             )
             engine_halves.append(
                 [
-                    {e.id for e in harness.router.placement.eligible_engines(harness.router.now, q)}
+                    {e.id for e in harness.scheduler.placement.eligible_engines(harness.scheduler.now, q)}
                     for q in (load, lookup)
                 ]
             )
@@ -86,136 +86,150 @@
 
 def test_free_slots_count_the_memory_granted_in_reports(make_harness):
     harness = make_harness(domain__report_x0="share_of_memory_granted", domain__ram_of_kind_mb=1000.0)
-    e = harness.router.engines[1]
+    e = harness.scheduler.engines[1]
     e.open_attempts = 1
-    harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0, "x0": 0.5})
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"inflight": 0.0, "x0": 0.5})
     assert (
-        harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 2
+        harness.scheduler.teams.free_slots(
+            harness.scheduler.now, e, harness.add_query(REPORT, memory_mb=250.0)
+        )
+        == 2
     )
-    harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0, "x0": 0.8})
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"inflight": 0.0, "x0": 0.8})
     assert (
-        harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT, memory_mb=250.0)) == 0
+        harness.scheduler.teams.free_slots(
+            harness.scheduler.now, e, harness.add_query(REPORT, memory_mb=250.0)
+        )
+        == 0
     )
 
 
 def test_reported_queries_count_with_the_mean_threads_of_the_work(harness):
     for group, cost in ((LOOKUP, 1000), (REPORT, 4000)):
-        harness.router.dispatcher.submit(
-            harness.router.now, harness.arrive(group, cost=cost), harness.router.engines[2]
+        harness.scheduler.dispatcher.submit(
+            harness.scheduler.now, harness.add_query(group, cost=cost), harness.scheduler.engines[2]
         )
-    harness.router.load.read_report(harness.router.now, harness.router.engines[1], {"inflight": 4.0})
-    assert harness.router.engines[1].reported_threads == 10
+    harness.scheduler.load.read_report(harness.scheduler.now, harness.scheduler.engines[1], {"inflight": 4.0})
+    assert harness.scheduler.engines[1].reported_threads == 10
 
 
 def test_engine_without_a_report_counts_with_the_mean_load(harness):
-    for e, util in zip(harness.router.engines.values(), (0.25, 0.75), strict=False):
-        harness.router.load.read_report(harness.router.now, e, {"util": util})
-    assert harness.router.load.estimated_threads(
-        harness.router.now, harness.router.engines[3]
-    ) == pytest.approx(8 * harness.router.load.mean_load)
-    assert 2 < harness.router.load.estimated_threads(harness.router.now, harness.router.engines[3]) < 6
+    for e, util in zip(harness.scheduler.engines.values(), (0.25, 0.75), strict=False):
+        harness.scheduler.load.read_report(harness.scheduler.now, e, {"util": util})
+    assert harness.scheduler.load.estimated_threads(
+        harness.scheduler.now, harness.scheduler.engines[3]
+    ) == pytest.approx(8 * harness.scheduler.load.mean_load)
+    assert (
+        2 < harness.scheduler.load.estimated_threads(harness.scheduler.now, harness.scheduler.engines[3]) < 6
+    )
 
 
 def test_dashboard_avoids_engines_that_run_a_bulk_load_of_its_table_group(harness):
     harness.list_engines(1, 2, 3, 4, 5, 6)
-    first, second, third = harness.router.placement.eligible_engines(
-        harness.router.now, q := harness.arrive(LOOKUP, table_group=4)
+    first, second, third = harness.scheduler.placement.eligible_engines(
+        harness.scheduler.now, q := harness.add_query(LOOKUP, table_group=4)
     )
-    first.running_loads = second.running_loads = [4]
-    assert harness.router.placement.eligible_engines(harness.router.now, q) == [third]
+    first.running_bulk_loads = second.running_bulk_loads = [4]
+    assert harness.scheduler.placement.eligible_engines(harness.scheduler.now, q) == [third]
 
 
 def test_failing_engine_is_ejected_for_longer_each_time(harness):
-    e = harness.router.engines[1]
+    e = harness.scheduler.engines[1]
     ejected_until_times = []
     for sent in range(3):
-        harness.attempted(LOOKUP, sent=sent, result=AttemptResult.CONNECTION_REFUSED)
+        harness.add_attempted_query(LOOKUP, sent=sent, result=AttemptResult.CONNECTION_REFUSED)
         ejected_until_times.append(e.ejected_until)
-    assert ejected_until_times == sorted(set(ejected_until_times)) and e.ejected_until > harness.router.now
+    assert ejected_until_times == sorted(set(ejected_until_times)) and e.ejected_until > harness.scheduler.now
 
 
 def test_attempts_lost_with_one_connection_are_one_failure(harness):
-    for q in [harness.attempted(LOOKUP) for _ in range(5)]:
-        harness.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.CONNECTION_LOST, False, 10))
-    assert harness.router.engines[1].ejected_until == 0
+    for q in [harness.add_attempted_query(LOOKUP) for _ in range(5)]:
+        harness.scheduler.on_attempt_ended(
+            10, AttemptEnded(q.id, 0, AttemptResult.CONNECTION_LOST, False, 10)
+        )
+    assert harness.scheduler.engines[1].ejected_until == 0
 
 
 def test_query_that_no_engine_can_run_ejects_none_and_is_not_retried_forever(harness):
     for n in range(6):
-        q = harness.attempted(LOOKUP, sent=n, result=AttemptResult.FAILED)
-        harness.attempt(q, 2, n, AttemptResult.FAILED)
-        assert not harness.router.retries.may_retry(harness.router.now, q)
-    assert not any(e.ejected_until for e in harness.router.engines.values())
+        q = harness.add_attempted_query(LOOKUP, sent=n, result=AttemptResult.FAILED)
+        harness.add_attempt(q, 2, n, AttemptResult.FAILED)
+        assert not harness.scheduler.retries.may_retry(harness.scheduler.now, q)
+    assert not any(e.ejected_until for e in harness.scheduler.engines.values())
 
 
 def test_engine_is_ejected_if_another_serves_the_queries_that_failed_on_it(harness):
     for n in range(2):
-        q = harness.attempted(LOOKUP, sent=n, result=AttemptResult.FAILED)
-        harness.attempt(q, 2, n, AttemptResult.SERVED)
+        q = harness.add_attempted_query(LOOKUP, sent=n, result=AttemptResult.FAILED)
+        harness.add_attempt(q, 2, n, AttemptResult.SERVED)
     assert (
-        harness.router.engines[1].ejected_until > harness.router.now
-        and harness.router.engines[2].ejected_until == 0
+        harness.scheduler.engines[1].ejected_until > harness.scheduler.now
+        and harness.scheduler.engines[2].ejected_until == 0
     )
 
 
 def test_ended_attempts_that_were_sent_since_the_report_are_no_load(harness):
-    harness.router.on_health_check(0, 1, AttemptResult.SERVED, {"inflight": 4})
+    harness.scheduler.on_health_check(0, 1, AttemptResult.SERVED, {"inflight": 4})
     for n in range(6):
-        q = harness.attempted(LOOKUP, sent=0)
+        q = harness.add_attempted_query(LOOKUP, sent=0)
         if n:
-            harness.router.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 10))
-    assert harness.router.engines[1].sent_since(0) == (1, 0.0)
+            harness.scheduler.on_attempt_ended(10, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 10))
+    assert harness.scheduler.engines[1].sent_since(0) == (1, 0.0)
 
 
 def test_engine_that_hangs_between_reports_shows_by_its_open_attempts(harness):
-    e = harness.router.engines[1]
-    harness.router.load.read_report(harness.router.now, e, {"inflight": 0.0})
-    harness.router.load.mean_load = 1.0
-    harness.router.load.mean_own_threads = 4.0
-    harness.router.load.reports_count_queries = True
+    e = harness.scheduler.engines[1]
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"inflight": 0.0})
+    harness.scheduler.load.mean_load = 1.0
+    harness.scheduler.load.mean_own_threads = 4.0
+    harness.scheduler.load.reports_count_queries = True
     for _ in range(12):
-        harness.attempted(LOOKUP)
-    assert harness.router.load.total_threads(harness.router.now, e) == 18
+        harness.add_attempted_query(LOOKUP)
+    assert harness.scheduler.load.total_threads(harness.scheduler.now, e) == 18
 
 
 def test_few_own_threads_are_hardly_extrapolated_to_many_routers(make_harness):
     harness = make_harness(n_instances=200)
-    harness.router.load.mean_load, harness.router.load.mean_own_threads = 1.0, 0.1
-    harness.attempted(REPORT)
-    assert 4 < harness.router.load.total_threads(harness.router.now, harness.router.engines[1]) < 32
+    harness.scheduler.load.mean_load, harness.scheduler.load.mean_own_threads = 1.0, 0.1
+    harness.add_attempted_query(REPORT)
+    assert 4 < harness.scheduler.load.total_threads(harness.scheduler.now, harness.scheduler.engines[1]) < 32
 
 
 def test_share_of_less_than_one_query_admits_queries_at_random(make_harness):
     harness = make_harness(n_instances=40)
-    e = harness.router.engines[1]
-    harness.router.load.read_report(harness.router.now, e, {"util": 1.0})
+    e = harness.scheduler.engines[1]
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"util": 1.0})
     assert (
         5
         <= sum(
-            harness.router.teams.free_slots(harness.router.now, e, harness.arrive(REPORT)) for _ in range(100)
+            harness.scheduler.teams.free_slots(harness.scheduler.now, e, harness.add_query(REPORT))
+            for _ in range(100)
         )
         <= 20
     )
 
 
 def test_report_decays_to_the_mean(harness):
-    one, other = harness.router.engines[1], harness.router.engines[2]
-    harness.router.load.read_report(harness.router.now, other, {"util": 0.5})
-    harness.router.load.read_report(harness.router.now, one, {"util": 1.0})
-    assert harness.router.load.estimated_threads(harness.router.now, one) == 8
-    harness.router.now = 60 * SECOND
-    assert harness.router.load.estimated_threads(harness.router.now, one) == pytest.approx(
-        harness.router.load.mean_load * 8
+    one, other = harness.scheduler.engines[1], harness.scheduler.engines[2]
+    harness.scheduler.load.read_report(harness.scheduler.now, other, {"util": 0.5})
+    harness.scheduler.load.read_report(harness.scheduler.now, one, {"util": 1.0})
+    assert harness.scheduler.load.estimated_threads(harness.scheduler.now, one) == 8
+    harness.scheduler.now = 60 * SECOND
+    assert harness.scheduler.load.estimated_threads(harness.scheduler.now, one) == pytest.approx(
+        harness.scheduler.load.mean_load * 8
     )
 
 
 def test_overload_shows_before_the_first_answer_and_heavy_queries_are_rejected(harness):
     for n in range(4):
-        harness.attempted(LOOKUP)
-        harness.router.load.recent_attempts.add(0, harness.router.queries[f"q{n}"].attempts[0])
-    light, heavy = harness.arrive(REPORT, now=4000, cost=90), harness.arrive(REPORT, now=4000, cost=9000)
-    assert harness.router.load.slowdown(harness.router.now) == 4
-    assert [harness.router.admission.is_too_heavy(harness.router.now, q) for q in (light, heavy)] == [
+        harness.add_attempted_query(LOOKUP)
+        harness.scheduler.load.recent_attempts.add(0, harness.scheduler.queries[f"q{n}"].attempts[0])
+    light, heavy = (
+        harness.add_query(REPORT, now=4000, cost=90),
+        harness.add_query(REPORT, now=4000, cost=9000),
+    )
+    assert harness.scheduler.load.slowdown(harness.scheduler.now) == 4
+    assert [harness.scheduler.admission.is_too_heavy(harness.scheduler.now, q) for q in (light, heavy)] == [
         False,
         True,
     ]
@@ -223,40 +237,40 @@
 
 def test_few_lost_answers_do_not_change_the_slowdown(harness):
     for n in range(7):
-        q = harness.attempted(LOOKUP)
-        harness.router.load.recent_attempts.add(0, q.attempts[0])
+        q = harness.add_attempted_query(LOOKUP)
+        harness.scheduler.load.recent_attempts.add(0, q.attempts[0])
         if n > 2:
-            harness.router.on_attempt_ended(1000, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 1000))
-    harness.router.now = 3 * SECOND
-    assert harness.router.load.slowdown(harness.router.now) == 1
+            harness.scheduler.on_attempt_ended(1000, AttemptEnded(q.id, 0, AttemptResult.SERVED, True, 1000))
+    harness.scheduler.now = 3 * SECOND
+    assert harness.scheduler.load.slowdown(harness.scheduler.now) == 1
 
 
 def test_single_lost_connection_neither_ejects_nor_warms_up_the_engine(harness):
-    harness.attempted(LOOKUP, result=AttemptResult.CONNECTION_LOST)
-    assert harness.router.engines[1].ejected_until == 0
-    assert not harness.router.engines[1].is_warming_up(harness.router.now)
+    harness.add_attempted_query(LOOKUP, result=AttemptResult.CONNECTION_LOST)
+    assert harness.scheduler.engines[1].ejected_until == 0
+    assert not harness.scheduler.engines[1].is_warming_up(harness.scheduler.now)
 
 
 def test_tenant_over_its_share_is_limited_to_lighter_queries(make_harness):
     harness = make_harness(parties__0__fraction=0.5, parties__0__quota_per_s=1, parties__1__fraction=0.5)
-    harness.router.load.mean_load = 1.5
+    harness.scheduler.load.mean_load = 1.5
     over, _, other = (
-        harness.arrive(REPORT, cost=900),
-        harness.arrive(REPORT, cost=10),
-        harness.arrive(REPORT, tenant=1),
+        harness.add_query(REPORT, cost=900),
+        harness.add_query(REPORT, cost=10),
+        harness.add_query(REPORT, tenant=1),
     )
     over.cost = other.cost = 3 * over.group.mean_cost
-    assert [harness.router.admission.is_too_heavy(harness.router.now, q) for q in (over, other)] == [
+    assert [harness.scheduler.admission.is_too_heavy(harness.scheduler.now, q) for q in (over, other)] == [
         True,
         False,
     ]
 
 
 def test_busy_report_counts_until_the_next_report(harness):
-    e = harness.router.engines[1]
-    harness.router.load.read_report(harness.router.now, e, {"util": 1.0})
+    e = harness.scheduler.engines[1]
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"util": 1.0})
     assert e.under_pressure_until > SECOND
-    harness.router.load.read_report(harness.router.now, e, {"util": 0.5})
+    harness.scheduler.load.read_report(harness.scheduler.now, e, {"util": 0.5})
     assert e.under_pressure_until == 0
 
 
@@ -264,20 +278,20 @@
     time_limits = []
     for shortage in ("cut", "line_up"):
         harness = make_harness(limits__cancel=True, domain__on_shortage=shortage)
-        harness.router.dispatcher.submit(
-            harness.router.now,
-            harness.arrive(REPORT, cost=8 * SECOND, deadline=60 * SECOND),
-            harness.router.engines[1],
+        harness.scheduler.dispatcher.submit(
+            harness.scheduler.now,
+            harness.add_query(REPORT, cost=8 * SECOND, deadline=60 * SECOND),
+            harness.scheduler.engines[1],
         )
-        time_limits.append(harness.router.planned[-1].time_limit)
+        time_limits.append(harness.scheduler.planned[-1].time_limit)
     assert time_limits == [5 * SECOND, 12 * SECOND]
 
 
 def test_query_heavy_for_its_weight_is_rejected_before_one_heavy_for_its_group_only(harness):
-    harness.router.admission.mean_cost_per_weight, harness.router.load.mean_load = 100.0, 1.5
-    report, load = harness.arrive(REPORT, cost=100), harness.arrive(WRITE, cost=100)
+    harness.scheduler.admission.mean_cost_per_weight, harness.scheduler.load.mean_load = 100.0, 1.5
+    report, load = harness.add_query(REPORT, cost=100), harness.add_query(WRITE, cost=100)
     report.cost = load.cost = 600
-    assert [harness.router.admission.is_too_heavy(harness.router.now, q) for q in (report, load)] == [
+    assert [harness.scheduler.admission.is_too_heavy(harness.scheduler.now, q) for q in (report, load)] == [
         False,
         True,
     ]
@@ -285,40 +299,40 @@
 
 def test_few_slow_attempts_at_a_quiet_router_do_not_make_a_query_too_late(harness):
     for _ in range(3):
-        harness.router.load.recent_attempts.add(0, harness.attempted(LOOKUP).attempts[0])
-    harness.router.now = SECOND
-    q = harness.arrive(REPORT, now=SECOND, cost=8000)
-    assert harness.router.load.slowdown(harness.router.now) == 10
-    assert harness.router.load.latest_start(harness.router.now, q) > SECOND
+        harness.scheduler.load.recent_attempts.add(0, harness.add_attempted_query(LOOKUP).attempts[0])
+    harness.scheduler.now = SECOND
+    q = harness.add_query(REPORT, now=SECOND, cost=8000)
+    assert harness.scheduler.load.slowdown(harness.scheduler.now) == 10
+    assert harness.scheduler.load.latest_start(harness.scheduler.now, q) > SECOND
 
 
 def test_blocked_bulk_load_waits_and_delays_no_other_query(harness):
     harness.list_engines(1, 2, 3, 4)
     first, second, report = (
-        harness.arrive(LOAD, table_group=4),
-        harness.arrive(LOAD, table_group=4),
-        harness.arrive(REPORT, table_group=5),
+        harness.add_query(LOAD, table_group=4),
+        harness.add_query(LOAD, table_group=4),
+        harness.add_query(REPORT, table_group=5),
     )
-    for e in harness.router.placement.filter_by_half(list(harness.router.engines.values()), first):
-        e.running_loads.append(4)
-    decisions = harness.decisions()
+    for e in harness.scheduler.placement.filter_by_half(list(harness.scheduler.engines.values()), first):
+        e.running_bulk_loads.append(4)
+    decisions = harness.take_decisions()
     assert engines_of(decisions, report) and not engines_of(decisions, first, second)
-    assert list(harness.router.queues.blocked_bulk_loads[4]) == [first, second]
+    assert list(harness.scheduler.queues.blocked_bulk_loads[4]) == [first, second]
 
 
 def test_bulk_load_starts_when_the_one_before_it_ends(harness):
     harness.list_engines(1, 2, 3, 4)
-    loads = [harness.arrive(LOAD, table_group=4) for _ in range(3)]
-    sent = [q for q in loads if engines_of(harness.decisions(), q) or q.attempts]
-    assert len(sent) == 1 and len(harness.router.queues.blocked_bulk_loads[4]) == 2
-    harness.router.on_attempt_ended(100, AttemptEnded(sent[0].id, 0, AttemptResult.SERVED, True, 100))
-    assert engines_of(harness.decisions(100), *loads)
+    loads = [harness.add_query(LOAD, table_group=4) for _ in range(3)]
+    sent = [q for q in loads if engines_of(harness.take_decisions(), q) or q.attempts]
+    assert len(sent) == 1 and len(harness.scheduler.queues.blocked_bulk_loads[4]) == 2
+    harness.scheduler.on_attempt_ended(100, AttemptEnded(sent[0].id, 0, AttemptResult.SERVED, True, 100))
+    assert engines_of(harness.take_decisions(100), *loads)
 
 
 def test_bulk_load_that_can_not_start_in_time_behind_others_is_rejected_at_once(harness):
     harness.list_engines(1, 2, 3, 4)
-    loads = [harness.arrive(LOAD, table_group=4, cost=2 * SECOND, deadline=60 * SECOND) for _ in range(9)]
-    rejected = [d.query for d in harness.decisions() if isinstance(d, Reject)]
+    loads = [harness.add_query(LOAD, table_group=4, cost=2 * SECOND, deadline=60 * SECOND) for _ in range(9)]
+    rejected = [d.query for d in harness.take_decisions() if isinstance(d, Reject)]
     assert loads[-1].id in rejected and loads[0].id not in rejected
 
 
@@ -327,43 +341,45 @@
     for me in range(2):
         harness = make_harness(me=me)
         harness.list_engines(1, 2, 3, 4)
-        (e,) = harness.router.placement.filter_by_half(
-            list(harness.router.engines.values()), harness.arrive(LOAD, table_group=4)
+        (e,) = harness.scheduler.placement.filter_by_half(
+            list(harness.scheduler.engines.values()), harness.add_query(LOAD, table_group=4)
         )
         load_engines.add(e.id)
     assert len(load_engines) == 2
 
 
 def test_ordered_query_whose_turn_comes_too_late_is_rejected_before_its_deadline(harness):
-    harness.arrive(LOAD, ordering_key="k", deadline=60 * SECOND)
-    late = harness.arrive(LOAD, ordering_key="k", deadline=60 * SECOND)
-    harness.decisions()
+    harness.add_query(LOAD, ordering_key="k", deadline=60 * SECOND)
+    late = harness.add_query(LOAD, ordering_key="k", deadline=60 * SECOND)
+    harness.take_decisions()
     assert late.id in [
         d.query
-        for d in harness.decisions(harness.router.load.latest_start(harness.router.now, late) + 1)
+        for d in harness.take_decisions(harness.scheduler.load.latest_start(harness.scheduler.now, late) + 1)
         if isinstance(d, Reject)
     ]
-    assert late not in harness.router.queues.keys["k"].queries
+    assert late not in harness.scheduler.queues.keys["k"].queries
 
 
 def test_shutdown_brings_every_deadline_forward(harness):
-    q = harness.arrive(REPORT, deadline=60 * SECOND)
-    harness.decisions()
-    harness.router.on_shutdown(0, SECOND)
+    q = harness.add_query(REPORT, deadline=60 * SECOND)
+    harness.take_decisions()
+    harness.scheduler.on_shutdown(0, SECOND)
     assert q.id in [
-        d.query for d in harness.decisions(SECOND - harness.router.answer_margin) if isinstance(d, Reject)
+        d.query
+        for d in harness.take_decisions(SECOND - harness.scheduler.answer_margin)
+        if isinstance(d, Reject)
     ]
 
 
 def test_query_that_holds_a_session_too_long_for_its_weight_is_rejected_when_few_are_free(make_harness):
     harness = make_harness(sessions=10)
-    lookup, load = harness.arrive(LOOKUP), harness.arrive(LOAD)
-    harness.router.admission.mean_elapsed_per_weight = lookup.group.mean_elapsed = 2000
+    lookup, load = harness.add_query(LOOKUP), harness.add_query(LOAD)
+    harness.scheduler.admission.mean_elapsed_per_weight = lookup.group.mean_elapsed = 2000
     load.group.mean_elapsed = 40_000
-    assert not harness.router.admission.is_too_heavy(harness.router.now, load)
+    assert not harness.scheduler.admission.is_too_heavy(harness.scheduler.now, load)
     for _ in range(7):
-        harness.arrive(LOOKUP)
-    assert [harness.router.admission.is_too_heavy(harness.router.now, q) for q in (lookup, load)] == [
+        harness.add_query(LOOKUP)
+    assert [harness.scheduler.admission.is_too_heavy(harness.scheduler.now, q) for q in (lookup, load)] == [
         False,
         True,
     ]
@@ -371,28 +387,28 @@
 
 def test_pressure_counts_own_attempts_once(harness):
     """A report includes own attempts; attempts sent later replace those that have ended since."""
-    router = harness.router
-    router.on_subset(0, frozenset(router.engines))
-    for e in router.engines.values():
-        router.load.read_report(router.now, e, {"util": 1.4})
-    q = harness.arrive(REPORT, cost=3000)
-    assert not router.admission.is_too_heavy(router.now, q)
-    for engine in router.engines:
+    scheduler = harness.scheduler
+    scheduler.on_subset(0, frozenset(scheduler.engines))
+    for e in scheduler.engines.values():
+        scheduler.load.read_report(scheduler.now, e, {"util": 1.4})
+    q = harness.add_query(REPORT, cost=3000)
+    assert not scheduler.admission.is_too_heavy(scheduler.now, q)
+    for engine in scheduler.engines:
         for _ in range(4):
-            harness.attempted(REPORT, engine, cost=3000)
+            harness.add_attempted_query(REPORT, engine, cost=3000)
     assert [
-        router.load.estimated_threads(router.now, e) > 1.9 * e.cores for e in router.engines.values()
+        scheduler.load.estimated_threads(scheduler.now, e) > 1.9 * e.cores for e in scheduler.engines.values()
     ] == [True] * 3
-    assert not router.admission.is_too_heavy(router.now, q)
+    assert not scheduler.admission.is_too_heavy(scheduler.now, q)
 
 
 def test_pressure_is_at_least_the_load_of_own_attempts(harness):
-    router = harness.router
-    router.on_subset(0, frozenset(router.engines))
-    for e in router.engines.values():
-        router.load.read_report(router.now, e, {"util": 0.5})
-    q = harness.arrive(REPORT, cost=3000)
-    assert not router.admission.is_too_heavy(router.now, q)
-    for e in router.engines.values():
-        harness.fill(e, attempts=6)
-    assert router.admission.is_too_heavy(router.now, q)
+    scheduler = harness.scheduler
+    scheduler.on_subset(0, frozenset(scheduler.engines))
+    for e in scheduler.engines.values():
+        scheduler.load.read_report(scheduler.now, e, {"util": 0.5})
+    q = harness.add_query(REPORT, cost=3000)
+    assert not scheduler.admission.is_too_heavy(scheduler.now, q)
+    for e in scheduler.engines.values():
+        harness.add_load(e, attempts=6)
+    assert scheduler.admission.is_too_heavy(scheduler.now, q)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -4,10 +4,10 @@
 
 import anyio
 import pytest
-from rounds_by_hand import Kept, Rig
+from rounds_by_hand import RecordingLog, RouterHarness
 
 from hillchute.errors import ConfigurationError
-from hillchute.fronts.events import FIRST_CALL, FIRST_GUEST
+from hillchute.fronts.events import FIRST_FLIGHT_SESSION, FIRST_FORWARDED_SESSION
 from hillchute.router import config
 from hillchute.router.alarm import Alarm
 from hillchute.router.effects import EndClaim, RejectQuery, WriteLog
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def rig():
-    rig = Rig()
+    rig = RouterHarness()
     yield rig
     rig.close()
 
@@ -81,7 +81,7 @@
 
 def test_exception_in_one_effect_is_logged_and_the_others_are_carried_out(rig, monkeypatch):
     end_claim = EndClaim("id", 1, None, None)  # fails: there is no extension
-    effects = [end_claim, RejectQuery(FIRST_GUEST, 0), WriteLog("answers", {"open": 0})]
+    effects = [end_claim, RejectQuery(FIRST_FORWARDED_SESSION, 0), WriteLog("answers", {"open": 0})]
     monkeypatch.setattr(rig.service.reducer, "reduce", lambda event, now: effects)
     rig.log.lines.clear()
     rig.service.handle(AlarmDue())
@@ -91,19 +91,23 @@
 
 def test_session_number_selects_the_frontend(rig, monkeypatch):
     executor = rig.service.executor
-    assert executor.frontend_of(FIRST_CALL - 1) is rig.service.door
+    assert executor.frontend_of(FIRST_FLIGHT_SESSION - 1) is rig.service.mysql_frontend
     monkeypatch.setattr(executor, "flight", "flight")
     monkeypatch.setattr(executor, "extension", SimpleNamespace(forwarded_queries="forwarded"))
-    assert executor.frontend_of(FIRST_CALL - 1) is rig.service.door
-    assert executor.frontend_of(FIRST_CALL) == executor.frontend_of(FIRST_GUEST - 1) == "flight"
-    assert executor.frontend_of(FIRST_GUEST) == "forwarded"
+    assert executor.frontend_of(FIRST_FLIGHT_SESSION - 1) is rig.service.mysql_frontend
+    assert (
+        executor.frontend_of(FIRST_FLIGHT_SESSION)
+        == executor.frontend_of(FIRST_FORWARDED_SESSION - 1)
+        == "flight"
+    )
+    assert executor.frontend_of(FIRST_FORWARDED_SESSION) == "forwarded"
 
 
 def test_trace_is_written_with_the_first_fault_of_a_second():
-    now, log, trace = [NOW], Kept(), EventTrace()
+    now, log, trace = [NOW], RecordingLog(), EventTrace()
     faults = FaultLog(log, trace, lambda: now[0])
     for number in range(EVENTS_BEFORE_FAULT + 1):
-        trace.record(NOW, ("Left", number))
+        trace.record(NOW, ("ClientGone", number))
 
     def fail():
         try:
@@ -113,7 +117,7 @@
 
     fail()
     events = [entry for event, fields in log.lines if event == "trace" for entry in fields["events"]]
-    assert len(events) == EVENTS_BEFORE_FAULT and events[-1] == [0, "Left", EVENTS_BEFORE_FAULT]
+    assert len(events) == EVENTS_BEFORE_FAULT and events[-1] == [0, "ClientGone", EVENTS_BEFORE_FAULT]
     (fault,) = log.faults()
     assert fault["what"] == "send" and "no number" in fault["reason"] and "in fail" in fault["trace"]
     lines = len(log.lines)
@@ -134,7 +138,7 @@
     def __init__(self):
         self.applied = []
 
-    def renew(self, settings):
+    def reload_settings(self, settings):
         self.applied.append(settings)
         return ["listen"]
 
@@ -147,7 +151,7 @@
     """A reload with the given operator files, its log lines and the event bus addresses that it watched."""
 
     def __init__(self, rig, monkeypatch, running, read, flight=None, extension=None):
-        self.log, self.watched, service = Kept(), [], rig.service
+        self.log, self.watched, service = RecordingLog(), [], rig.service
         self.reloader = ConfigurationReloader(
             configuration=rig.configuration,
             operator_file=OperatorFile(running, read),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from rounds_by_hand import LOGIN, Rig, query
+from rounds_by_hand import LOGIN, RouterHarness, query
 
 from hillchute.discovery import event_bus
 from hillchute.discovery.event_bus import ENDPOINT_RECORD, FRAME_HEADER
@@ -20,7 +20,7 @@
 
 def changed(path, value):
     """Returns the toy deployment with one key of its settings changed, or removed if the value is None."""
-    table = copy.deepcopy(deployment.table())
+    table = copy.deepcopy(deployment.make_configuration())
     item = table["settings"]
     *parents, last = path.replace("[", ".").replace("]", "").split(".")
     for part in parents:
@@ -99,10 +99,10 @@
     ],
 )
 def test_router_serves_with_optional_settings_absent_or_extreme(path, value):
-    rig = Rig(table=changed(path, value))
+    rig = RouterHarness(table=changed(path, value))
     try:
-        client = rig.client(LOGIN + query(1))
-        rig.until(lambda: client.answers())
+        client = rig.connect_client(LOGIN + query(1))
+        rig.run_until(lambda: client.answers())
         assert client.answers() == ["served"]
     finally:
         rig.close()
@@ -110,14 +110,14 @@
 
 @pytest.mark.parametrize("effect", ["repeatable", "by_key", "once"])
 def test_router_serves_with_classes_of_a_single_effect(effect):
-    table = deployment.table()
+    table = deployment.make_configuration()
     for kind in table["settings"]["classes"]:
         kind["semantics"] = effect
         kind.pop("keep_order", None)
-    rig = Rig(table=table)
+    rig = RouterHarness(table=table)
     try:
-        client = rig.client(LOGIN + query(1, nonce="01"))
-        rig.until(lambda: client.answers())
+        client = rig.connect_client(LOGIN + query(1, nonce="01"))
+        rig.run_until(lambda: client.answers())
         assert client.answers() == ["served"]
     finally:
         rig.close()
@@ -129,7 +129,7 @@
         ENDPOINT_RECORD.pack(n, bytes((127, 0, 0, 1)), 9, 0, 0, 0, 0, 1000, 0) for n in range(count)
     )
     (update,) = event_bus.WatchEventDecoder().feed(FRAME_HEADER.pack(9 + len(body), 1, 1) + body)
-    rig = Rig()
+    rig = RouterHarness()
     rig.service.endpoint_updates.on_watch_event(update._replace(offset=2))
     assert len(rig.service.reducer.scheduler.engines) == count and not rig.log.faults()
     rig.close()
@@ -172,7 +172,7 @@
 
 
 def drawn_table(drawn):
-    table = deployment.table(sockets=128)
+    table = deployment.make_configuration(sockets=128)
     count, kinds = len(drawn["classes"]), len(drawn["kinds"])
     table["settings"] |= {"classes": drawn["classes"], "n_instances": drawn["n_instances"]}
     table["settings"]["kinds"] = drawn["kinds"]
@@ -197,30 +197,30 @@
 @given(deployments)
 def test_rules_hold_for_any_valid_settings(drawn):
     """Sends two queries of each class; the connections to the engine break before it answers any of them."""
-    rig = Rig(table=drawn_table(drawn))
+    rig = RouterHarness(table=drawn_table(drawn))
     try:
-        rig.serving = False
+        rig.answers_at_once = False
         clients = {}
         for n, kind in enumerate(drawn["classes"]):
             patience = kind["deadline_ns"] // MS
             for number in (2 * n + 1, 2 * n + 2):
                 fields = {"patience": patience, "nonce": f"{number:02x}", "entity": "ab"}
-                clients[number] = kind, rig.client(LOGIN + query(number, kind["name"], **fields))
-        rig.turn(20)
-        for talk in rig.talks:
-            talk.close()
-        broken = set(rig.wants)
-        rig.serving = True
+                clients[number] = kind, rig.connect_client(LOGIN + query(number, kind["name"], **fields))
+        rig.run_rounds(20)
+        for connection in rig.engine_connections:
+            connection.close()
+        broken = set(rig.received_attempts)
+        rig.answers_at_once = True
         # The router's clock advances by 20 ms a round, so that no deadline is waited for in real time.
         end = rig.clock() + max(kind["deadline_ns"] for kind in drawn["classes"]) // 100_000 + 500
         while rig.clock() < end and not all(client.answers() for _, client in clients.values()):
-            rig.turn()
-            rig.service.door.sweep()
-            rig.pass_time(0.02)
+            rig.run_rounds()
+            rig.service.mysql_frontend.sweep()
+            rig.advance_clock(0.02)
         for number, (kind, client) in clients.items():
             (answer,) = client.answers()  # exactly one final answer
             assert answer in ("served", REFUSED[0], FAILED[0])
-            attempts = rig.wants.count(f"{number:016x}")
+            attempts = rig.received_attempts.count(f"{number:016x}")
             assert attempts <= drawn["tries"]
             if kind["semantics"] == "once" and f"{number:016x}" in broken:
                 assert attempts == 1 and answer == FAILED[0]  # it may have run: no retry, no rejection
--- a/tests/test_settings_value.py
+++ b/tests/test_settings_value.py
@@ -116,7 +116,7 @@
         {"groups.count": 3, "domain.width_by_group": [1, 4], "domain.group_load": True, "groups.2.runs_in": 5}
     )
     assert [group.threads for group in settings.groups] == [1, 4, 1]
-    assert [group.is_load for group in settings.groups] == [True, False, False]
+    assert [group.is_bulk_load for group in settings.groups] == [True, False, False]
     assert [group.zones for group in settings.groups] == [None, None, frozenset({5})]
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -171,20 +171,20 @@
     """All engines are ejected for a while; afterwards all waiting queries could be sent at once."""
     harness = make_harness(n_instances=1)
     harness.list_engines(1, 2, 3, started=1)
-    for e in harness.router.engines.values():
+    for e in harness.scheduler.engines.values():
         e.ejected_until = 4 * BUDGET_WINDOW
     waiting = [
-        harness.arrive(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND)
+        harness.add_query(LOOKUP, now=1 + n * 100, cost=300, deadline=30 * SECOND)
         for n in range(4 * BUDGET_WINDOW // 100)
     ]
-    harness.decisions(4 * BUDGET_WINDOW - 1)
+    harness.take_decisions(4 * BUDGET_WINDOW - 1)
     drawn = sum(q.permit_engine is not None for q in waiting)
     sendable = [
         q
         for q in waiting
         if any(
-            harness.router.placement.is_eligible(harness.router.now, e, q)
-            for e in harness.router.engines.values()
+            harness.scheduler.placement.is_eligible(harness.scheduler.now, e, q)
+            for e in harness.scheduler.engines.values()
         )
     ]
     assert drawn > 2 * len(sendable) > 0
