--- a/hillchute/decision/admission.py
+++ b/hillchute/decision/admission.py
@@ -9,8 +9,8 @@
 from hillchute.settings import Settings, TenantSettings
 
 MAX_LOOP_LAG: Time = 100 * MILLISECOND  # limit of event loop lag; every answer has at least this margin
-# A tenant is over its share from this multiple of its fraction of the traffic on: more than random variation.
-# The pressure on its queries is multiplied by the same factor.
+# A tenant is over its share above this multiple of its fraction of the traffic; a smaller excess may be
+# random variation. The pressure on its queries is multiplied by the same factor.
 OVER_SHARE_FACTOR = 1.25
 # Pressure (slowdown, or threads per core) at which every query heavier than the mean is rejected.
 SHEDDING_PRESSURE = 2.4
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -30,9 +30,8 @@
     threads: int = 0  # used by this router's open attempts
     attempts_memory_mb: float = 0.0  # used by this router's open attempts
     open_attempts: int = 0
-    running_bulk_loads: list[int | None] = field(
-        default_factory=list
-    )  # table groups of this router's bulk loads
+    # Table groups of this router's bulk loads.
+    running_bulk_loads: list[int | None] = field(default_factory=list)
     # Attempts that the last report may not include: time sent, threads, memory.
     unreported: deque[tuple[Time, int, float]] = field(default_factory=deque)
     unreported_threads: int = 0  # sums over `unreported`
@@ -61,7 +60,7 @@
         return self.cores * (self.warm_up_initial_share + warmed)
 
     def update(self, listing: Listing, settings: Settings) -> None:
-        """Takes over an entry of the endpoint list for this engine."""
+        """Applies an entry of the endpoint list to this engine."""
         self.kind = listing.kind
         self.cell = listing.cell
         self.zone = listing.zone
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -44,9 +44,8 @@
         self.placement = placement
         self.admission = admission
         self.planned = planned
-        self.credit = float(
-            len(settings.groups)
-        )  # periodic checks that may be sent; checks for queries are deducted too
+        # Periodic checks that may be sent; checks for queries are deducted too.
+        self.credit = float(len(settings.groups))
         self.credit_per_query = PERIODIC_CHECK_COST_SHARE / (self.cost or PERIODIC_CHECK_COST_SHARE)
         self.next_check: Time = 0
 
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -86,7 +86,7 @@
 
     id: QueryId
     group: int  # number of its resource group in the settings
-    deadline: Time  # the client times out then
+    deadline: Time  # the client must have its answer by then
     table_group: int | None = None
     tenant: int = 0
     cost: Time | None = None  # estimated core time; None where there is no estimate
@@ -115,7 +115,7 @@
 
     warm_up: float | None = None  # share of the light queries that are sent to warming engines
     tenants: Mapping[int, float] = field(default_factory=dict)  # shares of the tenants' quotas, by tenant
-    health_checks: float = 1  # most health checks per query
+    health_checks: float = 1  # maximum number of health checks per query
     # With partners: the inverse of this router's share of the pool. None: the number of routers is used.
     pool_routers: float | None = None
     excluded_engines: frozenset[EngineId] = frozenset()  # warming engines that must not get more queries now
@@ -217,7 +217,7 @@
         """All known engines, by id; callers must not change them."""
 
     def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
-        """Takes the endpoint list or a change of it."""
+        """Handles the endpoint list or a change of it."""
 
     def on_subset(
         self,
@@ -226,7 +226,7 @@
         routers: int | None = None,
         shares: FleetShares | None = None,
     ) -> None:
-        """Takes the preferred engines (subsetting), the number of live routers and this router's shares.
+        """Sets the preferred engines (subsetting), the number of live routers and this router's shares.
 
         None keeps the previous value.
         """
@@ -238,39 +238,39 @@
         """
 
     def on_query(self, now: Time, query: NewQuery) -> None:
-        """Takes an admitted query."""
+        """Handles an admitted query."""
 
     def on_attempt_ended(self, now: Time, ended: AttemptEnded) -> None:
-        """Takes the end of an attempt; an unknown attempt or one that has already ended is ignored."""
+        """Handles the end of an attempt; an unknown attempt or one that has already ended is ignored."""
 
     def on_health_check(
         self, now: Time, engine: EngineId, result: AttemptResult, report: Report | None
     ) -> None:
-        """Takes the result of a health check of this router."""
+        """Handles the result of a health check of this router."""
 
     def on_load_report(self, now: Time, engine: EngineId, report: Report, age: Time) -> None:
-        """Takes a load report of this age that another router relayed; one older than the last is ignored."""
+        """Handles a load report of this age relayed by another router; one older than the last is ignored."""
 
     def on_fleet_changed(self, now: Time) -> None:
-        """Takes note that other routers' observations, liveness or quota leases may have changed.
+        """Called when other routers' observations, liveness or quota leases may have changed.
 
         A scheduler without peers ignores it.
         """
 
     def on_progress(self, now: Time, query: QueryId, attempt: int, topic: int, value: float) -> None:
-        """Takes an engine's progress report on an attempt."""
+        """Handles an engine's progress report on an attempt."""
 
     def on_stream_started(self, now: Time, query: QueryId) -> None:
-        """Takes note of the first part of a streamed result: the query is no longer retried or rejected."""
+        """Handles the first part of a streamed result: the query is no longer retried or rejected."""
 
     def on_client_left(self, now: Time, query: QueryId) -> None:
-        """Takes note that no client waits for the query any more."""
+        """Called when no client waits for the query any more."""
 
     def on_shutdown(self, now: Time, deadline: Time) -> None:
-        """Takes note that this router shuts down: every query is answered by the deadline."""
+        """Handles the shutdown of this router: every query is answered by the deadline."""
 
     def on_timer(self, now: Time, name: str) -> None:
-        """Takes note that the timer of a `SetTimer` has expired."""
+        """Handles the expiry of a `SetTimer`."""
 
     def next_decision(self, now: Time) -> Decision | None:
         """Returns the next decision, or None if there is nothing to decide at this time."""
--- a/hillchute/decision/load_estimation.py
+++ b/hillchute/decision/load_estimation.py
@@ -144,11 +144,11 @@
         """
         own = self.mean_own_threads
         routers = self.pool.routers
-        part: float = routers
+        total_to_own: float = routers
         if self.reports_count_queries and own:
-            part = (self.mean_load or 0.0) * engine.cores / own
+            total_to_own = (self.mean_load or 0.0) * engine.cores / own
         confidence = own / (own + HALF_CONFIDENCE_THREADS) if own else 1
-        others = (min(routers, part) - 1) * confidence
+        others = (min(routers, total_to_own) - 1) * confidence
         return max(self.estimated_threads(now, engine), engine.threads * (1 + max(0.0, others)))
 
     def is_lightly_loaded(self, now: Time, engine: EngineState) -> bool:
--- a/hillchute/decision/placement.py
+++ b/hillchute/decision/placement.py
@@ -49,7 +49,7 @@
         return self.retries.may_attempt(now, query) and self.is_eligible(now, engine, query)
 
     def is_eligible(self, now: Time, engine: EngineState, query: QueryState) -> bool:
-        """Returns whether the engine is ready, allowed for the group and, if it warms up, open by permit."""
+        """Returns whether the engine is ready and may run the query, by permit only during its warm-up."""
         group = query.group.settings
         if not engine.ready:
             return False
--- a/hillchute/decision/query_state.py
+++ b/hillchute/decision/query_state.py
@@ -65,7 +65,7 @@
     ordering_key: str | None
     threads: int  # used on its engine
     stage: QueryStage = QueryStage.ADMITTED
-    queue: "deque[QueryState] | None" = None  # that it waits in while `stage` is one of WAITING
+    queue: "deque[QueryState] | None" = None  # the one it waits in while `stage` is in WAITING
     attempts: list[Attempt] = field(default_factory=list)
     first_run: Attempt | None = None  # the first attempt that the engine may have run
     errors: int = 0
--- a/hillchute/decision/slow_start.py
+++ b/hillchute/decision/slow_start.py
@@ -58,16 +58,16 @@
 
         The engine is the one with the most credit. `share` is this router's share of the budget.
         """
-        found = None
-        most = 0.0
+        best_engine = None
+        most_credit = 0.0
         for engine in engines:
             credit = self.credit(now, engine, share)
-            if credit.work >= most:
-                found = engine.id
-                most = credit.work
-        if found is not None:
-            self.credits[found].work -= work
-        return found
+            if credit.work >= most_credit:
+                best_engine = engine.id
+                most_credit = credit.work
+        if best_engine is not None:
+            self.credits[best_engine].work -= work
+        return best_engine
 
     def credit(self, now: Time, engine: EngineState, share: float) -> Credit:
         """Returns the present credit for an engine; unused permits expire."""
@@ -112,10 +112,10 @@
         self.permits = PermitLedger(warm_up.budget_window, random_fraction)
 
     def draw_permit(self, now: Time, query: QueryState) -> None:
-        """Draws the one warming engine that is open to a query; called each time that the query is queued.
+        """Draws a permit for one warming engine, if any is available; called each time the query is queued.
 
-        Guards warming engines against the total of all routers, also when all routers learn of an engine at
-        once, restart, have a burst after a quiet time, or have a share of less than one query.
+        Guards warming engines against the total load from all routers, also when all routers learn of an
+        engine at once, restart, have a burst after a quiet time, or have a share of less than one query.
         """
         query.permit_engine = None
         query.permit_at = now
--- a/hillchute/decision/teams.py
+++ b/hillchute/decision/teams.py
@@ -112,16 +112,16 @@
         threads = query.threads
         thread_limit = limit_factor * THREADS_PER_CORE * engine.usable_cores(now)
         free = thread_limit - self.load.total_threads(now, engine)
-        least = 1
+        min_slots = 1
         if now < engine.under_pressure_until:
             # With partners, by the agreed shares of the pool; otherwise equally.
             pool_routers = self.pool.shares.pool_routers
             share = thread_limit / (self.pool.routers if pool_routers is None else pool_routers)
             # With many routers, the share of each may be less than one query: each then gets one at random.
-            least = int(hash_fraction(f"{query.id}:{engine.id}") < share / threads)
-            free = min(free, max(threads, share) - engine.threads) * least
+            min_slots = int(hash_fraction(f"{query.id}:{engine.id}") < share / threads)
+            free = min(free, max(threads, share) - engine.threads) * min_slots
         slots = min(int(free // threads), self._memory_slots(now, engine, query))
-        return int(max(0, slots, least * int(not engine.open_attempts)))
+        return int(max(0, slots, min_slots * int(not engine.open_attempts)))
 
     def _memory_slots(self, now: Time, engine: EngineState, query: QueryState) -> float:
         """Returns how many queries like this one the engine has memory for."""
--- a/hillchute/router/answer_log.py
+++ b/hillchute/router/answer_log.py
@@ -13,7 +13,7 @@
 def outcome_text(outcome: QueryOutcome, reason: str) -> str:
     """Returns the outcome as it is counted, followed by the reason for it if there is one.
 
-    A Reason is written by its member name: its value is the text for clients and simulation results.
+    A Reason is written by its member name: its value is the text for simulation results.
     """
     if not reason:
         return outcome
@@ -57,7 +57,9 @@
         active = [
             endpoints[engine] for engine in endpoints if self.pool.is_active(engine, now - LOG_INTERVAL)
         ]
-        described = {event_bus.engine_name(known.engine): self.pool.describe(known) for known in active}
+        described = {
+            event_bus.engine_name(endpoint.engine): self.pool.describe(endpoint) for endpoint in active
+        }
         self.context.log("engines", listed=len(endpoints), **described)
         self.counts.clear()
         self.logged_at = now
--- a/hillchute/router/attempts.py
+++ b/hillchute/router/attempts.py
@@ -100,8 +100,8 @@
             if attempt.connection is None or not attempt.sent:
                 continue
             if not attempt.ended and attempt.completion is None:
-                hurry = words.SetPriority(query.request.id, priority)
-                self.context.emit(SendCommand(attempt.connection.number, hurry))
+                command = words.SetPriority(query.request.id, priority)
+                self.context.emit(SendCommand(attempt.connection.number, command))
 
     # ---- ends of attempts -------------------------------------------------------------------------
 
@@ -130,8 +130,8 @@
             if attempt.stream is not None:
                 self.end(attempt, AttemptResult.TIMED_OUT, cancel_run=True)
             elif attempt.completion is not None and attempt.connection is not None:
-                unwanted = words.DiscardResult(query.request.id)
-                self.context.emit(SendCommand(attempt.connection.number, unwanted))
+                command = words.DiscardResult(query.request.id)
+                self.context.emit(SendCommand(attempt.connection.number, command))
                 self.end(attempt, AttemptResult.SERVED)
 
     def end_streams(self, query: QueryState) -> None:
--- a/hillchute/router/event_loop.py
+++ b/hillchute/router/event_loop.py
@@ -49,9 +49,8 @@
 
     poller: Poller
     mysql_frontend: MysqlFrontend
-    line_links: (
-        LineConnections | None
-    )  # None if engines speak another protocol, whose sockets are not in the poller
+    # None if engines speak another protocol, whose sockets are not in the poller.
+    line_links: LineConnections | None
     rounds: RoundSchedule
     loop_lag: LoopLag
     alarm: Alarm
--- a/hillchute/router/events.py
+++ b/hillchute/router/events.py
@@ -21,7 +21,7 @@
 
 
 class PeersChanged(NamedTuple):
-    """Load reports came from other routers, each with its age, or the live routers or their loans changed."""
+    """Other routers relayed load reports (each with its age), or the live routers or quota leases changed."""
 
     reports: list[tuple[EngineId, Report, Time]]
 
--- a/hillchute/router/graceful_shutdown.py
+++ b/hillchute/router/graceful_shutdown.py
@@ -62,7 +62,7 @@
         self.event_loop.round()
         activity = self._client_activity()
         if self.schedule.sessions_closed_at is None and self.schedule.may_close_sessions(activity):
-            # Connections in the backlog are accepted and read; if they have queries, closing is put off.
+            # Connections in the backlog are accepted and read; if they have queries, closing is postponed.
             self.mysql_frontend.accept(LISTEN_BACKLOG)
             self.event_loop.round()
             activity = self._client_activity()
--- a/hillchute/router/integrations/fleet_scheduler.py
+++ b/hillchute/router/integrations/fleet_scheduler.py
@@ -1,9 +1,9 @@
 """The scheduler of a router with peers.
 
-Wraps `QueryScheduler`: reports the router's own observations to the fleet view, and applies to the scheduler
-what follows from other routers' observations, including the engines that those close. Makes no scheduling
-decision of its own and performs no I/O. Times passed in by the router are on its own clock; the fleet view
-uses another clock, which never jumps. Both count tenths of a millisecond.
+Wraps `QueryScheduler`: reports the router's own observations to the fleet view, and passes the resulting
+fleet state (subset, shares and closed engines) to the scheduler. Makes no scheduling decision of its own and
+performs no I/O. Times passed in by the router are on its own clock; the fleet view uses another clock, which
+never jumps. Both count tenths of a millisecond.
 """
 
 from collections.abc import Callable, Iterable, Mapping
--- a/hillchute/router/integrations/forwarded_queries.py
+++ b/hillchute/router/integrations/forwarded_queries.py
@@ -101,10 +101,10 @@
         """Answers with the rows of a served query."""
         self._answer(session, ForwardOutcome.SERVED, "", encode_rows(rows))
 
-    def reject(self, session: int, after: Time) -> None:
+    def reject(self, session: int, retry_after: Time) -> None:
         """Answers that the query was rejected without effect. The forwarding router chooses its own retry
         delay."""
-        del after
+        del retry_after
         self._answer(session, ForwardOutcome.REJECTED, "its owner's router turned it away")
 
     def fail(self, session: int, reason: str) -> None:
--- a/hillchute/router/integrations/interface.py
+++ b/hillchute/router/integrations/interface.py
@@ -20,9 +20,9 @@
     def finish(self, session: int, rows: Rows, /) -> None:
         """Answers with the complete rows of a served query."""
 
-    def reject(self, session: int, after: Time, /) -> None:
-        """Answers that the query was rejected without effect; the client may retry after `after` (0: not
-        stated)."""
+    def reject(self, session: int, retry_after: Time, /) -> None:
+        """Answers that the query was rejected without effect; the client may retry after `retry_after` (0:
+        not stated)."""
 
     def fail(self, session: int, reason: str, /) -> None:
         """Answers that the query failed; it may have run."""
--- a/hillchute/router/integrations/peers.py
+++ b/hillchute/router/integrations/peers.py
@@ -335,5 +335,5 @@
             self.log.write("peers_differ", **mismatch.log_fields)
         behind = self.node.dropped[DropReason.TO_LATER_GENERATION]
         if behind:
-            error = ClockBehindError(f"{behind} datagrams to a later generation of this one", self.node.name)
+            error = ClockBehindError(f"{behind} datagrams to a later router generation", self.node.name)
             self.log.write("peers_clock", **error.log_fields)
--- a/hillchute/router/loop_lag.py
+++ b/hillchute/router/loop_lag.py
@@ -9,8 +9,8 @@
 
 # 0.4 s: with CONNECT_DELAY, this leaves time for every answer if a saturated core first pauses for 0.6 s.
 MINIMUM_LAG: Time = 4_000
-# 0.25 s: a client's timeout starts before it connects, and one that found no free session has already waited
-# this long. Five runs of the scenario disco+crowd with a connect timeout of 250 ms gave 118 ms.
+# 0.25 s: a client's timeout starts before it connects, and a client that found no free session has already
+# waited this long. In five runs of the scenario disco+crowd with a connect timeout of 250 ms, it was 118 ms.
 CONNECT_DELAY: Time = 2_500
 DECAY_DIVISOR = 100  # the peak lag decays by a hundredth of the elapsed time
 WINDOW: Time = 1_000  # 0.1 s; if no query in it is taken at once, this is more than a burst or a pause
--- a/hillchute/router/reload.py
+++ b/hillchute/router/reload.py
@@ -70,8 +70,8 @@
         try:
             return self._apply(self.operator_file.read())
         except ValueError as error:
-            remedy = error.log_fields if isinstance(error, HillchuteError) else {}
-            self.log.write("reload", kept="the running operator file", reason=str(error), **remedy)
+            error_fields = error.log_fields if isinstance(error, HillchuteError) else {}
+            self.log.write("reload", kept="the running operator file", reason=str(error), **error_fields)
             return []
 
     def _apply(self, settings: OperatorSettings) -> list[str]:
--- a/hillchute/router/settings_validation.py
+++ b/hillchute/router/settings_validation.py
@@ -140,7 +140,7 @@
     """Checks the fields of one class."""
     name = item.get("name")
     if not isinstance(name, str) or not CLASS_NAME.fullmatch(name):
-        expected = "expected a name of 1 to 256 characters without control characters and ="
+        expected = "expected a name of 1 to 256 characters without control characters or ="
         raise ConfigurationError(f"{expected}, got {quoted(name)}", f"{path}.name")
     for rule in CLASS_NUMBERS:
         check_number(item, rule, path)
@@ -165,10 +165,10 @@
 
 def check_names(settings: Mapping[str, object], key: str, path: str) -> list[str]:
     """Checks and returns a list of names; returns an empty list if it is absent."""
-    found = settings.get(key, [])
-    if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
+    names = settings.get(key, [])
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ConfigurationError("expected a list of names", f"{path}.{key}")
-    return found
+    return names
 
 
 def check_number_list(table: Mapping[str, object], rule: NumberRule, path: str, count: int) -> None:
--- a/hillchute/router/shutdown.py
+++ b/hillchute/router/shutdown.py
@@ -27,9 +27,10 @@
 MIN_OPEN_TIME: Time = 7_000
 # 0.4 s after `answer_by` in which queries are answered at once; at most the longest client timeout.
 ANSWER_SLACK: Time = 4_000
-MIN_READ_TIME: Time = 2_000  # minimum time for clients to read the last answer and close their connections
-MAX_READ_TIME: Time = 3_000  # maximum time for this, before exit_by
-EXIT_TIME: Time = 1_000  # for tasks, sockets and the interpreter to finish
+# 0.2 s: minimum time for clients to read the last answer and close their connections.
+MIN_READ_TIME: Time = 2_000
+MAX_READ_TIME: Time = 3_000  # 0.3 s: maximum time for this, before exit_by
+EXIT_TIME: Time = 1_000  # 0.1 s for tasks, sockets and the interpreter to finish
 
 
 class ShutdownStep(Enum):
--- a/hillchute/settings.py
+++ b/hillchute/settings.py
@@ -325,5 +325,5 @@
 
 
 def _tenants(catalog: Catalog) -> dict[int, TenantSettings]:
-    numbers = {int(found[1]) for found in map(TENANT_KEY.match, catalog) if found}
+    numbers = {int(match[1]) for match in map(TENANT_KEY.match, catalog) if match}
     return {number: TenantSettings.read(catalog, f"parties.{number}.") for number in numbers}
