--- a/hillchute/coordination/codec.py
+++ b/hillchute/coordination/codec.py
@@ -65,8 +65,8 @@
 def invalid_fields(digest: Digest) -> Iterator[str]:
     """Names of the fields that are out of bounds; lengths are checked first, to bound the cost of the
     rest."""
-    for name, most in MAX_ENTRIES.items():
-        if len(getattr(digest, name)) > most:
+    for name, max_entries in MAX_ENTRIES.items():
+        if len(getattr(digest, name)) > max_entries:
             yield name
     for by_limit in (digest.demands, digest.lease_requests, digest.lease_grants):
         if any(not 0 < len(limit) <= MAX_LIMIT_NAME for limit in by_limit):
--- a/hillchute/coordination/fleet_view.py
+++ b/hillchute/coordination/fleet_view.py
@@ -40,7 +40,8 @@
 # Fraction of the work that overloads a warming engine: once all routers together are known to have sent it
 # this much, it gets no more for a while. The two sides of a partition together then reach at most all of it.
 MAX_WARM_UP_SHARE = 0.5
-CHECKS_PER_QUERY = 0.25  # beyond those of the engines that queries select: routers share the results
+# Health checks per query, beyond those of the engines that queries select: routers share the results.
+CHECKS_PER_QUERY = 0.25
 STATE_LIFETIME: Time = SECOND  # a fleet state is recomputed at least this often
 
 
--- a/hillchute/coordination/load_signals.py
+++ b/hillchute/coordination/load_signals.py
@@ -205,15 +205,15 @@
         MAX_DISTRUSTED_SHARE of all engines, with the most witnesses first."""
         candidates = [(self.count_drain_witnesses(engine), engine) for engine in self.engines]
         confirmed = [entry for entry in candidates if entry[0] >= WITNESSES_TO_CLOSE]
-        most = int(len(self.engines) * MAX_DISTRUSTED_SHARE)
-        return frozenset(engine for _, engine in sorted(confirmed, reverse=True)[:most])
+        max_closed = int(len(self.engines) * MAX_DISTRUSTED_SHARE)
+        return frozenset(engine for _, engine in sorted(confirmed, reverse=True)[:max_closed])
 
     def preferred_engines(self, now: Time, subset: frozenset[EngineId]) -> frozenset[EngineId]:
         """A subset without the distrusted engines, which are at most MAX_DISTRUSTED_SHARE of it. The
         scheduler falls back to those if no other engine can take a query."""
         doubts = [(self.doubt(now, engine), engine) for engine in subset]
-        most = int(len(subset) * MAX_DISTRUSTED_SHARE)
-        return subset - {engine for doubt, engine in sorted(doubts, reverse=True)[:most] if doubt}
+        max_excluded = int(len(subset) * MAX_DISTRUSTED_SHARE)
+        return subset - {engine for doubt, engine in sorted(doubts, reverse=True)[:max_excluded] if doubt}
 
     def doubt(self, now: Time, engine: EngineId) -> int:
         """The distrust of an engine: one for each failure witness, WITNESSES_TO_CLOSE for each drain
--- a/hillchute/coordination/own_observations.py
+++ b/hillchute/coordination/own_observations.py
@@ -59,12 +59,12 @@
         """Handles an event of the endpoint list: stores new drains and removes those that have ended."""
         for engine in closed - self.drains.keys():
             self.drains[engine] = KnownDrain(event_number, now)
-        over = [
+        ended = [
             engine
             for engine, drain in self.drains.items()
             if engine in ready or now - drain.received_at > DRAIN_RETENTION
         ]
-        for engine in over:
+        for engine in ended:
             del self.drains[engine]
 
     def keep_only(self, ready: frozenset[EngineId]) -> None:
--- a/hillchute/coordination/quota_leases.py
+++ b/hillchute/coordination/quota_leases.py
@@ -6,8 +6,8 @@
 A limit is divided into units, to which the routers that the operator names have equal entitlements. A quarter
 of an entitlement, the floor, is never lent, so that an isolated router still has it; the rest may be lent. A
 lease expires without a message: at the borrower one lease duration after it *requested* the lease, at the
-lender a twentieth later than that after it *granted* it. So no two routers use the same unit at any instant,
-whether messages are lost, delayed or repeated or the network is partitioned. Further invariants:
+lender one lease duration and a twentieth after it *granted* the lease. So no two routers use the same unit at
+any instant, whether messages are lost, delayed or repeated or the network is partitioned. Further invariants:
 
 - a router that starts does not know what it lent before: it uses only its floor until all of that has
   expired;
@@ -272,18 +272,19 @@
         offers = [
             (lendable_units(limit, name, own, demand), name) for name, demand in known[:LENDERS_COMPARED]
         ]
-        most, best = max(offers, default=(0, ""))
-        return best if most > MIN_RELATIVE_SHORTAGE * limit.requested else None
+        units, lender = max(offers, default=(0, ""))
+        return lender if units > MIN_RELATIVE_SHORTAGE * limit.requested else None
 
     def make_request(self, now: Time, limit_name: str, lender: str) -> LeaseMessage:
         """A request for the units that would give both routers the same share of their demand, if the
-        lender's is known. Units beyond the own demand are given up here, before the request is sent."""
+        lender's is known. Units of the lease that this router does not need are given up before the request
+        is sent."""
         self.request_number += 1
         limit = self.limits[limit_name]
         lease = limit.borrowed.get(lender)
-        held = lease.usable(now) if lease else 0
+        borrowed = lease.usable(now) if lease else 0
         own = limit.demand(now)
-        still_used = max(0, min(held, held - (own.usable - own.requested)))
+        still_used = max(0, min(borrowed, borrowed - (own.usable - own.requested)))
         entry = limit.demands.get(lender)
         more = 0
         if entry is not None and now - entry.received_at < DEMAND_LIFETIME:
@@ -342,8 +343,8 @@
     spare = limit.own_units(now) - limit.floor - limit.outstanding(now) + returned
     lender = Demand(limit.requested, limit.usable(now) + returned)
     without_lease = Demand(request.requested, request.usable - request.still_used)
-    due = lendable_units(limit, borrower, without_lease, lender)
-    return max(0, min(request.amount, due, spare, limit.entitlement // SINGLE_LEASE_DIVISOR))
+    lendable = lendable_units(limit, borrower, without_lease, lender)
+    return max(0, min(request.amount, lendable, spare, limit.entitlement // SINGLE_LEASE_DIVISOR))
 
 
 def lendable_units(limit: LimitState, other: str, borrower: Demand, lender: Demand) -> int:
--- a/hillchute/discovery/event_bus.py
+++ b/hillchute/discovery/event_bus.py
@@ -19,7 +19,8 @@
 SUBSCRIPTION = struct.Struct(">Q")  # offset of the last event that the subscriber has
 
 HEADER_BYTES_IN_LENGTH = FRAME_HEADER.size - 4  # the length field does not count itself
-MAX_PAYLOAD_BYTES = 27 * 100_000  # more than any fleet; bounds the buffer for a frame with a wrong length
+# 100,000 records of 27 bytes, more than any fleet has; bounds the buffer for a frame with a wrong length.
+MAX_PAYLOAD_BYTES = 27 * 100_000
 
 WEIGHT_PER_UNIT = 1000  # a record has its weight in thousandths
 TICKS_PER_MILLISECOND = 10  # `Time` counts tenths of a millisecond, the event bus milliseconds
--- a/hillchute/peers/failure_detector.py
+++ b/hillchute/peers/failure_detector.py
@@ -34,7 +34,7 @@
 WITNESSES_FOR_SHORTEST_SUSPICION = 3
 MAX_LOCAL_HEALTH = 8  # Lifeguard: maximum multiplier of time-outs while this router's own pings fail
 MAX_INCARNATION_AHEAD = 3_600_000  # milliseconds that an incarnation may be ahead of our clock
-DIRECT_CONTACT_PERIOD: Time = 2 * PROTOCOL_PERIOD  # within it after contact, rumours cause no suspicion
+DIRECT_CONTACT_PERIOD: Time = 2 * PROTOCOL_PERIOD  # for this long after contact rumours cause no suspicion
 NEVER: Time = -(10**12)
 
 LIVE_STATES = (PeerState.ALIVE, PeerState.SUSPECT)  # a suspect counts as alive
