--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -49,13 +49,13 @@
 
 
 def first_record_field_out_of_bounds(record: Record) -> str:
-    """Returns the same for a single record, as read from a stored file."""
+    """Returns the name of the first field out of bounds of a record read from a stored file; "" if valid."""
     return _first_field_out_of_bounds(record)
 
 
 def _first_field_out_of_bounds(struct: msgspec.Struct) -> str:
-    faults = (_check_field(name, getattr(struct, name)) for name in struct.__struct_fields__)
-    return next(filter(None, faults), "")
+    invalid = (_check_field(name, getattr(struct, name)) for name in struct.__struct_fields__)
+    return next(filter(None, invalid), "")
 
 
 def _check_field(name: str, value: object) -> str:
--- a/hillchute/history/durability.py
+++ b/hillchute/history/durability.py
@@ -48,13 +48,16 @@
         }
         self._records.unsaved = {}
         if self.durable_store is None:
-            self._records.unsaved = {each: record for each, record in wanted.items() if record is not None}
-        elif wanted and not self.durable_store.write(wanted, self._ages(wanted)):
+            self._records.unsaved = {
+                record_id: record for record_id, record in wanted.items() if record is not None
+            }
+        elif wanted and not self.durable_store.write(wanted, self._since(wanted)):
             self._records.unsaved = wanted
 
-    def _ages(self, ids: Iterable[RecordId]) -> dict[RecordId, Time]:
-        found = {record_id: self._records.find(*record_id) for record_id in ids}
-        return {record_id: retained.since for record_id, retained in found.items() if retained is not None}
+    def _since(self, ids: Iterable[RecordId]) -> dict[RecordId, Time]:
+        """Returns when each of these records was granted, without those that are no longer present."""
+        records = {record_id: self._records.find(*record_id) for record_id in ids}
+        return {record_id: retained.since for record_id, retained in records.items() if retained is not None}
 
     def mark_all_unsaved(self) -> None:
         """Marks all records for writing, or for removal from the store, as the changed policies require."""
@@ -65,7 +68,7 @@
             self._records.unsaved[record.id] = record if on_disk else None
 
     def restore(self, records: Iterable[tuple[Record, Time]]) -> None:
-        """Takes in the stored records, each with the Unix time when it was granted.
+        """Adds the stored records, each with the Unix time when it was granted.
 
         They answer retries but make no slot complete, as the file may lack later records.
         """
--- a/hillchute/history/lease_transfer.py
+++ b/hillchute/history/lease_transfer.py
@@ -77,8 +77,8 @@
         def is_earlier_running() -> bool:
             return lease is not None and self.is_earlier_running(customer, ordering_key, lease)
 
-        found = self._agreement.grant_refusal(self._context.now, sender, lease, is_earlier_running)
-        return ReasonedDecision(*found) if found is not None else None
+        refusal = self._agreement.grant_refusal(self._context.now, sender, lease, is_earlier_running)
+        return ReasonedDecision(*refusal) if refusal is not None else None
 
     def is_earlier_running(self, customer: str, ordering_key: str, lease: OwnershipLease) -> bool:
         """Whether a run of the key that was granted under an earlier lease may not have ended."""
--- a/hillchute/history/replica.py
+++ b/hillchute/history/replica.py
@@ -250,7 +250,7 @@
         self.context.views = new
 
     def restore(self, now: Time, records: Iterable[tuple[Record, Time]]) -> None:
-        """Takes in the records of the durable store, each with the Unix time when it was granted."""
+        """Adds the records of the durable store, each with the Unix time when it was granted."""
         self.context.now = now
         self.durability.restore(records)
 
--- a/hillchute/history/retention.py
+++ b/hillchute/history/retention.py
@@ -60,7 +60,7 @@
     number: int = 0
     copies: int = 2  # holders of a record in addition to the first
     erase_ms: int = 2000  # time limit for erasure from every live holder
-    founded: Time = 0  # Unix; a loss until FOUNDING_GRACE later lost no records
+    founded: Time = 0  # Unix time of the history's start; a loss up to FOUNDING_GRACE later lost no records
     default: RetentionPolicy = RetentionPolicy()
     customers: dict[str, RetentionPolicy] = {}
     erasure_requests: tuple[ErasureRequest, ...] = ()
--- a/hillchute/history/slot_transfer.py
+++ b/hillchute/history/slot_transfer.py
@@ -49,7 +49,7 @@
                 self.handle_redirect(sender, message)
 
     def on_view_adopted(self) -> None:
-        """Forgets the slots that were handed over in the previous view."""
+        """Clears the slots that were handed over in the previous view."""
         self.handed_over.clear()
 
     def tick(self) -> None:
--- a/hillchute/history/view_protocol.py
+++ b/hillchute/history/view_protocol.py
@@ -89,7 +89,8 @@
     def answer_request(self, now: Time, view_id: ViewId, adopted: ViewId = NO_VIEW_ID) -> Promise:
         """Returns a promise, or its refusal.
 
-        `adopted`: the view that the requester adopted last; of the same view only the id is returned.
+        `adopted`: the view that the requester adopted last. If this router adopted the same one, only its
+        id is reported.
         """
         given = view_id > self.highest and self.may_grant(now) and self.is_plausible(now, view_id)
         if given:
@@ -171,9 +172,9 @@
         return ProposerAction.SEND_HEARTBEATS if self.proposed else ProposerAction.NOTHING
 
     def _note_live_routers(self, now: Time, live_routers: Mapping[str, int]) -> None:
-        seen = frozenset(live_routers.items())
-        if seen != self.last_live:
-            self.last_live = seen
+        live = frozenset(live_routers.items())
+        if live != self.last_live:
+            self.last_live = live
             self.last_live_since = now
 
     def _drop_outdated_proposal(self, now: Time) -> None:
--- a/hillchute/history/views.py
+++ b/hillchute/history/views.py
@@ -11,9 +11,8 @@
 from hillchute.decision.interface import Time
 
 VIEW_LEASE: Time = 40_000  # of a view: four seconds, so that it outlasts the loss of three heartbeats
-MAX_CLOCK_DRIFT = (
-    0.01  # maximum relative drift between two monotonic clocks over one lease; quartz stays within 0.0001
-)
+# Maximum relative drift between two monotonic clocks over one lease; quartz stays within 0.0001.
+MAX_CLOCK_DRIFT = 0.01
 HEARTBEAT_INTERVAL: Time = 10_000  # one second between heartbeats of the coordinator
 
 
--- a/hillchute/operator/reading.py
+++ b/hillchute/operator/reading.py
@@ -32,8 +32,8 @@
 def parse_settings(text: str, name: str = "operator file") -> dict[str, object]:
     """Return the settings in a text, as `read` does; errors name the text by `name`."""
     settings = Validator(schema(), parse(text, name)).validate()
-    for n, user in enumerate((settings.get("flight") or {}).get("users", ())):
-        path = f"flight.users[{n}]"
+    for index, user in enumerate((settings.get("flight") or {}).get("users", ())):
+        path = f"flight.users[{index}]"
         if sum(key in user for key in ("password", "password_file", "token", "token_file")) != 1:
             raise OperatorFileError(
                 f"{name}: {path}: expected one of password, password_file, token, token_file"
@@ -50,8 +50,8 @@
 def validate_peers(peers: dict[str, object], name: str) -> None:
     """Check that names are unique, read keys from their files, and check that they are long enough."""
     names = {peers["name"]}
-    for n, other in enumerate(peers["others"]):
-        path = f"{name}: peers.others[{n}]"
+    for index, other in enumerate(peers["others"]):
+        path = f"{name}: peers.others[{index}]"
         if other["name"] in names:
             raise OperatorFileError(f"{path}.name: {other['name']} is listed twice")
         names.add(other["name"])
@@ -72,11 +72,13 @@
     if not settings.get("peers"):
         raise OperatorFileError(f"{name}: history: expected `peers`, which store it")
     names = [customer["name"] for customer in history["customers"]]
-    for n, customer in enumerate(names):
-        if customer in names[:n]:
-            raise OperatorFileError(f"{name}: history.customers[{n}].name: {customer} is listed twice")
+    for index, customer in enumerate(names):
+        if customer in names[:index]:
+            raise OperatorFileError(f"{name}: history.customers[{index}].name: {customer} is listed twice")
     policies = [("default", history["default"])]
-    policies += [(f"customers[{n}].policy", each["policy"]) for n, each in enumerate(history["customers"])]
+    policies += [
+        (f"customers[{index}].policy", each["policy"]) for index, each in enumerate(history["customers"])
+    ]
     for path, policy in policies:
         if policy["least_ms"] > policy["most_ms"]:
             raise OperatorFileError(f"{name}: history: {path}.least_ms: expected at most {path}.most_ms")
@@ -91,13 +93,13 @@
     if not settings.get("history"):
         raise OperatorFileError(f"{path}: expected `history`, whose routers store the owner of each slot")
     partner_of: dict[str, str] = {}
-    for n, member in enumerate(partners["members"]):
-        if member["name"] in [other["name"] for other in partners["members"][:n]]:
-            raise OperatorFileError(f"{path}.members[{n}].name: {member['name']} is listed twice")
+    for index, member in enumerate(partners["members"]):
+        if member["name"] in [other["name"] for other in partners["members"][:index]]:
+            raise OperatorFileError(f"{path}.members[{index}].name: {member['name']} is listed twice")
         for router in member["routers"]:
             if router in partner_of:
                 raise OperatorFileError(
-                    f"{path}.members[{n}].routers: {router} is {partner_of[router]}'s already"
+                    f"{path}.members[{index}].routers: {router} is {partner_of[router]}'s already"
                 )
             partner_of[router] = member["name"]
     peers = settings["peers"]
--- a/hillchute/operator/records.py
+++ b/hillchute/operator/records.py
@@ -316,9 +316,10 @@
                         f"expected {format_constraint(expected)}, got {format_constraint(given)}",
                     )
                     return None
-                at = f"{path}[{{}}]"
+                item_path = f"{path}[{{}}]"
                 return [
-                    self.validate_value(item, g, at.format(n), depth + 1) for n, g in enumerate(given.items)
+                    self.validate_value(item, given_item, item_path.format(index), depth + 1)
+                    for index, given_item in enumerate(given.items)
                 ]
             case Disjunction(parts):
                 return self.validate_disjunction(parts, expected, given, path, depth)
--- a/hillchute/partners/agreement_ledger.py
+++ b/hillchute/partners/agreement_ledger.py
@@ -44,12 +44,10 @@
         self.signatures: dict[bytes, dict[str, Signature]] = {}  # by digest, then by partner
         self.notices: dict[tuple[int, str], SignedNotice] = {}  # by agreement number and partner
         self.equivocations: dict[str, Equivocation] = {}  # by partner
-        self.fully_signed: dict[
-            int, Agreement
-        ] = {}  # by number: agreements signed by every partner that has a share in them
-        self.accepted: dict[
-            int, Agreement
-        ] = {}  # by number: fully signed agreements in which every partner has a share
+        # By number: agreements signed by every partner that has a share in them.
+        self.fully_signed: dict[int, Agreement] = {}
+        # By number: fully signed agreements in which every partner has a share.
+        self.accepted: dict[int, Agreement] = {}
 
     def set_partners(self, partners: Iterable[str], verify: Verify) -> None:
         """Replace the partners after a change of the operator file. Accepted agreements stay accepted."""
--- a/hillchute/partners/forwarding.py
+++ b/hillchute/partners/forwarding.py
@@ -36,12 +36,10 @@
 
 RETRANSMIT_AFTER: Time = 1_000  # 0.1 s, several round trips: the base of the retransmission interval
 MAX_DOUBLINGS = 4  # of the interval, which doubles with each transmission
-KEPT_AFTER_DEADLINE: Time = (
-    6_000_000  # ten minutes, in which a repeated message of an incoming query is recognised
-)
-RESULT_RETRIES_AFTER_DEADLINE: Time = (
-    20_000  # two seconds; by then the forwarding router has answered its client
-)
+# Ten minutes, in which a repeated message of an incoming query is recognised.
+KEPT_AFTER_DEADLINE: Time = 6_000_000
+# Two seconds; by then the forwarding router has answered its client.
+RESULT_RETRIES_AFTER_DEADLINE: Time = 20_000
 MAX_RESULT_BYTES = MAX_MESSAGE_BYTES - 4096  # of rows; the rest is for the other fields of the message
 MAX_REASON_LENGTH = 256  # characters
 
--- a/hillchute/partners/negotiation.py
+++ b/hillchute/partners/negotiation.py
@@ -202,8 +202,8 @@
             return
         self.proposal_error = None
         signed = (ledger.agreements.get(digest) for digest in signer.signed.values())
-        standing = [known for known in (latest, *signed) if known is not None]
-        if proposal.ends_at <= now or any(_is_redundant(proposal, known, latest) for known in standing):
+        existing = [known for known in (latest, *signed) if known is not None]
+        if proposal.ends_at <= now or any(_is_redundant(proposal, known, latest) for known in existing):
             return
         ledger.record_agreement(proposal)
 
--- a/hillchute/partners/slot_allocation.py
+++ b/hillchute/partners/slot_allocation.py
@@ -101,16 +101,16 @@
     """Move slots from the partner furthest above its share to the one furthest below, while both improve."""
     tolerance = LOAD_TOLERANCE * sum(load)
     for _ in range(SLOTS):
-        giver = max(excess, key=lambda name: (excess[name], name))
-        taker = _furthest_below(excess, shares)
-        if max(excess[giver], -excess[taker]) <= tolerance:
+        donor = max(excess, key=lambda name: (excess[name], name))
+        recipient = _furthest_below(excess, shares)
+        if max(excess[donor], -excess[recipient]) <= tolerance:
             return
-        slot = _best_slot_to_move(owners, load, giver, excess[giver], -excess[taker])
+        slot = _best_slot_to_move(owners, load, donor, excess[donor], -excess[recipient])
         if slot is None:
             return
-        owners[slot] = taker
-        excess[giver] -= load[slot]
-        excess[taker] += load[slot]
+        owners[slot] = recipient
+        excess[donor] -= load[slot]
+        excess[recipient] += load[slot]
 
 
 def _furthest_below(excess: Mapping[str, float], shares: Mapping[str, int]) -> str:
@@ -119,13 +119,13 @@
 
 
 def _best_slot_to_move(
-    owners: Sequence[str | None], load: Sequence[int], giver: str, surplus: float, deficit: float
+    owners: Sequence[str | None], load: Sequence[int], donor: str, surplus: float, deficit: float
 ) -> int | None:
-    """Return the giver's slot whose move reduces the larger of both deviations most; None if no move does."""
+    """Return the donor's slot whose move reduces the larger of both deviations most; None if no move does."""
     worst = max(surplus, deficit)
     best: tuple[float, int] | None = None
     for slot, owner in enumerate(owners):
-        if owner != giver or not load[slot]:
+        if owner != donor or not load[slot]:
             continue
         remaining = max(abs(surplus - load[slot]), abs(deficit - load[slot]))
         if remaining < worst and (best is None or (remaining, slot) < best):
