--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -113,7 +113,7 @@
             return members(value)
         except ValueError:
             shown = value[:MAX_SHOWN_CHARACTERS]
-            raise self.error(f"field {field} is not a word of the wire: {shown}") from None
+            raise self.error(f"field {field} has an unknown value: {shown}") from None
 
     def load_report(self, field: str) -> dict[str, float] | None:
         """The next field as a load report, values by column; None if absent."""
--- a/hillchute/cli/commands.py
+++ b/hillchute/cli/commands.py
@@ -199,26 +199,26 @@
     """
     from hillchute.lab.slowloop import play
 
-    faults_by_seed: dict[int, list[str]] = {}
+    violations_by_seed: dict[int, list[str]] = {}
     outcomes: Counter = Counter()
     for seed in range(first, first + seeds):
         rig = play(seed, load_factor=times)
         outcomes += rig.summary()
         if rig.violations:
-            faults_by_seed[seed] = rig.violations
+            violations_by_seed[seed] = rig.violations
     if json:
         print_json(
             {
                 "runs": seeds,
                 "ends": dict(outcomes),
-                "broken": {str(seed): f for seed, f in faults_by_seed.items()},
+                "broken": {str(seed): violations for seed, violations in violations_by_seed.items()},
             }
         )
     else:
-        for seed, faults in faults_by_seed.items():
-            print(f"seed {seed}: {len(faults)} faults, the first: {faults[0]}")
-        print(f"{seeds} runs, {len(faults_by_seed)} with a broken rule; {dict(outcomes)}")
-    return int(bool(faults_by_seed))
+        for seed, violations in violations_by_seed.items():
+            print(f"seed {seed}: {len(violations)} violations, the first: {violations[0]}")
+        print(f"{seeds} runs, {len(violations_by_seed)} with a broken rule; {dict(outcomes)}")
+    return int(bool(violations_by_seed))
 
 
 @lab.command
--- a/hillchute/engines/flight/links.py
+++ b/hillchute/engines/flight/links.py
@@ -1,8 +1,8 @@
 """Connections to SQL engines that speak Arrow Flight SQL: one gRPC channel per connection, with many calls.
 
-Owns the channels and the calls. Does not judge engines. What counts as proof that a query did not run is as
-strict as on the line protocol: GetFlightInfo runs nothing, so if it fails, the query did not run; once DoGet
-or DoPut was called, only an error reason sent by the engine itself can prove that.
+Owns the channels and the calls. Does not decide whether an engine is healthy. What counts as proof that a
+query did not run is as strict as on the line protocol: GetFlightInfo runs nothing, so if it fails, the query
+did not run; once DoGet or DoPut was called, only an error reason sent by the engine itself can prove that.
 """
 
 from collections.abc import Callable, Mapping
@@ -151,8 +151,11 @@
         connect_timeout: int,
         silence_limit: int,
     ) -> None:
-        """`settings` are those under `engines` in the operator file. The reducer gives a connection up after
-        `silence_limit` without a message. Both times are in tenths of a millisecond."""
+        """`settings` are those under `engines` in the operator file.
+
+        The reducer closes a connection after `silence_limit` without a message. Both times are in tenths of a
+        millisecond.
+        """
         self.settings, self.log, self.handle = settings, log, handle
         self.connect_timeout, self.liveness_interval = (
             connect_timeout,
--- a/hillchute/engines/line/exchange.py
+++ b/hillchute/engines/line/exchange.py
@@ -20,7 +20,7 @@
         self.decoder = wire.Decoder()
         # By id; None until the run is acknowledged, then its ACK and the result pages received so far.
         self.open_runs: dict[str, tuple[wire.Answer, list[words.Rows | None]] | None] = {}
-        self.open_probes: set[str] = set()  # tags
+        self.open_health_checks: set[str] = set()  # tags
         self.pending_output = b""
 
     def encode(self, command: words.Command) -> bytes:
@@ -37,7 +37,7 @@
             case words.SetPriority(id, priority):
                 return wire.encode(wire.SetPriority(id, priority))
             case words.HealthCheckRequest(tag):
-                self.open_probes.add(tag)
+                self.open_health_checks.add(tag)
                 return wire.encode(wire.LoadReportRequest(tag))
 
     def feed(self, data: bytes) -> Iterator[words.EngineMessage]:
@@ -47,8 +47,8 @@
 
     def handle_answer(self, answer: wire.Answer) -> words.EngineMessage:
         """The message in an answer; None if it only shows that the engine is alive."""
-        if answer.id in self.open_probes:
-            self.open_probes.discard(answer.id)
+        if answer.id in self.open_health_checks:
+            self.open_health_checks.discard(answer.id)
             result = "finished" if answer.kind == "READY" else wire.RESULT_BY_KIND.get(answer.kind, "errored")
             return words.HealthCheckAnswer(answer.id, result, answer.report)
         if answer.id not in self.open_runs:
--- a/hillchute/engines/line/links.py
+++ b/hillchute/engines/line/links.py
@@ -1,8 +1,8 @@
 """Connections to SQL engines that speak the line protocol.
 
-Owns their sockets, from the start of the connect on, and queues commands for engines that do not read. Does
-not judge engines: the end of a connection is reported with its reason, and the reducer decides what follows.
-The reducer also limits how long a connect may take.
+Owns their sockets, from the start of the connect on, and queues commands for engines that do not read.
+Reports the end of a connection with its reason; the reducer decides what follows, and whether the engine is
+healthy. The reducer also limits how long a connect may take.
 """
 
 import contextlib
@@ -26,9 +26,8 @@
 from hillchute.net.system_calls import LOCAL_RESOURCE_ERRNOS
 
 READ_SIZE = 65_536  # bytes per read
-MAX_UNSENT_SIZE = (
-    262_144  # bytes that may wait for an engine that does not read; beyond that, its connection is closed
-)
+# Bytes that may wait for an engine that does not read; beyond that, its connection is closed.
+MAX_UNSENT_SIZE = 262_144
 MILLISECOND = 10  # tenths of a millisecond
 
 
@@ -83,8 +82,10 @@
         return True
 
     def dequeue(self, now: Time) -> words.Command:
-        """Takes the first queued command; the time limit of a run is reduced by its time in the queue and may
-        then be zero or negative."""
+        """Takes the first queued command.
+
+        The time limit of a run is reduced by its time in the queue and may then be zero or negative.
+        """
         command, queued_at = self.queue.popleft()
         self.queue_size -= statement_size(command)
         if not isinstance(command, words.StartRun):
@@ -115,8 +116,10 @@
         clock: Callable[[], Time],
         client_is_waiting: Callable[[str], bool],
     ) -> None:
-        """`client_is_waiting` is called with the id of a run right before the run is written; if it returns
-        false, the run is not sent."""
+        """`client_is_waiting` is called with the id of a run right before the run is written.
+
+        If it returns false, the run is not sent.
+        """
         self.client_is_waiting = client_is_waiting
         self.poller, self.log, self.handle, self.clock = poller, log, handle, clock
         self.system = poller.system
@@ -125,8 +128,7 @@
     # ---- connecting ---------------------------------------------------------------------------------
 
     def open(self, number: int, host: str, port: int, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts to connect. There is no time limit here: the reducer calls close_connection() after
-        its own."""
+        """Starts to connect, without a time limit: the reducer calls close_connection() after its own."""
         connection = self.connections[number] = LineConnection(number)
         try:
             connection.connecting_socket = self.system.open_stream(
@@ -154,9 +156,9 @@
     def finish_connect(self, connection: LineConnection) -> None:
         """Handles the end of a pending connect."""
         try:
-            number = self.system.connect_error(connection.connecting_socket)
-            if number:
-                raise OSError(number, os.strerror(number))
+            error_number = self.system.connect_error(connection.connecting_socket)
+            if error_number:
+                raise OSError(error_number, os.strerror(error_number))
             self.poller.remove(connection.connecting_socket)
             self.on_connected(connection)
         except OSError as error:
--- a/hillchute/fronts/flight/identity.py
+++ b/hillchute/fronts/flight/identity.py
@@ -12,7 +12,8 @@
 from pathlib import Path
 
 ANONYMOUS = "-"  # owner of tickets and prepared statements if no users are configured
-TOKEN_LIFETIME = 36_000_000  # 1 h: validity of a token that is issued at a handshake
+# Validity of a token that is issued at a handshake: 1 h, in tenths of a millisecond.
+TOKEN_LIFETIME = 36_000_000
 
 
 class AuthenticationError(Exception):
--- a/hillchute/fronts/flight/server.py
+++ b/hillchute/fronts/flight/server.py
@@ -30,7 +30,7 @@
 from hillchute.statements import request as statements
 from hillchute.statements.request import Request
 
-SECOND = 10_000  # in units of 0.1 ms
+SECOND = 10_000  # tenths of a millisecond
 MAX_HEADER_BYTES = 65_536
 
 
@@ -73,7 +73,7 @@
         self.tickets: TokenTable[Request] = TokenTable(key, settings["tickets"], settings["ticket_ms"] * 10)
         self.prepared: TokenTable[Prepared] = TokenTable(key[::-1], settings["prepared"], None)
         self.calls: dict[int, Call] = {}
-        self.by_ticket: dict[bytes, int] = {}  # numbers of the calls that run a ticket, for cancellation
+        self.call_numbers_by_ticket: dict[bytes, int] = {}  # for cancellation
         self.last_call = events.FIRST_FLIGHT_SESSION
         self.tables = tables
         self.server: grpc.aio.Server | None = None
@@ -84,10 +84,10 @@
 
     async def open(self) -> None:
         """Starts serving; raises OSError if the port is taken, ValueError if the TLS keys are not valid."""
-        most = self.settings["message_bytes"]
+        max_message_bytes = self.settings["message_bytes"]
         self.server = grpc.aio.server(
             options=[
-                ("grpc.max_receive_message_length", most),
+                ("grpc.max_receive_message_length", max_message_bytes),
                 ("grpc.max_send_message_length", -1),
                 ("grpc.max_metadata_size", MAX_HEADER_BYTES),
                 ("grpc.so_reuseport", 0),
@@ -112,8 +112,8 @@
                 self.port = self.server.add_insecure_port(listen)
             else:
                 self.port = self.server.add_secure_port(listen, self.credentials(tls))
-        except RuntimeError as fault:
-            raise OSError(f"flight.listen: {listen}: {fault}") from None
+        except RuntimeError as error:
+            raise OSError(f"flight.listen: {listen}: {error}") from None
         await self.server.start()
         self.log.write("flight", phase="open", listen=listen, port=self.port, tls=tls is not None)
 
@@ -132,8 +132,8 @@
                 return None
             try:
                 keys = self.load_keys(tls)
-            except (OSError, ValueError) as fault:  # files may be half-written: keep the current keys
-                self.log.write("flight", kept="the running keys", reason=str(fault))
+            except (OSError, ValueError) as error:  # files may be half-written: keep the current keys
+                self.log.write("flight", kept="the running keys", reason=str(error))
                 return None
             last_check["versions"] = versions
             self.log.write("flight", keys="reloaded")
@@ -159,8 +159,8 @@
         key, chain = Path(tls["key"]).read_bytes(), Path(tls["certificate"]).read_bytes()
         try:
             ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER).load_cert_chain(tls["certificate"], tls["key"])
-        except ssl.SSLError as fault:
-            raise ValueError(f"flight.tls: {fault}") from None
+        except ssl.SSLError as error:
+            raise ValueError(f"flight.tls: {error}") from None
         authority = tls.get("client_authority")
         roots = Path(authority).read_bytes() if authority else None
         return grpc.ssl_server_certificate_configuration(((key, chain),), roots)
@@ -173,18 +173,18 @@
 
     def reload_settings(self, settings: Mapping[str, object]) -> list[str]:
         """Applies users, defaults and limits of reloaded settings; returns the keys that need a restart."""
-        fixed = [
+        restart_keys = [
             key for key in ("listen", "tls", "message_bytes") if settings.get(key) != self.settings.get(key)
         ]
         try:
             authenticator = Authenticator(settings["users"], self.authenticator.key)
-        except OSError as fault:
-            raise ValueError(f"flight.users: {fault}") from None
-        self.settings = {**settings, **{key: self.settings.get(key) for key in fixed}}
+        except OSError as error:
+            raise ValueError(f"flight.users: {error}") from None
+        self.settings = {**settings, **{key: self.settings.get(key) for key in restart_keys}}
         self.authenticator = authenticator
         self.tickets.max_entries, self.tickets.lifetime = settings["tickets"], settings["ticket_ms"] * 10
         self.prepared.max_entries = settings["prepared"]
-        return fixed
+        return restart_keys
 
     # ---- all calls --------------------------------------------------------------------------------
 
@@ -195,28 +195,28 @@
         header = next((v for k, v in context.invocation_metadata() or () if k == "authorization"), None)
         return self.authenticator.authenticate(self.clock(), header)
 
-    def status_of(self, fault: Exception) -> Status:
-        match fault:
+    def status_of(self, error: Exception) -> Status:
+        match error:
             case AuthenticationError():
-                return Status.of(answers.NO_ENTRY, str(fault))
+                return Status.of(answers.NO_ENTRY, str(error))
             case InvalidTokenError():
-                return Status.of(answers.NO_TICKET, str(fault))
+                return Status.of(answers.NO_TICKET, str(error))
             case LimitReachedError():
-                return Status.of(answers.FULL, str(fault), retry_after_ms=100)
+                return Status.of(answers.FULL, str(error), retry_after_ms=100)
             case arrow.InvalidFlightDataError() | statements.InvalidStatementError():
-                return Status.of(answers.MISREAD, str(fault))
+                return Status.of(answers.MISREAD, str(error))
             case NotImplementedError():
-                return Status.of(answers.UNSPOKEN, str(fault))
+                return Status.of(answers.UNSPOKEN, str(error))
             case CallEndedError():
-                return fault.status
-        raise fault
+                return error.status
+        raise error
 
     def unary_handler(self, method: Callable) -> Callable:
         async def handle_call(data: bytes, context: grpc.aio.ServicerContext) -> bytes:
             try:
                 return await method(data, context)
-            except CALL_ERRORS as fault:
-                status = self.status_of(fault)
+            except CALL_ERRORS as error:
+                status = self.status_of(error)
             await self.abort(context, status)
 
         return handle_call
@@ -227,8 +227,8 @@
             try:
                 async for part in method(data, context):
                     yield part
-            except CALL_ERRORS as fault:
-                status = self.status_of(fault)
+            except CALL_ERRORS as error:
+                status = self.status_of(error)
             if status is not None:
                 await self.abort(context, status)
 
@@ -287,8 +287,8 @@
         command = self.parse_command(arrow.parse_message(flight.FlightDescriptor, data))
         if isinstance(command, sql.CommandPreparedStatementQuery):
             self.prepared.get(self.clock(), owner, command.prepared_statement_handle)
-        statement = isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery)
-        answer_schema = arrow.TEXT_RESULT_SCHEMA if statement else catalog.answer_schema(command)
+        is_statement = isinstance(command, sql.CommandStatementQuery | sql.CommandPreparedStatementQuery)
+        answer_schema = arrow.TEXT_RESULT_SCHEMA if is_statement else catalog.answer_schema(command)
         if answer_schema is None:
             raise NotImplementedError(f"{command.DESCRIPTOR.name} is not spoken here")
         return flight.SchemaResult(schema=arrow.schema_bytes(answer_schema)).SerializeToString()
@@ -331,7 +331,7 @@
             return
         request = self.tickets.take(since, owner, command.statement_handle)
         call = self.open_call(owner)
-        self.by_ticket[ticket] = call.number
+        self.call_numbers_by_ticket[ticket] = call.number
         try:
             await self.run_query(call, request, since)
             if call.rows is not None:
@@ -341,7 +341,7 @@
                 async for raw in self.stream_messages(call):
                     yield raw
         finally:
-            self.by_ticket.pop(ticket, None)
+            self.call_numbers_by_ticket.pop(ticket, None)
             self.close_call(call)
 
     async def stream_messages(self, call: Call) -> AsyncIterator[bytes]:
@@ -372,7 +372,7 @@
             raise CallEndedError(call.status)
 
     def close_call(self, call: Call) -> None:
-        """Removes a call and reports that its client left, which cancels the query if it is still open."""
+        """Removes a call and reports its client as gone, which cancels the query if it is still open."""
         if self.calls.pop(call.number, None) is not None:
             self.handle(events.ClientGone(call.number))
 
@@ -413,9 +413,9 @@
 
     async def read_parameters(self, first: bytes, parts) -> tuple[object, ...]:
         """The row of parameters that a put carries; empty if it carries none."""
-        reading, raw, values = arrow.BatchDecoder(), first, ()
+        decoder, raw, values = arrow.BatchDecoder(), first, ()
         while raw is not None:
-            batch = reading.decode(raw)
+            batch = decoder.decode(raw)
             if batch is not None and batch.num_rows:
                 if batch.num_rows > 1 or values:
                     raise NotImplementedError("one row of parameters at a time")
@@ -430,9 +430,9 @@
             await self.run_query(call, request, since)
             if call.rows is not None:
                 return changed_count(call.rows)
-            count, reading = 0, arrow.BatchDecoder()
+            count, decoder = 0, arrow.BatchDecoder()
             async for raw in self.stream_messages(call):
-                batch = reading.decode(raw)
+                batch = decoder.decode(raw)
                 count += batch.num_rows if batch is not None else 0
             return count
         finally:
@@ -477,23 +477,23 @@
 
     def cancel(self, owner: str, now: int, info: flight.FlightInfo) -> int:
         """Cancels the calls that run a FlightInfo's tickets, and revokes its unused tickets."""
-        done = flight.CANCEL_STATUS_NOT_CANCELLABLE
+        cancel_status = flight.CANCEL_STATUS_NOT_CANCELLABLE
         for endpoint in info.endpoint:
             ticket = endpoint.ticket.ticket
-            call = self.calls.get(self.by_ticket.get(ticket, 0))
+            call = self.calls.get(self.call_numbers_by_ticket.get(ticket, 0))
             if call is not None and call.owner == owner:
                 self.handle(events.ClientGone(call.number))
                 self.fail(call.number, "cancelled by its client")
-                done = flight.CANCEL_STATUS_CANCELLED
+                cancel_status = flight.CANCEL_STATUS_CANCELLED
                 continue
             try:
                 command = arrow.unwrap(ticket)
                 if isinstance(command, sql.TicketStatementQuery):
                     self.tickets.take(now, owner, command.statement_handle)
-                    done = flight.CANCEL_STATUS_CANCELLED
+                    cancel_status = flight.CANCEL_STATUS_CANCELLED
             except (InvalidTokenError, arrow.InvalidFlightDataError):
                 continue
-        return done
+        return cancel_status
 
     async def list_actions(self, data: bytes, context) -> AsyncIterator[bytes]:
         self.authenticate(context)
@@ -521,16 +521,16 @@
                 call.stream.close()
             call.answered.set()
 
-    def reject(self, number: int, after: int) -> None:
+    def reject(self, number: int, retry_after: int) -> None:
         text = "not run, trying again is harmless"
-        self.set_status(Status.of(answers.DEFERRED, text, retry_after_ms=after // 10), number)
+        self.set_status(Status.of(answers.DEFERRED, text, retry_after_ms=retry_after // 10), number)
 
-    def fail(self, number: int, why: str) -> None:
-        kind = answers.MISREAD if why.startswith("field ") else answers.KILLED
-        self.set_status(Status.of(kind, why), number)
+    def fail(self, number: int, reason: str) -> None:
+        kind = answers.MISREAD if reason.startswith("field ") else answers.KILLED
+        self.set_status(Status.of(kind, reason), number)
 
-    def abort_stream(self, number: int, why: str) -> None:
-        self.set_status(Status.of(answers.CUT, why), number)
+    def abort_stream(self, number: int, reason: str) -> None:
+        self.set_status(Status.of(answers.CUT, reason), number)
 
 
 class CallEndedError(Exception):
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -79,7 +79,7 @@
 
 
 class MysqlFrontend:
-    """Sessions by number.
+    """Accepts connections, and serves the sessions in `clients`, by session number.
 
     `on_client_gone` is called with the session of a client that cancelled its query or closed its connection.
     `answer_margin` returns how long before the end of a client timeout an answer must be sent.
@@ -119,9 +119,9 @@
         self.clients: dict[int, Client] = {}
         self.listener: socket.socket | None = None
         self.last_served_round = 0
-        # Session numbers start from the clock, four to a millisecond, so that a restart does not reuse
-        # them: a client may still cancel by a number from before it. Bursts of connections use more than
-        # one number in a millisecond.
+        # The first session number is derived from the clock, at four numbers per millisecond, so that a
+        # restarted router does not reuse numbers: a client may still send KILL QUERY with a number from
+        # before the restart. Four, since bursts of connections use more than one number in a millisecond.
         self.last_session = clock() * 4 // 10 % SESSION_NUMBERS
 
     # ---- new connections --------------------------------------------------------------------------
@@ -131,8 +131,8 @@
         self.listener = listener
         try:
             self.poller.add(listener, self)
-        except OSError as fault:
-            self.pause(fault)
+        except OSError as error:
+            self.pause(error)
 
     def close(self) -> None:
         """Closes the listener. Connections that the kernel has queued must be accepted before."""
@@ -141,36 +141,36 @@
             self.system.close(self.listener)
             self.listener = None
 
-    def accept(self, most: int) -> bool:
-        """Accepts up to `most` connections; returns whether the kernel's queue is empty."""
+    def accept(self, max_count: int) -> bool:
+        """Accepts up to `max_count` connections; returns whether the kernel's queue is empty."""
         # Each session is checked for eviction once, not once for each new connection: after a burst hundreds
         # have unread bytes, and asking the kernel about all of them for each connection delayed the loop.
         evictable = iter(
             list(self.session_limiter.eviction_candidates())
-            if self.session_limiter.would_exceed(most)
+            if self.session_limiter.would_exceed(max_count)
             else ()
         )
-        for _ in range(most):
+        for _ in range(max_count):
             if self.listener is None:
                 return True
             try:
                 sock = self.system.accept(self.listener)
-            except OSError as fault:
-                if fault.errno == errno.EAGAIN:
+            except OSError as error:
+                if error.errno == errno.EAGAIN:
                     return True
-                if fault.errno == errno.EINTR or fault.errno in ABORTED_CONNECTION_ERRNOS:
+                if error.errno == errno.EINTR or error.errno in ABORTED_CONNECTION_ERRNOS:
                     continue
-                self.pause(fault)
+                self.pause(error)
                 return False
             self.rounds.last_client_activity = self.clock()
             self.start_session(sock, self.make_room(evictable))
         return False
 
-    def pause(self, fault: OSError) -> None:
+    def pause(self, error: OSError) -> None:
         """Suspends accepting for lack of descriptors or memory; sweep() resumes it."""
         self.paused = True
         self.poller.remove(self.listener)
-        self.log.write("fault", **AcceptPausedError(str(fault), str(self.listener.getsockname())).log_fields)
+        self.log.write("fault", **AcceptPausedError(str(error), str(self.listener.getsockname())).log_fields)
 
     def start_session(self, sock: socket.socket, room: bool) -> None:
         """Starts a session. What was sent along with its login is read at once, as it may be KILL QUERY."""
@@ -182,8 +182,8 @@
                 self.system.close(sock)
                 return
             client.buffered_socket = BufferedSocket(sock, self.poller, client, READ_BYTES)
-        except OSError as fault:  # the connection is broken already, or the poller can't add it
-            self.log.write("accept_failed", reason=str(fault))
+        except OSError as error:  # the connection is broken already, or the poller can't add it
+            self.log.write("accept_failed", reason=str(error))
             with contextlib.suppress(OSError):
                 self.system.close(sock)
             return
@@ -229,9 +229,9 @@
     def ended(self, client: Client) -> None:
         """Handles a connection that the client has closed or reset, even if input before that is unread.
 
-        Queued commands must not hide the close, since the time for which queries run for departed clients is
-        bounded (rule 1). If the session has no query open, its input is still read: it may be KILL QUERY for
-        another session.
+        Queued commands must not delay the detection of the close: queries may run only for a bounded time
+        after their client has left (rule 1; lab/rules.py checks the rules). If the session has no query open,
+        its input is still read: it may be KILL QUERY for another session.
         """
         for _ in range(MAX_READS_AFTER_CLOSE):
             if (
@@ -285,14 +285,14 @@
     def enqueue_query(self, client: Client, query: packets.Query) -> None:
         try:
             request = statements.parse_statement(query.text)
-        except statements.InvalidStatementError as fault:
-            self.log.write("invalid_query", session=client.number, reason=str(fault))
-            client.buffered_socket.write(client.session.error_answer(packets.BAD_STATEMENT, str(fault)))
+        except statements.InvalidStatementError as error:
+            self.log.write("invalid_query", session=client.number, reason=str(error))
+            client.buffered_socket.write(client.session.error_answer(packets.BAD_STATEMENT, str(error)))
             return
-        since = self.earliest_send_time(client, query.received_at)
-        end = since + request.client_timeout - self.answer_margin(request.client_timeout)
+        sent_at = self.earliest_send_time(client, query.received_at)
+        answer_by = sent_at + request.client_timeout - self.answer_margin(request.client_timeout)
         self.rounds.enqueue(
-            client.number, request, since, max(query.received_at, client.last_answered_at), end
+            client.number, request, sent_at, max(query.received_at, client.last_answered_at), answer_by
         )
 
     def earliest_send_time(self, client: Client, received_at: int) -> int:
@@ -344,8 +344,8 @@
             try:
                 self.poller.add(self.listener, self)
                 self.paused = False
-            except OSError as fault:
-                self.log.write("accept_failed", reason=str(fault))
+            except OSError as error:
+                self.log.write("accept_failed", reason=str(error))
         now = self.clock()
         for number in self.session_limiter.timed_out_sessions(now):
             client = self.clients[number]
@@ -374,33 +374,33 @@
         if client := self.clients.get(session):
             self.write_answer(client, client.session.result(rows))
 
-    def reject(self, session: int, after: int) -> None:
+    def reject(self, session: int, retry_after: int) -> None:
         if client := self.clients.get(session):
-            hint = f"; come back after {after / 10:g} ms" if after else ""
+            hint = f"; come back after {retry_after / 10:g} ms" if retry_after else ""
             self.write_answer(
                 client,
                 client.session.error_answer(packets.REFUSED, f"not run, trying again is harmless{hint}"),
             )
 
-    def fail(self, session: int, why: str) -> None:
+    def fail(self, session: int, reason: str) -> None:
         if client := self.clients.get(session):
-            self.write_answer(client, client.session.error_answer(packets.FAILED, why))
+            self.write_answer(client, client.session.error_answer(packets.FAILED, reason))
 
     async def deliver_stream(self, session: int, stream: words.Stream) -> None:
         """Delivers a stream of Arrow batches as rows, no faster than the client reads."""
         from hillchute.protocol import sql as arrow  # needed only for engines that speak Flight
 
-        client, reading, has_begun = self.clients.get(session), arrow.BatchDecoder(), False
+        client, decoder, has_begun = self.clients.get(session), arrow.BatchDecoder(), False
         if client is None:
             stream.close()
             return
         client.stream = stream
         try:
             while (raw := await stream.read()) is not None:
-                batch = reading.decode(raw)
-                if not has_begun and reading.schema is not None:
+                batch = decoder.decode(raw)
+                if not has_begun and decoder.schema is not None:
                     has_begun = True
-                    client.buffered_socket.write(client.session.begin_result(reading.schema.names))
+                    client.buffered_socket.write(client.session.begin_result(decoder.schema.names))
                 rows = list(arrow.to_rows(batch)) if batch is not None else []
                 for start in range(0, len(rows), ROWS_PER_WRITE):
                     client.buffered_socket.write(
@@ -410,20 +410,20 @@
                     if client.buffered_socket.closed or client.stream is not stream:
                         stream.close()
                         return
-        except arrow.InvalidFlightDataError as fault:
+        except arrow.InvalidFlightDataError as error:
             stream.close()
-            self.on_stream_unreadable(session, str(fault))
+            self.on_stream_unreadable(session, str(error))
             return
         if client.stream is stream and not stream.broken:
             client.stream = None
             self.on_stream_delivered(session)
             self.write_answer(client, client.session.end_result())
 
-    def abort_stream(self, session: int, why: str) -> None:
+    def abort_stream(self, session: int, reason: str) -> None:
         """Aborts a result that has begun: the protocol allows an error in place of its end."""
         if client := self.clients.get(session):
             client.stream = None
-            self.write_answer(client, client.session.error_answer(packets.FAILED, why))
+            self.write_answer(client, client.session.error_answer(packets.FAILED, reason))
 
     def write_answer(self, client: Client, data: bytes) -> None:
         client.last_answered_at = self.clock()
--- a/hillchute/fronts/mysql/packets.py
+++ b/hillchute/fronts/mysql/packets.py
@@ -87,6 +87,7 @@
 EOF = b"\xfe" + struct.pack("<HH", 0, STATUS_AUTOCOMMIT)
 NULL = b"\xfb"
 OK = b"\0\0\0" + struct.pack("<HH", STATUS_AUTOCOMMIT, 0)
+# A packet with a row of three strings, all lengths in one byte: packet size, sequence number, strings.
 SHORT_ROW_FORMAT = b"%c\0\0%c%c%b%c%b%c%b"
 RESULT_HEADER = (lenenc_integer(len(COLUMNS)), *(column_definition(name) for name in COLUMNS), EOF)
 
@@ -188,8 +189,8 @@
             self.take_packets()
             self.sequence = number + 1 & 255
             if self.oversized_bytes is not None and not self.queue:
-                why = f"packet of {self.oversized_bytes} bytes; {self.max_packet_bytes} are allowed"
-                return None, out + self.close(TOO_LARGE, why)
+                message = f"packet of {self.oversized_bytes} bytes; {self.max_packet_bytes} are allowed"
+                return None, out + self.close(TOO_LARGE, message)
             if not self.logged_in:
                 out += self.authenticate(payload)
                 continue
--- a/hillchute/fronts/seats.py
+++ b/hillchute/fronts/seats.py
@@ -16,9 +16,8 @@
 
     def __init__(self, max_sessions: int) -> None:
         self.max_sessions = max_sessions
-        self.incomplete_steps: dict[
-            int, Time
-        ] = {}  # sessions in an incomplete step, with its start; oldest first
+        # Sessions in an incomplete step, with its start; oldest first.
+        self.incomplete_steps: dict[int, Time] = {}
         self.idle: dict[int, None] = {}  # sessions without an open query; longest idle first
         self.busy: set[int] = set()  # sessions with an open query
 
@@ -30,14 +29,14 @@
         return len(self) >= self.max_sessions
 
     def would_exceed(self, count: int) -> bool:
-        """Whether so many more sessions would exceed the limit."""
+        """Whether `count` more sessions would exceed the limit."""
         return len(self) + count > self.max_sessions
 
     @property
     def reserve_full(self) -> bool:
         """Whether the reserve is used up as well.
 
-        Beyond the limit an eighth is reserved for connections that are told that there are too many sessions.
+        An eighth more than the limit is reserved for connections that only get the error `too many sessions`.
         """
         return len(self) >= self.max_sessions + self.max_sessions // 8
 
--- a/hillchute/log.py
+++ b/hillchute/log.py
@@ -99,12 +99,12 @@
 
     def _start_window(self, now: int) -> None:
         """Start a new window, and log the number of lines suppressed in the last one, by event."""
-        left_out = {
+        suppressed = {
             event: lines - self.max_lines_per_event
             for event, lines in self.lines_by_event.items()
             if lines > self.max_lines_per_event
         }
         self.window_start = now
         self.lines_by_event = Counter()
-        if left_out:
-            self.write("log_suppressed", left_out=left_out)
+        if suppressed:
+            self.write("log_suppressed", left_out=suppressed)
--- a/hillchute/net/buffered_socket.py
+++ b/hillchute/net/buffered_socket.py
@@ -26,7 +26,7 @@
 
 
 class BufferedSocket:
-    """Sends writes immediately if the kernel accepts them: a task per write would cost more than a query."""
+    """Sends during write() as much as the kernel accepts: a task per write would cost more than a query."""
 
     def __init__(self, sock: socket.socket, poller: Poller, owner: SocketOwner, read_size: int) -> None:
         """Register with the poller.
--- a/hillchute/net/poller.py
+++ b/hillchute/net/poller.py
@@ -137,13 +137,13 @@
     def poll(self) -> list[ReadySocket]:
         """Return the sockets that are ready, without waiting."""
         try:
-            found = self.system.epoll_wait(self.epoll, MAX_EVENTS)
+            events = self.system.epoll_wait(self.epoll, MAX_EVENTS)
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
             return []
         ready = []
-        for descriptor, mask in found:
+        for descriptor, mask in events:
             registration = self._registrations.get(descriptor)
             if registration is None:
                 continue
--- a/hillchute/protocol/sql.py
+++ b/hillchute/protocol/sql.py
@@ -137,8 +137,8 @@
             batch = pa.ipc.read_record_batch(message, self.schema)
             batch.validate(full=True)
             return batch
-        except (pa.ArrowException, OSError, ValueError) as fault:
-            raise InvalidFlightDataError(f"not an Arrow message: {str(fault)[:80]}") from None
+        except (pa.ArrowException, OSError, ValueError) as error:
+            raise InvalidFlightDataError(f"not an Arrow message: {str(error)[:80]}") from None
 
 
 def to_rows(batch: pa.RecordBatch) -> Iterator[list[bytes | None]]:
--- a/hillchute/protocol/status.py
+++ b/hillchute/protocol/status.py
@@ -25,7 +25,7 @@
 
 
 def error_reason(trailers: Iterable[tuple[str, str | bytes]] | None) -> str | None:
-    """The reason of the ErrorInfo with this ERROR_DOMAIN in a call's trailers; None if there is none."""
+    """The reason of the ErrorInfo with domain ERROR_DOMAIN in a call's trailers; None if there is none."""
     for name, value in trailers or ():
         if name != DETAILS_TRAILER:
             continue
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -77,7 +77,7 @@
         (batch(1, "SWITCH_TO 3", QUERY), "line 3: ASK: instance 3 has not started"),
         (batch(1, *START, "MEMBERSHIP Complete - 9"), "line 4: MEMBERSHIP: no CENSUS 9 before it"),
         (batch(1, *START, "MEMBERSHIP Complete - -"), "line 4: MEMBERSHIP: no CENSUS None before it"),
-        (batch(1, *START, "MEMBERSHIP Odd"), "line 4: MEMBERSHIP: field mode is not a word of the wire: Odd"),
+        (batch(1, *START, "MEMBERSHIP Odd"), "line 4: MEMBERSHIP: field mode has an unknown value: Odd"),
         (batch(1, "CENSUS 1 1"), "line 3: YOUR_TURN: expected an ENGINE line of the CENSUS"),
         (batch(1, "SWITCH_TO 0", "UP 7 me"), "line 3: UP: setting without a value: me"),
         (
