--- a/tests/test_negotiation.py
+++ b/tests/test_negotiation.py
@@ -44,16 +44,25 @@
     return AgreementSigner(partner, ed25519_signer(private_key_bytes(partner)), record, dict(journal))
 
 
-def offer(partner, want=3000, turn=1, least=500, most=8000, begins=0, ends=LATER, **other_terms):
+def offer(
+    partner,
+    desired_share=3000,
+    revision=1,
+    minimum_share=500,
+    maximum_share=8000,
+    starts_at=0,
+    ends_at=LATER,
+    **other_terms,
+):
     other_terms = {"capacity": 100, "grace_period": 5 * SECOND, "notice_period": 10 * SECOND} | other_terms
     return Offer(
         partner,
-        revision=turn,
-        desired_share=want,
-        minimum_share=least,
-        maximum_share=most,
-        starts_at=begins,
-        ends_at=ends,
+        revision=revision,
+        desired_share=desired_share,
+        minimum_share=minimum_share,
+        maximum_share=maximum_share,
+        starts_at=starts_at,
+        ends_at=ends_at,
         **other_terms,
     )
 
@@ -108,10 +117,10 @@
         for protocol in self.protocols.values():
             protocol.ownership.on_announcement(self.now, number)
 
-    def agree(self, **wants):
+    def agree(self, **desired_shares):
         """Makes an offer of each partner, and returns the agreement that follows."""
         for partner in self.routers:
-            self.offer(partner, want=wants.get(partner, 3000))
+            self.offer(partner, desired_share=desired_shares.get(partner, 3000))
         self.advance()
         self.announce()
         return self.protocols["a0"].ownership.agreement()
@@ -155,7 +164,7 @@
 def test_new_offer_leads_to_a_successor_agreement_with_few_moves():
     fleet = Fleet()
     first = fleet.agree()
-    fleet.offer("b", want=5000, turn=2)
+    fleet.offer("b", desired_share=5000, revision=2)
     fleet.advance()
     assert fleet.protocols["c1"].ownership.agreement() == first  # until the new one is announced
     fleet.announce()
@@ -170,21 +179,21 @@
 def test_old_agreement_is_followed_until_the_new_one_starts():
     fleet = Fleet()
     first = fleet.agree()
-    begins = fleet.now + 30 * SECOND
-    fleet.offer("a", want=6000, turn=2, begins=begins)
+    starts_at = fleet.now + 30 * SECOND
+    fleet.offer("a", desired_share=6000, revision=2, starts_at=starts_at)
     fleet.advance(20)
     fleet.announce()
     assert fleet.protocols["a1"].ownership.agreement() == first
     fleet.advance(11)
     fleet.announce()
-    assert fleet.protocols["a1"].ownership.agreement().starts_at == begins
+    assert fleet.protocols["a1"].ownership.agreement().starts_at == starts_at
 
 
 def test_after_the_end_of_an_agreement_no_slot_gets_an_owner():
     fleet = Fleet()
-    ends = fleet.now + 60 * SECOND
+    ends_at = fleet.now + 60 * SECOND
     for partner in ROUTERS:
-        fleet.offer(partner, ends=ends)
+        fleet.offer(partner, ends_at=ends_at)
     fleet.advance()
     fleet.announce()
     protocol = fleet.protocols["a0"]
@@ -197,12 +206,12 @@
     )
     decision, _ = protocol.ownership.grant_refusal(fleet.now, f"{lease.owner}0", lease, lambda: False)
     assert decision is ClaimDecision.REJECT
-    fleet.offer("a", turn=2, ends=LATER)
-    fleet.offer("b", turn=2, ends=LATER)
+    fleet.offer("a", revision=2, ends_at=LATER)
+    fleet.offer("b", revision=2, ends_at=LATER)
     fleet.advance()
     fleet.announce()
     assert not protocol.ownership.is_in_force(fleet.now)  # one offer is missing
-    fleet.offer("c", turn=2, ends=LATER)
+    fleet.offer("c", revision=2, ends_at=LATER)
     fleet.advance()
     fleet.announce()
     assert protocol.ownership.is_in_force(fleet.now)
@@ -212,7 +221,7 @@
     fleet = Fleet()
     first = fleet.agree()
     without = [n for n in fleet.protocols if n[0] != "c"]
-    fleet.offer("a", want=6000, turn=2)
+    fleet.offer("a", desired_share=6000, revision=2)
     fleet.advance(20, live=without)
     fleet.announce()
     assert fleet.protocols["a1"].ownership.agreement() == first
@@ -234,16 +243,20 @@
         match rng.randrange(4):
             case 0 | 1:
                 revisions[partner] += 1
-                fleet.offer(partner, want=rng.randint(500, 6000), turn=revisions[partner])
+                fleet.offer(partner, desired_share=rng.randint(500, 6000), revision=revisions[partner])
             case 2:
                 router = rng.choice(ROUTERS[partner])
                 fleet.start(partner, router)
                 if router == ROUTERS[partner][0] and revisions[partner]:
                     # The operator file still has the last offer.
-                    last = [p.ledger.offers.get(partner) for p in fleet.protocols.values()]
-                    best = max((known[0] for known in last if known), key=lambda o: o.revision, default=None)
-                    if best is not None:
-                        fleet.protocols[router].make_offer(fleet.now, best)
+                    known_offers = [p.ledger.offers.get(partner) for p in fleet.protocols.values()]
+                    latest = max(
+                        (signed_offer[0] for signed_offer in known_offers if signed_offer),
+                        key=lambda o: o.revision,
+                        default=None,
+                    )
+                    if latest is not None:
+                        fleet.protocols[router].make_offer(fleet.now, latest)
         fleet.advance(rng.choice([0.2, 1, 3]))
         if rng.random() < 0.5:
             fleet.announce()
@@ -268,18 +281,18 @@
     fleet = Fleet()
     fleet.agree()
     protocol = fleet.protocols["b0"]
-    forged = offer("a", want=500, turn=9)
+    forged = offer("a", desired_share=500, revision=9)
     signature = signer_of("b").sign_offer(forged).signature
     assert not protocol.ledger.record_offer(forged, signature)
     assert not protocol.ledger.record_offer(forged, msgspec.structs.replace(signature, partner="a"))
     # An agreement that all but b have signed, in which b has the smallest share.
     agreement = derive_agreement(
-        [offer(n, want=w, turn=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2
+        [offer(n, desired_share=w, revision=1) for n, w in (("a", 6000), ("b", 500), ("c", 3500))], 2
     )
     for name in "ac":
         signer = signer_of(name)
         protocol.ledger.record_signature(
-            signer.sign_agreement(agreement, offer(name, want=agreement.shares[name]))
+            signer.sign_agreement(agreement, offer(name, desired_share=agreement.shares[name]))
         )
     protocol.ledger.record_agreement(agreement)
     protocol.update(fleet.now)
@@ -289,15 +302,17 @@
 def test_lower_revision_than_known_is_rejected_with_a_reason():
     fleet = Fleet()
     fleet.agree()
-    fleet.offer("a", want=4000, turn=5)
+    fleet.offer("a", desired_share=4000, revision=5)
     with pytest.raises(InvalidAgreementError, match="turn 4; 5"):
-        fleet.offer("a", want=500, turn=4)
+        fleet.offer("a", desired_share=500, revision=4)
 
 
 def test_partner_that_signs_two_agreements_loses_its_share_at_all_routers():
     fleet = Fleet()
     agreement = fleet.agree()
-    other = derive_agreement([offer(n, want=w) for n, w in (("a", 8000), ("b", 1000), ("c", 1000))], 1)
+    other = derive_agreement(
+        [offer(n, desired_share=w) for n, w in (("a", 8000), ("b", 1000), ("c", 1000))], 1
+    )
     conflicting = Signature(
         "a",
         1,
@@ -322,14 +337,14 @@
     """
     fleet = Fleet()
     fleet.agree()
-    fleet.offer("a", want=6000, turn=2)
+    fleet.offer("a", desired_share=6000, revision=2)
     fleet.advance()
     ledger = fleet.protocols["b1"].ledger
     by_number = sorted(
         (m["a"] for m in ledger.signatures.values() if "a" in m), key=lambda signature: signature.number
     )
     first, second = by_number
-    of_offer = signer_of("a").sign_offer(offer("a", want=3000)).signature
+    of_offer = signer_of("a").sign_offer(offer("a", desired_share=3000)).signature
     assert first.number == of_offer.number == 1
     assert not ledger.record_equivocation(first, of_offer) and not ledger.record_equivocation(of_offer, first)
     assert not ledger.record_equivocation(first, msgspec.structs.replace(second, number=1))
@@ -538,7 +553,7 @@
     fleet.journals["b"].clear()
     fleet.start("b", "b0")
     fleet.advance(3 * EXCHANGE_INTERVAL / SECOND)
-    fleet.offer("b", want=5000, turn=2)
+    fleet.offer("b", desired_share=5000, revision=2)
     fleet.advance()
     fleet.announce()
     assert (
@@ -550,14 +565,14 @@
 def test_second_agreement_of_a_number_is_not_signed_after_loss_of_the_journal():
     fleet = Fleet()
     first = fleet.agree()
-    fleet.offer("a", want=5000, turn=2)
+    fleet.offer("a", desired_share=5000, revision=2)
     fleet.advance(live=[n for n in fleet.protocols if n[0] != "c"])  # a and b sign it, c does not
     fleet.journals["b"].clear()
     fleet.start("b", "b0")
     fleet.advance(4, live=["a1", "b0", "b1"])
     protocol = fleet.protocols["b0"]
     protocol.make_offer(fleet.now, offer("b"))
-    changed = offer("a", want=6000, turn=3)
+    changed = offer("a", desired_share=6000, revision=3)
     protocol.ledger.record_offer(changed, signer_of("a").sign_offer(changed).signature)
     other = derive_agreement(protocol.offers(), 2, first)
     conflicting = Signature(
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -90,13 +90,13 @@
     current = allocate_slots((None,) * SLOTS, shares)
     load = [int(1000 * rng.paretovariate(1.5)) for _ in range(SLOTS)]
     owners = allocate_slots_by_load(current, shares, load)
-    off = {
+    deficits = {
         n: sum(load) * s / 6 - sum(w for w, o in zip(load, current, strict=True) if o == n)
         for n, s in shares.items()
     }
-    deficit = sum(max(0, gap) for gap in off.values())
+    total_deficit = sum(max(0, deficit) for deficit in deficits.values())
     mean = sum(load) / SLOTS
-    assert count_moves(current, owners) <= 2 + deficit / mean
+    assert count_moves(current, owners) <= 2 + total_deficit / mean
     assert allocate_slots_by_load(owners, shares, load) == owners
 
 
@@ -115,9 +115,27 @@
 VERIFY = ed25519_verifier(PUBLIC)
 
 
-def offer(partner, want=3000, least=1000, most=8000, turn=1, begins=0, ends=DAY, capacity=100):
+def offer(
+    partner,
+    desired_share=3000,
+    minimum_share=1000,
+    maximum_share=8000,
+    revision=1,
+    starts_at=0,
+    ends_at=DAY,
+    capacity=100,
+):
     return Offer(
-        partner, turn, capacity, want, least, most, begins, ends, grace_period=100, notice_period=1000
+        partner,
+        revision,
+        capacity,
+        desired_share,
+        minimum_share,
+        maximum_share,
+        starts_at,
+        ends_at,
+        grace_period=100,
+        notice_period=1000,
     )
 
 
@@ -138,8 +156,8 @@
     agreement = derive_agreement(offers, number)
     ledger = ledger or AgreementLedger("abc", VERIFY)
     ledger.record_agreement(agreement)
-    for one in offers:
-        assert ledger.record_signature(signer_for(one.partner).sign_agreement(agreement, one))
+    for own_offer in offers:
+        assert ledger.record_signature(signer_for(own_offer.partner).sign_agreement(agreement, own_offer))
     return agreement, ledger
 
 
@@ -155,7 +173,9 @@
 @settings(max_examples=200, deadline=None)
 @given(bounds)
 def test_shares_add_up_and_are_within_all_bounds(bounds):
-    offers = [offer(f"p{n}", want, least, most) for n, (least, want, most) in enumerate(bounds)]
+    offers = [
+        offer(f"p{n}", desired, minimum, maximum) for n, (minimum, desired, maximum) in enumerate(bounds)
+    ]
     if not sum(b[0] for b in bounds) <= SHARE_TOTAL <= sum(b[2] for b in bounds):
         with pytest.raises(InvalidAgreementError):
             derive_agreement(offers, 1)
@@ -172,10 +192,16 @@
     ("offers", "location"),
     [
         ([], ""),
-        ([offer("a", want=500)], "a"),
-        ([offer("a", least=6000, want=6000), offer("b", least=6000, want=6000)], "least"),
-        ([offer("a", most=4000), offer("b", most=4000)], "most"),
-        ([offer("a", ends=10), offer("b", begins=10)], "begins"),
+        ([offer("a", desired_share=500)], "a"),
+        (
+            [
+                offer("a", minimum_share=6000, desired_share=6000),
+                offer("b", minimum_share=6000, desired_share=6000),
+            ],
+            "least",
+        ),
+        ([offer("a", maximum_share=4000), offer("b", maximum_share=4000)], "most"),
+        ([offer("a", ends_at=10), offer("b", starts_at=10)], "begins"),
     ],
 )
 def test_incompatible_offers_name_the_conflicting_term(offers, location):
@@ -185,7 +211,7 @@
 
 
 def test_fully_signed_agreement_is_in_force_from_start_to_end():
-    agreement, ledger = agreed(begins=50)
+    agreement, ledger = agreed(starts_at=50)
     assert [ledger.in_force(now) for now in (49, 50, DAY - 1, DAY)] == [None, agreement, agreement, None]
     assert sum(ledger.shares(50).values()) == SHARE_TOTAL and ledger.shares(DAY) == {}
 
@@ -200,7 +226,7 @@
     """
     old, _ = agreed()
     ledgers = [agreed(ledger=AgreementLedger("abc", VERIFY))[1] for _ in range(2)]
-    offers = [offer(name, want=3000 + 500 * n, begins=100) for n, name in enumerate("abc")]
+    offers = [offer(name, desired_share=3000 + 500 * n, starts_at=100) for n, name in enumerate("abc")]
     new = derive_agreement(offers, 2)
     messages = [new, *(signer_for(o.partner).sign_agreement(new, o) for o in offers)]
     received = [set(), set()]
@@ -220,7 +246,7 @@
 
 def test_partner_signs_one_agreement_per_number_also_after_a_crash():
     journal, own = {}, offer("a")
-    agreement, other = (derive_agreement([own, offer("b", want=w)], 3) for w in (3000, 5000))
+    agreement, other = (derive_agreement([own, offer("b", desired_share=w)], 3) for w in (3000, 5000))
     first = signer_for("a", journal).sign_agreement(agreement, own)
     restarted = signer_for("a", journal)  # after a crash, with what the journal has
     assert restarted.sign_agreement(agreement, own) == first
@@ -228,7 +254,9 @@
         restarted.sign_agreement(other, own)
     with pytest.raises(InvalidAgreementError, match="number 3"):
         restarted.sign_agreement(derive_agreement([own, offer("b")], 2), own)
-    assert restarted.sign_agreement(derive_agreement([own, offer("b", want=5000)], 4), own).number == 4
+    assert (
+        restarted.sign_agreement(derive_agreement([own, offer("b", desired_share=5000)], 4), own).number == 4
+    )
 
 
 def test_signature_that_cannot_be_stored_is_not_handed_out():
@@ -242,15 +270,15 @@
 @pytest.mark.parametrize(
     "own",
     [
-        offer("a", least=4000, want=4000),
+        offer("a", minimum_share=4000, desired_share=4000),
         offer("a", capacity=50),
-        offer("a", begins=50),
-        offer("a", ends=100),
+        offer("a", starts_at=50),
+        offer("a", ends_at=100),
         offer("b"),
     ],
 )
 def test_partner_signs_only_what_it_offered(own):
-    agreement = derive_agreement([offer("a"), offer("b", want=7000)], 1)
+    agreement = derive_agreement([offer("a"), offer("b", desired_share=7000)], 1)
     with pytest.raises(InvalidAgreementError):
         signer_for("a").sign_agreement(agreement, own)
 
@@ -259,22 +287,22 @@
     agreement = derive_agreement([offer(name) for name in "abc"], 1)
     ledger = AgreementLedger("abc", VERIFY)
     ledger.record_agreement(agreement)
-    good = signer_for("a").sign_agreement(agreement, offer("a"))
-    assert not ledger.record_signature(msgspec.structs.replace(good, partner="b"))
-    assert not ledger.record_signature(msgspec.structs.replace(good, partner="x"))
-    assert not ledger.record_signature(msgspec.structs.replace(good, digest=b"other"))
+    signature = signer_for("a").sign_agreement(agreement, offer("a"))
+    assert not ledger.record_signature(msgspec.structs.replace(signature, partner="b"))
+    assert not ledger.record_signature(msgspec.structs.replace(signature, partner="x"))
+    assert not ledger.record_signature(msgspec.structs.replace(signature, digest=b"other"))
     assert not ledger.record_agreement(msgspec.structs.replace(agreement, shares={"a": SHARE_TOTAL + 1}))
     for name in "bc":
         ledger.record_signature(signer_for(name).sign_agreement(agreement, offer(name)))
     assert ledger.in_force(1) is None
-    ledger.record_signature(good)
+    ledger.record_signature(signature)
     assert ledger.in_force(1) == agreement
 
 
 def test_partner_that_signs_two_agreements_loses_its_share():
     agreement, ledger = agreed()
     sign = ed25519_signer(bytes([1]) * 32)
-    other = derive_agreement([offer("a", want=8000, least=8000), offer("b"), offer("c")], 1)
+    other = derive_agreement([offer("a", desired_share=8000, minimum_share=8000), offer("b"), offer("c")], 1)
     ledger.record_agreement(other)
     ledger.record_signature(
         Signature(
@@ -299,7 +327,7 @@
 
 def test_without_one_signature_the_old_agreement_stays_in_force_to_its_end():
     old, ledger = agreed()
-    offers = [offer(name, want=2000, begins=100) for name in "abc"]
+    offers = [offer(name, desired_share=2000, starts_at=100) for name in "abc"]
     new = derive_agreement(offers, 2)
     ledger.record_agreement(new)
     for one in offers[:2]:
