--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -220,8 +220,8 @@
         """
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
-        self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.address = self.door.getsockname()
+        self.client_listener = socket.create_server(("127.0.0.1", 0), backlog=512)
+        self.address = self.client_listener.getsockname()
         table = table or deployment.make_configuration(sockets=sockets)
         table["settings"]["limits"]["probes"] = False
         self.configuration = config.parse_configuration(table, {})
@@ -233,7 +233,7 @@
         )
         self.service = Service(self.configuration, self.log, poller=Poller(system), clock=self.clock)
         self.service.attach_tasks(None)
-        self.service.mysql_frontend.open(self.door)
+        self.service.mysql_frontend.open(self.client_listener)
         self.service.lifecycle.enter(Phase.SERVING)
         self.engine_connections, self.received_attempts, self.clients = [], [], []
         self.attempt_fields = {}  # by attempt id: the fields of the command that started it
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -42,7 +42,7 @@
         return Clock(lambda: self.monotonic_ns, self.unix_ns)
 
     def step(self, seconds: float) -> None:
-        """Set the wall clock forward, or back if `seconds` is negative."""
+        """Sets the wall clock forward, or back if `seconds` is negative."""
         self.offset_ns += int(seconds * 1e9)
 
 
@@ -143,12 +143,12 @@
 
 
 def test_only_the_listed_files_read_the_wall_clock() -> None:
-    found = {}
+    lines_by_file = {}
     for path in sorted((ROOT / "hillchute").rglob("*.py")):
         name = path.relative_to(ROOT).as_posix()
         if name.startswith("hillchute/lab/"):
             continue
         lines = [n for n, line in enumerate(path.read_text().splitlines(), 1) if WALL_CLOCK_CALL.search(line)]
         if lines:
-            found[name] = lines
-    assert found.keys() == WALL_CLOCK_READERS.keys(), found
+            lines_by_file[name] = lines
+    assert lines_by_file.keys() == WALL_CLOCK_READERS.keys(), lines_by_file
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -52,8 +52,8 @@
     routers, engines = fleet
     engines = engines | {other}
     with_other, without = all_pairs(engines, routers), all_pairs(engines - {other}, routers)
-    most = 2 * -(-len(with_other) // len(engines))
-    assert len(without - with_other) <= most and len(with_other - without) <= most
+    max_moves = 2 * -(-len(with_other) // len(engines))
+    assert len(without - with_other) <= max_moves and len(with_other - without) <= max_moves
     # No router loses a remaining engine because another is removed, or gains one because another is added.
     remaining = {pair for pair in with_other if pair[1] != other}
     assert len(engines) <= subsetting.SUBSET_SIZE or remaining <= without
@@ -253,7 +253,7 @@
     if state == "overloaded":
         scheduler.on_health_check(
             0, 2, AttemptResult.SERVED, {"inflight": 8 * 2}
-        )  # above the knee, below the load at which heavy queries are kept out
+        )  # above LIGHT_LOAD, below the load at which heavy queries are rejected
         scheduler.load.mean_load = 1.0
     elif state == "ejected":
         e.ejected_until = 10 * SECOND
@@ -261,7 +261,7 @@
         checking_harness.list_engines(2, mode=ListMode.PARTIAL, state=EndpointState.GONE)
     else:
         e.started = 1
-    assert draw_engine(checking_harness, cost=5 * SECOND) in (1, 3)  # too heavy to be drawn by lot
+    assert draw_engine(checking_harness, cost=5 * SECOND) in (1, 3)  # too heavy for a warm-up permit
 
 
 def test_affinity_to_an_engine_outside_the_subset_is_kept(checking_harness):
@@ -280,8 +280,8 @@
         assert len([d for d in decisions if isinstance(d, Submit)]) == 1 - checks
 
 
-@pytest.mark.parametrize("price, most", [(0.0086, 60), (0.08, 8), (0.0, 60)])
-def test_paced_health_checks_are_limited_by_their_cost(make_harness, price, most):
+@pytest.mark.parametrize("price, expected_checks", [(0.0086, 60), (0.08, 8), (0.0, 60)])
+def test_paced_health_checks_are_limited_by_their_cost(make_harness, price, expected_checks):
     harness = make_harness(report__via="probe", limits__probes=True, costs__probe=price)
     count = 0
     for n in range(60):
@@ -291,4 +291,4 @@
             e.reported_at = n * SECOND - 4500
         harness.add_query(LOOKUP, now=n * SECOND, cost=1, deadline=(n + 7) * SECOND)
         count += len([d for d in harness.take_decisions(n * SECOND) if isinstance(d, HealthCheck)])
-    assert most - 5 <= count <= most + 5
+    assert expected_checks - 5 <= count <= expected_checks + 5
--- a/tests/test_cpu_ratio.py
+++ b/tests/test_cpu_ratio.py
@@ -34,9 +34,9 @@
     old = make_tree("old", "lab", PLAY.format(times=1))
     new = make_tree("new", "testbed", PLAY.format(times=3))
     assert cpu_ratio.main([str(old), str(new), "--seeds", "20", "30", "--turns", "3"]) == 0
-    found = json.loads(capsys.readouterr().out)
-    assert [len(found["cpu_s"][name]) for name in ("old", "new")] == [3, 3]
-    assert found["ratio"] == pytest.approx(3, rel=0.2)
+    report = json.loads(capsys.readouterr().out)
+    assert [len(report["cpu_s"][name]) for name in ("old", "new")] == [3, 3]
+    assert report["ratio"] == pytest.approx(3, rel=0.2)
 
 
 def test_tree_without_the_simulation_is_an_error(make_tree, capfd):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -292,12 +292,12 @@
         lambda: len(mysql_frontend.clients) == mysql_frontend.session_limiter.max_sessions
         and not mysql_frontend.session_limiter.incomplete_steps
     )
-    asking = idle[0]  # it has been idle longest
-    asking.write(query(1))  # not read yet when the new client is accepted
+    longest_idle = idle[0]
+    longest_idle.write(query(1))  # not read yet when the new client is accepted
     new_client = rig.connect_client(LOGIN + query(2))
     mysql_frontend.accept(1)
-    rig.run_until(lambda: new_client.answers() and asking.answers())
-    assert new_client.answers() == ["served"] and asking.answers() == ["served"]
+    rig.run_until(lambda: new_client.answers() and longest_idle.answers())
+    assert new_client.answers() == ["served"] and longest_idle.answers() == ["served"]
     assert [client.closed_by_peer for client in idle].count(True) == 0 and len(
         mysql_frontend.clients
     ) <= mysql_frontend.session_limiter.max_sessions
--- a/tests/test_decision_traces.py
+++ b/tests/test_decision_traces.py
@@ -40,7 +40,7 @@
 
 PINNED = Path(__file__).parent / "data" / "decision_traces.json"
 
-# Traces contain the index of a reason, so that its text may change: never reorder this.
+# Traces contain the index of a reason, so that its text may change: do not reorder them.
 REASONS = ("its end", "tried", "too late", "too heavy", "crowd", "line of loads")
 
 # Settings with which routers also cancel attempts, set priorities, send clients a retry-after time,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,6 +51,8 @@
 
 
 class Stream:
+    """A connection to the stand-in; a client receives the steps of its script, one for each call."""
+
     def __init__(self, bus, address, script):
         self.bus = bus
         self.address = address
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -294,9 +294,9 @@
         "HILLCHUTE_OPERATOR": str(tmp_path / "o.cue"),
     }
     command = [sys.executable, "-m", "hillchute.router"]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, env=environ, capture_output=True, text=True, timeout=60, cwd=ROOT, check=False
     )
-    assert done.returncode == 2
-    assert "o.cue:1: peers" in done.stderr
-    assert errors.OperatorFileError.remedy in done.stderr
+    assert completed.returncode == 2
+    assert "o.cue:1: peers" in completed.stderr
+    assert errors.OperatorFileError.remedy in completed.stderr
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -50,16 +50,16 @@
     """Without warm-up permits and health checks before submission, 0.34 and 0.40 of the value were served and
     engines held up to 105 queries.
     """
-    found = plays.run_and_measure("subset", "replaced", seed, 60, 20, 0.7)
-    assert found["served"] > 0.6 * found["late_seeing"] and found["jain"] > 0.95
-    assert found["most_held"] < 4 * many.CORES
-    assert found["most_of_what_tips"] < 1 / 2 and found["cold_falls"] == 0
+    results = plays.run_and_measure("subset", "replaced", seed, 60, 20, 0.7)
+    assert results["served"] > 0.6 * results["late_seeing"] and results["jain"] > 0.95
+    assert results["most_held"] < 4 * many.CORES
+    assert results["most_of_what_tips"] < 1 / 2 and results["cold_falls"] == 0
 
 
 @pytest.mark.parametrize("play", ["killed", "cut", "doubled"])
 def test_router_restarts_partitions_and_resizing_cost_little_of_the_possible_value(play):
-    found = plays.run_and_measure("subset", play, 3, 40, 16, 0.6, 2.5, **{"costs.probe": 0.08})
-    assert found["served"] > 0.9 * found["late_seeing"] and found["jain"] > 0.95
+    results = plays.run_and_measure("subset", play, 3, 40, 16, 0.6, 2.5, **{"costs.probe": 0.08})
+    assert results["served"] > 0.9 * results["late_seeing"] and results["jain"] > 0.95
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -75,8 +75,8 @@
 
 @pytest.mark.parametrize("play", ["killed", "cut", "doubled"])
 def test_shared_fleet_keeps_serving_during_router_restarts_partitions_and_resizing(play):
-    found = plays.run_and_measure("shared", play, 3, 24, 10, 0.6)
-    assert found["served"] > 0.9 * found["late_seeing"] and found["jain"] > 0.95
+    results = plays.run_and_measure("shared", play, 3, 24, 10, 0.6)
+    assert results["served"] > 0.9 * results["late_seeing"] and results["jain"] > 0.95
 
 
 def test_expensive_health_checks_are_made_less_often():
@@ -93,7 +93,7 @@
 
 
 @pytest.fixture
-def probing(make_harness):
+def probing_harness(make_harness):
     return make_harness(
         report__via="probe", limits__probes=True, report__columns=["inflight"], domain__yields_to_loads=False
     )
@@ -103,52 +103,54 @@
     return [d.engine for d in decisions if isinstance(d, HealthCheck)]
 
 
-def test_query_is_submitted_after_a_health_check_of_its_selected_engine(probing):
-    q = probing.add_query(LOOKUP)
-    decisions = probing.take_decisions()
+def test_query_is_submitted_after_a_health_check_of_its_selected_engine(probing_harness):
+    q = probing_harness.add_query(LOOKUP)
+    decisions = probing_harness.take_decisions()
     assert q.checked_engine in checked_engines(decisions) and not [
         d for d in decisions if isinstance(d, Submit)
     ]
     selected = q.checked_engine
-    probing.scheduler.on_health_check(5, selected, AttemptResult.SERVED, {"inflight": 3})
+    probing_harness.scheduler.on_health_check(5, selected, AttemptResult.SERVED, {"inflight": 3})
     assert (q.id, selected) in [
-        (d.query, d.engine) for d in probing.take_decisions(5) if isinstance(d, Submit)
+        (d.query, d.engine) for d in probing_harness.take_decisions(5) if isinstance(d, Submit)
     ]
 
 
-def test_overloaded_engine_is_skipped_after_one_health_check(probing):
-    q = probing.add_query(LOOKUP)
-    probing.take_decisions()
+def test_overloaded_engine_is_skipped_after_one_health_check(probing_harness):
+    q = probing_harness.add_query(LOOKUP)
+    probing_harness.take_decisions()
     first = q.checked_engine
-    probing.scheduler.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
-    probing.take_decisions(5)
+    probing_harness.scheduler.on_health_check(5, first, AttemptResult.SERVED, {"inflight": 8 * 2 + 1})
+    probing_harness.take_decisions(5)
     assert q.checked_engine not in (None, first) and q.overloaded_checks == 1
 
 
-def test_engine_without_an_answer_to_the_health_check_is_skipped(probing):
-    q = probing.add_query(LOOKUP)
-    probing.take_decisions()
+def test_engine_without_an_answer_to_the_health_check_is_skipped(probing_harness):
+    q = probing_harness.add_query(LOOKUP)
+    probing_harness.take_decisions()
     first = q.checked_engine
-    assert not [d for d in probing.take_decisions(999) if isinstance(d, Submit)]
-    probing.take_decisions(1000)
+    assert not [d for d in probing_harness.take_decisions(999) if isinstance(d, Submit)]
+    probing_harness.take_decisions(1000)
     assert q.checked_engine not in (None, first)
 
 
-def test_lookup_is_rejected_when_all_checked_engines_are_full(probing):
-    q = probing.add_query(LOOKUP)
-    decisions, now = probing.take_decisions(), 0
+def test_lookup_is_rejected_when_all_checked_engines_are_full(probing_harness):
+    q = probing_harness.add_query(LOOKUP)
+    decisions, now = probing_harness.take_decisions(), 0
     while not [d for d in decisions if isinstance(d, Submit | Reject)]:
         now += 10
-        probing.scheduler.on_health_check(now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60})
-        decisions = probing.take_decisions(now)
+        probing_harness.scheduler.on_health_check(
+            now, q.checked_engine, AttemptResult.SERVED, {"inflight": 60}
+        )
+        decisions = probing_harness.take_decisions(now)
     assert q.id in [d.query for d in decisions if isinstance(d, Reject)]
 
 
-def test_engine_with_a_recent_report_needs_no_health_check(probing):
-    for e in probing.scheduler.engines.values():
-        probing.scheduler.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
-    q = probing.add_query(LOOKUP, now=100)
-    assert [d.query for d in probing.take_decisions(100) if isinstance(d, Submit)] == [q.id]
+def test_engine_with_a_recent_report_needs_no_health_check(probing_harness):
+    for e in probing_harness.scheduler.engines.values():
+        probing_harness.scheduler.on_health_check(0, e.id, AttemptResult.SERVED, {"inflight": 1})
+    q = probing_harness.add_query(LOOKUP, now=100)
+    assert [d.query for d in probing_harness.take_decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_report_of_an_overloaded_engine_keeps_its_weight_longer(harness):
@@ -174,7 +176,7 @@
 
 
 def calls(work):
-    """Return how many function calls `work` makes, including those of built-in functions."""
+    """Returns how many function calls `work` makes, including those of built-in functions."""
     count = 0
 
     def count_call(frame, event, argument):
@@ -244,13 +246,13 @@
     ]
 
 
-def test_lookup_is_rejected_without_a_health_check_under_known_overload(probing):
-    """A health check would take a tenth of a second and confirm what the mean load says already."""
-    probing.add_query(LOOKUP)
-    probing.take_decisions()
-    probing.scheduler.load.mean_load = 3.1  # threads per core, more than 1.5 times the limit
-    q = probing.add_query(LOOKUP, cost=1)
-    assert Reject(q.id, 0, Reason.ENGINES_OVERLOADED) in probing.take_decisions()
+def test_lookup_is_rejected_without_a_health_check_under_known_overload(probing_harness):
+    """A health check would take a tenth of a second and only confirm the overload that is already known."""
+    probing_harness.add_query(LOOKUP)
+    probing_harness.take_decisions()
+    probing_harness.scheduler.load.mean_load = 3.1  # threads per core, more than 1.5 times the limit
+    q = probing_harness.add_query(LOOKUP, cost=1)
+    assert Reject(q.id, 0, Reason.ENGINES_OVERLOADED) in probing_harness.take_decisions()
     assert q.checked_engine is None
 
 
@@ -258,13 +260,13 @@
 
 
 @pytest.fixture
-def half_cold(probing):
+def half_cold(probing_harness):
     """Engine 1 is warm and full, 2 and 3 are cold and empty; all are in the router's subset."""
-    probing.list_engines(2, 3, mode=ListMode.PARTIAL, started=10)
-    probing.scheduler.on_subset(20, frozenset({1, 2, 3}))
+    probing_harness.list_engines(2, 3, mode=ListMode.PARTIAL, started=10)
+    probing_harness.scheduler.on_subset(20, frozenset({1, 2, 3}))
     for engine, in_flight in ((1, 28), (2, 0), (3, 0)):
-        probing.scheduler.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": in_flight})
-    return probing
+        probing_harness.scheduler.on_health_check(20, engine, AttemptResult.SERVED, {"inflight": in_flight})
+    return probing_harness
 
 
 def test_query_is_too_heavy_by_the_load_of_the_engines_it_may_use_not_by_the_mean(half_cold):
@@ -283,33 +285,33 @@
     ]
 
 
-def test_query_with_a_permit_goes_to_its_cold_engine_without_a_health_check(probing):
-    probing.list_engines(2, mode=ListMode.PARTIAL, started=10)
-    q = probing.add_query(LOOKUP, now=20)
+def test_query_with_a_permit_goes_to_its_cold_engine_without_a_health_check(probing_harness):
+    probing_harness.list_engines(2, mode=ListMode.PARTIAL, started=10)
+    q = probing_harness.add_query(LOOKUP, now=20)
     q.permit_engine = 2
-    decisions = probing.take_decisions(20)
+    decisions = probing_harness.take_decisions(20)
     assert (q.id, 2) in [(d.query, d.engine) for d in decisions if isinstance(d, Submit)]
-    other = probing.add_query(LOOKUP, now=20)
+    other = probing_harness.add_query(LOOKUP, now=20)
     other.permit_engine = None
-    probing.take_decisions(20)
+    probing_harness.take_decisions(20)
     assert other.checked_engine in (1, 3)  # a warm engine without a report is checked first
 
 
-def test_health_checks_go_to_the_engine_of_the_subset_with_the_oldest_report(probing):
-    scheduler = probing.scheduler
+def test_health_checks_go_to_the_engine_of_the_subset_with_the_oldest_report(probing_harness):
+    scheduler = probing_harness.scheduler
     scheduler.on_subset(0, frozenset({1, 2}))
     for engine, at in ((1, 9000), (2, 5000), (3, 0)):
         scheduler.on_health_check(at, engine, AttemptResult.SERVED, {"inflight": 0})
     scheduler.health_checks.credit, scheduler.health_checks.next_check = 3, 0
-    checked = checked_engines(probing.take_decisions(10_000))
+    checked = checked_engines(probing_harness.take_decisions(10_000))
     assert checked == [2]  # 3 is not in the subset, 1 has reported recently
     scheduler.on_load_report(13_500, 2, {"inflight": 0}, age=100)
     scheduler.health_checks.credit, scheduler.health_checks.next_check = 3, 0
-    assert checked_engines(probing.take_decisions(14_000)) == [1]
+    assert checked_engines(probing_harness.take_decisions(14_000)) == [1]
 
 
-def test_relayed_report_is_used_by_its_age(probing):
-    scheduler, e = probing.scheduler, probing.scheduler.engines[1]
+def test_relayed_report_is_used_by_its_age(probing_harness):
+    scheduler, e = probing_harness.scheduler, probing_harness.scheduler.engines[1]
     scheduler.on_load_report(5000, 1, {"inflight": 4}, age=1000)
     assert (e.reported_threads, e.reported_at) == (4, 4000)
     scheduler.on_load_report(5000, 1, {"inflight": 9}, age=2000)
@@ -320,12 +322,12 @@
     assert e.reported_at == 5000 and not e.failures
 
 
-def test_recent_relayed_report_saves_the_health_check(probing):
+def test_recent_relayed_report_saves_the_health_check(probing_harness):
     for engine in (1, 2, 3):
-        probing.scheduler.on_load_report(100, engine, {"inflight": 1}, age=90)
-    probing.scheduler.on_subset(100, frozenset({1, 2, 3}), 2, FleetShares(health_checks=0.0))
-    q = probing.add_query(LOOKUP, now=100)
-    assert [d.query for d in probing.take_decisions(100) if isinstance(d, Submit)] == [q.id]
+        probing_harness.scheduler.on_load_report(100, engine, {"inflight": 1}, age=90)
+    probing_harness.scheduler.on_subset(100, frozenset({1, 2, 3}), 2, FleetShares(health_checks=0.0))
+    q = probing_harness.add_query(LOOKUP, now=100)
+    assert [d.query for d in probing_harness.take_decisions(100) if isinstance(d, Submit)] == [q.id]
 
 
 def test_granted_shares_of_limits_take_precedence_over_equal_shares(make_harness):
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -53,8 +53,8 @@
 def test_ticket_is_valid_once_for_its_owner_until_it_expires():
     table = tickets.TokenTable(b"k", 10, 100)
     token = table.put(0, "bi", "query")
-    for owner, now, why in (("other", 0, "another client"), ("bi", 100, "too old")):
-        with pytest.raises(tickets.InvalidTokenError, match=why):
+    for owner, now, message in (("other", 0, "another client"), ("bi", 100, "too old")):
+        with pytest.raises(tickets.InvalidTokenError, match=message):
             table.take(now, owner, token)
     assert table.take(99, "bi", token) == "query"
     with pytest.raises(tickets.InvalidTokenError, match="used already"):
@@ -86,37 +86,45 @@
         [{"name": "bi", "password": "p:w"}, {"name": "etl", "token": "secret"}], b"k"
     )
     basic = identity.base64.b64encode(b"bi:p:w").decode()
-    given = authenticator.issue_token(0, "bi")
+    issued_token = authenticator.issue_token(0, "bi")
     assert authenticator.authenticate(0, f"Basic {basic}") == "bi"
     assert authenticator.authenticate(0, "Bearer secret") == "etl"
-    assert authenticator.authenticate(identity.TOKEN_LIFETIME - 1, f"Bearer {given}") == "bi"
-    wrong = identity.base64.b64encode(b"etl:").decode()
-    for header in (None, "", f"Basic {wrong}", "Basic %", "Bearer x", "Bearer bi.9.9", f"Bearer {given}0"):
+    assert authenticator.authenticate(identity.TOKEN_LIFETIME - 1, f"Bearer {issued_token}") == "bi"
+    no_password = identity.base64.b64encode(b"etl:").decode()
+    for header in (
+        None,
+        "",
+        f"Basic {no_password}",
+        "Basic %",
+        "Bearer x",
+        "Bearer bi.9.9",
+        f"Bearer {issued_token}0",
+    ):
         with pytest.raises(identity.AuthenticationError):
             authenticator.authenticate(0, header)
     with pytest.raises(identity.AuthenticationError):
-        authenticator.authenticate(identity.TOKEN_LIFETIME, f"Bearer {given}")
+        authenticator.authenticate(identity.TOKEN_LIFETIME, f"Bearer {issued_token}")
     assert identity.Authenticator([], b"k").authenticate(0, None) == identity.ANONYMOUS
 
 
 def test_reload_applies_settings_and_names_those_that_need_a_restart(tmp_path):
     text = 'flight: {listen: "127.0.0.1:1", tickets: 5, users: [{name: "bi", token: "old"}]}'
-    made = server.Server(reading.parse_settings(text)["flight"], {}, Log("n", -1), lambda: 0, None)
-    given = made.authenticator.issue_token(0, "bi")
+    flight_server = server.Server(reading.parse_settings(text)["flight"], {}, Log("n", -1), lambda: 0, None)
+    issued_token = flight_server.authenticator.issue_token(0, "bi")
     text = text.replace("old", "new").replace(":1", ":2").replace("tickets: 5", "tickets: 1")
-    assert made.reload_settings(reading.parse_settings(text)["flight"]) == ["listen"]
-    assert made.settings["listen"] == "127.0.0.1:1" and made.tickets.max_entries == 1
+    assert flight_server.reload_settings(reading.parse_settings(text)["flight"]) == ["listen"]
+    assert flight_server.settings["listen"] == "127.0.0.1:1" and flight_server.tickets.max_entries == 1
     assert (
-        made.authenticator.authenticate(0, "Bearer new")
-        == made.authenticator.authenticate(0, f"Bearer {given}")
+        flight_server.authenticator.authenticate(0, "Bearer new")
+        == flight_server.authenticator.authenticate(0, f"Bearer {issued_token}")
         == "bi"
     )
     with pytest.raises(identity.AuthenticationError):
-        made.authenticator.authenticate(0, "Bearer old")
-    gone = text.replace('token: "new"', f'token_file: "{tmp_path}/none"')
+        flight_server.authenticator.authenticate(0, "Bearer old")
+    text_with_missing_file = text.replace('token: "new"', f'token_file: "{tmp_path}/none"')
     with pytest.raises(ValueError, match="flight.users"):
-        made.reload_settings(reading.parse_settings(gone)["flight"])
-    assert made.authenticator.authenticate(0, "Bearer new") == "bi"
+        flight_server.reload_settings(reading.parse_settings(text_with_missing_file)["flight"])
+    assert flight_server.authenticator.authenticate(0, "Bearer new") == "bi"
 
 
 # ---- fields and parameters --------------------------------------------------------------------------
@@ -124,13 +132,18 @@
 
 def test_fields_come_from_headers_comment_or_defaults_and_must_not_repeat():
     text = b"/* route=report */ SELECT 1"
-    beside = {"route": "report", "patience": "5"}
-    read = statements.parse_statement(text, beside, {"trace": "a" * 16, "patience": "9"})
-    assert (read.group, read.client_timeout, read.id, read.statement) == ("report", 50, "a" * 16, b"SELECT 1")
+    headers = {"route": "report", "patience": "5"}
+    request = statements.parse_statement(text, headers, {"trace": "a" * 16, "patience": "9"})
+    assert (request.group, request.client_timeout, request.id, request.statement) == (
+        "report",
+        50,
+        "a" * 16,
+        b"SELECT 1",
+    )
     with pytest.raises(statements.InvalidStatementError, match="route stands twice"):
         statements.parse_statement(text, {"route": "lookup"}, {"trace": "a" * 16, "patience": "9"})
-    plain = statements.parse_statement(b"/* of BI */ SELECT 1", beside, {"trace": "a" * 16})
-    assert plain.statement == b"/* of BI */ SELECT 1"
+    without_comment_fields = statements.parse_statement(b"/* of BI */ SELECT 1", headers, {"trace": "a" * 16})
+    assert without_comment_fields.statement == b"/* of BI */ SELECT 1"
     with pytest.raises(statements.InvalidStatementError, match="no comment"):
         statements.parse_statement(b"SELECT 1")
 
@@ -149,8 +162,8 @@
 
 def test_rows_are_encoded_as_batches_and_decoded_again():
     rows = [[b"1", b"", "ü".encode()]] * (arrow.MAX_ROWS_PER_BATCH + 1)
-    reading = arrow.BatchDecoder()
-    parts = [reading.decode(part.SerializeToString()) for part in arrow.from_rows(rows)]
+    decoder = arrow.BatchDecoder()
+    parts = [decoder.decode(part.SerializeToString()) for part in arrow.from_rows(rows)]
     assert [row for part in parts[1:] for row in arrow.to_rows(part)] == rows
     assert len(list(arrow.from_rows([]))) == 1  # the schema alone
     with pytest.raises(arrow.InvalidFlightDataError, match="UTF-8"):
@@ -158,16 +171,16 @@
 
 
 def test_batches_that_do_not_match_the_schema_or_are_truncated_are_unreadable():
-    whole = arrow.to_flight_data(arrow.TEXT_RESULT_SCHEMA).SerializeToString()
-    other = arrow.to_flight_data(pa.schema([("x", pa.int32())])).SerializeToString()
+    schema = arrow.to_flight_data(arrow.TEXT_RESULT_SCHEMA).SerializeToString()
+    other_schema = arrow.to_flight_data(pa.schema([("x", pa.int32())])).SerializeToString()
     batch = arrow.to_flight_data(
         pa.record_batch([["a"]] * 3, schema=arrow.TEXT_RESULT_SCHEMA)
     ).SerializeToString()
-    for parts in ([batch], [whole, other], [whole, batch[:-9]], [whole, b"\xff\xff"]):
-        reading = arrow.BatchDecoder()
+    for parts in ([batch], [schema, other_schema], [schema, batch[:-9]], [schema, b"\xff\xff"]):
+        decoder = arrow.BatchDecoder()
         with pytest.raises(arrow.InvalidFlightDataError):
             for part in parts:
-                reading.decode(part)
+                decoder.decode(part)
 
 
 def test_message_that_is_not_a_command_is_unreadable():
@@ -199,9 +212,9 @@
         listing = events.event_bus.Listing(1, 0, 0, 0, 0, EndpointState.READY, 1.0)
         entry = events.event_bus.Endpoint(listing, "127.0.0.1", 1)
         self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (entry,))))
-        asked = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
-        (connect,) = self.do(events.QueryReceived(1, asked, 0), kind=OpenConnection)
-        self.connection, self.stream = connect.connection, StreamStandIn()
+        request = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
+        (open_connection,) = self.do(events.QueryReceived(1, request, 0), kind=OpenConnection)
+        self.connection, self.stream = open_connection.connection, StreamStandIn()
         self.do(events.Connected(self.connection))
         self.start_effects = self.do(
             events.MessageReceived(self.connection, words.StreamStarted("a" * 16, self.stream)), 10
@@ -260,7 +273,7 @@
 
 
 def test_call_that_is_cancelled_or_raises_ends_only_its_own_task():
-    made = links.FlightConnections({}, Log("n", -1), None, 1, 1)
+    connections = links.FlightConnections({}, Log("n", -1), None, 1, 1)
 
     async def cancelled():
         raise anyio.get_cancelled_exc_class()
@@ -269,14 +282,14 @@
         raise KeyError("x")
 
     async def run():
-        async with anyio.create_task_group() as made.tasks:
+        async with anyio.create_task_group() as connections.tasks:
             for work in (cancelled, faulty):
-                made.tasks.start_soon(made.run_isolated, work)
+                connections.tasks.start_soon(connections.run_isolated, work)
             await anyio.sleep(0.01)
-            assert not made.tasks.cancel_scope.cancel_called
+            assert not connections.tasks.cancel_scope.cancel_called
 
     anyio.run(run)
-    assert b"KeyError" in made.log.buffer
+    assert b"KeyError" in connections.log.buffer
 
 
 # ---- a router in a process --------------------------------------------------------------------------
@@ -331,8 +344,8 @@
 
 def run_deployment(engines):
     with anyio.from_thread.start_blocking_portal() as portal:
-        made = deployed(engines, 3, USERS.replace("ENGINES", engines))
-        with portal.wrap_async_context_manager(made) as (fleet, router):
+        deployment_context = deployed(engines, 3, USERS.replace("ENGINES", engines))
+        with portal.wrap_async_context_manager(deployment_context) as (fleet, router):
             yield Deployment(portal, fleet, router)
             assert not router.faults()
 
@@ -429,23 +442,23 @@
 
 def test_ticket_of_another_client_is_refused(deployment):
     client = pa.flight.connect(deployment.uri)
-    mine, theirs = (
+    own_options, other_options = (
         pa.flight.FlightCallOptions(headers=[(b"authorization", b"Bearer " + token)])
         for token in (b"secret", b"other")
     )
     command = arrow.command_descriptor(sql.CommandStatementQuery(query=SELECT)).cmd
-    info = client.get_flight_info(pa.flight.FlightDescriptor.for_command(command), mine)
+    info = client.get_flight_info(pa.flight.FlightDescriptor.for_command(command), own_options)
     with pytest.raises(pa.ArrowException, match="another client"):
-        client.do_get(info.endpoints[0].ticket, theirs).read_all()
+        client.do_get(info.endpoints[0].ticket, other_options).read_all()
     with pytest.raises(pa.ArrowException, match="not one that was given out"):
         forged = arrow.wrap(sql.TicketStatementQuery(statement_handle=b"x" * 24))
-        client.do_get(pa.flight.Ticket(forged), mine).read_all()
+        client.do_get(pa.flight.Ticket(forged), own_options).read_all()
     client.close()
 
 
 def test_statement_over_the_message_limit_is_rejected(on_flight):
-    (how,) = on_flight.ask(Query("lookup", "SELECT '" + "x" * 100_000_000 + "'"))
-    assert how == "unknown StatusCode.RESOURCE_EXHAUSTED"
+    (outcome,) = on_flight.ask(Query("lookup", "SELECT '" + "x" * 100_000_000 + "'"))
+    assert outcome == "unknown StatusCode.RESOURCE_EXHAUSTED"
     assert on_flight.ask(Query("lookup", SELECT)) == ["finished"]
 
 
@@ -463,9 +476,9 @@
         "SELECT /* lab rows=30 batches=3 spoilt=1 */ day FROM sales_17.orders",
         client_timeout_ms=900,
     )
-    (how,) = deployment.ask(q, front=front)
+    (outcome,) = deployment.ask(q, front=front)
     undecoded = (front, deployment.fleet.protocol) == (FlightClient, "flight")
-    assert how in (("unreadable",) if undecoded else ("killed", "deferred"))
+    assert outcome in (("unreadable",) if undecoded else ("killed", "deferred"))
 
 
 @pytest.mark.parametrize("front", [MySQLClient, FlightClient])
@@ -488,10 +501,10 @@
 
 
 def test_calls_that_are_not_served_have_their_status_codes(deployment):
-    never = Query("lookup", "SELECT /* lab full=-1 */ day FROM sales_17.orders", client_timeout_ms=400)
-    hangs = Query("lookup", "SELECT /* lab hang=1 */ day FROM sales_17.orders", client_timeout_ms=400)
-    fails = Query("lookup", "SELECT /* lab error=-1 */ day FROM sales_17.orders")
-    assert deployment.ask(never, hangs, fails) == ["deferred"] * 3
+    always_full = Query("lookup", "SELECT /* lab full=-1 */ day FROM sales_17.orders", client_timeout_ms=400)
+    hanging = Query("lookup", "SELECT /* lab hang=1 */ day FROM sales_17.orders", client_timeout_ms=400)
+    failing = Query("lookup", "SELECT /* lab error=-1 */ day FROM sales_17.orders")
+    assert deployment.ask(always_full, hanging, failing) == ["deferred"] * 3
     status = answers.Status.of(answers.DEFERRED, "x", retry_after_ms=1500)
     assert status.code is grpc.StatusCode.UNAVAILABLE
     assert error_reason([(DETAILS_TRAILER, status.details)]) == "DEFERRED"
@@ -534,7 +547,7 @@
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "localhost")])
     now = datetime.datetime.now(datetime.UTC)
     names = x509.SubjectAlternativeName([x509.DNSName("localhost")])
-    made = (
+    certificate = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
@@ -547,24 +560,27 @@
         .sign(key, hashes.SHA256())
     )
     pem = serialization.Encoding.PEM
-    plain = serialization.PrivateFormat.TraditionalOpenSSL, serialization.NoEncryption()
-    (folder / f"{name}.crt").write_bytes(made.public_bytes(pem))
-    (folder / f"{name}.key").write_bytes(key.private_bytes(pem, *plain))
+    private_key_format = serialization.PrivateFormat.TraditionalOpenSSL, serialization.NoEncryption()
+    (folder / f"{name}.crt").write_bytes(certificate.public_bytes(pem))
+    (folder / f"{name}.key").write_bytes(key.private_bytes(pem, *private_key_format))
     return folder / f"{name}.crt", folder / f"{name}.key"
 
 
 def tls_client_is_served(authority, port, client_keys=None):
     """Whether a client that trusts `authority` gets an answer on a port."""
-    pair = {}
+    client_certificate = {}
     if client_keys is not None:
-        pair = {"private_key": client_keys[1].read_bytes(), "certificate_chain": client_keys[0].read_bytes()}
-    credentials = grpc.ssl_channel_credentials(authority.read_bytes(), **pair)
+        client_certificate = {
+            "private_key": client_keys[1].read_bytes(),
+            "certificate_chain": client_keys[0].read_bytes(),
+        }
+    credentials = grpc.ssl_channel_credentials(authority.read_bytes(), **client_certificate)
     options = [("grpc.use_local_subchannel_pool", 1)]
     with grpc.secure_channel(f"localhost:{port}", credentials, options=options) as channel:
-        ask = channel.unary_unary(f"{arrow.SERVICE_PATH}GetSchema")
+        get_schema = channel.unary_unary(f"{arrow.SERVICE_PATH}GetSchema")
         command = arrow.command_descriptor(sql.CommandGetCatalogs()).SerializeToString()
         try:
-            return bool(ask(command, timeout=3))
+            return bool(get_schema(command, timeout=3))
         except grpc.RpcError:
             return False
 
@@ -602,7 +618,7 @@
 def test_start_fails_with_the_setting_name_if_the_port_is_taken():
     with socket.create_server(("127.0.0.1", 0)) as taken, anyio.from_thread.start_blocking_portal() as portal:
         text = f'flight: {{listen: "127.0.0.1:{taken.getsockname()[1]}"}}'
-        with pytest.raises(BaseExceptionGroup) as fault:
+        with pytest.raises(BaseExceptionGroup) as error:
             with portal.wrap_async_context_manager(deployed("line", 1, text)):
                 pass
-        assert "flight.listen" in str(fault.value.exceptions[0])
+        assert "flight.listen" in str(error.value.exceptions[0])
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -33,13 +33,15 @@
     assert not failed
 
 
-def faults(seeds=12, **options):
-    return [fault for seed in range(1, seeds + 1) for fault in slowloop.play(seed, **options).violations]
+def find_violations(seeds=12, **options):
+    return [
+        violation for seed in range(1, seeds + 1) for violation in slowloop.play(seed, **options).violations
+    ]
 
 
 def test_checker_finds_answers_that_leave_no_time_for_a_pause(monkeypatch):
     monkeypatch.setattr(LoopLag, "answer_margin", lambda self, client_timeout: 0)
-    assert any("too late" in fault for fault in faults())
+    assert any("too late" in violation for violation in find_violations())
 
 
 def test_checker_finds_queries_lost_by_a_shutdown_that_ignores_client_activity(monkeypatch):
@@ -50,7 +52,7 @@
             ShutdownStep.EXIT if activity.now > self.signalled_at + 100 else ShutdownStep.CLOSE_SESSIONS
         ),
     )
-    assert any("0 answers" in fault for fault in faults())
+    assert any("0 answers" in violation for violation in find_violations())
 
 
 @pytest.fixture
@@ -59,7 +61,7 @@
 
 
 def stalled_key():
-    """Returns the faults of a run in which two queries of a key arrive during one stall.
+    """Returns the violations of a run in which two queries of a key arrive during one stall.
 
     The first arrives on a new connection, the second on an open one.
     """
@@ -89,7 +91,7 @@
 
 def test_checker_finds_a_key_out_of_order(monkeypatch, no_hangs):
     monkeypatch.setattr(round_schedule, "ORDER_SPACING", 10**9)
-    assert ["after a later one" in fault for fault in stalled_key()] == [True]
+    assert ["after a later one" in violation for violation in stalled_key()] == [True]
 
 
 # ---- rounds ---------------------------------------------------------------------------------------
@@ -249,8 +251,8 @@
 # ---- sessions ---------------------------------------------------------------------------------------
 
 
-class PipeStub:
-    """Stands in for a session's pipe."""
+class BufferedSocketStub:
+    """Stands in for a session's buffered socket."""
 
     def __init__(self, unsent=b"", unread=False):
         self.unsent, self.unread, self.closed = unsent, unread, False
@@ -262,21 +264,32 @@
         self.closed = True
 
 
-def make_full_frontend(*pipes):
+def make_full_frontend(*buffered_sockets):
     """Returns a frontend whose places are all taken by sessions in an incomplete step."""
     poller = SimpleNamespace(system=SYSTEM_CALLS)
     frontend = MysqlFrontend(
-        len(pipes), 1000, poller, RoundSchedule(), None, lambda: 0, lambda session: None, None, None, None
+        len(buffered_sockets),
+        1000,
+        poller,
+        RoundSchedule(),
+        None,
+        lambda: 0,
+        lambda session: None,
+        None,
+        None,
+        None,
     )
-    for number, pipe in enumerate(pipes):
+    for number, buffered_socket in enumerate(buffered_sockets):
         client = frontend.clients[number] = Client(number, 1000)
-        client.buffered_socket = pipe
+        client.buffered_socket = buffered_socket
         frontend.session_limiter.mark_in_step(number, number)
     return frontend
 
 
 def test_session_with_an_unsent_answer_is_not_evicted():
-    frontend = make_full_frontend(PipeStub(unsent=b"rows"), PipeStub(unread=True), PipeStub())
+    frontend = make_full_frontend(
+        BufferedSocketStub(unsent=b"rows"), BufferedSocketStub(unread=True), BufferedSocketStub()
+    )
     candidates = frontend.session_limiter.eviction_candidates()
     assert frontend.make_room(iter(list(candidates)))
     assert sorted(frontend.clients) == [0, 1]
@@ -284,7 +297,7 @@
 
 
 def test_unread_sessions_are_checked_once_per_burst_of_new_connections():
-    frontend = make_full_frontend(*[PipeStub(unread=True) for _ in range(5)], PipeStub())
+    frontend = make_full_frontend(*[BufferedSocketStub(unread=True) for _ in range(5)], BufferedSocketStub())
     candidates = iter(list(frontend.session_limiter.eviction_candidates()))
     assert frontend.make_room(candidates)
     frontend.session_limiter.mark_in_step(9, 0)
@@ -292,7 +305,7 @@
 
 
 def test_first_query_sent_with_the_login_is_timed_from_its_connection():
-    frontend = make_full_frontend(PipeStub(), PipeStub())
+    frontend = make_full_frontend(BufferedSocketStub(), BufferedSocketStub())
     early, later = frontend.clients[0], frontend.clients[1]
     early.connected_at = later.connected_at = SECOND
     early.logged_in_at = later.logged_in_at = 2 * SECOND
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -165,7 +165,7 @@
         for k in replica.records.all_records()
     ):
         net.play(0.05)
-    died, slot = net.now, slot_of("", key)
+    died_at, slot = net.now, slot_of("", key)
     net.kill("n0")
     assert claim not in net.open_claims
     net.start("n0")
@@ -185,8 +185,8 @@
     other = next(n for n in net.names if net.partner_of[n] == net.owners()[slot])
     net.ask(other, "t1", key)
     net.advance(6)
-    assert not net.runs["t1"] and net.now < died + COMPLETION_GRACE
-    net.play((died + COMPLETION_GRACE + 5 * SECOND - net.now) / SECOND)
+    assert not net.runs["t1"] and net.now < died_at + COMPLETION_GRACE
+    net.play((died_at + COMPLETION_GRACE + 5 * SECOND - net.now) / SECOND)
     net.ask(other, "t2", key)
     net.advance(4)
     assert net.runs["t2"]
@@ -467,6 +467,10 @@
     key = key_of(net, "b")
     net.ask("n1", "t0", key)
     net.play(0.3)
-    leases = {k.slots.slots[slot_of("", key)].lease for k in net.replicas.values()} - {None}
-    recorded = {kept.record.lease_number for k in net.replicas.values() for kept in k.records.all_records()}
+    leases = {replica.slots.slots[slot_of("", key)].lease for replica in net.replicas.values()} - {None}
+    recorded = {
+        retained.record.lease_number
+        for replica in net.replicas.values()
+        for retained in replica.records.all_records()
+    }
     assert recorded == {lease.number for lease in leases} and len(recorded) == 1
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -63,15 +63,17 @@
 def test_hold_overrides_erasure_requests_and_age_but_old_records_are_not_replayed():
     requests = (ErasureRequest(EPOCH + 1),)
     policies = RetentionPolicies(default=POLICY, erasure_requests=requests)
-    held = RetentionPolicies(default=msgspec.structs.replace(POLICY, hold=True), erasure_requests=requests)
-    assert policies.must_be_erased("", "k", EPOCH, 0) and not held.must_be_erased("", "k", EPOCH, 0)
+    with_hold = RetentionPolicies(
+        default=msgspec.structs.replace(POLICY, hold=True), erasure_requests=requests
+    )
+    assert policies.must_be_erased("", "k", EPOCH, 0) and not with_hold.must_be_erased("", "k", EPOCH, 0)
     assert not policies.must_be_erased("", "k", EPOCH + 1, 0)
     old = POLICY.most_ms * MS + 1
-    assert policies.must_be_erased("", "k", EPOCH + 1, old) and not held.must_be_erased(
+    assert policies.must_be_erased("", "k", EPOCH + 1, old) and not with_hold.must_be_erased(
         "", "k", EPOCH + 1, old
     )
-    assert not held.may_replay("", "k", EPOCH + 1, old)
-    assert held.may_replay("", "k", EPOCH, 0)  # the erasure request takes effect when the hold ends
+    assert not with_hold.may_replay("", "k", EPOCH + 1, old)
+    assert with_hold.may_replay("", "k", EPOCH, 0)  # the erasure request takes effect when the hold ends
 
 
 def test_erasure_request_covers_a_customer_or_one_of_its_keys():
@@ -303,25 +305,25 @@
 
 
 def test_view_number_far_ahead_of_the_clock_is_refused():
-    views, far = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH), EPOCH // 10 + 2 * MAX_NUMBER_AHEAD
+    views, number_ahead = ViewProtocol("a", 1, ["a", "b", "c"], EPOCH), EPOCH // 10 + 2 * MAX_NUMBER_AHEAD
     now = EPOCH + 3 * VIEW_LEASE
-    assert not views.answer_request(now, ViewId(far, "b")).given
-    assert not views.adopt(now, View(far, "b", {"a": 1, "b": 1}))
-    assert not views.answer_heartbeat(now, ViewId(far, "b"), now, 0).given
+    assert not views.answer_request(now, ViewId(number_ahead, "b")).given
+    assert not views.adopt(now, View(number_ahead, "b", {"a": 1, "b": 1}))
+    assert not views.answer_heartbeat(now, ViewId(number_ahead, "b"), now, 0).given
     assert views.answer_request(now, ViewId(EPOCH // 10, "b")).given
 
 
 def proposer_after(granters: str, answers: str = "abcde") -> tuple[ViewProtocol, View | None, int]:
-    """Returns one of five routers after promises from `answers`, its proposed view, and how many it took.
+    """Returns the view protocol of one of five routers, the view that it proposes and the promises it needed.
 
-    `granters`: the routers that have granted an earlier view.
+    `answers`: the routers that promise, in this order; `granters`: those that have granted an earlier view.
     """
     live = dict.fromkeys("abcde", 1)
     views, now = ViewProtocol("a", 1, live, EPOCH), EPOCH + 3 * VIEW_LEASE
     views.next_action(now, live)
     assert views.next_action(now + SETTLE_TIME, live) is ProposerAction.REQUEST_PROMISES
     old = View(5, "e", live, 1)
-    for n, name in enumerate(answers, 1):
+    for promise_count, name in enumerate(answers, 1):
         granter = ViewProtocol(name, 1, live, EPOCH)
         if name in granters:
             granter.adopt(EPOCH * 2, old)
@@ -329,23 +331,28 @@
         if views.handle_promise(
             now + SETTLE_TIME, name, granter.answer_request(now + SETTLE_TIME, views.requesting), live, 2
         ):
-            return views, views.proposed, n
+            return views, views.proposed, promise_count
     return views, None, len(answers)
 
 
 def test_view_takes_over_from_its_predecessor_only_if_a_majority_has_granted():
-    _, view, after = proposer_after("abc")
-    assert (view.predecessor, view.predecessor_copies, view.copies, after) == (ViewId(5, "e"), 1, 2, 3)
+    _, view, promise_count = proposer_after("abc")
+    assert (view.predecessor, view.predecessor_copies, view.copies, promise_count) == (
+        ViewId(5, "e"),
+        1,
+        2,
+        3,
+    )
     assert view.predecessor_members.keys() == set("abcde") and view.number > 5 and not view.is_first
-    _, view, after = proposer_after("ab")
-    assert view.predecessor is None and not view.is_first and after == 5
-    _, view, after = proposer_after("")
-    assert view.predecessor is None and view.is_first and after == 5
+    _, view, promise_count = proposer_after("ab")
+    assert view.predecessor is None and not view.is_first and promise_count == 5
+    _, view, promise_count = proposer_after("")
+    assert view.predecessor is None and view.is_first and promise_count == 5
 
 
 def test_promises_of_restarted_routers_do_not_hide_earlier_grants():
-    _, view, after = proposer_after("cde", "abcde")
-    assert view.predecessor == ViewId(5, "e") and after == 5
+    _, view, promise_count = proposer_after("cde", "abcde")
+    assert view.predecessor == ViewId(5, "e") and promise_count == 5
     views, view, _ = proposer_after("cd", "abcd")
     assert view is None and views.requesting  # the fifth router may have granted a view, so it is asked again
     for _ in range(MAX_ATTEMPTS):
@@ -470,8 +477,8 @@
     key = key_first_held_by(net, "n2")
     assert decision_at(net, "n0", "t", key) == "RUN"
     for name in ("n2", "n4"):
-        first = net.routers_with_record("t")
-        net.kill(first[0])
+        record_holders = net.routers_with_record("t")
+        net.kill(record_holders[0])
         assert net.wait_until_settled()
         assert len(net.routers_with_record("t")) == 2, name
     assert decision_at(net, next(iter(net.replicas)), "t", key) == "REPLAY"
@@ -493,7 +500,9 @@
 def test_slot_transfer_waits_for_a_live_source():
     net = settled_net(copies=0)
     keys = ((f"k{n}", holders(slot_of("", f"k{n}"), net.names, 2)) for n in range(1000))
-    key, (_, other) = next((k, held) for k, held in keys if held[0] == "n4" and held[1] != "n0")
+    key, (_, other) = next(
+        (k, key_holders) for k, key_holders in keys if key_holders[0] == "n4" and key_holders[1] != "n0"
+    )
     assert decision_at(net, "n0", "t", key) == "RUN"
     net.cuts |= {("n4", other), (other, "n4")}  # the new holder cannot reach the source but takes it for live
     net.leave("n4")
@@ -573,14 +582,14 @@
         net.ask(net.names[n % 5], f"t{n}", "k")
     net.advance(8)
     assert net.verdict_counts["RUN"] >= 4 and not net.broken_rules
-    positions = (
+    sequences = (
         sorted(
             r.record.sequence for r in net.replicas[net.routers_with_record("t0")[0]].records.all_records()
         )
         if net.routers_with_record("t0")
         else []
     )
-    assert len(positions) == len(set(positions))
+    assert len(sequences) == len(set(sequences))
 
 
 def test_queries_of_one_key_at_one_router_run_in_order_of_arrival():
--- a/tests/test_history_mutants.py
+++ b/tests/test_history_mutants.py
@@ -24,9 +24,9 @@
 
 
 def test_mutants_violate_no_invariant_and_network_faults_do_not_change_the_result():
-    found = play(1, 250)
-    assert found["broken"] == found["unlike"] == 0, found["first"]
-    assert found["messages"] > 3_000 and found["kinds"] > 100 and found["unused"] < found["mutants"] / 2
+    report = play(1, 250)
+    assert report["broken"] == report["unlike"] == 0, report["first"]
+    assert report["messages"] > 3_000 and report["kinds"] > 100 and report["unused"] < report["mutants"] / 2
 
 
 def test_same_seed_gives_the_same_run():
@@ -102,7 +102,7 @@
         (SlotTable, "declare_lost", loss_not_recorded, "ran twice"),
         (Claims, "decide", run_again_after_router_loss, "ran twice"),
         (claims, "decide", decide_without_order, "out of order"),
-        (RetentionPolicies, "is_erasure_requested", lambda self, *about: False, "kept too long"),
+        (RetentionPolicies, "is_erasure_requested", lambda self, *arguments: False, "kept too long"),
     ],
 )
 def test_planted_fault_is_found_by_the_scripted_run(monkeypatch, owner, name, fault, rule):
@@ -126,8 +126,8 @@
     return True
 
 
-def always_has_granted(self, now, sender, promise, *about):
-    return HANDLE_PROMISE(self, now, sender, msgspec.structs.replace(promise, has_granted=True), *about)
+def always_has_granted(self, now, sender, promise, *arguments):
+    return HANDLE_PROMISE(self, now, sender, msgspec.structs.replace(promise, has_granted=True), *arguments)
 
 
 def promise_not_kept(self, now, view_id):
@@ -178,7 +178,7 @@
         ),
         ("in_force", lease_never_expires, tests.test_lease_counts_from_the_grant_and_is_limited),
         ("in_force", lease_never_expires, tests.test_minority_side_of_a_partition_neither_replays_nor_runs),
-        ("is_plausible", lambda *about: True, tests.test_view_number_far_ahead_of_the_clock_is_refused),
+        ("is_plausible", lambda *arguments: True, tests.test_view_number_far_ahead_of_the_clock_is_refused),
         (
             "lease_remaining",
             lambda self, now: VIEW_LEASE,
@@ -203,7 +203,7 @@
 def test_planted_fault_in_records_is_found_by_a_test(monkeypatch, fault, found_by):
     found_by()
     if fault is None:
-        monkeypatch.setattr(RecordStore, "may_evict", staticmethod(lambda *about: True))
+        monkeypatch.setattr(RecordStore, "may_evict", staticmethod(lambda *arguments: True))
     else:
         monkeypatch.setattr(
             RetentionPolicies, "must_be_erased", lambda self, customer, key, granted_at, age: False
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,8 +25,10 @@
         (tmp_path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in listed))
     environment = os.environ | {"PYTEST_XDIST_AUTO_NUM_WORKERS": "1"}  # the outer run uses all cores
     command = [sys.executable, PROGRAM, tmp_path]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_SECONDS, env=environment)
-    return done.returncode, done.stdout
+    completed = subprocess.run(
+        command, capture_output=True, text=True, timeout=TIMEOUT_SECONDS, env=environment
+    )
+    return completed.returncode, completed.stdout
 
 
 def test_listed_tests_are_run_and_printed_and_do_not_fail_the_run(tmp_path):
--- a/tests/test_load_signals.py
+++ b/tests/test_load_signals.py
@@ -264,9 +264,9 @@
     digest = Digest(**{field: value})
     with pytest.raises(ValueError):
         codec.encode(digest)
-    with pytest.raises(InvalidDatagramError) as fault:
+    with pytest.raises(InvalidDatagramError) as error:
         codec.decode(codec.encoder.encode(digest), "a")
-    assert fault.value.location == "a"
+    assert error.value.location == "a"
 
 
 # ---- one router's view of the fleet ----------------------------------------------------------------
@@ -290,12 +290,12 @@
     fleet[0].on_load_report(NOW, engine, {"inflight": 3, "util": 0.5})
     digests = fleet[0].due_digests(NOW + 200, NAMES)
     serving = {f"n{router:02d}" for router, e in all_pairs(ENGINES, 40) if e == engine}
-    loads = {to for to, data in digests if codec.decode(data, "n00").load_reports}
-    assert loads == serving - {"n00"}
+    recipients = {to for to, data in digests if codec.decode(data, "n00").load_reports}
+    assert recipients == serving - {"n00"}
     to, data = digests[0]
-    listener = fleet[NAMES.index(to)]
-    listener.on_digest(NOW + 210, "n00", data)
-    assert listener.take_relayed_reports() == [(engine, {"inflight": 3.0, "util": 0.5}, 200)]
+    recipient = fleet[NAMES.index(to)]
+    recipient.on_digest(NOW + 210, "n00", data)
+    assert recipient.take_relayed_reports() == [(engine, {"inflight": 3.0, "util": 0.5}, 200)]
 
 
 def test_drains_sent_with_pings_close_an_engine_until_the_own_list_contains_them():
@@ -374,8 +374,8 @@
 
 
 def test_false_load_reports_affect_only_engines_of_the_senders_subset():
-    """Its reports reach at most the SUBSET_SIZE or so engines of its subset, and none that reported to the
-    receiving router within OWN_PRECEDENCE."""
+    """False reports are accepted at most for the engines of the sender's subset, about SUBSET_SIZE, and for
+    none that has reported to the receiving router within OWN_PRECEDENCE."""
     fleet, rng = fleet_views(), random.Random(1)
     malicious = fleet[3]
     false_reports = codec.encode(
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -18,9 +18,9 @@
 
 
 def test_no_mutant_violates_an_invariant_and_network_mutants_keep_the_final_state():
-    found = play(1, 5_000)
-    assert found["broken"] == found["unlike"] == 0, found["first"]
-    assert found["kinds"] == len(MUTATIONS) >= 50 and found["unused"] < found["mutants"] / 4
+    report = play(1, 5_000)
+    assert report["broken"] == report["unlike"] == 0, report["first"]
+    assert report["kinds"] == len(MUTATIONS) >= 50 and report["unused"] < report["mutants"] / 4
 
 
 def test_workers_are_not_forked_because_the_parent_may_have_threads():
@@ -66,8 +66,8 @@
         return True
     changes = [mutation for mutation in MUTATIONS if mutation.kind.startswith(kinds)]
     selected = [index for index, (_, _, data) in enumerate(baseline.messages) if picks is None or picks(data)]
-    places = [(index, mutation) for index in selected for mutation in changes]
-    for index, mutation in random.Random(1).sample(places, min(max_mutants, len(places))):
+    candidates = [(index, mutation) for index in selected for mutation in changes]
+    for index, mutation in random.Random(1).sample(candidates, min(max_mutants, len(candidates))):
         violations, differing = judge(ScriptedRun(1, index, mutation).play(), final_state)
         if violations or differing:
             return True
@@ -88,7 +88,7 @@
 
 def count_borrowed_twice(self, now):
     return ORIGINAL[LimitState, "usable"](self, now) + sum(
-        held.usable(now) for held in self.borrowed.values()
+        lease.usable(now) for lease in self.borrowed.values()
     )
 
 
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -138,14 +138,14 @@
 
 
 def test_history_key_is_the_ordering_key_or_the_table_group():
-    about = "id", "g", 1, b"UPDATE x_7.t SET a = 1"
-    assert history_key(Request(*about, idempotency_key="ab", ordering_key="cd", customer="a")) == (
+    request_fields = "id", "g", 1, b"UPDATE x_7.t SET a = 1"
+    assert history_key(Request(*request_fields, idempotency_key="ab", ordering_key="cd", customer="a")) == (
         "a",
         "cd",
         "ab",
     )
-    assert history_key(Request(*about, idempotency_key="ab", customer="a")) == ("a", "ab", "ab")
-    assert history_key(Request(*about, customer="a")) == ("", "\0tables 7", "id")
+    assert history_key(Request(*request_fields, idempotency_key="ab", customer="a")) == ("a", "ab", "ab")
+    assert history_key(Request(*request_fields, customer="a")) == ("", "\0tables 7", "id")
 
 
 # ---- the operator file ----
@@ -194,9 +194,9 @@
     ],
 )
 def test_invalid_partner_settings_are_reported_with_their_path(partners, overrides, message):
-    with pytest.raises(OperatorFileError) as fault:
+    with pytest.raises(OperatorFileError) as error:
         reading.parse_settings(text(partners, **overrides), "o.cue")
-    assert message in str(fault.value) and "o.cue" in str(fault.value)
+    assert message in str(error.value) and "o.cue" in str(error.value)
 
 
 def test_invalid_private_key_is_reported(tmp_path):
@@ -352,7 +352,7 @@
 # ---- shares of the pool ----
 
 ROUTERS = {"a": ["a0", "a1"], "b": ["b0", "b1"]}
-ALL_ROUTERS = [name for some in ROUTERS.values() for name in some]
+ALL_ROUTERS = [name for names in ROUTERS.values() for name in names]
 TOTAL = 1_000_000
 
 
@@ -409,7 +409,7 @@
 
 
 def test_greedy_partner_gets_no_units_that_others_request():
-    """It requests all units and reports that it has none."""
+    """The partner requests all units and reports that it has none."""
     pool = Pool({"a": 5000, "b": 5000})
     pool.requested_units = {"a0": TOTAL, "a1": TOTAL, "b0": 250_000, "b1": 250_000}
     pool.play(30)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -139,8 +139,8 @@
     for number in deliveries:
         try:
             accepted.append(number) if window.accept(datagram_with(number), 2000) else None
-        except InvalidDatagramError as fault:
-            assert fault.detail == "replayed" and number in accepted
+        except InvalidDatagramError as error:
+            assert error.detail == "replayed" and number in accepted
     assert sorted(accepted) == list(range(300))
 
 
@@ -161,9 +161,9 @@
         window.accept(old, 3000)
     assert window.known_generation == 1000  # sent back to n1, which then knows the new generation
     assert window.accept(datagram_with(42, receiver_generation=3000), 3000)
-    for again in (old, datagram_with(41, generation=900, receiver_generation=2000)):
+    for replayed in (old, datagram_with(41, generation=900, receiver_generation=2000)):
         with pytest.raises(InvalidDatagramError, match="earlier generation"):
-            window.accept(again, 3000)
+            window.accept(replayed, 3000)
     # n1 has restarted and does not know any generation yet.
     restarted = datagram_with(43, generation=1500, receiver_generation=0)
     assert not window.accept(restarted, 3000)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -51,9 +51,9 @@
 
     async def start_query_and_excuse():
         async with anyio.create_task_group() as tasks:
-            nobody_listens = SimpleNamespace(name="r0", port=1)
-            cluster.start_query(nobody_listens, query, tasks)
-            cluster.excuse(nobody_listens)
+            unreachable_router = SimpleNamespace(name="r0", port=1)
+            cluster.start_query(unreachable_router, query, tasks)
+            cluster.excuse(unreachable_router)
 
     anyio.run(start_query_and_excuse)
     assert cluster.excused == {query.id}
@@ -63,24 +63,24 @@
 
 @pytest.mark.real_time
 def test_fleet_of_processes_breaks_no_rule_under_injected_faults():
-    found = anyio.run(processes.run, 5, 14.0)
-    assert not found["broken_rules"], found["first_broken"]
-    assert not found["bad_exits"] and not found["router_faults"]
-    assert found["served_share"] > 0.7 and found["finished"] > 200
-    assert found["faults"] >= 4 and found["relay"]["datagrams"] > 200
+    report = anyio.run(processes.run, 5, 14.0)
+    assert not report["broken_rules"], report["first_broken"]
+    assert not report["bad_exits"] and not report["router_faults"]
+    assert report["served_share"] > 0.7 and report["finished"] > 200
+    assert report["faults"] >= 4 and report["relay"]["datagrams"] > 200
 
 
 @pytest.mark.real_time
 def test_slots_have_one_owner_under_faults_and_new_agreements_of_three_partners():
-    found = anyio.run(partial(processes.run, 2, 16.0, 6, partners=True))
-    assert not found["broken_rules"], found["first_broken"]
-    assert not found["two_owners"], found["first_two"]
-    assert not found["ran_twice"] and not found["kept_too_long"] and not found["over_quota"]
-    assert not found["bad_exits"] and not found["router_faults"], found["first_fault"]
-    assert found["passed_on"] > 10 and found["led_known"] > 0.8
+    report = anyio.run(partial(processes.run, 2, 16.0, 6, partners=True))
+    assert not report["broken_rules"], report["first_broken"]
+    assert not report["two_owners"], report["first_two"]
+    assert not report["ran_twice"] and not report["kept_too_long"] and not report["over_quota"]
+    assert not report["bad_exits"] and not report["router_faults"], report["first_fault"]
+    assert report["passed_on"] > 10 and report["led_known"] > 0.8
 
 
-def ran(id, started_at, ended_at, connection, group="event-load", token="t"):
+def run_record(id, started_at, ended_at, connection, group="event-load", token="t"):
     return RunRecord(
         id, group, token if group == "event-load" else None, "e", started_at, ended_at, connection=connection
     )
@@ -92,8 +92,8 @@
     }
     info_by_query |= {n: (None, "UPDATE sales_3.orders", "change") for n in "xy"}
     world, partner_by_connection = EngineWorld(), {1: "a", 2: "b"}
-    world.runs = [ran("q", 0.0, 1.0, 1), ran("p", 1.0, 2.0, 2)]
-    world.runs += [ran("x", 0.0, 1.0, 1, "change"), ran("y", 1.0, 2.0, 2, "change")]
+    world.runs = [run_record("q", 0.0, 1.0, 1), run_record("p", 1.0, 2.0, 2)]
+    world.runs += [run_record("x", 0.0, 1.0, 1, "change"), run_record("y", 1.0, 2.0, 2, "change")]
     assert not two_owners(world, partner_by_connection, info_by_query)
     world.runs[1].started_at = world.runs[3].started_at = 0.5
     assert len(two_owners(world, partner_by_connection, info_by_query)) == 2
@@ -102,11 +102,13 @@
 
 def test_partner_over_its_quota_is_reported_only_on_a_saturated_engine():
     world, partner_by_connection = EngineWorld(), dict.fromkeys(range(40), "a") | {50: "b"}
-    world.runs = [ran(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
-    # Used are 40 of 16 threads; 8 threads and one query for each of two routers are allowed.
+    world.runs = [run_record(f"q{n}", 0.0, 1.0, n, "report") for n in range(10)]
+    # The partner's runs need 40 threads on an engine with 16; it may use 8 and one query for each router.
     assert over_quota(world, partner_by_connection, 8, 6, 5000)
     assert not over_quota(world, partner_by_connection, 64, 6, 5000)  # the engine is not saturated
-    world.runs = [ran(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [ran("p", 0.0, 1.0, 50, "report")]
+    world.runs = [run_record(f"q{n}", 0.0, 1.0, n, "lookup") for n in range(12)] + [
+        run_record("p", 0.0, 1.0, 50, "report")
+    ]
     assert not over_quota(world, partner_by_connection, 8, 6, 5000)
 
 
@@ -181,16 +183,16 @@
 def test_malformed_datagrams_are_counted_and_raise_nothing():
     net = SimulatedNodes(["a", "b"])
     net.play(2)
-    ((_, good),) = net.nodes["b"].payload_datagrams("a", b"load")
+    ((_, datagram),) = net.nodes["b"].payload_datagrams("a", b"load")
     node = net.nodes["a"]
-    for end in range(len(good)):
-        node.receive(net.now, good[:end])
-        node.receive(net.now, good[:end] + b"\xff" + good[end + 1 :])
-    assert sum(node.dropped.values()) == 2 * len(good)
-    heard = len(node.payload_handler.received)
-    node.receive(net.now, good)
-    node.receive(net.now, good)
-    assert len(node.payload_handler.received) == heard + 1
+    for end in range(len(datagram)):
+        node.receive(net.now, datagram[:end])
+        node.receive(net.now, datagram[:end] + b"\xff" + datagram[end + 1 :])
+    assert sum(node.dropped.values()) == 2 * len(datagram)
+    received_before = len(node.payload_handler.received)
+    node.receive(net.now, datagram)
+    node.receive(net.now, datagram)
+    assert len(node.payload_handler.received) == received_before + 1
 
 
 def test_datagram_omits_a_payload_that_does_not_fit_and_keeps_its_rumours():
@@ -211,8 +213,8 @@
     a.receive(net.now, data)
     assert a.live_peers() == ["b"]
     b.leave(net.now)
-    farewell = b.seal(b.failure_detector.outgoing("a", DatagramKind.PING, 1), b"")
-    a.receive(net.now, farewell)
+    leave_datagram = b.seal(b.failure_detector.outgoing("a", DatagramKind.PING, 1), b"")
+    a.receive(net.now, leave_datagram)
     assert a.live_peers() == []
 
 
@@ -265,12 +267,14 @@
         live_peers=lambda: ["r1", "r2"],
         schedule_digests=lambda: scheduled.append(1),
     )
-    found = FleetScheduler(scheduler=QueryScheduler(1, Settings.from_catalog(catalog), 0), fleet=fleet)
-    found.clock_of, found.scheduled_digests = clock, scheduled
+    fleet_scheduler = FleetScheduler(
+        scheduler=QueryScheduler(1, Settings.from_catalog(catalog), 0), fleet=fleet
+    )
+    fleet_scheduler.clock_of, fleet_scheduler.scheduled_digests = clock, scheduled
     listings = [Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0) for n in (1, 2, 3)]
-    found.on_endpoint_list(0, ListMode.COMPLETE, listings)
-    found.on_subset(0, frozenset({1, 2, 3}))
-    return found
+    fleet_scheduler.on_endpoint_list(0, ListMode.COMPLETE, listings)
+    fleet_scheduler.on_subset(0, frozenset({1, 2, 3}))
+    return fleet_scheduler
 
 
 def test_received_and_rejected_queries_are_counted_by_group(fleet_scheduler):
@@ -338,8 +342,8 @@
 def modules_imported_by(statement):
     """Returns the modules that a new process has imported after this statement."""
     program = f"import sys; {statement}; print(*sys.modules)"
-    ran = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    return ran.stdout.split()
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    return completed.stdout.split()
 
 
 INTEGRATIONS = "hillchute.router.integrations"
@@ -394,9 +398,9 @@
     ],
 )
 def test_error_in_the_list_of_peers_names_its_location(others, expected_error):
-    with pytest.raises(OperatorFileError) as fault:
+    with pytest.raises(OperatorFileError) as error:
         reading.parse_settings(PEERS % others)
-    assert expected_error in str(fault.value)
+    assert expected_error in str(error.value)
 
 
 def test_peer_key_can_be_read_from_a_file(tmp_path):
@@ -410,15 +414,15 @@
 
 
 def test_listen_address_in_use_is_reported_with_a_remedy():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
-        holder.bind(("127.0.0.1", 0))
-        address = transport.Address(*holder.getsockname())
-        found = transport.PeerTransport(
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        address = transport.Address(*occupied.getsockname())
+        peer_transport = transport.PeerTransport(
             address, {}, SimulatedNodes(["a"]).nodes["a"], lambda: NOW, callbacks(print, print)
         )
-        with pytest.raises(HillchuteError) as fault:
-            found.open()
-    assert fault.value.location == f"127.0.0.1:{address.port}" and "peers.listen" in fault.value.remedy
+        with pytest.raises(HillchuteError) as error:
+            peer_transport.open()
+    assert error.value.location == f"127.0.0.1:{address.port}" and "peers.listen" in error.value.remedy
 
 
 class ExhaustedListener:
@@ -443,14 +447,14 @@
     faults = []
     # A port that is free for UDP may be in use for TCP by another test; free_port() checks both.
     address = transport.Address("127.0.0.1", free_port())
-    found = transport.PeerTransport(
+    peer_transport = transport.PeerTransport(
         address, {}, SimulatedNodes(["a"]).nodes["a"], lambda: NOW, callbacks(lambda: None, faults.append)
     )
-    found.faults = faults
-    found.open()
-    yield found
-    found.udp_socket.close()
-    found.listener.close()
+    peer_transport.faults = faults
+    peer_transport.open()
+    yield peer_transport
+    peer_transport.udp_socket.close()
+    peer_transport.listener.close()
 
 
 def test_accept_pauses_after_each_failure_for_lack_of_descriptors(peer_transport, monkeypatch):
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -131,13 +131,13 @@
     q.answered, q.rows = True, [[b"1"]]
     rig.reducer.context.begin_event(20, scheduler_notified=False)
     rig.reducer.forget(q)
-    now = [c.outcome for c in of_type(rig.reducer.context.effects, EndClaim)]
+    outcomes_now = [c.outcome for c in of_type(rig.reducer.context.effects, EndClaim)]
     outcomes_later = [
         c.outcome for c in of_type(rig.reducer.reduce(events.AlarmDue(), 10 * SECOND), EndClaim)
     ]
     # The next query of its key must not overtake an attempt that may still run.
     delayed = results == ["overdue"]
-    assert (now, outcomes_later) == (([], [outcome]) if delayed else ([outcome], []))
+    assert (outcomes_now, outcomes_later) == (([], [outcome]) if delayed else ([outcome], []))
 
 
 def test_no_claim_is_made_without_a_history():
@@ -235,8 +235,8 @@
     replica = replica_on(tmp_path / "h.db")
     replica.records.put(record(rows=b"seldom-seen-rows"), EPOCH, 0, replica.policies)
     assert replica.durability.save(record(rows=b"seldom-seen-rows"))
-    again = replica_on(tmp_path / "h.db")
-    assert [k.record for k in again.records.all_records()] == [record(rows=b"seldom-seen-rows")]
+    reopened = replica_on(tmp_path / "h.db")
+    assert [k.record for k in reopened.records.all_records()] == [record(rows=b"seldom-seen-rows")]
 
 
 def test_erased_record_is_not_in_any_byte_of_the_files(tmp_path):
@@ -354,9 +354,9 @@
     replica.durability.save_changes()
     with sqlite3.connect(tmp_path / "h.db") as db:
         db.execute("UPDATE records SET body = x'93c0' WHERE token = 'a'")
-    again = replica_on(tmp_path / "h.db")
-    assert [k.record.idempotency_key for k in again.records.all_records()] == ["b"]
-    assert again.durability.durable_store.counters["unreadable"] == 1
+    reopened = replica_on(tmp_path / "h.db")
+    assert [k.record.idempotency_key for k in reopened.records.all_records()] == ["b"]
+    assert reopened.durability.durable_store.counters["unreadable"] == 1
     with sqlite3.connect(tmp_path / "h.db") as db:
         assert db.execute("SELECT token FROM records").fetchall() == [("b",)]
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -599,17 +599,17 @@
 
 
 def test_bytes_that_a_full_socket_does_not_accept_are_sent_later():
-    pipe = BufferedSocket(PartialSocket(), PollerStub(), None, 1024)
-    pipe.write(b"an answer")
-    while pipe.unsent:
-        assert pipe.poller.writing
-        pipe.flush()
-    assert not pipe.poller.writing
-    assert pipe.sock.accepted == b"an answer" and not pipe.unsent
+    buffered_socket = BufferedSocket(PartialSocket(), PollerStub(), None, 1024)
+    buffered_socket.write(b"an answer")
+    while buffered_socket.unsent:
+        assert buffered_socket.poller.writing
+        buffered_socket.flush()
+    assert not buffered_socket.poller.writing
+    assert buffered_socket.sock.accepted == b"an answer" and not buffered_socket.unsent
 
 
 class PollerStub:
-    """Stands in for the poller; records whether the pipe waits for its socket to be writable."""
+    """Stands in for the poller; records whether writability is watched."""
 
     writing = False
     system = SYSTEM_CALLS
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -13,10 +13,10 @@
 
 def test_affinity_set_joins_the_leader_and_bulk_loads_are_sent_alone(harness):
     leader, other = harness.add_query(REPORT, table_group=4), harness.add_query(REPORT, table_group=5)
-    mate, load = harness.add_query(REPORT, table_group=4), harness.add_query(LOAD, table_group=4)
+    joining, load = harness.add_query(REPORT, table_group=4), harness.add_query(LOAD, table_group=4)
     harness.scheduler.teams.send_next(harness.scheduler.now)
     sent = [d.query for d in harness.scheduler.planned if isinstance(d, Submit)]
-    assert sent == [leader.id, mate.id]
+    assert sent == [leader.id, joining.id]
     assert list(harness.scheduler.queues.teams) == [other, load]
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -209,7 +209,7 @@
         rig.run_rounds(20)
         for connection in rig.engine_connections:
             connection.close()
-        broken = set(rig.received_attempts)
+        interrupted_attempts = set(rig.received_attempts)
         rig.answers_at_once = True
         # The router's clock advances by 20 ms a round, so that no deadline is waited for in real time.
         end = rig.clock() + max(kind["deadline_ns"] for kind in drawn["classes"]) // 100_000 + 500
@@ -222,7 +222,7 @@
             assert answer in ("served", REFUSED[0], FAILED[0])
             attempts = rig.received_attempts.count(f"{number:016x}")
             assert attempts <= drawn["tries"]
-            if kind["semantics"] == "once" and f"{number:016x}" in broken:
+            if kind["semantics"] == "once" and f"{number:016x}" in interrupted_attempts:
                 assert attempts == 1 and answer == FAILED[0]  # it may have run: no retry, no rejection
         assert not rig.log.faults()
     finally:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,7 +19,7 @@
 
 
 class ScriptedSystemCalls(FaultySystemCalls):
-    """Idle times come from the script, because the router's clock advances by turns in these tests."""
+    """Idle times come from the script, because the router's clock advances by rounds in these tests."""
 
     received_ms_ago = 0  # age of the last bytes received, on every connection
 
@@ -33,7 +33,7 @@
     """Run an idempotent and a non-idempotent query, a client that leaves, one that pipelines many commands
     and one that logs out; then, without faults, a client that must be served as usual.
 
-    The router's clock advances by turns. With the real clock, a busy machine may take over 100 ms to read
+    The router's clock advances by rounds. With the real clock, a busy machine may take over 100 ms to read
     each of two queries, and the router then rightly rejects the second.
 
     Returns the system calls, whether the first client's connection ended, the answers to the first client,
@@ -52,9 +52,10 @@
         leaving = rig.connect_client(LOGIN + query(3))
         rig.run_rounds()
         leaving.close()
-        ahead = rig.connect_client(LOGIN + query(4) + 3 * MAX_QUEUED_COMMANDS * PING)
+        pipelining = rig.connect_client(LOGIN + query(4) + 3 * MAX_QUEUED_COMMANDS * PING)
         rig.run_until(
-            lambda: ahead.closed_by_peer or ahead.read_payloads().count(OK) == 3 * MAX_QUEUED_COMMANDS + 1
+            lambda: pipelining.closed_by_peer
+            or pipelining.read_payloads().count(OK) == 3 * MAX_QUEUED_COMMANDS + 1
         )
         rig.connect_client(LOGIN + QUIT)
         rig.run_rounds(2)
