--- a/hillchute/lab/between.py
+++ b/hillchute/lab/between.py
@@ -68,9 +68,9 @@
     def cut(self, some: list[str], others: list[str], one_way: bool = False) -> None:
         """Blocks traffic from some to others, and back unless `one_way`."""
         for (sender, receiver), channel in self.channels.items():
-            there = sender in some and receiver in others
-            back = sender in others and receiver in some
-            channel.cut = channel.cut or there or (back and not one_way)
+            forward = sender in some and receiver in others
+            backward = sender in others and receiver in some
+            channel.cut = channel.cut or forward or (backward and not one_way)
 
     def heal(self) -> None:
         """Removes the faults of all channels."""
--- a/hillchute/lab/clients.py
+++ b/hillchute/lab/clients.py
@@ -30,14 +30,14 @@
 
     group: str
     statement: str
-    client_timeout_ms: int = 5_000  # milliseconds
+    client_timeout_ms: int = 5_000
     idempotency_key: str | None = None
     ordering_key: str | None = None
-    cancel_after: float | None = None  # seconds after which its client cancels it
+    cancel_after: float | None = None  # seconds after which the client cancels the query
     weight: float = 20.0  # estimated work in milliseconds
     id: str = field(default_factory=lambda: secrets.token_hex(8))
     router: str = ""  # name of the router that it was sent to
-    sent: float = 0.0
+    sent: float = 0.0  # Unix time in seconds
     answers: list[tuple[float, str]] = field(default_factory=list)
     rows: int = 0
 
--- a/hillchute/lab/cpu_ratio.py
+++ b/hillchute/lab/cpu_ratio.py
@@ -54,11 +54,13 @@
     Raises subprocess.CalledProcessError if the simulation fails; the reason is on standard error.
     """
     command = [sys.executable, "-c", PROGRAM, " ".join(MODULES), " ".join(map(str, seeds))]
-    # One hash seed for both trees; no other path before the tree itself.
+    # Both trees use the same hash seed. Without PYTHONPATH, the tree is first on the import path.
     environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
     environment["PYTHONHASHSEED"] = "0"
-    done = subprocess.run(command, cwd=tree, env=environment, stdout=subprocess.PIPE, text=True, check=True)
-    return float(done.stdout)
+    completed = subprocess.run(
+        command, cwd=tree, env=environment, stdout=subprocess.PIPE, text=True, check=True
+    )
+    return float(completed.stdout)
 
 
 def compare(old: Path, new: Path, seeds: list[int], turns: int) -> dict[str, object]:
--- a/hillchute/lab/history.py
+++ b/hillchute/lab/history.py
@@ -49,15 +49,15 @@
         measured = []
         for n in range(count):
             member = self.members[n % len(self.members)]
-            q = Query(group, "SELECT /* lab ms=2 rows=3 */ a FROM sales_1.orders", weight=2.0)
+            query = Query(group, "SELECT /* lab ms=2 rows=3 */ a FROM sales_1.orders", weight=2.0)
             if group == "event-load":
-                q.idempotency_key, q.ordering_key = f"{key}{n:08x}", f"{key}{n:04x}"
+                query.idempotency_key, query.ordering_key = f"{key}{n:08x}", f"{key}{n:04x}"
             client = MySQLClient(self.world, member.port)
             await client.connect()
-            await client.run(q)
+            await client.run(query)
             await client.close()
-            if q.outcome == "finished":
-                measured.append((q.answers[0][0] - q.sent) * 1000)
+            if query.outcome == "finished":
+                measured.append((query.answers[0][0] - query.sent) * 1000)
         return measured
 
 
@@ -92,8 +92,8 @@
     if not milliseconds:
         return {"count": 0}
     values = [
-        round(milliseconds[min(len(milliseconds) - 1, int(share * len(milliseconds)))], 2)
-        for share in (0.5, 0.99)
+        round(milliseconds[min(len(milliseconds) - 1, int(fraction * len(milliseconds)))], 2)
+        for fraction in (0.5, 0.99)
     ]
     return {"count": len(milliseconds), "p50_ms": values[0], "p99_ms": values[1]}
 
@@ -113,9 +113,9 @@
         store.put(make_record(n), EPOCH + n, 0, policies)
     store.unsaved.clear()  # not read here; with a disk it is emptied at each write
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return held / RECORDS
+    return used_bytes / RECORDS
 
 
 def measure_repair(seed: int, routers: int = 6) -> dict[str, float]:
@@ -134,19 +134,19 @@
                 replica.records.put(record, net.now, 0, net.policies)
     for replica in net.replicas.values():
         replica.records.unsaved.clear()
-    held = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
+    copies_before = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     net.kill("n5")
-    began, cpu = net.now, time.process_time()
+    began_at, cpu_before = net.now, time.process_time()
     settled = net.wait_until_settled(120)
     copies_after = sum(replica.records.count_by_customer.total() for replica in net.replicas.values())
     return {
         "records": RECORDS,
         "members_before": len(view.members),
-        "copies_before": held,
+        "copies_before": copies_before,
         "copies_after": copies_after,
         "settled": settled,
-        "simulated_s": (net.now - began) / SECOND,
-        "cpu_s": round(time.process_time() - cpu, 2),
+        "simulated_s": (net.now - began_at) / SECOND,
+        "cpu_s": round(time.process_time() - cpu_before, 2),
     }
 
 
@@ -154,15 +154,15 @@
     parser = argparse.ArgumentParser(prog="python -m hillchute.lab.history", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="seed of the runs")
     parser.add_argument("--json", action="store_true", help="print compact JSON")
-    asked = parser.parse_args()
-    found = {
+    options = parser.parse_args()
+    results = {
         "record_bytes": round(measure_record_memory()),
-        "repair": measure_repair(asked.seed),
-        "times": anyio.run(measure_query_times, asked.seed),
+        "repair": measure_repair(options.seed),
+        "times": anyio.run(measure_query_times, options.seed),
     }
     option = orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     sys.stdout.buffer.write(
-        orjson.dumps(found, option=option if not asked.json else orjson.OPT_APPEND_NEWLINE)
+        orjson.dumps(results, option=option if not options.json else orjson.OPT_APPEND_NEWLINE)
     )
     return 0
 
--- a/hillchute/lab/history_mutants.py
+++ b/hillchute/lab/history_mutants.py
@@ -47,40 +47,40 @@
 ALLOWED_VIOLATIONS = ("wrong answer", "ran twice", "out of order", "kept too long")
 
 
-def field_paths(value: object, here: tuple = ()) -> Iterator[tuple]:
+def field_paths(value: object, prefix: tuple = ()) -> Iterator[tuple]:
     """Yields the path of every field that is no struct; of a tuple of structs, those of the first one."""
     if isinstance(value, msgspec.Struct):
         for n, name in enumerate(value.__struct_fields__):
-            yield from field_paths(getattr(value, name), (*here, n))
+            yield from field_paths(getattr(value, name), (*prefix, n))
     elif isinstance(value, tuple) and value and contains_struct(value):
-        yield here
+        yield prefix
         for n in range(len(value) if not isinstance(value[0], tuple) else 1):
             if n == 0 or not isinstance(value[0], type(value[n])):
-                yield from field_paths(value[n], (*here, n))
+                yield from field_paths(value[n], (*prefix, n))
     else:
-        yield here
+        yield prefix
 
 
 def contains_struct(value: object) -> bool:
     if isinstance(value, tuple):
-        return any(contains_struct(one) for one in value)
+        return any(contains_struct(item) for item in value)
     return isinstance(value, msgspec.Struct)
 
 
-def mutated(value: object, path: tuple, lie: str, names: list[str]) -> object:
+def mutated(value: object, path: tuple, mutation: str, names: list[str]) -> object:
     """Returns the message with one field mutated, or unchanged if the mutation does not apply to it."""
     if not path:
-        return false_value(value, lie, names)
+        return false_value(value, mutation, names)
     if isinstance(value, tuple):
-        inner = mutated(value[path[0]], path[1:], lie, names)
+        inner = mutated(value[path[0]], path[1:], mutation, names)
         return (*value[: path[0]], inner, *value[path[0] + 1 :])
     name = value.__struct_fields__[path[0]]
-    return msgspec.structs.replace(value, **{name: mutated(getattr(value, name), path[1:], lie, names)})
+    return msgspec.structs.replace(value, **{name: mutated(getattr(value, name), path[1:], mutation, names)})
 
 
-def false_value(value: object, lie: str, names: list[str]) -> object:
+def false_value(value: object, mutation: str, names: list[str]) -> object:
     """Returns a false value, or the value itself if the mutation does not apply to its type."""
-    match value, lie:
+    match value, mutation:
         case (bool(), _):
             return not value
         case (int(), "zero"):
@@ -98,13 +98,13 @@
         case (bytes(), _):
             return b"no rows of ours"
         case ((int() as number, str() as speaker), _):
-            return false_value(number, lie, names), false_value(speaker, lie, names)
+            return false_value(number, mutation, names), false_value(speaker, mutation, names)
         case (tuple() | list(), "none"):
             return ()
         case (dict(), "none"):
             return {}
         case (dict(), "another's"):
-            return {false_value(name, lie, names): one for name, one in value.items()}
+            return {false_value(name, mutation, names): one for name, one in value.items()}
         case (_, "none"):
             return None
     return value
@@ -121,9 +121,9 @@
         data = self.encode_message(message)
         if self.mutated_index < 0:
             self.messages.append(message)
-        rows = [(0, data)] if self.message_count != self.mutated_index else self.mutate(data, message)
+        deliveries = [(0, data)] if self.message_count != self.mutated_index else self.mutate(data, message)
         self.message_count += 1
-        return [(STEP + late, one) for late, one in rows]
+        return [(STEP + added_delay, payload) for added_delay, payload in deliveries]
 
     def mutate(self, data: bytes, message: object) -> list[tuple[Time, bytes]]:
         self.applied = True
@@ -142,10 +142,10 @@
                 return [(0, data), (REPLAY_DELAY, data)]
             case "late by 1" | "late by 3" | "late by 40":
                 return [(ADDED_DELAY[self.mutation], data)]
-        lie = mutated(message, self.mutated_path, self.mutation, self.names)
-        self.applied = lie != message
+        mutated_message = mutated(message, self.mutated_path, self.mutation, self.names)
+        self.applied = mutated_message != message
         try:
-            return [(0, self.encode_unchecked(lie))]
+            return [(0, self.encode_unchecked(mutated_message))]
         except (OverflowError, msgspec.MsgspecError):
             self.applied = False
             return [(0, data)]
@@ -160,8 +160,8 @@
             super().deliver(sender, to, data)
         except InvalidDatagramError:
             pass
-        except Exception as fault:
-            self.failures.append(f"{to} raised {fault!r}")
+        except Exception as error:
+            self.failures.append(f"{to} raised {error!r}")
 
 
 class MutatedHistoryNet(MutatingNetwork, HistoryNet):
@@ -213,9 +213,9 @@
         for name in victims:
             self.kill(name)
         self.advance(12)
-        left = [name for name in self.names if name not in victims]
-        self.ask(left[0], "t11", "k11")
-        self.ask(left[1], "t10", "k10")
+        survivors = [name for name in self.names if name not in victims]
+        self.ask(survivors[0], "t11", "k11")
+        self.ask(survivors[1], "t10", "k10")
         self.advance(5)
         for name in victims:
             self.start(name)
@@ -253,12 +253,12 @@
     baseline: MutatingNetwork, seed: int, max_mutants: int | None, kinds: tuple[type, ...] = MESSAGE_TYPES
 ) -> list[tuple[int, str, tuple]]:
     """Returns all mutants, or a random sample, balanced by message type since most messages carry slots."""
-    mutants = [place for place in all_mutants(baseline) if isinstance(baseline.messages[place[0]], kinds)]
+    mutants = [mutant for mutant in all_mutants(baseline) if isinstance(baseline.messages[mutant[0]], kinds)]
     if max_mutants is None or max_mutants >= len(mutants):
         return mutants
     by_type: dict[type, list] = {kind: [] for kind in kinds}
-    for place in mutants:
-        by_type[type(baseline.messages[place[0]])].append(place)
+    for mutant in mutants:
+        by_type[type(baseline.messages[mutant[0]])].append(mutant)
     rng, groups = random.Random(seed), [group for group in by_type.values() if group]
     for group in groups:
         rng.shuffle(group)
@@ -274,15 +274,15 @@
     index: int,
     mutation: str,
     path: tuple,
-    end: dict,
+    final_state: dict,
 ) -> tuple[bool, list[str], bool]:
-    """Runs one mutant; returns if it reached a receiver, what it broke, and if the final state differs."""
+    """Runs one mutant; returns whether it was applied, what it broke, and whether the final state differs."""
     run = net(seed, index, mutation, path).script()
     is_byzantine = mutation in BYZANTINE_MUTATIONS
     broken = run.failures + [
         rule for rule in +run.broken_rules if not (is_byzantine and rule in allowed_violations)
     ]
-    return run.applied, broken, not is_byzantine and run.final_state() != end
+    return run.applied, broken, not is_byzantine and run.final_state() != final_state
 
 
 def play(
@@ -295,26 +295,29 @@
 ) -> dict[str, object]:
     """Runs all mutants, or `max_mutants` random ones, in `jobs` processes; returns their result counts."""
     baseline = net(seed).script()
-    end, faults = baseline.final_state(), baseline.failures + list(+baseline.broken_rules)
+    final_state, baseline_violations = (
+        baseline.final_state(),
+        baseline.failures + list(+baseline.broken_rules),
+    )
     mutants = sample_mutants(baseline, seed, max_mutants, kinds)
     kinds_run: Counter[str] = Counter()
     broken, differing, not_applied = [], [], 0
     with worker_pool(jobs) as pool:
-        one = partial(run_mutant, net, allowed_violations, seed)
-        found = pool.map(one, *zip(*mutants), repeat(end), chunksize=8)
-        for (index, mutation, path), (applied, violations, other) in zip(mutants, found):
+        run_one = partial(run_mutant, net, allowed_violations, seed)
+        results = pool.map(run_one, *zip(*mutants), repeat(final_state), chunksize=8)
+        for (index, mutation, path), (applied, violations, differs) in zip(mutants, results):
             message = type(baseline.messages[index]).__name__
             kinds_run[f"{message} {mutation}"] += 1
             not_applied += not applied
-            what = f"message {index}, {message} {mutation} {path}"
-            broken += [f"{what}: {violations[0]}"] if violations else []
-            differing += [what] if other else []
+            description = f"message {index}, {message} {mutation} {path}"
+            broken += [f"{description}: {violations[0]}"] if violations else []
+            differing += [description] if differs else []
     return {
         "messages": len(baseline.messages),
         "mutants": len(mutants),
         "kinds": len(kinds_run),
-        "broken": len(broken) + len(faults),
+        "broken": len(broken) + len(baseline_violations),
         "unlike": len(differing),
         "unused": not_applied,
-        "first": (faults + broken + differing)[:8],
+        "first": (baseline_violations + broken + differing)[:8],
     }
--- a/hillchute/lab/history_net.py
+++ b/hillchute/lab/history_net.py
@@ -1,7 +1,7 @@
 """Simulates history replicas on one network that loses, delays, duplicates and blocks messages.
 
 Clients resend queries and engines count what they run; a broken rule is recognised only by what clients and
-engines observed, independent of how a replica decides. Time is simulated.
+engines observed, independent of how a replica decides. Time is simulated, in tenths of a millisecond.
 """
 
 import random
@@ -27,7 +27,7 @@
 EPOCH: Time = 17_000_000_000_000
 CLIENT_TIMEOUT: Time = 4 * SECOND
 NOTICE_DELAY = (1 * SECOND, 3 * SECOND)  # until a router notices that another died, started or was cut off
-MESSAGE_DELAY: tuple[Time, Time] = (5, 300)  # of a message: 0.5 to 30 ms
+MESSAGE_DELAY: tuple[Time, Time] = (5, 300)  # range: 0.5 to 30 ms
 
 
 class HistoryNet:
@@ -71,12 +71,13 @@
         self.runs: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
         self.runs_by_key: dict[str, list[tuple[Time, Time]]] = defaultdict(list)
         self.verdict_counts: Counter[str] = Counter()
-        self.broken_rules: Counter[str] = Counter()  # broken rules
-        self.last_requested_at: dict[str, Time] = {}  # by idempotency key: time of the query of the last run
-        self.pending_completions: list[
-            tuple[Time, int, tuple[str, int, int], str, int]
-        ] = []  # of running queries
-        self.erasures: list[tuple[Time, Time | None]] = []  # erase what is older; since when it is known
+        self.broken_rules: Counter[str] = Counter()  # number of violations, by rule
+        # By idempotency key: time at which the query of the last run was sent.
+        self.last_requested_at: dict[str, Time] = {}
+        # A heap of running queries: (end, sequence number, claim, idempotency key, outcome).
+        self.pending_completions: list[tuple[Time, int, tuple[str, int, int], str, int]] = []
+        # Erasure requests: (time before which all is erased, time since which a majority has known it).
+        self.erasures: list[tuple[Time, Time | None]] = []
         self.waiting_times: list[Time] = []
         for name in self.names:
             self.start(name)
@@ -105,7 +106,7 @@
     def kill(self, name: str) -> None:
         self.replicas.pop(name, None)
         self.suspended.pop(name, None)
-        self.open_claims = {claim: about for claim, about in self.open_claims.items() if claim[0] != name}
+        self.open_claims = {claim: entry for claim, entry in self.open_claims.items() if claim[0] != name}
         self.schedule_liveness_changes()
 
     def leave(self, name: str) -> None:
@@ -144,8 +145,8 @@
                     heappush(self.liveness_changes, (at, self.last_order, name, other))
 
     def update_liveness(self, name: str, other: str) -> None:
-        lives = other in self.replicas and other not in self.suspended
-        if lives and not {(name, other), (other, name)} & self.cuts:
+        is_running = other in self.replicas and other not in self.suspended
+        if is_running and not {(name, other), (other, name)} & self.cuts:
             self.live_seen_by[name][other] = self.incarnations[other]
         else:
             self.live_seen_by[name].pop(other, None)
@@ -161,10 +162,10 @@
         self.handle_decisions(name, replica)
 
     def send(self, name: str, to: str, message: Message) -> None:
-        for after, data in self.transmit(message):
+        for delay, data in self.transmit(message):
             self.last_order += 1
             if (name, to) not in self.cuts:
-                heappush(self.in_flight, (self.now + after, self.last_order, name, to, data))
+                heappush(self.in_flight, (self.now + delay, self.last_order, name, to, data))
 
     def transmit(self, message: Message) -> list[tuple[Time, bytes]]:
         """Returns the copies of a message that arrive, each as (delay, bytes)."""
@@ -174,7 +175,7 @@
             for _ in range(copies)
             if self.random.random() >= self.loss_rate
         ]
-        return [(after, self.encode_message(message)) for after in delays]
+        return [(delay, self.encode_message(message)) for delay in delays]
 
     def encode_message(self, message: Message) -> bytes:
         return encode(message)
@@ -244,9 +245,9 @@
         verdict: ClaimDecision,
         reason: str,
         rows: bytes | None,
-        about: tuple[str, str, Time],
+        open_claim: tuple[str, str, Time],
     ) -> None:
-        """Handles a claim that does not run here; `about` is its entry of `open_claims`."""
+        """Handles a claim that does not run here; `open_claim` is its entry of `open_claims`."""
 
     def start_run(self, claim: tuple[str, int, int], idempotency_key: str, key: str) -> None:
         """Starts a run on an engine, which ends even if the router dies; then the result is lost."""
@@ -281,8 +282,8 @@
                     outcome,
                     f"rows of {idempotency_key}".encode() if outcome == RecordState.SERVED else None,
                 )
-        for ending in postponed:
-            heappush(self.pending_completions, ending)
+        for completion in postponed:
+            heappush(self.pending_completions, completion)
 
     def complete_run(self, claim: tuple[str, int, int], state: int, rows: bytes | None = None) -> None:
         name, _, number = claim
@@ -292,8 +293,8 @@
 
     def must_not_rerun(self, idempotency_key: str) -> bool:
         """Returns whether a query must not run again: within its retention time and not erased since."""
-        kept = self.now - self.runs[idempotency_key][-1][0] < self.policies.default.least_ms * MS
-        return kept and not any(
+        is_retained = self.now - self.runs[idempotency_key][-1][0] < self.policies.default.least_ms * MS
+        return is_retained and not any(
             self.last_requested_at[idempotency_key] < before for before, _ in self.erasures
         )
 
@@ -318,7 +319,7 @@
     def record_policies_known(self) -> None:
         """Records since when a majority of the configured routers has the latest policies."""
         known_by_majority = (
-            sum(k.policies.number >= self.policies.number for k in self.replicas.values())
+            sum(replica.policies.number >= self.policies.number for replica in self.replicas.values())
             > len(self.names) // 2
         )
         if self.erasures and self.erasures[-1][1] is None and known_by_majority:
@@ -329,9 +330,11 @@
     def routers_with_record(self, idempotency_key: str) -> list[str]:
         """Returns the routers that hold a record; only for checks of erasure, which concerns replicas."""
         return [
-            n
-            for n, k in self.replicas.items()
-            if any(x.record.idempotency_key == idempotency_key for x in k.records.all_records())
+            name
+            for name, replica in self.replicas.items()
+            if any(
+                stored.record.idempotency_key == idempotency_key for stored in replica.records.all_records()
+            )
         ]
 
     def wait_until_settled(self, max_seconds: float = 30) -> bool:
@@ -339,13 +342,17 @@
         since = self.now
         while self.now - since < max_seconds * SECOND:
             self.advance(0.5)
-            replicas = [k for n, k in self.replicas.items() if n not in self.suspended]
-            fine = all(
-                k.views.in_force(k.context.now) and not k.slots.fetching and not k.slots.outdated
-                for k in replicas
+            replicas = [replica for name, replica in self.replicas.items() if name not in self.suspended]
+            all_current = all(
+                replica.views.in_force(replica.context.now)
+                and not replica.slots.fetching
+                and not replica.slots.outdated
+                for replica in replicas
             )
-            if fine and len({k.views.view.id for k in replicas}) == 1:
-                members = {n: self.incarnations[n] for n in self.replicas if n not in self.suspended}
+            if all_current and len({replica.views.view.id for replica in replicas}) == 1:
+                members = {
+                    name: self.incarnations[name] for name in self.replicas if name not in self.suspended
+                }
                 if replicas[0].views.view.members == members:
                     return True
         return False
@@ -358,9 +365,9 @@
             self.record_policies_known()
 
 
-def initial_policies(**about: object) -> RetentionPolicies:
+def initial_policies(**fields: object) -> RetentionPolicies:
     """Returns the first policies of a fleet that starts now."""
-    return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **about)
+    return RetentionPolicies(number=1, founded=EPOCH // MS * MS, **fields)
 
 
 def run_random_faults(net: HistoryNet, seed: int, seconds: float, with_erasures: bool = False) -> bool:
@@ -393,22 +400,22 @@
 
 def inject_random_fault(net: HistoryNet, rng: random.Random, with_erasures: bool) -> None:
     """Injects one random fault, a recovery from one, or with `with_erasures` an erasure request."""
-    what, names = rng.random(), rng.sample(net.names, len(net.names))
-    if what < 0.25:
+    draw, names = rng.random(), rng.sample(net.names, len(net.names))
+    if draw < 0.25:
         for name in names[: rng.choice([1] * 9 + [2, 4])]:
             net.kill(name)
-    elif what < 0.5:
+    elif draw < 0.5:
         for name in names:
             if name not in net.replicas:
                 net.start(name)
-    elif what < 0.6:
+    elif draw < 0.6:
         half = rng.randint(1, len(names) - 1)
         net.cut(names[:half], names[half:], both=rng.random() < 0.7)
-    elif what < 0.75:
+    elif draw < 0.75:
         net.heal()
-    elif what < 0.82:
+    elif draw < 0.82:
         net.suspend(names[0])
-    elif what < 0.92:
+    elif draw < 0.92:
         for name in list(net.suspended):
             net.resume(name)
     elif with_erasures and names[0] in net.replicas and names[0] not in net.suspended:
--- a/hillchute/lab/line_engine.py
+++ b/hillchute/lab/line_engine.py
@@ -18,7 +18,7 @@
     """The server of one engine."""
 
     def __init__(self, engine: Engine, progress_interval: float = 0.5) -> None:
-        """`progress_interval` is in seconds between two progress events of a run."""
+        """`progress_interval` is the time in seconds between two progress events of a run."""
         self.engine, self.progress_interval = engine, progress_interval
         self.streams: set[anyio.abc.SocketStream] = set()
         self.port = 0
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -126,12 +126,10 @@
     started: Time = 0  # 0 means warm from the beginning
     draining: bool = False
     runs: list[Run] = field(default_factory=list)
-    submitted: list[tuple[Time, Time]] = field(
-        default_factory=list
-    )  # (time, work) of all attempts that were started here
-    load_history: deque[tuple[Time, int, int]] = field(
-        default_factory=deque
-    )  # (time, queries in flight, threads)
+    # (time, work) of all attempts that were started here.
+    submitted: list[tuple[Time, Time]] = field(default_factory=list)
+    # (time, queries in flight, threads) of recent time steps.
+    load_history: deque[tuple[Time, int, int]] = field(default_factory=deque)
 
     def usable_cores(self, now: Time) -> float:
         """Return the cores that the engine can use; fewer while it warms up."""
@@ -225,16 +223,16 @@
     # ---- faults and changes -----------------------------------------------------------------------
 
     def replace_engines(self, count: int) -> None:
-        """Drain the `count` oldest engines and start as many new ones; all routers learn of it at once."""
+        """Drain the `count` oldest engines and start as many new ones; all routers are informed at once."""
         for engine in [engine for engine in self.engines.values() if not engine.draining][:count]:
             engine.draining = True
         first = max(self.engines) + 1
         for n in range(first, first + count):
             self.engines[n] = Engine(n, started=self.now)
 
-    def restart_routers(self, part: float) -> None:
+    def restart_routers(self, fraction: float) -> None:
         """Restart a fraction of the routers at once. They lose their state, and their runs on engines end."""
-        for n in self.rng.sample(range(len(self.router_weights)), int(part * len(self.router_weights))):
+        for n in self.rng.sample(range(len(self.router_weights)), int(fraction * len(self.router_weights))):
             self.lose_router_state(n)
             for engine in self.engines.values():
                 engine.runs = [run for run in engine.runs if run.query.router != n]
@@ -272,8 +270,8 @@
         self.arrival_rate = 0.0
         self.run_for(seconds)
 
-    def call_after(self, after: Time, call: Callable[[], None]) -> None:
-        heappush(self.timers, (self.now + after, next(self.timer_numbers), call))
+    def call_after(self, delay: Time, callback: Callable[[], None]) -> None:
+        heappush(self.timers, (self.now + delay, next(self.timer_numbers), callback))
 
     def step(self) -> None:
         self.now += STEP
@@ -303,11 +301,11 @@
                 )
                 end = self.now + group_settings.target_runtime + stretch_time
                 table_group, work = self.traffic_rng.randrange(40), int(cost * self.work_factor)
-                q = Query(f"q{self.query_count}", router, group, table_group, self.now, end, cost, work)
-                self.queries[q.id] = q
+                query = Query(f"q{self.query_count}", router, group, table_group, self.now, end, cost, work)
+                self.queries[query.id] = query
                 self.asked[router, group] += 1
-                self.asked_by_customer[q.customer, group] += 1
-                yield q
+                self.asked_by_customer[query.customer, group] += 1
+                yield query
 
     def threads_of(self, group: int) -> int:
         return SETTINGS.groups[group].threads
@@ -363,7 +361,8 @@
 
     def jain_index(self, asked: Counter, served: Counter) -> float:
         shares = [
-            self.total_value(served, who) / self.total_value(asked, who) for who in {who for who, _ in asked}
+            self.total_value(served, party) / self.total_value(asked, party)
+            for party in {party for party, _ in asked}
         ]
         return sum(shares) ** 2 / (len(shares) * sum(share**2 for share in shares) or 1)
 
@@ -560,12 +559,13 @@
             for e in self.engines.values()
         ]
 
-    def on_arrival(self, q: Query) -> None:
-        router = self.routers[q.router]
-        if router.admits(self.now, q.group, 0.0):
+    def on_arrival(self, query: Query) -> None:
+        router = self.routers[query.router]
+        if router.admits(self.now, query.group, 0.0):
             deadline = self.now + int(CLIENT_TIMEOUT * self.slowdown)
             router.on_query(
-                self.now, NewQuery(q.id, q.group, deadline, table_group=q.table_group, cost=q.cost)
+                self.now,
+                NewQuery(query.id, query.group, deadline, table_group=query.table_group, cost=query.cost),
             )
 
     def on_run_ended(self, run: Run, engine: Engine) -> None:
@@ -578,18 +578,18 @@
 
     def deliver_result(
         self,
-        q: Query,
+        query: Query,
         attempt: int,
         result: AttemptResult,
         final: bool,
         duration: Time,
         cost: Time | None = None,
     ) -> None:
-        router = self.routers[q.router]
-        attempts = router.queries[q.id].attempts if q.id in router.queries else []
-        router.on_attempt_ended(self.now, AttemptEnded(q.id, attempt, result, final, duration, cost))
+        router = self.routers[query.router]
+        attempts = router.queries[query.id].attempts if query.id in router.queries else []
+        router.on_attempt_ended(self.now, AttemptEnded(query.id, attempt, result, final, duration, cost))
         if attempt < len(attempts) and result == AttemptResult.CONNECTION_LOST:
-            self.report_failure(q.router, router, attempts[attempt].engine)
+            self.report_failure(query.router, router, attempts[attempt].engine)
 
     def apply_decisions(self) -> None:
         if self.form == "shared":
@@ -622,22 +622,22 @@
         if n < len(self.fleet_views) and engine in router.engines and router.engines[engine].failures > 1:
             self.fleet_views[n].on_failure(EPOCH + self.now, engine)
 
-    def submit(self, router: QueryScheduler, q: Query, engine: Engine) -> None:
-        attempt = len(router.queries[q.id].attempts) - 1
+    def submit(self, router: QueryScheduler, query: Query, engine: Engine) -> None:
+        attempt = len(router.queries[query.id].attempts) - 1
         self.report_ages.append(self.now - router.engines[engine.id].reported_at)
-        if self.is_partitioned(q.router, engine.id):
+        if self.is_partitioned(query.router, engine.id):
             self.call_after(
                 CONNECTION_TIMEOUT,
                 lambda: self.deliver_result(
-                    q, attempt, AttemptResult.CONNECTION_LOST, False, CONNECTION_TIMEOUT
+                    query, attempt, AttemptResult.CONNECTION_LOST, False, CONNECTION_TIMEOUT
                 ),
             )
         elif engine.draining or len(engine.runs) >= MAX_QUERIES_PER_CORE * CORES:
-            self.deliver_result(q, attempt, AttemptResult.OVERLOADED, False, 0)
+            self.deliver_result(query, attempt, AttemptResult.OVERLOADED, False, 0)
         else:
-            self.start_run(engine, q, attempt)
-            if q.router < len(self.fleet_views) and router.engines[engine.id].is_warming_up(self.now):
-                self.fleet_views[q.router].on_warm_up_work(EPOCH + self.now, engine.id, q.cost)
+            self.start_run(engine, query, attempt)
+            if query.router < len(self.fleet_views) and router.engines[engine.id].is_warming_up(self.now):
+                self.fleet_views[query.router].on_warm_up_work(EPOCH + self.now, engine.id, query.cost)
 
     def reset_counts(self) -> None:
         super().reset_counts()
@@ -668,41 +668,41 @@
         self.waiting.append(query)
 
     def lose_router_state(self, router: int) -> None:
-        self.waiting = [q for q in self.waiting if q.router != router]
+        self.waiting = [query for query in self.waiting if query.router != router]
 
     def apply_decisions(self) -> None:
         ready = [engine for engine in self.engines.values() if not engine.draining]
         loads = {}
         for engine in ready:
-            since = [run.threads for run in engine.runs if run.sent_at > self.now - REPORT_DELAY]
+            recent_threads = [run.threads for run in engine.runs if run.sent_at > self.now - REPORT_DELAY]
             delayed_load = engine.load_history[0][2] if engine.load_history else 0
-            loads[engine] = delayed_load + sum(since)
+            loads[engine] = delayed_load + sum(recent_threads)
         values = [SETTINGS.groups[group].weight for group in (LOOKUP, REPORT)]
-        self.waiting.sort(key=lambda q: q.cost / values[q.group])
+        self.waiting.sort(key=lambda query: query.cost / values[query.group])
         still_waiting = []
-        for q in self.waiting:
-            run_time = q.work // self.threads_of(q.group)
-            if self.now + run_time > q.useful_until:
+        for query in self.waiting:
+            run_time = query.work // self.threads_of(query.group)
+            if self.now + run_time > query.useful_until:
                 continue
-            if not self.start_on_best_engine(q, loads):
-                still_waiting.append(q)
+            if not self.start_on_best_engine(query, loads):
+                still_waiting.append(query)
         self.waiting = still_waiting
 
-    def start_on_best_engine(self, q: Query, loads: dict[Engine, float]) -> bool:
-        width, span = self.threads_of(q.group), SETTINGS.warm_up.budget_window
+    def start_on_best_engine(self, query: Query, loads: dict[Engine, float]) -> bool:
+        width, span = self.threads_of(query.group), SETTINGS.warm_up.budget_window
         for engine in sorted(loads, key=lambda engine: loads[engine] / engine.usable_cores(self.now)):
             usable_cores = engine.usable_cores(self.now)
             if loads[engine] + width > SATURATION_THREADS_PER_CORE * usable_cores:
                 return False
             overload_work = SETTINGS.warm_up.budget_multiple * usable_cores * span
-            cold = engine.started and self.now < engine.started + SETTINGS.warm_up.duration
+            is_cold = engine.started and self.now < engine.started + SETTINGS.warm_up.duration
             if (
-                self.is_partitioned(q.router, engine.id)
-                or cold
-                and engine.recent_work(self.now) + q.work > overload_work / 2
+                self.is_partitioned(query.router, engine.id)
+                or is_cold
+                and engine.recent_work(self.now) + query.work > overload_work / 2
             ):
                 continue
             loads[engine] += width
-            self.start_run(engine, q, 0)
+            self.start_run(engine, query, 0)
             return True
         return False
--- a/hillchute/lab/mutants.py
+++ b/hillchute/lab/mutants.py
@@ -11,7 +11,7 @@
 truncated, of another version, or recorded and replayed to a later generation. No invariant may be violated,
 and the final state is the same as without the mutation. Byzantine mutations are those of a router that has
 the keys and lies: a field is zero, at its maximum, an older value or another router's name. No invariant may
-be violated for the other routers, and no honest router may be taken for dead at the end.
+be violated for the other routers, and no honest router may be considered dead at the end.
 """
 
 import argparse
@@ -49,13 +49,11 @@
 
 STEP: Time = 1_000  # 0.1 s, the time between two ticks and of a datagram in transit
 ROUTERS, ENGINES, LIMIT = 4, 6, "cold"
-MAX_INCARNATION_AHEAD_MS = (
-    3_600_000 + 1_000
-)  # milliseconds that an incarnation may be ahead of the clock: an hour, and a second in transit
+# An incarnation may be this far ahead of the clock: an hour, and a second in transit.
+MAX_INCARNATION_AHEAD_MS = 3_600_000 + 1_000
 EPOCH: Time = 17_000_000_000_000
-DURATION: Time = (
-    330_000  # long enough for suspicions, leases and late messages to expire after the last event
-)
+# Long enough for suspicions, leases and late messages to expire after the last event.
+DURATION: Time = 330_000
 
 
 def router_name(n: int) -> str:
@@ -193,8 +191,8 @@
         try:
             while self.now < EPOCH + DURATION:
                 self.step()
-        except Exception as fault:  # a message must never end a router
-            self.violations.append(f"raised {fault!r}")
+        except Exception as error:  # a message must never end a router
+            self.violations.append(f"raised {error!r}")
         return self
 
     def step(self) -> None:
@@ -210,7 +208,8 @@
             self.send(router, node.tick(self.now))
             outgoing = self.fleet_views[router].due_digests(self.now, node.live_peers())
             self.send(
-                router, [datagram for to, load in outgoing for datagram in node.payload_datagrams(to, load)]
+                router,
+                [datagram for to, payload in outgoing for datagram in node.payload_datagrams(to, payload)],
             )
             for to in node.state_requests:
                 self.send(router, [(to, node.state_request(to))])
@@ -233,23 +232,25 @@
                 if number == self.mutated_index:
                     self.applied = False  # it would not have arrived in any case
                 continue
-            for later, mutated in deliveries:
+            for added_steps, mutated in deliveries:
                 self.last_order += 1
-                self.in_flight.append((self.now + STEP * (1 + later), self.last_order, to, mutated))
+                self.in_flight.append((self.now + STEP * (1 + added_steps), self.last_order, to, mutated))
 
     # ---- invariants -------------------------------------------------------------------------------
 
     def check_invariants(self) -> None:
         """Checks the invariants of all honest routers; called at every step."""
-        honest = {router: c for router, c in self.fleet_views.items() if router != self.byzantine_router}
+        honest = {
+            router: view for router, view in self.fleet_views.items() if router != self.byzantine_router
+        }
         usable_units = 0
         for fleet_view in honest.values():
             limit = fleet_view.quotas.limits[LIMIT]
             usable_units += limit.usable(self.now)
             # A lying lender may lend units that it does not own; that is no fault of the borrower.
             usable_units -= sum(
-                held.usable(self.now)
-                for router, held in limit.borrowed.items()
+                lease.usable(self.now)
+                for router, lease in limit.borrowed.items()
                 if router == self.byzantine_router
             )
         if usable_units > LIMIT_UNITS:
@@ -260,7 +261,7 @@
             closed = fleet_view.signals.closed_engines()
             if closed and self.event_numbers[router] >= 3:
                 self.report_violation(
-                    f"{router} keeps {sorted(closed)} closed after its endpoint list has it back"
+                    f"{router} keeps {sorted(closed)} closed after its endpoint list has them ready again"
                 )
             if closed - {5}:
                 self.report_violation(f"{router} closed {sorted(closed - {5})}, which never drained")
@@ -290,16 +291,16 @@
                     and self.now - peer.last_heard_at < PROTOCOL_PERIOD
                 ):
                     self.report_violation(
-                        f"{router} takes {peer.name} for gone though it has just heard of it"
+                        f"{router} considers {peer.name} dead or departed although it has just heard from it"
                     )
 
-    def report_violation(self, what: str) -> None:
+    def report_violation(self, description: str) -> None:
         if len(self.violations) < 5:
-            self.violations.append(f"{(self.now - EPOCH) / 10_000:.1f} s: {what}")
+            self.violations.append(f"{(self.now - EPOCH) / 10_000:.1f} s: {description}")
 
     def final_state(self) -> dict[str, object]:
         """Returns, by router: live peers, drains, failing engines, differing routers, if its quota is met."""
-        found = {}
+        state_by_router = {}
         for router, node in self.nodes.items():
             fleet_view = self.fleet_views[router]
             limit = fleet_view.quotas.limits[LIMIT]
@@ -308,13 +309,19 @@
                 for engine in range(ENGINES)
                 if fleet_view.signals.count_failure_witnesses(self.now, engine)
             ]
-            met = limit.usable(self.now) >= 0.9 * min(limit.requested, limit.entitlement)
+            is_quota_met = limit.usable(self.now) >= 0.9 * min(limit.requested, limit.entitlement)
             drains = [engine for engine in range(ENGINES) if fleet_view.signals.count_drain_witnesses(engine)]
-            found[router] = (node.live_peers(), drains, failing, fleet_view.differing_routers, met)
-        return found
+            state_by_router[router] = (
+                node.live_peers(),
+                drains,
+                failing,
+                fleet_view.differing_routers,
+                is_quota_met,
+            )
+        return state_by_router
 
     def liveness_known(self) -> bool:
-        """Returns whether every honest router takes exactly the running routers for alive."""
+        """Returns whether every honest router considers exactly the running routers alive."""
         return all(
             set(node.live_peers()) - {self.byzantine_router}
             == self.nodes.keys() - {router, self.byzantine_router}
@@ -349,8 +356,8 @@
 def forge_payload(data: bytes) -> bytes:
     """Replaces the payload but keeps the authentication tag, as an attacker without the key would."""
     datagram = decode_datagram(data)
-    load = coordination_codec.encode(Digest(drains=(DrainNotice(1, 10**6),)))
-    return data[:HEADER_BYTES] + encoder.encode(msgspec.structs.replace(datagram, payload=load))
+    payload = coordination_codec.encode(Digest(drains=(DrainNotice(1, 10**6),)))
+    return data[:HEADER_BYTES] + encoder.encode(msgspec.structs.replace(datagram, payload=payload))
 
 
 def decode_datagram(data: bytes) -> Datagram:
@@ -358,10 +365,10 @@
     return decode(data, receiver, {sender: shared_key(sender, receiver)})
 
 
-def authenticated(datagram: Datagram, own: bytes) -> bytes:
+def authenticated(datagram: Datagram, key: bytes) -> bytes:
     """Returns the datagram with a valid tag, even if an honest router would never send it."""
     body = encoder.encode(datagram)
-    return bytes([VERSION]) + authentication_tag(own, body) + body
+    return bytes([VERSION]) + authentication_tag(key, body) + body
 
 
 def byzantine_mutation(kind: str, mutation: Callable[[Datagram, ScriptedRun], Datagram]) -> Mutation:
@@ -474,7 +481,7 @@
 def run_mutant(
     seed: int, index: int, mutation: int, final_state: dict[str, object]
 ) -> tuple[bool, list[str], bool]:
-    """Runs one mutant; returns if it reached a receiver, the violations, and if the final state differs."""
+    """Runs one mutant; returns whether it was applied, its violations, and whether its end state differs."""
     run = ScriptedRun(seed, index, MUTATIONS[mutation]).play()
     return run.applied, *judge(run, final_state)
 
@@ -495,14 +502,14 @@
     kinds: Counter[str] = Counter()
     not_applied = 0
     with worker_pool(jobs) as pool:
-        found = pool.map(run_mutant, repeat(seed), *zip(*mutants), repeat(final_state), chunksize=32)
-        for (index, mutation), (applied, found_violations, other) in zip(mutants, found):
+        results = pool.map(run_mutant, repeat(seed), *zip(*mutants), repeat(final_state), chunksize=32)
+        for (index, mutation), (applied, found_violations, differs) in zip(mutants, results):
             kind = MUTATIONS[mutation].kind
             kinds[kind] += 1
             not_applied += not applied
             if found_violations:
                 violations.append(f"message {index}, {kind}: {found_violations[0]}")
-            if other:
+            if differs:
                 differing.append(f"message {index}, {kind}")
     return {
         "messages": len(baseline.messages),
@@ -525,15 +532,15 @@
     parser.add_argument("--partners", action="store_true", help="mutate messages between partners")
     parser.add_argument("--json", action="store_true")
     arguments = parser.parse_args()
-    found = (
+    results = (
         partners_mutants.play if arguments.partners else history_mutants.play if arguments.history else play
     )(arguments.seed, arguments.most)
     if arguments.json:
-        sys.stdout.buffer.write(orjson.dumps(found, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
+        sys.stdout.buffer.write(orjson.dumps(results, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     else:
-        for what, figure in found.items():
-            print(f"{what}: {figure}")
-    return int(bool(found["broken"] or found["unlike"]))
+        for name, figure in results.items():
+            print(f"{name}: {figure}")
+    return int(bool(results["broken"] or results["unlike"]))
 
 
 if __name__ == "__main__":
--- a/hillchute/lab/parity.py
+++ b/hillchute/lab/parity.py
@@ -107,8 +107,10 @@
         self.phase("cancelled", *[[self.cancelled() for _ in range(8)] for _ in range(3)])
         self.phase("drain", [self.normal() for _ in range(count // 8)])
         self.phase("engine_loss", [self.normal() for _ in range(count // 8)])
-        done = sum(len(client_queries) for _, query_lists in self.phases for client_queries in query_lists)
-        self.phase("after", [self.normal() for _ in range(max(40, count - done))])
+        query_count = sum(
+            len(client_queries) for _, query_lists in self.phases for client_queries in query_lists
+        )
+        self.phase("after", [self.normal() for _ in range(max(40, count - query_count))])
 
     def phase(self, name: str, *queries: list[Query]) -> None:
         """Add a phase. A single list is divided among all clients; of several, each gets its own client."""
@@ -190,23 +192,23 @@
     """Run the workload through one front end; return the number of queries by outcome and violations."""
     script = Script(seed, count)
     async with deployed(engines, ENGINES, operator(engines), seed) as (fleet, router):
-        kind = MySQLClient if front == "mysql" else FlightClient
+        client_type = MySQLClient if front == "mysql" else FlightClient
         port = router.port if front == "mysql" else router.flight_port
-        await play(script, fleet, lambda: kind(fleet.world, port))
+        await play(script, fleet, lambda: client_type(fleet.world, port))
         await anyio.sleep(0.2)
-        faults = rules.find_violations(fleet.world, script.queries)
-        faults += [f"the router logged a fault: {entry}"[:300] for entry in router.faults()]
+        violations = rules.find_violations(fleet.world, script.queries)
+        violations += [f"the router logged a fault: {entry}"[:300] for entry in router.faults()]
     outcomes = Counter(q.outcome for q in script.queries if q.cancel_after is None)
-    return outcomes, faults
+    return outcomes, violations
 
 
 async def compare(seed: int, engines: str = "flight", count: int = 2_000) -> dict[str, object]:
     """Run the script through both front ends; return the outcomes of each, and all rule violations."""
-    results, faults = {}, []
+    results, violations = {}, []
     for front in ("mysql", "flight"):
-        outcomes, violations = await run_front(seed, front, engines, count)
+        outcomes, front_violations = await run_front(seed, front, engines, count)
         results[front] = {outcome: outcomes.get(outcome, 0) for outcome in OUTCOMES}
         others = {outcome: n for outcome, n in outcomes.items() if outcome not in OUTCOMES}
-        faults += [f"{front}: {fault}" for fault in violations]
-        faults += [f"{front}: rule 1: {n} queries {outcome}" for outcome, n in others.items()]
-    return {**results, "equal": results["mysql"] == results["flight"], "broken_rules": faults}
+        violations += [f"{front}: {violation}" for violation in front_violations]
+        violations += [f"{front}: rule 1: {n} queries {outcome}" for outcome, n in others.items()]
+    return {**results, "equal": results["mysql"] == results["flight"], "broken_rules": violations}
--- a/hillchute/lab/partners.py
+++ b/hillchute/lab/partners.py
@@ -40,35 +40,35 @@
 # ---- moves ----------------------------------------------------------------------------------------
 
 
-def minimum_moves(held: tuple, shares: Mapping[str, int]) -> int:
+def minimum_moves(owners: tuple, shares: Mapping[str, int]) -> int:
     """Returns the minimum of moves: only surplus slots and slots without an owner move, each once."""
     total = sum(shares.values())
     floors = {n: SLOTS * s // total for n, s in shares.items()}
     remainder = SLOTS - sum(floors.values())
-    kept = sum(min(held.count(n), floors[n]) for n in shares)
-    gain = sum(1 for n in shares if SLOTS * shares[n] % total and held.count(n) > floors[n])
+    kept = sum(min(owners.count(n), floors[n]) for n in shares)
+    gain = sum(1 for n in shares if SLOTS * shares[n] % total and owners.count(n) > floors[n])
     return SLOTS - kept - min(remainder, gain)
 
 
 def measure_moves(seed: int, times: int = 200) -> dict[str, object]:
     """Counts moves over successive agreements of changing partners, by slot count and by load."""
-    rng, held, excess_moves, max_deviation = random.Random(seed), (None,) * SLOTS, 0, 0.0
+    rng, current_owners, excess_moves, max_deviation = random.Random(seed), (None,) * SLOTS, 0, 0.0
     by_count = by_work = 0
     for _ in range(times):
-        some = rng.sample("abcdefgh", rng.randint(2, 8))
-        shares = {name: rng.choice([0, *range(500, 5000)]) for name in some} | {some[0]: 1000}
-        owners = allocate_slots(held, shares)
-        excess_moves += count_moves(held, owners) - minimum_moves(held, shares)
-        by_count += count_moves(held, owners)
+        partners = rng.sample("abcdefgh", rng.randint(2, 8))
+        shares = {name: rng.choice([0, *range(500, 5000)]) for name in partners} | {partners[0]: 1000}
+        owners = allocate_slots(current_owners, shares)
+        excess_moves += count_moves(current_owners, owners) - minimum_moves(current_owners, shares)
+        by_count += count_moves(current_owners, owners)
         work = [int(1000 * rng.paretovariate(1.3)) for _ in range(SLOTS)]
         owners_by_load = allocate_slots_by_load(owners, shares, work)
         by_work += count_moves(owners, owners_by_load)
         total = sum(shares.values())
         for name, share in shares.items():
-            mine = sum(w for w, owner in zip(work, owners_by_load, strict=True) if owner == name)
-            room = max(work) / sum(work)  # the heaviest slot cannot be divided
-            max_deviation = max(max_deviation, abs(mine / sum(work) - share / total) - room)
-        held = owners
+            owned_work = sum(w for w, owner in zip(work, owners_by_load, strict=True) if owner == name)
+            tolerance = max(work) / sum(work)  # the heaviest slot cannot be divided
+            max_deviation = max(max_deviation, abs(owned_work / sum(work) - share / total) - tolerance)
+        current_owners = owners
     return {
         "agreements": times,
         "moves": by_count,
@@ -109,23 +109,23 @@
     def handle_claim(self, sender: str, claim: ClaimRequest) -> None:
         """Measures how long a claim waits for a run under the lease of an earlier owner."""
         number, now = slot_of(claim.customer, claim.ordering_key), self.replica.context.now
-        lease, about = self.replica.slots.slots[number].lease, claim.claim_id(sender)
+        lease, claim_id = self.replica.slots.slots[number].lease, claim.claim_id(sender)
         if lease is not None and self.replica.leases.is_earlier_running(
             claim.customer, claim.ordering_key, lease
         ):
-            self.waits.setdefault(about, now)
-        elif about in self.waits:
-            self.claim_waits.append(now - self.waits.pop(about))
+            self.waits.setdefault(claim_id, now)
+        elif claim_id in self.waits:
+            self.claim_waits.append(now - self.waits.pop(claim_id))
         self.original_handle_claim(sender, claim)
 
 
 class RecordingNet(PartnersNet):
     """A network that records lease moves and waiting claims at all replicas."""
 
-    def __init__(self, *about: object, **faults: float) -> None:
+    def __init__(self, *arguments: object, **faults: float) -> None:
         self.gaps: list[Time] = []
         self.claim_waits: list[Time] = []
-        super().__init__(*about, **faults)
+        super().__init__(*arguments, **faults)
 
     def new_replica(self, name: str, now: Time, live_routers: Callable[[], dict[str, int]]) -> Replica:
         replica = super().new_replica(name, now, live_routers)
@@ -160,7 +160,7 @@
 
 
 def measure_blocked_keys(seed: int) -> dict[str, object]:
-    """Measures how long the keys of a dead router's runs stay blocked once other partners own the slots."""
+    """Measures how long keys of a dead router's runs stay blocked after their slots change owners."""
     net = RecordingNet(seed, 9, initial_policies(copies=2, default=RETENTION))
     net.make_offers()
     net.wait_until_settled()
@@ -174,20 +174,22 @@
         k.record.ordering_key for replica in net.replicas.values() for k in replica.records.all_records()
     }
     net.kill(victims[1])
-    died = net.now
+    died_at = net.now
     net.offer("a", 500)
     for partner in "bc":
         net.offer(partner, 7000)
     net.wait_until_agreed()
     unblocked_at, owners = {}, net.owners()
-    first = {slot: holders(slot, net.replicas["n1"].views.view.members, 1)[0] for slot in range(SLOTS)}
+    first_holders = {
+        slot: holders(slot, net.replicas["n1"].views.view.members, 1)[0] for slot in range(SLOTS)
+    }
     moved = [key for key in sorted(keys_out) if owners[slot_of("", key)] != "a"]
-    while net.now < died + 2 * COMPLETION_GRACE and len(unblocked_at) < len(moved):
+    while net.now < died_at + 2 * COMPLETION_GRACE and len(unblocked_at) < len(moved):
         net.advance(0.5)
         for key in set(moved) - unblocked_at.keys():
-            replica, slot = net.replicas[first[slot_of("", key)]], slot_of("", key)
+            replica, slot = net.replicas[first_holders[slot_of("", key)]], slot_of("", key)
             if not replica.leases.is_earlier_running("", key, replica.slots.slots[slot].lease):
-                unblocked_at[key] = net.now - died
+                unblocked_at[key] = net.now - died_at
     waits = sorted(unblocked_at.values())
     return {
         "keys_out": len(keys_out),
@@ -205,8 +207,8 @@
 
     def __init__(self, shares: Mapping[str, int], routers: Mapping[str, list[str]], seed: int = 1) -> None:
         self.now, self.routers = 0, routers
-        self.names = [name for some in routers.values() for name in some]
-        self.partner_of = {name: partner for partner, some in routers.items() for name in some}
+        self.names = [name for members in routers.values() for name in members]
+        self.partner_of = {name: partner for partner, members in routers.items() for name in members}
         self.quotas = {
             n: QuotaLeases(n, self.names, {"pool": TOTAL_UNITS}, seed + i, 0)
             for i, n in enumerate(self.names)
@@ -219,15 +221,15 @@
 
     def update_entitlements(self) -> None:
         for name, quotas in self.quotas.items():
-            home = router_allocations(TOTAL_UNITS, self.known_shares[name], self.routers)[name]
-            ours, least = (
+            allocation = router_allocations(TOTAL_UNITS, self.known_shares[name], self.routers)[name]
+            group, floor = (
                 self.routers[self.partner_of[name]],
                 minimum_allocation(TOTAL_UNITS, len(self.names)),
             )
             entitlement = Entitlement(
-                units=home,
-                floor=least,
-                group=frozenset(ours),
+                units=allocation,
+                floor=floor,
+                group=frozenset(group),
                 settling_time=ENTITLEMENT_SETTLING_TIME,
                 confined=name in self.confined,
             )
@@ -243,16 +245,16 @@
         for name, quotas in self.quotas.items():
             quotas.set_requested("pool", self.requested_units[name])
         demands = {name: quotas.demands(self.now) for name, quotas in self.quotas.items()}
-        for name, wants in demands.items():
+        for name, demand in demands.items():
             for other, quotas in self.quotas.items():
                 if other != name:
-                    quotas.on_demands(self.now, name, wants)
+                    quotas.on_demands(self.now, name, demand)
         requests = [(n, w) for n, q in self.quotas.items() for w in q.due_requests(self.now, self.names)]
         for name, request in requests:
-            for back in self.quotas[request.recipient].on_request(
+            for grant in self.quotas[request.recipient].on_request(
                 self.now, name, request.limit, request.body
             ):
-                self.quotas[name].on_grant(request.recipient, back.limit, back.body)
+                self.quotas[name].on_grant(request.recipient, grant.limit, grant.body)
         self.max_usable = max(self.max_usable, sum(self.usable_units(name) for name in self.names))
 
     def usable_units(self, name: str) -> int:
@@ -276,32 +278,36 @@
     shares = {"a": 5000, "b": 3000, "c": 2000}
     pool, demand_factor = Pool(shares, routers, seed), dict.fromkeys(routers, 1.5)
     pool.play(15)
-    used, counted_steps, steps, back = dict.fromkeys(routers, 0), 0, 0, []
+    used, counted_steps, steps, recovery_times = dict.fromkeys(routers, 0), 0, 0, []
     short_since: dict[str, Time] = {}  # routers that need all of their units and have lent some to others
     began = pool.now
     while pool.now < began + seconds * SECOND:
         if rng.random() < 0.004:
             demand_factor[rng.choice("abc")] = rng.choice([0.3, 1.5, 1.5, 3.0])
-        for partner, some in routers.items():
-            for name in some:
-                home = TOTAL_UNITS * shares[partner] // 10_000 // each
-                want = pool.requested_units[name] or home
-                target = home * demand_factor[partner] * rng.choice([0.2, 1.0, 1.8])
-                pool.requested_units[name] = int(want + 0.1 * (target - want))
+        for partner, members in routers.items():
+            for name in members:
+                allocation = TOTAL_UNITS * shares[partner] // 10_000 // each
+                requested = pool.requested_units[name] or allocation
+                target = allocation * demand_factor[partner] * rng.choice([0.2, 1.0, 1.8])
+                pool.requested_units[name] = int(requested + 0.1 * (target - requested))
         pool.step()
         steps += 1
-        asked = {p: sum(pool.requested_units[n] for n in some) for p, some in routers.items()}
-        full = [p for p in routers if asked[p] >= TOTAL_UNITS * shares[p] / 10_000]
+        requested_by_partner = {
+            p: sum(pool.requested_units[n] for n in members) for p, members in routers.items()
+        }
+        saturated = [p for p in routers if requested_by_partner[p] >= TOTAL_UNITS * shares[p] / 10_000]
         for name, quotas in pool.quotas.items():
             limit = quotas.limits["pool"]
             lent = sum(
-                lent.outstanding(pool.now) for who, lent in limit.lent.items() if who not in limit.group
+                lent.outstanding(pool.now)
+                for borrower, lent in limit.lent.items()
+                if borrower not in limit.group
             )
             if lent and limit.requested >= limit.entitlement:
                 short_since.setdefault(name, pool.now)
             elif name in short_since:
-                back.append(pool.now - short_since.pop(name))
-        if len(full) == len(routers):
+                recovery_times.append(pool.now - short_since.pop(name))
+        if len(saturated) == len(routers):
             counted_steps += 1
             for partner in routers:
                 used[partner] += pool.used(partner)
@@ -312,7 +318,7 @@
         "agreed": {p: s / 10_000 for p, s in shares.items()},
         "used": {p: round(u / total, 4) for p, u in used.items()},
         "off_at_most": round(max(abs(used[p] / total - shares[p] / 10_000) for p in routers), 4),
-        "back_within_s_most": round(max(back, default=0) / SECOND, 1),
+        "back_within_s_most": round(max(recovery_times, default=0) / SECOND, 1),
         "whole_at_most": round(pool.max_usable / TOTAL_UNITS, 4),
     }
 
@@ -323,18 +329,18 @@
     )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    asked = parser.parse_args()
-    found = {
-        "moves": measure_moves(asked.seed),
-        "planned": measure_unowned_time(asked.seed),
-        "after_death": measure_blocked_keys(asked.seed),
-        "pool": measure_pool_shares(asked.seed),
+    options = parser.parse_args()
+    results = {
+        "moves": measure_moves(options.seed),
+        "planned": measure_unowned_time(options.seed),
+        "after_death": measure_blocked_keys(options.seed),
+        "pool": measure_pool_shares(options.seed),
     }
-    if asked.json:
-        sys.stdout.buffer.write(orjson.dumps(found, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
+    if options.json:
+        sys.stdout.buffer.write(orjson.dumps(results, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     else:
-        for what, figures in found.items():
-            print(f"{what}: {figures}")
+        for name, figures in results.items():
+            print(f"{name}: {figures}")
     return 0
 
 
--- a/hillchute/lab/partners_mutants.py
+++ b/hillchute/lab/partners_mutants.py
@@ -89,7 +89,7 @@
         for name in self.names:
             self.ask(name, f"d{name}", "k1")
         self.advance(0.2)
-        self.kill("n4")  # of partner b, while it runs forwarded queries
+        self.kill("n4")  # a router of partner b that is running forwarded queries
         self.advance(9)
         self.start("n4")
         self.advance(9)
@@ -102,7 +102,7 @@
 
     def leave_agreement(self) -> None:
         """A partner gives notice, and its part in the agreement ends with the notice period."""
-        self.protocols["n2"].give_notice(self.clock("n2"))  # of partner c
+        self.protocols["n2"].give_notice(self.clock("n2"))  # signs for partner c
         self.post("n2")
         self.advance(13)
         self.ask_all(40, 6, self.names)
@@ -133,7 +133,7 @@
             "shares": sorted(
                 (n, s) for n, s in protocols[0].ownership.effective_shares(self.clock("n0")).items()
             ),
-            "current": all(c.ownership.up_to_date() for c in protocols),
+            "current": all(protocol.ownership.up_to_date() for protocol in protocols),
             "owners": sorted({owner: self.owners().count(owner) for owner in "abc"}.items()),
             "ran_at_most": max(len(runs) for runs in self.runs.values()),
         }
--- a/hillchute/lab/partners_net.py
+++ b/hillchute/lab/partners_net.py
@@ -35,14 +35,16 @@
 
 HISTORY, PARTNERS = b"h", b"p"  # prefix of a message, in place of the datagrams' payload kinds
 YEAR = 365 * 86_400 * SECOND
+# Every other verdict gives REJECTED.
 OUTCOME_BY_VERDICT = {
     ClaimDecision.REPLAY: ForwardOutcome.SERVED,
     ClaimDecision.FAIL: ForwardOutcome.FAILED,
-}  # others: REJECTED
+}
+# Every other state gives FAILED.
 OUTCOME_BY_STATE = {
     RecordState.SERVED: ForwardOutcome.SERVED,
     RecordState.NOT_RUN: ForwardOutcome.REJECTED,
-}  # others: FAILED
+}
 # A client must have its answer this long after its time-out: a step, and the end of a suspension.
 ANSWER_GRACE: Time = 2 * SECOND
 
@@ -65,7 +67,7 @@
     ) -> None:
         names = [f"n{n}" for n in range(count)]
         self.partners = {p: names[n :: len(partners)] for n, p in enumerate(partners)}
-        self.partner_of = {name: p for p, some in self.partners.items() for name in some}
+        self.partner_of = {name: p for p, members in self.partners.items() for name in members}
         self.protocols: dict[str, AgreementProtocol] = {}
         self.forwarders: dict[str, QueryForwarder] = {}
         self.journals: dict[str, dict[int, bytes]] = defaultdict(dict)  # by partner; survive restarts
@@ -80,9 +82,8 @@
         self.last_run: dict[tuple[str, int, str], int] = {}
         self.query_by_forwarded: dict[tuple[str, int, int], int] = {}  # client query of every forwarded query
         self.session_by_claim: dict[tuple[str, int, int], int] = {}  # by claim of an incoming forwarded query
-        self.coordinated_runs: dict[str, list[tuple[Time, Time, str]]] = defaultdict(
-            list
-        )  # by key: start, end, partner
+        # By key: start, end, partner.
+        self.coordinated_runs: dict[str, list[tuple[Time, Time, str]]] = defaultdict(list)
         self.executed_queries: set[int] = set()  # client queries that ran
         self.rejected_queries: set[int] = set()  # client queries that were rejected
         self.forwarding_counts: Counter[str] = Counter()
@@ -129,7 +130,7 @@
             for claim in [claim for claim in kept if claim[0] == name]:
                 del kept[claim]
         self.client_queries = {
-            client_query: about for client_query, about in self.client_queries.items() if about[0] != name
+            client_query: entry for client_query, entry in self.client_queries.items() if entry[0] != name
         }
         super().kill(name)
 
@@ -137,17 +138,17 @@
         self, partner: str, want: int, least: int = 500, most: int = SHARE_TOTAL, capacity: int = 100
     ) -> None:
         """Makes an offer of a partner at its signing router; the offer survives restarts."""
-        turn = self.offers[partner].revision + 1 if partner in self.offers else 1
-        ends = EPOCH + YEAR
+        revision = self.offers[partner].revision + 1 if partner in self.offers else 1
+        ends_at = EPOCH + YEAR
         offer = Offer(
             partner=partner,
-            revision=turn,
+            revision=revision,
             capacity=100,
             desired_share=want,
             minimum_share=least,
             maximum_share=most,
             starts_at=0,
-            ends_at=ends,
+            ends_at=ends_at,
             grace_period=5 * SECOND,
             notice_period=10 * SECOND,
         )
@@ -255,10 +256,10 @@
         verdict: ClaimDecision,
         reason: str,
         rows: bytes | None,
-        about: tuple[str, str, Time],
+        open_claim: tuple[str, str, Time],
     ) -> None:
         """Answers a claim that does not run here, or forwards it if it came from a client."""
-        (name, incarnation, _), (idempotency_key, key, asked) = claim, about
+        (name, incarnation, _), (idempotency_key, key, asked_at) = claim, open_claim
         session, client_query = self.session_by_claim.pop(claim, None), self.query_by_claim.pop(claim, None)
         outcome = OUTCOME_BY_VERDICT.get(verdict, ForwardOutcome.REJECTED)
         if session is not None:
@@ -271,7 +272,7 @@
             forwarder, now = self.forwarders[name], self.clock(name)
             to = forwarder.choose_target(self.partners.get(reason, ()), "", key)
             if to is not None:
-                left = max(0, asked + CLIENT_TIMEOUT - self.now)
+                time_left = max(0, asked_at + CLIENT_TIMEOUT - self.now)
                 is_mutating = key.startswith(TABLE_GROUP_PREFIX)
                 message = ForwardQuery(
                     0,
@@ -285,9 +286,9 @@
                     0.0,
                     None,
                     "",
-                    left,
+                    time_left,
                 )
-                forwarded = forwarder.forward(now, to, message, now + left)
+                forwarded = forwarder.forward(now, to, message, now + time_left)
                 self.claim_by_forwarded[name, incarnation, forwarded] = client_query, claim[2]
                 self.query_by_forwarded[name, incarnation, forwarded] = client_query
                 return
@@ -359,29 +360,29 @@
     def unanswered(self) -> int:
         """Counts overdue client queries without an answer whose router has run all the time."""
         return sum(
-            not answers and self.now > asked + client_timeout + ANSWER_GRACE
-            for name, incarnation, asked, client_timeout, answers in self.client_queries.values()
+            not answers and self.now > asked_at + client_timeout + ANSWER_GRACE
+            for name, incarnation, asked_at, client_timeout, answers in self.client_queries.values()
             if self.incarnations[name] == incarnation and name in self.replicas and name not in self.suspended
         )
 
     def owners(self) -> list[str]:
         """Returns the owner of each slot by the lease at its first holder; "" if there is none."""
-        some = next(iter(self.replicas.values())).views.view
-        found = []
+        view = next(iter(self.replicas.values())).views.view
+        owners = []
         for slot in range(SLOTS):
-            first = holders(slot, some.members, 1)[0]
+            first = holders(slot, view.members, 1)[0]
             lease = self.replicas[first].slots.slots[slot].lease if first in self.replicas else None
-            found.append(lease.owner if lease is not None else "")
-        return found
+            owners.append(lease.owner if lease is not None else "")
+        return owners
 
-    def wait_until_agreed(self, most: float = 60) -> bool:
+    def wait_until_agreed(self, max_seconds: float = 60) -> bool:
         """Simulates until all follow one agreement and each slot has its owner; False on time-out."""
         since = self.now
-        while self.now - since < most * SECOND:
+        while self.now - since < max_seconds * SECOND:
             self.advance(0.5)
-            protocols = [c for n, c in self.protocols.items() if n not in self.suspended]
-            agreement_numbers = {c.ownership.agreement_number for c in protocols} | {
-                c.ownership.number_to_announce(self.now) for c in protocols
+            protocols = [protocol for name, protocol in self.protocols.items() if name not in self.suspended]
+            agreement_numbers = {protocol.ownership.agreement_number for protocol in protocols} | {
+                protocol.ownership.number_to_announce(self.now) for protocol in protocols
             }
             if len(agreement_numbers) == 1 and 0 not in agreement_numbers:
                 owners = [owner or "" for owner in protocols[0].ownership.slot_owners]
@@ -390,9 +391,9 @@
         return False
 
 
-def send_random_queries(net: PartnersNet, rng: random.Random, many: int, keys: int) -> None:
+def send_random_queries(net: PartnersNet, rng: random.Random, count: int, keys: int) -> None:
     """Sends `many` queries for random ones of `keys` keys and table groups, and advances one step."""
-    for name in rng.sample(net.names, many):
+    for name in rng.sample(net.names, count):
         if rng.random() < 0.5:
             net.ask_mutating(name, rng.randrange(keys))
         else:
@@ -418,7 +419,11 @@
         kill_one = rng.random() < 0.5
         while net.now < until:
             send_random_queries(net, rng, 3, 5)
-            moved = [n for n, k in net.replicas.items() if k.counters["leases moved"] or k.leases.transfers]
+            moved = [
+                n
+                for n, replica in net.replicas.items()
+                if replica.counters["leases moved"] or replica.leases.transfers
+            ]
             if kill_one and net.now > until - 2 * SECOND and moved and len(net.replicas) == len(net.names):
                 net.kill(rng.choice(moved))
         net.advance(6)
--- a/hillchute/lab/partnership.py
+++ b/hillchute/lab/partnership.py
@@ -41,20 +41,22 @@
 
     def settings(self, number: int) -> str:
         """Returns the current `partners` section of one router."""
-        own, rows = partner_of(number), []
+        own, members = partner_of(number), []
         for partner in PARTNERS:
-            mine = ", ".join(f'"{r}"' for n, r in enumerate(self.routers) if partner_of(n) == partner)
-            rows.append(f'{{name: "{partner}", key: "{public_key_bytes(partner).hex()}", routers: [{mine}]}}')
-        about = f'own: "{own}", members: [{", ".join(rows)}]'
+            routers = ", ".join(f'"{r}"' for n, r in enumerate(self.routers) if partner_of(n) == partner)
+            members.append(
+                f'{{name: "{partner}", key: "{public_key_bytes(partner).hex()}", routers: [{routers}]}}'
+            )
+        fields = f'own: "{own}", members: [{", ".join(members)}]'
         if number < len(PARTNERS):
             begins, ends = int(self.started_at * 1000) - 3_600_000, int(self.started_at * 1000) + 86_400_000
-            about += f', key_file: "{self.folder / own}.key", marks_file: "{self.folder / own}.marks"'
-            about += (
+            fields += f', key_file: "{self.folder / own}.key", marks_file: "{self.folder / own}.marks"'
+            fields += (
                 f", offer: {{turn: {self.revisions[own]}, capacity: 16, want: {self.desired_shares[own]},"
                 " least: 500,"
             )
-            about += f" most: 9000, begins_ms: {begins}, ends_ms: {ends}}}"
-        return f"partners: {{{about}}}"
+            fields += f" most: 9000, begins_ms: {begins}, ends_ms: {ends}}}"
+        return f"partners: {{{fields}}}"
 
     def offer(self, partner: str, desired_share: int) -> None:
         """Replaces a partner's offer by a new revision, for its operator file."""
@@ -82,10 +84,10 @@
     }
 
 
-def ordering_unit(ran: RunRecord, key: str | None, statement: str) -> str:
+def ordering_unit(run: RunRecord, key: str | None, statement: str) -> str:
     """Returns what a single owner coordinates at a time: an ordering key or a table group."""
-    if ran.idempotency_key is not None:
-        return key or ran.idempotency_key
+    if run.idempotency_key is not None:
+        return key or run.idempotency_key
     return f"{TABLE_GROUP_PREFIX}{TABLE_GROUP_PATTERN.search(statement)[1]}"
 
 
@@ -94,28 +96,28 @@
 ) -> list[str]:
     """Describes overlapping runs of one key or table group that routers of two partners coordinated.
 
-    `partner_by_connection` maps connections to partners; `info_by_query` maps query ids to
-    their keys, statements and groups.
+    `partner_by_connection` maps connections to partners; `info_by_query` maps query ids to their keys,
+    statements and groups.
     """
     runs_by_unit = defaultdict(list)
-    for ran in world.runs:
-        if ran.id in info_by_query and ran.connection in partner_by_connection:
-            key, statement, group = info_by_query[ran.id]
+    for run in world.runs:
+        if run.id in info_by_query and run.connection in partner_by_connection:
+            key, statement, group = info_by_query[run.id]
             if group in ("event-load", "change"):
-                runs_by_unit[ordering_unit(ran, key, statement)].append(
+                runs_by_unit[ordering_unit(run, key, statement)].append(
                     (
-                        ran.started_at,
-                        ran.ended_at or world.clock(),
-                        partner_by_connection[ran.connection],
-                        ran.id,
+                        run.started_at,
+                        run.ended_at or world.clock(),
+                        partner_by_connection[run.connection],
+                        run.id,
                     )
                 )
     return [
-        f"{key!r}: {first} of partner {one} overlaps {second} of partner {other}"
+        f"{key!r}: {id} of partner {partner} overlaps {later_id} of partner {later_partner}"
         for key, runs in runs_by_unit.items()
-        for n, (begin, end, one, first) in enumerate(sorted(runs))
-        for later, _, other, second in sorted(runs)[n + 1 :]
-        if other != one and later < end - TOLERANCE and later >= begin
+        for n, (begin, end, partner, id) in enumerate(sorted(runs))
+        for later_begin, _, later_partner, later_id in sorted(runs)[n + 1 :]
+        if later_partner != partner and later_begin < end - TOLERANCE and later_begin >= begin
     ]
 
 
@@ -124,25 +126,25 @@
 ) -> list[str]:
     """Describes the windows in which a partner used more threads of a saturated engine than its share allows.
 
-    `max_share` is the highest share that a partner ever agreed to, in parts of 10,000. One query for
-    each router of the partner is allowed beyond the share, because a limit below one query is applied
+    `max_share` is the highest share that a partner ever agreed to, in parts of 10,000. One query for each
+    router of the partner is allowed beyond the share, because a limit below one query is applied
     probabilistically.
     """
     threads: dict[tuple[str, int], dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for ran in world.runs:
-        partner, width = partner_by_connection.get(ran.connection, "?"), THREADS_BY_GROUP.get(ran.group, 2)
-        end = ran.ended_at or world.clock()
-        first, last = int(ran.started_at / WINDOW_SECONDS), int(end / WINDOW_SECONDS)
+    for run in world.runs:
+        partner, width = partner_by_connection.get(run.connection, "?"), THREADS_BY_GROUP.get(run.group, 2)
+        end = run.ended_at or world.clock()
+        first, last = int(run.started_at / WINDOW_SECONDS), int(end / WINDOW_SECONDS)
         for window in range(first, last + 1):
-            span = min(end, (window + 1) * WINDOW_SECONDS) - max(ran.started_at, window * WINDOW_SECONDS)
-            threads[ran.engine, window][partner] += width * span / WINDOW_SECONDS
+            span = min(end, (window + 1) * WINDOW_SECONDS) - max(run.started_at, window * WINDOW_SECONDS)
+            threads[run.engine, window][partner] += width * span / WINDOW_SECONDS
     bound = THREADS_PER_CORE * cores
-    each = -(-routers // len(PARTNERS)) * max(THREADS_BY_GROUP.values())
+    allowance = -(-routers // len(PARTNERS)) * max(THREADS_BY_GROUP.values())
     return [
-        f"{engine}: partner {partner} used {mine:.1f} of {bound:.0f} threads"
-        for (engine, _), by in threads.items()
-        for partner, mine in by.items()
-        if sum(by.values()) >= bound and mine > bound * max_share / SHARE_TOTAL + each
+        f"{engine}: partner {partner} used {used:.1f} of {bound:.0f} threads"
+        for (engine, _), threads_by_partner in threads.items()
+        for partner, used in threads_by_partner.items()
+        if sum(threads_by_partner.values()) >= bound and used > bound * max_share / SHARE_TOTAL + allowance
     ]
 
 
--- a/hillchute/lab/peer_net.py
+++ b/hillchute/lab/peer_net.py
@@ -127,12 +127,12 @@
             self.send(receiver, detector.receive(self.now, datagram))
 
     def agreed(self, names: list[str] | None = None) -> bool:
-        """Returns whether each of `names` (default: all running routers) takes exactly those for alive."""
+        """Returns whether each of `names` (default: all running ones) considers exactly the others alive."""
         names = names if names is not None else list(self.detectors)
         return all(set(self.detectors[name].live_peers()) == set(names) - {name} for name in names)
 
     def seconds_until_agreed(self, max_seconds: float, names: list[str] | None = None) -> float | None:
-        """Simulates until all agree and returns the seconds; None if they do not within `max_seconds`."""
+        """Simulates until all agree and returns the seconds; None if they still differ at `max_seconds`."""
         began = self.now
         while self.now - began < max_seconds * SECOND:
             self.play(0.25)
--- a/hillchute/lab/plays.py
+++ b/hillchute/lab/plays.py
@@ -84,7 +84,7 @@
     seconds = run_play(fleet, play)
     baseline = DelayedOracle(seed, routers, engines, load, 1.0, slowdown, **overrides)
     run_play(baseline, play)
-    asked = {group: sum(n for (_, g), n in fleet.asked.items() if g == group) for group in NAMES}
+    requested = {group: sum(n for (_, g), n in fleet.asked.items() if g == group) for group in NAMES}
     served = {group: sum(n for (_, g), n in fleet.served.items() if g == group) for group in NAMES}
     overload_fractions = [engine.peak_overload_fraction() for engine in fleet.replacement_engines()]
     deferred = {f"{NAMES[g]}: {reason}": n for (g, reason), n in sorted(fleet.rejected.items())}
@@ -95,14 +95,14 @@
         "late_seeing": round(baseline.served_value_ratio(), 3),
         "report_age_ms": round(fleet.median_report_age_ms()),
         "probes_s": round(fleet.health_checks / seconds / engines, 3),  # per engine
-        "probes_a_query": round(fleet.health_checks / sum(asked.values()), 3),
+        "probes_a_query": round(fleet.health_checks / sum(requested.values()), 3),
         "cold_falls": sum(fraction >= 1 for fraction in overload_fractions),
         "most_of_what_tips": round(max(overload_fractions, default=0.0), 3),
         "jain": round(fleet.jain(), 3),
         "jain_customers": round(fleet.jain_customers(), 3),
         "bytes_s": round(fleet.bytes_sent / seconds / len(fleet.routers)),  # per router, with headers
         "moved": round(mean(fleet.moved_fractions), 3) if fleet.moved_fractions else 0.0,
-        "served_of": {NAMES[g]: round(served[g] / asked[g], 3) for g in NAMES},
+        "served_of": {NAMES[g]: round(served[g] / requested[g], 3) for g in NAMES},
         "deferred": deferred,
         "most_held": max(len(engine.runs) for engine in fleet.engines.values()),
     }
--- a/hillchute/lab/processes.py
+++ b/hillchute/lab/processes.py
@@ -79,11 +79,11 @@
     ) -> None:
         self.name, self.number, self.folder, self.skew = name, number, folder, skew
         self.port, self.peer_port = free_port(), free_port()
-        table = deployment.make_configuration(routers=router_count, mutating=mutating)
-        table["settings"]["me"] = number
-        table |= {"name": name, "listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
-        table["seed"] = f"{number + 1:016x}"
-        (folder / f"{name}.json").write_bytes(orjson.dumps(table))
+        configuration = deployment.make_configuration(routers=router_count, mutating=mutating)
+        configuration["settings"]["me"] = number
+        configuration |= {"name": name, "listen": f"127.0.0.1:{self.port}", "bus": f"127.0.0.1:{bus}"}
+        configuration["seed"] = f"{number + 1:016x}"
+        (folder / f"{name}.json").write_bytes(orjson.dumps(configuration))
         self.log, self.history_file = folder / f"{name}.log", folder / f"{name}.db"
         self.process: subprocess.Popen | None = None
         self.accepting = False  # whether clients send queries to it
@@ -166,7 +166,8 @@
         self.partner_by_connection: dict[int, str] = {}  # of the router that opened it to an engine
         self.resends: list[tuple[Query, Query]] = []  # (resend, original query)
         self.number, self.founded_ms = 1, 0
-        # Erasure requests: time before which accepted queries are erased, time at which a router was told.
+        # Erasure requests: (time before which accepted queries are erased, time at which the cut ends and the
+        # request can reach all routers).
         self.erasures: list[tuple[float, float]] = []
         self.random = random.Random(seed)
         self.world, self.relay = EngineWorld(seed=seed), FaultyRelay(seed)
@@ -219,12 +220,12 @@
     def policies(self, member: RouterProcess) -> str:
         """Returns the current `history` section of the operator file, with `partners` if there are any."""
         self.founded_ms = self.founded_ms or int(self.world.clock() * 1000)
-        keeps = f"least_ms: {MIN_RETENTION_MS}, most_ms: {10 * MIN_RETENTION_MS}, rows: true, disk: true"
+        retention = f"least_ms: {MIN_RETENTION_MS}, most_ms: {10 * MIN_RETENTION_MS}, rows: true, disk: true"
         erasures = ", ".join(f"{{before_ms: {int(before * 1000)}}}" for before, _ in self.erasures)
-        about = f"number: {self.number}, copies: 1, founded_ms: {self.founded_ms}"
-        about += f', disk: "{member.history_file}", forget: [{erasures}]'
+        fields = f"number: {self.number}, copies: 1, founded_ms: {self.founded_ms}"
+        fields += f', disk: "{member.history_file}", forget: [{erasures}]'
         partners = f"\n{self.partner_settings.settings(member.number)}" if self.partner_settings else ""
-        return f"history: {{{about}, default: {{{keeps}}}}}{partners}"
+        return f"history: {{{fields}, default: {{{retention}}}}}{partners}"
 
     def publish_policies(self, member: RouterProcess) -> None:
         """Gives policies with the next number to one router, from which the others learn of them."""
@@ -289,63 +290,63 @@
             group = self.random.choices(kinds, (6, 2, 1, int(self.partners)))[0]
             tables, work = self.random.randrange(8), self.random.choice((2, 5, 20, 60))
             statement = f"SELECT /* lab ms={work} rows=3 */ a FROM sales_{tables}.orders"
-            q = Query(group, statement, weight=float(work))
+            query = Query(group, statement, weight=float(work))
             if group == "event-load":
-                q.idempotency_key = f"{self.seed % 65536:04x}{self.members.index(member):04x}{key:08x}"
+                query.idempotency_key = f"{self.seed % 65536:04x}{self.members.index(member):04x}{key:08x}"
                 # With partners, the same ordering key is used at routers of all partners.
-                where = self.random.randrange(4) if self.partners else self.members.index(member)
-                q.ordering_key = f"{where:04x}{key % 3:04x}"
-            self.start_query(member, q, tasks)
-            if self.history and q.idempotency_key and self.random.random() < RESEND_FRACTION:
-                tasks.start_soon(self.resend, q, until)
+                key_prefix = self.random.randrange(4) if self.partners else self.members.index(member)
+                query.ordering_key = f"{key_prefix:04x}{key % 3:04x}"
+            self.start_query(member, query, tasks)
+            if self.history and query.idempotency_key and self.random.random() < RESEND_FRACTION:
+                tasks.start_soon(self.resend, query, until)
 
-    def start_query(self, member: RouterProcess, q: Query, tasks: anyio.abc.TaskGroup) -> None:
+    def start_query(self, member: RouterProcess, query: Query, tasks: anyio.abc.TaskGroup) -> None:
         """Sends a query in a task of its own.
 
         The query counts as open at once, so that it is excused if its router fails before the task has run.
         """
-        q.router = member.name
-        self.queries.append(q)
-        self.open_queries[member.name].add(q.id)
-        tasks.start_soon(self.run_query, member, q)
+        query.router = member.name
+        self.queries.append(query)
+        self.open_queries[member.name].add(query.id)
+        tasks.start_soon(self.run_query, member, query)
 
-    async def resend(self, first: Query, until: float) -> None:
+    async def resend(self, original: Query, until: float) -> None:
         """Sends a query again, to any router, as a client does that did not get or keep the answer."""
         await anyio.sleep(self.random.uniform(*RESEND_DELAY))
         available = [member for member in self.members if member.accepting]
         if not available or self.world.clock() > until:
             return
         member = self.random.choice(available)
-        q = Query(
-            first.group,
-            first.statement,
-            weight=first.weight,
-            idempotency_key=first.idempotency_key,
-            ordering_key=first.ordering_key,
+        query = Query(
+            original.group,
+            original.statement,
+            weight=original.weight,
+            idempotency_key=original.idempotency_key,
+            ordering_key=original.ordering_key,
         )
-        q.router = member.name
-        self.queries.append(q)
-        self.resends.append((q, first))
-        await self.run_query(member, q)
+        query.router = member.name
+        self.queries.append(query)
+        self.resends.append((query, original))
+        await self.run_query(member, query)
 
-    async def run_query(self, member: RouterProcess, q: Query) -> None:
+    async def run_query(self, member: RouterProcess, query: Query) -> None:
         client, open_ids = MySQLClient(self.world, member.port), self.open_queries[member.name]
-        open_ids.add(q.id)
+        open_ids.add(query.id)
         try:
-            await client.run(q)
+            await client.run(query)
         finally:
-            open_ids.discard(q.id)
+            open_ids.discard(query.id)
             await client.close()
 
     # ---- faults -----------------------------------------------------------------------------------
 
     async def faults(self, until: float) -> None:
         """Injects faults one after another; every kind comes once before any is repeated."""
-        line: list[str] = []
+        pending_kinds: list[str] = []
         while self.world.clock() < until:
             kinds = FAULT_KINDS + HISTORY_FAULT_KINDS * self.history + PARTNER_FAULT_KINDS * self.partners
-            line = line or self.random.sample(kinds, len(kinds))
-            kind = line.pop()
+            pending_kinds = pending_kinds or self.random.sample(kinds, len(kinds))
+            kind = pending_kinds.pop()
             duration = min(self.random.uniform(*FAULT_DURATION), max(0.1, until - self.world.clock()))
             self.fault_counts[kind] += 1
             await self.inject_fault(kind, duration)
@@ -397,9 +398,9 @@
             case "forgotten in a cut":
                 self.relay.cut(some, others)
                 await anyio.sleep(duration)
-                told = next(m for m in self.members if m.name == others[0])
+                recipient = next(m for m in self.members if m.name == others[0])
                 self.erasures.append((self.world.clock(), self.world.clock() + duration))
-                self.publish_policies(told)
+                self.publish_policies(recipient)
             case "old disk":
                 await self.restore_old_disk(member, duration)
                 return
@@ -424,8 +425,8 @@
 
     async def drain(self) -> None:
         """Drains an engine and starts a new one."""
-        left = [n for n in self.fleet.servers if n not in self.draining]
-        number = self.random.choice(left)
+        remaining = [n for n in self.fleet.servers if n not in self.draining]
+        number = self.random.choice(remaining)
         self.draining.append(number)
         self.fleet.drain(number)
         await self.fleet.add()
@@ -438,13 +439,13 @@
 
     def results(self) -> dict[str, object]:
         counted = [q for q in self.queries if q.id not in self.excused]
-        ends = Counter(q.outcome for q in counted)
-        broken = rules.find_violations(self.world, counted, slack=TIMING_SLACK)
+        outcomes = Counter(q.outcome for q in counted)
+        violations = rules.find_violations(self.world, counted, slack=TIMING_SLACK)
         # Keyed queries wait while the history cannot decide on them, so they are counted separately.
         keyed = [q for q in counted if self.history and q.idempotency_key]
         plain = [q for q in counted if not (self.history and q.idempotency_key)]
-        served, known = (
-            sum(q.outcome == "finished" for q in some) / max(1, len(some)) for some in (plain, keyed)
+        served, keyed_served = (
+            sum(q.outcome == "finished" for q in queries) / max(1, len(queries)) for queries in (plain, keyed)
         )
         ids = {run.id for run in self.world.runs}
         replayed = [q for q, _ in self.resends if q.outcome == "finished" and q.id not in ids]
@@ -454,30 +455,30 @@
             "faults": sum(self.fault_counts.values()),
             "kinds": dict(self.fault_counts),
             "queries": len(self.queries),
-            "finished": ends["finished"],
-            "deferred": ends["deferred"],
-            "killed": ends["killed"],
+            "finished": outcomes["finished"],
+            "deferred": outcomes["deferred"],
+            "killed": outcomes["killed"],
             "excused": len(self.queries) - len(counted),
-            "broken_rules": len(broken),
-            "first_broken": broken[:3],
+            "broken_rules": len(violations),
+            "first_broken": violations[:3],
             "resent": len(self.resends),
             "replayed": len(replayed),
             "ran_twice": len(self.ran_twice()),
-            "out_of_order": sum(fault.startswith("rule 5") for fault in broken),
+            "out_of_order": sum(violation.startswith("rule 5") for violation in violations),
             "forgotten_too_soon": len(self.forgotten_too_soon()),
             "passed_on": self.forwarded_count(),
             "led_known": round(self.attributed_fraction(), 3),
-            "two_owners": len(two := self.two_owners()),
-            "first_two": two[:1],
-            "over_quota": len(over := self.over_quota()),
-            "first_over": over[:1],
-            "kept_too_long": len(kept := self.kept_too_long(replayed)),
-            "first_kept": kept[:1],
+            "two_owners": len(double_owned := self.two_owners()),
+            "first_two": double_owned[:1],
+            "over_quota": len(quota_violations := self.over_quota()),
+            "first_over": quota_violations[:1],
+            "kept_too_long": len(kept_answers := self.kept_too_long(replayed)),
+            "first_kept": kept_answers[:1],
             "bad_exits": sum(code != 0 for code in self.exit_codes),
             "router_faults": len(faults),
             "first_fault": faults[:1],
             "served_share": round(served, 3),
-            "keyed_served_share": round(known, 3),
+            "keyed_served_share": round(keyed_served, 3),
             "relay": dict(self.relay.counts),
         }
 
@@ -503,13 +504,15 @@
 
     def forwarded_count(self) -> int:
         """Counts the queries that ran for another partner than the one whose router the client asked."""
-        asked = {q.id: partner_of(int(q.router[1:])) for q in self.queries}
-        known = (
+        partner_by_query = {q.id: partner_of(int(q.router[1:])) for q in self.queries}
+        attributed = (
             run
             for run in self.coordinated_runs()
-            if run.connection in self.partner_by_connection and run.id in asked
+            if run.connection in self.partner_by_connection and run.id in partner_by_query
+        )
+        return sum(
+            self.partner_by_connection[run.connection] != partner_by_query[run.id] for run in attributed
         )
-        return sum(self.partner_by_connection[run.connection] != asked[run.id] for run in known)
 
     def over_quota(self) -> list[str]:
         if not self.partners:
@@ -530,12 +533,12 @@
         changes = Counter(run.id for run in self.world.runs if run.group == "change")
         return [
             token
-            for token, line in runs.items()
-            for first, again in pairwise(line)
+            for token, runs_of_token in runs.items()
+            for first, again in pairwise(runs_of_token)
             if first.id != again.id
             and again.started_at - first.started_at < MIN_RETENTION_MS / 1000
             and not any(sent[first.id] < before + MAX_CLOCK_SKEW for before, _ in self.erasures)
-        ] + [id for id, many in changes.items() if many > 1]
+        ] + [id for id, count in changes.items() if count > 1]
 
     def forgotten_too_soon(self) -> list[str]:
         """Returns those of `ran_twice` whose client had its answer: the history lost a finished record."""
@@ -560,33 +563,36 @@
 
     def kept_too_long(self, replayed: list[Query]) -> list[str]:
         """Describes erased answers that were still given to clients, or still on a disk, too late."""
-        kept, ended = [], defaultdict(float)
+        kept, ended_at = [], defaultdict(float)
         for run in self.world.runs:
             if run.idempotency_key:
-                ended[run.idempotency_key] = max(
-                    ended[run.idempotency_key], run.ended_at or self.world.clock()
+                ended_at[run.idempotency_key] = max(
+                    ended_at[run.idempotency_key], run.ended_at or self.world.clock()
                 )
-        for before, told in self.erasures:
-            erased = {token for token, end in ended.items() if end < before - MAX_CLOCK_SKEW}
+        for before, reachable_at in self.erasures:
+            erased = {token for token, end in ended_at.items() if end < before - MAX_CLOCK_SKEW}
             late = [
                 q
                 for q in replayed
-                if q.idempotency_key in erased and q.sent > told + ERASURE_PROPAGATION_TIME
+                if q.idempotency_key in erased and q.sent > reachable_at + ERASURE_PROPAGATION_TIME
+            ]
+            kept += [
+                f"{q.idempotency_key} answered by {q.router}, {q.sent - reachable_at:.1f} s after"
+                for q in late
             ]
-            kept += [f"{q.idempotency_key} answered by {q.router}, {q.sent - told:.1f} s after" for q in late]
-            if self.world.clock() > told + 2 * ERASURE_PROPAGATION_TIME:
+            if self.world.clock() > reachable_at + 2 * ERASURE_PROPAGATION_TIME:
                 for member in self.members:
                     if self.world.clock() < member.resumed_at + ERASURE_PROPAGATION_TIME:
                         continue  # it may not know of the request yet, and answers nothing until it does
                     files = member.folder.glob(f"{member.name}.db*")
                     data = b"".join(file.read_bytes() for file in files)
                     may_remain = self.may_stay(member, before)
-                    found = [t for t in sorted(erased - may_remain) if t.encode() in data]
-                    where = (
+                    remaining = [t for t in sorted(erased - may_remain) if t.encode() in data]
+                    location = (
                         f"on the disk of {member.name},"
                         f" back for {self.world.clock() - member.resumed_at:.1f} s"
                     )
-                    kept += [f"{token} {where}" for token in found]
+                    kept += [f"{token} {location}" for token in remaining]
         return kept
 
 
@@ -619,12 +625,12 @@
         return cluster.results()
 
 
-def verdict(found: dict[str, object]) -> bool:
+def verdict(results: dict[str, object]) -> bool:
     """Returns whether no rule was broken and at least 90% of the counted plain queries were served."""
     counts = ("broken_rules", "two_owners", "ran_twice", "kept_too_long", "over_quota")
     counts += ("bad_exits", "router_faults")
-    clean = not any(found[kind] for kind in counts)
-    return clean and found["served_share"] >= 0.9
+    is_clean = not any(results[kind] for kind in counts)
+    return is_clean and results["served_share"] >= 0.9
 
 
 def main() -> int:
@@ -639,15 +645,15 @@
         "--partners", action="store_true", help="routers of three partners, with the answer history"
     )
     parser.add_argument("--json", action="store_true", help="print the results as JSON")
-    asked = parser.parse_args()
-    about = asked.routers, ENGINES, asked.history, asked.partners
-    found = anyio.run(run, asked.seed, asked.minutes * 60, *about)
-    if asked.json:
-        sys.stdout.buffer.write(orjson.dumps(found, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
+    options = parser.parse_args()
+    arguments = options.routers, ENGINES, options.history, options.partners
+    results = anyio.run(run, options.seed, options.minutes * 60, *arguments)
+    if options.json:
+        sys.stdout.buffer.write(orjson.dumps(results, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     else:
-        for name, figure in found.items():
+        for name, figure in results.items():
             print(f"{name}: {figure}")
-    return int(not verdict(found))
+    return int(not verdict(results))
 
 
 if __name__ == "__main__":
--- a/hillchute/lab/rules.py
+++ b/hillchute/lab/rules.py
@@ -24,82 +24,88 @@
     other load needs a larger one.
     """
     queries = list(queries)
-    ran = [r for r in world.runs if r.started_at >= first]
+    runs = [run for run in world.runs if run.started_at >= first]
     by_id: dict[str, list[RunRecord]] = defaultdict(list)
-    for r in ran:
-        by_id[r.id].append(r)
-    faults = []
-    for q in queries:
-        faults += check_answer(q, slack)
-        faults += check_attempts(q, by_id[q.id])
-    faults += check_effects(ran)
-    faults += check_drains(world, ran, slack)
-    faults += check_order(queries, by_id)
-    return faults
-
-
-def check_answer(q: Query, slack: float = TOLERANCE) -> list[str]:
+    for run in runs:
+        by_id[run.id].append(run)
+    violations = []
+    for query in queries:
+        violations += check_answer(query, slack)
+        violations += check_attempts(query, by_id[query.id])
+    violations += check_effects(runs)
+    violations += check_drains(world, runs, slack)
+    violations += check_order(queries, by_id)
+    return violations
+
+
+def check_answer(query: Query, slack: float = TOLERANCE) -> list[str]:
     """Check that a query got exactly one answer, in time and of a known kind."""
-    if q.cancel_after is not None and not q.answers:
+    if query.cancel_after is not None and not query.answers:
         return []
-    if len(q.answers) != 1:
-        return [f"rule 1: {q.id} {q.group} got {len(q.answers)} answers"]
-    late = q.answers[0][0] - q.sent - q.client_timeout_ms / 1000
+    if len(query.answers) != 1:
+        return [f"rule 1: {query.id} {query.group} got {len(query.answers)} answers"]
+    late = query.answers[0][0] - query.sent - query.client_timeout_ms / 1000
     if late > slack:
-        return [f"rule 1: {q.id} {q.group} was answered {late:.3f} s late"]
-    if q.answers[0][1] not in ("finished", "deferred", "killed"):
-        return [f"rule 1: {q.id} {q.group} ended as {q.answers[0][1]}"]
+        return [f"rule 1: {query.id} {query.group} was answered {late:.3f} s late"]
+    if query.answers[0][1] not in ("finished", "deferred", "killed"):
+        return [f"rule 1: {query.id} {query.group} ended as {query.answers[0][1]}"]
     return []
 
 
-def check_attempts(q: Query, ran: list[RunRecord]) -> list[str]:
+def check_attempts(query: Query, runs: list[RunRecord]) -> list[str]:
     """Check that attempts of a query did not overlap and were not too many."""
-    faults = []
-    ran = sorted(ran, key=lambda r: r.started_at)
-    for before, after in zip(ran, ran[1:], strict=False):
+    violations = []
+    runs = sorted(runs, key=lambda run: run.started_at)
+    for before, after in zip(runs, runs[1:], strict=False):
         if before.ended_at is None or after.started_at < before.ended_at - TOLERANCE:
-            faults.append(f"rule 2: {q.id} {q.group} ran twice at once")
-    if len(ran) > MAX_ATTEMPTS:
-        faults.append(f"rule 7: {q.id} {q.group} was submitted {len(ran)} times")
-    return faults
+            violations.append(f"rule 2: {query.id} {query.group} ran twice at once")
+    if len(runs) > MAX_ATTEMPTS:
+        violations.append(f"rule 7: {query.id} {query.group} was submitted {len(runs)} times")
+    return violations
 
 
-def check_effects(ran: list[RunRecord]) -> list[str]:
+def check_effects(runs: list[RunRecord]) -> list[str]:
     """Check that no idempotency token took effect twice."""
     seen: dict[str, str] = {}
-    faults = []
-    for r in ran:
-        if r.had_effect:
-            if r.idempotency_key in seen:
-                faults.append(
-                    f"rule 2: token {r.idempotency_key} took effect for {seen[r.idempotency_key]} and {r.id}"
+    violations = []
+    for run in runs:
+        if run.had_effect:
+            if run.idempotency_key in seen:
+                violations.append(
+                    f"rule 2: token {run.idempotency_key} took effect for "
+                    f"{seen[run.idempotency_key]} and {run.id}"
                 )
-            seen[r.idempotency_key] = r.id
-    return faults
+            seen[run.idempotency_key] = run.id
+    return violations
 
 
-def check_drains(world: EngineWorld, ran: list[RunRecord], slack: float = TOLERANCE) -> list[str]:
+def check_drains(world: EngineWorld, runs: list[RunRecord], slack: float = TOLERANCE) -> list[str]:
     """Check that no run began on a draining engine after the grace period."""
     return [
-        f"rule 3: {r.id} began on {r.engine} {r.started_at - world.drained[r.engine]:.3f} s "
+        f"rule 3: {run.id} began on {run.engine} {run.started_at - world.drained[run.engine]:.3f} s "
         "after its drain notice"
-        for r in ran
-        if r.engine in world.drained and r.started_at > world.drained[r.engine] + DRAIN_GRACE + slack
+        for run in runs
+        if run.engine in world.drained and run.started_at > world.drained[run.engine] + DRAIN_GRACE + slack
     ]
 
 
 def check_order(queries: list[Query], by_id: dict[str, list[RunRecord]]) -> list[str]:
     """Check that queries of a key ran one at a time, and those of one router in the order they were sent."""
-    faults = []
+    violations = []
     keys = defaultdict(list)
-    for q in queries:
-        if q.ordering_key:
-            keys[q.ordering_key].append(q)
+    for query in queries:
+        if query.ordering_key:
+            keys[query.ordering_key].append(query)
     for key, key_queries in keys.items():
-        runs = sorted(((r, q) for q in key_queries for r in by_id[q.id]), key=lambda pair: pair[0].started_at)
-        for (before, q), (after, p) in zip(runs, runs[1:], strict=False):
-            if p is not q and p.sent < q.sent and p.router == q.router:
-                faults.append(f"rule 5: key {key}: {p.id} ran after {q.id}, which was sent later")
+        runs = sorted(
+            ((run, query) for query in key_queries for run in by_id[query.id]),
+            key=lambda pair: pair[0].started_at,
+        )
+        for (before, query), (after, next_query) in zip(runs, runs[1:], strict=False):
+            if next_query is not query and next_query.sent < query.sent and next_query.router == query.router:
+                violations.append(
+                    f"rule 5: key {key}: {next_query.id} ran after {query.id}, which was sent later"
+                )
             if before.ended_at is None or after.started_at < before.ended_at - TOLERANCE:
-                faults.append(f"rule 5: key {key}: {p.id} ran at the same time as {q.id}")
-    return faults
+                violations.append(f"rule 5: key {key}: {next_query.id} ran at the same time as {query.id}")
+    return violations
--- a/hillchute/lab/slowloop.py
+++ b/hillchute/lab/slowloop.py
@@ -197,12 +197,12 @@
 class SimulatedSystemCalls(SystemCalls):
     """Connects to engines at once; all other calls go to the simulated sockets unchanged."""
 
-    def __init__(self, rig: "OverloadSimulation") -> None:
-        self.rig = rig
+    def __init__(self, simulation: "OverloadSimulation") -> None:
+        self.simulation = simulation
 
     def open_stream(self, family: int) -> SimulatedSocket:
-        engine = Engine(self.rig)
-        engine.sock = SimulatedSocket(self.rig.world, engine)
+        engine = Engine(self.simulation)
+        engine.sock = SimulatedSocket(self.simulation.world, engine)
         return engine.sock
 
     def connect(self, sock: SimulatedSocket, address: tuple[str, int]) -> None:
@@ -212,8 +212,8 @@
 class SimulatedPoller:
     """Replaces epoll: reports ready sockets in the order in which they became ready."""
 
-    def __init__(self, rig: "OverloadSimulation") -> None:
-        self.world, self.owners, self.system = rig.world, {}, SimulatedSystemCalls(rig)
+    def __init__(self, simulation: "OverloadSimulation") -> None:
+        self.world, self.owners, self.system = simulation.world, {}, SimulatedSystemCalls(simulation)
 
     def add(self, sock: SimulatedSocket, owner, writing: bool = False) -> None:
         self.owners[sock.number] = owner
@@ -259,37 +259,37 @@
 class Client:
     """A client's connection. Sends its first query along with the login, and one further query at a time."""
 
-    def __init__(self, rig: "OverloadSimulation") -> None:
-        self.rig, self.sock, self.in_flight, self.closed = rig, None, [], False
+    def __init__(self, simulation: "OverloadSimulation") -> None:
+        self.simulation, self.sock, self.in_flight, self.closed = simulation, None, [], False
         self.buffer, self.state, self.eof_packets = bytearray(), "greeting", 0
         self.first: SimulatedQuery | None = None
 
     def on_connected(self, when: int) -> None:
         self.write(when, packet(1, LOGIN), self.first)
 
-    def write(self, when: int, prefix: bytes, asked: SimulatedQuery) -> None:
-        asked.sent = -(-when // 100)
-        self.in_flight.append(asked)
+    def write(self, when: int, prefix: bytes, query: SimulatedQuery) -> None:
+        query.sent = -(-when // 100)
+        self.in_flight.append(query)
         text = QUERY_TEXT.format(
-            group=asked.group,
-            id=asked.id,
-            patience=asked.patience // 10,
-            key=int(asked.key, 16) if asked.key else 1,
-            more=f",nonce={asked.id},entity={asked.key}" if asked.key else "",
+            group=query.group,
+            id=query.id,
+            patience=query.patience // 10,
+            key=int(query.key, 16) if query.key else 1,
+            more=f",nonce={query.id},entity={query.key}" if query.key else "",
         )
         self.sock.deliver(when, prefix + packet(0, b"\x03" + text.encode()))
 
-    def send_query(self, when: int, asked: SimulatedQuery) -> None:
+    def send_query(self, when: int, query: SimulatedQuery) -> None:
         """Send a further query on this connection, or on a new one if this one is closed or busy."""
         if self.closed or self.in_flight or self.state != "idle":
-            self.rig.open_connection(when, asked)
+            self.simulation.open_connection(when, query)
         else:
             self.state = "result"
-            self.write(when, b"", asked)
+            self.write(when, b"", query)
 
     def disconnect(self, when: int) -> None:
-        for asked in self.in_flight:
-            asked.abandoned, asked.left_at = True, when
+        for query in self.in_flight:
+            query.abandoned, query.left_at = True, when
         if self.sock and not self.sock.closed:
             self.sock.end_of_stream(when)
         self.closed = True
@@ -325,13 +325,13 @@
         if not self.in_flight and self.first is None:
             return  # the router rejected a connection that sends nothing
         if not self.in_flight:
-            self.rig.violations.append(f"answer without a query: {outcome}")
+            self.simulation.violations.append(f"answer without a query: {outcome}")
             return
-        asked = self.in_flight.pop(0)
-        asked.answers.append((-(-when // 100), outcome))
+        query = self.in_flight.pop(0)
+        query.answers.append((-(-when // 100), outcome))
 
     def on_reset(self, when: int) -> None:
-        self.rig.resets += bool(self.in_flight)
+        self.simulation.resets += bool(self.in_flight)
         self.on_close(when)
 
     def on_close(self, when: int) -> None:
@@ -342,9 +342,9 @@
         # By the protocol, the first query of a connection that is accepted and then closed without any data
         # needs no answer either.
         closed_unanswered = self.state == "greeting" and self.sock is not None and self.sock.accepted
-        for asked in self.in_flight:
-            if closed_unanswered or when - asked.sent * 100 <= 50_000:
-                asked.excluded = True
+        for query in self.in_flight:
+            if closed_unanswered or when - query.sent * 100 <= 50_000:
+                query.excluded = True
         if self.first is not None and self.first.sent is None:
             self.first.excluded = True
         if self.sock and not self.sock.closed:
@@ -354,8 +354,8 @@
 class Engine:
     """An engine. Each run takes a random time; starts and ends are recorded by ordering key."""
 
-    def __init__(self, rig: "OverloadSimulation") -> None:
-        self.rig, self.sock, self.buffer, self.cancelled = rig, None, b"", set()
+    def __init__(self, simulation: "OverloadSimulation") -> None:
+        self.simulation, self.sock, self.buffer, self.cancelled = simulation, None, b"", set()
 
     def receive(self, when: int, data: bytes) -> None:
         self.buffer += data
@@ -374,33 +374,37 @@
             self.buffer = self.buffer[stop:]
 
     def start_run(self, when: int, id: str) -> None:
-        asked = self.rig.queries[id]
-        if asked.left_at is not None and when - asked.left_at > MAX_START_DELAY_AFTER_DISCONNECT_US:
-            self.rig.violations.append(
-                f"{id} started {(when - asked.left_at) // 1000} ms after its client had disconnected"
+        query = self.simulation.queries[id]
+        if query.left_at is not None and when - query.left_at > MAX_START_DELAY_AFTER_DISCONNECT_US:
+            self.simulation.violations.append(
+                f"{id} started {(when - query.left_at) // 1000} ms after its client had disconnected"
             )
-        key = asked.key
+        key = query.key
         if key:
-            self.rig.runs.setdefault(key, []).append((when, "start", id))
-        rng = self.rig.world.rng
+            self.simulation.runs.setdefault(key, []).append((when, "start", id))
+        rng = self.simulation.world.rng
         if rng.random() >= HANGING_RUN_SHARE:
-            self.rig.world.call_at(when + int(1_000 * rng.choice((20, 40, 80, 300))), self.finish_run, id)
+            self.simulation.world.call_at(
+                when + int(1_000 * rng.choice((20, 40, 80, 300))), self.finish_run, id
+            )
 
     def cancel_run(self, when: int, id: str) -> None:
         self.cancelled.add(id)
-        key = self.rig.queries[id].key
+        key = self.simulation.queries[id].key
         if key:
-            self.rig.runs[key].append((when, "given up", id))
+            self.simulation.runs[key].append((when, "given up", id))
 
     def finish_run(self, when: int, id: str) -> None:
-        key = self.rig.queries[id].key
+        key = self.simulation.queries[id].key
         if id not in self.cancelled:
             if key:
-                self.rig.runs[key].append((when, "end", id))
+                self.simulation.runs[key].append((when, "end", id))
             self.send(when, f"{id} ACK work=20.0,peak=1.0 8\r\na\tb\t{'c' * 3}\n\r\n")
 
     def send(self, when: int, text: str) -> None:
-        self.rig.world.call_at(when + NETWORK_DELAY * 100, lambda at: self.sock.deliver(at, text.encode()))
+        self.simulation.world.call_at(
+            when + NETWORK_DELAY * 100, lambda at: self.sock.deliver(at, text.encode())
+        )
 
     def on_close(self, when: int) -> None:
         pass
@@ -477,10 +481,10 @@
                     KEY_INTERVAL_NEW_CONNECTION_US if new_connection else KEY_INTERVAL_US
                 )
             patience = int(rng.choice((1_400, 2_000, 3_000))) * 10
-            asked = self.queries[id] = SimulatedQuery(
+            query = self.queries[id] = SimulatedQuery(
                 id, group, patience, key, needs_new_connection=new_connection
             )
-            self.world.call_at(when, self.send_query, asked)
+            self.world.call_at(when, self.send_query, query)
         for _ in range(rng.choice((0, 1, 2))):
             self.world.call_at(
                 start + int(rng.uniform(0, LOAD_DURATION) * 100),
@@ -494,35 +498,35 @@
         if with_sigterm:
             self.world.call_at(start + int(rng.uniform(0.1, 1.2) * LOAD_DURATION * 100), self.terminate)
 
-    def send_query(self, when: int, asked: SimulatedQuery) -> None:
+    def send_query(self, when: int, query: SimulatedQuery) -> None:
         """Send a query, mostly on an open connection, else on a new one; drop it if neither is possible."""
         since_sigterm = None if self.sigterm_at is None else when - self.sigterm_at
         if (
             since_sigterm is not None
             and since_sigterm > (NEW_CONNECTIONS_AFTER_SIGTERM + QUERIES_AFTER_SIGTERM) * 100
         ):
-            del self.queries[asked.id]
+            del self.queries[query.id]
             return
         idle = [c for c in self.clients if not c.closed and not c.in_flight and c.state == "idle"]
         new = (
             self.world.rng.random() < 0.2
-            if asked.needs_new_connection is None
-            else asked.needs_new_connection
+            if query.needs_new_connection is None
+            else query.needs_new_connection
         )
         if idle and not new:
-            self.world.rng.choice(idle).send_query(when, asked)
-        elif asked.needs_new_connection is not False and (
+            self.world.rng.choice(idle).send_query(when, query)
+        elif query.needs_new_connection is not False and (
             since_sigterm is None or since_sigterm <= NEW_CONNECTIONS_AFTER_SIGTERM * 100
         ):
-            self.open_connection(when, asked)
+            self.open_connection(when, query)
         else:
-            del self.queries[asked.id]
+            del self.queries[query.id]
         if self.world.rng.random() < 0.01 and self.clients:
             self.world.rng.choice(self.clients).disconnect(when)
 
-    def open_connection(self, when: int, asked: SimulatedQuery) -> None:
+    def open_connection(self, when: int, query: SimulatedQuery) -> None:
         client = Client(self)
-        client.first = asked
+        client.first = query
         self.clients = [c for c in self.clients if not c.closed]
         self.clients.append(client)
         self.listener.add_connection(when, client)
@@ -586,16 +590,16 @@
 
     def check(self) -> None:
         """Check rules 1 and 2 for every query that was received completely, and rule 5 for every key."""
-        for asked in self.queries.values():
-            if asked.sent is None or asked.abandoned or asked.excluded:
+        for query in self.queries.values():
+            if query.sent is None or query.abandoned or query.excluded:
                 continue
-            latest = asked.sent + asked.patience + TOLERANCE
-            if len(asked.answers) != 1:
-                self.violations.append(f"{asked.id} {asked.group} got {len(asked.answers)} answers")
-            elif asked.answers[0][0] > latest:
+            latest = query.sent + query.patience + TOLERANCE
+            if len(query.answers) != 1:
+                self.violations.append(f"{query.id} {query.group} got {len(query.answers)} answers")
+            elif query.answers[0][0] > latest:
                 self.violations.append(
-                    f"{asked.id} {asked.group} answered "
-                    f"{asked.answers[0][0] - latest} tenths of a ms too late"
+                    f"{query.id} {query.group} answered "
+                    f"{query.answers[0][0] - latest} tenths of a ms too late"
                 )
         if self.sigterm_at is not None and self.exited_at is not None:
             shutdown_time = (self.exited_at - self.sigterm_at) // 100
@@ -630,7 +634,7 @@
 
     def summary(self) -> Counter:
         """Return the number of queries by outcome."""
-        return Counter(a.answers[0][1] for a in self.queries.values() if a.answers)
+        return Counter(query.answers[0][1] for query in self.queries.values() if query.answers)
 
 
 def play(seed: int, **known) -> OverloadSimulation:
--- a/hillchute/lab/world.py
+++ b/hillchute/lab/world.py
@@ -100,9 +100,8 @@
     tokens: dict[str, float] = field(default_factory=dict)
     faults_applied: Counter = field(default_factory=Counter)
     drained: dict[str, float] = field(default_factory=dict)  # time of the drain notice, by engine
-    open_connections: dict[int, int] = field(
-        default_factory=dict
-    )  # port of the peer, by number of the open connection
+    # Port of the peer, by number of the open connection.
+    open_connections: dict[int, int] = field(default_factory=dict)
     connection_count: int = 0  # connections ever opened
 
     def clock(self) -> float:
@@ -144,9 +143,9 @@
         self, id: str, group: str, token: str | None, behaviour: StatementBehaviour, connection: int = 0
     ) -> float:
         """Run a submission to its end and return its work in milliseconds; raise RunFailedError."""
-        ran = RunRecord(id, group, token, self.name, self.world.clock(), connection=connection)
-        self.world.runs.append(ran)
-        self.running[id] = ran
+        record = RunRecord(id, group, token, self.name, self.world.clock(), connection=connection)
+        self.world.runs.append(record)
+        self.running[id] = record
         is_bulk_load = token is not None
         try:
             await self.wait_for_bulk_loads(behaviour, is_bulk_load)
@@ -160,17 +159,17 @@
                 self.active_runs -= 1
             if self.world.fault_applies("error", id, behaviour.error):
                 raise RunFailedError
-            ran.had_effect = token is not None and self.record_token(token)
-            ran.result = "finished"
+            record.had_effect = token is not None and self.record_token(token)
+            record.result = "finished"
             return work
         except RunFailedError:
-            ran.result = "failed"
+            record.result = "failed"
             raise
         except anyio.get_cancelled_exc_class():
-            ran.result = "given up"
+            record.result = "given up"
             raise
         finally:
-            ran.ended_at = self.world.clock()
+            record.ended_at = self.world.clock()
             self.running.pop(id, None)
             if is_bulk_load and behaviour.table_group in self.bulk_loads:
                 self.bulk_loads.pop(behaviour.table_group).set()
