--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -54,17 +54,19 @@
     FAILED = "errored"  # the engine answered with an error
 
 
+# Results that prove that the engine did not run the query.
 NEVER_RAN = (
     AttemptResult.OVERLOADED,
     AttemptResult.CONNECTION_REFUSED,
     AttemptResult.UNREACHABLE,
     AttemptResult.NOT_SENT,
-)  # results that prove that the engine did not run the query
+)
+# Results after which the engine may still run the query.
 MAY_STILL_RUN = (
     AttemptResult.TIMED_OUT,
     AttemptResult.CONNECTION_LOST,
     AttemptResult.CANCELLED,
-)  # results after which the engine may still run the query
+)
 
 # ---- inputs ---------------------------------------------------------------------------------------
 
--- a/hillchute/decision/outlier_detection.py
+++ b/hillchute/decision/outlier_detection.py
@@ -9,12 +9,13 @@
 MAX_BACKOFF: Time = 5 * SECOND  # an engine that has recovered gets attempts again within this time
 MAX_DOUBLINGS = 10  # MAX_BACKOFF is reached long before
 
+# Results that count as failures of the engine.
 ENGINE_FAULTS = (
     AttemptResult.CONNECTION_REFUSED,
     AttemptResult.UNREACHABLE,
     AttemptResult.CONNECTION_LOST,
     AttemptResult.FAILED,
-)  # results that count as failures of the engine
+)
 
 
 class OutlierDetector:
--- a/hillchute/engines/words.py
+++ b/hillchute/engines/words.py
@@ -117,6 +117,7 @@
     report: dict[str, float] | None = None
 
 
+# None means that the engine is alive, and nothing else.
 EngineMessage = (
     RunCompleted | ResultReceived | StreamStarted | RunEnded | ProgressReported | HealthCheckAnswer | None
-)  # None: the engine is alive, nothing else
+)
--- a/hillchute/history/codec.py
+++ b/hillchute/history/codec.py
@@ -21,6 +21,7 @@
 MAX_DURATION: Time = 864_000_000  # one day
 MAX_COUNT = 1 << 40
 MAX_PARTS = 4096  # messages in which the records of one slot are sent
+# Upper bounds by field name, in any message; other integers are bounded by MAX_INTEGER.
 BOUNDS = {
     "slot": SLOTS - 1,
     "time_left": MAX_DURATION,
@@ -29,7 +30,7 @@
     "sequence": MAX_COUNT,
     "decision": max(decision.value for decision in ClaimDecision),
     "state": max(RecordState),
-}  # by field name, in any message; other integers are bounded by MAX_INTEGER
+}
 
 
 def first_out_of_bounds(message: object) -> str:
--- a/hillchute/router/integrations/history.py
+++ b/hillchute/router/integrations/history.py
@@ -36,13 +36,14 @@
 from hillchute.router.integrations.interface import STATISTICS_INTERVAL
 from hillchute.router.integrations.rows_codec import decode_rows, encode_rows
 
+# The decisions that leave a replica; WAIT never does.
 VERDICTS = {
     ClaimDecision.RUN: ClaimVerdict.RUN,
     ClaimDecision.REPLAY: ClaimVerdict.REPLAY,
     ClaimDecision.REJECT: ClaimVerdict.REJECT,
     ClaimDecision.FAIL: ClaimVerdict.FAIL,
     ClaimDecision.FORWARD: ClaimVerdict.FORWARD,
-}  # decisions that leave a replica; WAIT never does
+}
 RECORD_STATES = {
     ClaimOutcome.NOT_RUN: RecordState.NOT_RUN,
     ClaimOutcome.SERVED: RecordState.SERVED,
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -251,9 +251,8 @@
     scheduler.on_subset(0, frozenset({2}))
     e = scheduler.engines[2]
     if state == "overloaded":
-        scheduler.on_health_check(
-            0, 2, AttemptResult.SERVED, {"inflight": 8 * 2}
-        )  # above LIGHT_LOAD, below the load at which heavy queries are rejected
+        # The load is above LIGHT_LOAD and below the load at which heavy queries are rejected.
+        scheduler.on_health_check(0, 2, AttemptResult.SERVED, {"inflight": 8 * 2})
         scheduler.load.mean_load = 1.0
     elif state == "ejected":
         e.ejected_until = 10 * SECOND
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -10,9 +10,8 @@
 
 KEYED = {"route": "event-load", "entity": "ab", "patience": 8_000}
 HALF_COMMAND = query(99)[:20]
-LONG_INPUT = (
-    3 * MAX_QUEUED_COMMANDS * PING + 40_000 * b"x"
-)  # more than the router reads before an answer is sent
+# More than the router reads before an answer is sent.
+LONG_INPUT = 3 * MAX_QUEUED_COMMANDS * PING + 40_000 * b"x"
 
 
 @pytest.fixture
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -127,9 +127,8 @@
     assert decision_on(record(rows=None)) is ClaimDecision.FAIL
     assert decision_on(record(state=RecordState.FAILED)) is ClaimDecision.FAIL
     assert decision_on(record(state=RecordState.NOT_RUN)) is ClaimDecision.RUN
-    assert (
-        decision_on(record(), age=3_600_001 * MS) is ClaimDecision.FAIL
-    )  # a query that is known to have run is not run again
+    # A query that is known to have run is not run again.
+    assert decision_on(record(), age=3_600_001 * MS) is ClaimDecision.FAIL
     assert decision_on(running) is ClaimDecision.WAIT
     assert decision_on(running, repeated=True) is ClaimDecision.RUN
     assert decision_on(running, live=False) is ClaimDecision.REJECT
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,11 +45,8 @@
         [],  # no file: each failure counts
         [RED],  # an unlisted test fails
         [RED, RED.replace("test_red", "test_red_too"), RED.replace("test_red", "test_green")],  # one passes
-        [
-            RED,
-            RED.replace("test_red", "test_red_too"),
-            RED.replace("test_red", "test_gone"),
-        ],  # one does not exist
+        # One listed test does not exist.
+        [RED, RED.replace("test_red", "test_red_too"), RED.replace("test_red", "test_gone")],
         [RED] * 4,  # more tests than may be listed
         ["tests/test_it.py::test_red"],  # cause and issue are missing
         ["tests | everything | issue 1"],  # not the id of a single test
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -112,9 +112,8 @@
         (150, "change", 1040),
     ):
         rig.received_attempts.clear()
-        rig.advance_clock(
-            0.15
-        )  # each query in a new window: a single late one may follow a pause that is over
+        # Each query is in a new window: a single late one may follow a pause that is over.
+        rig.advance_clock(0.15)
         system.received_ms_ago = late_ms
         before = len(client.answers())
         client.write(query(2 + before, route))
@@ -155,9 +154,8 @@
     time.sleep(0.3)  # the protocol asks for 250 ms after a query of the same key on a new connection
     connected.write(query(2, nonce="02", **key))
     rig.run_rounds(20)
-    assert (
-        rig.received_attempts == []
-    )  # an earlier query of the same key may still be in the kernel's backlog
+    # An earlier query of the same key may still be in the kernel's backlog.
+    assert rig.received_attempts == []
     system.fault = None
     rig.run_until(lambda: len(earlier.answers()) == 1 and len(connected.answers()) == 2)
     assert rig.received_attempts == [f"{1:016x}", f"{2:016x}"]
