--- a/hillchute/benchlink/codec.py
+++ b/hillchute/benchlink/codec.py
@@ -12,10 +12,10 @@
     AttemptResult,
     Cancel,
     Decision,
+    EndpointEntry,
     EndpointState,
     Fail,
     HealthCheck,
-    Listing,
     Reject,
     SetExecutionOptions,
     SetTimer,
@@ -130,7 +130,7 @@
                 raise self.error(f"field {field} is not name:value: {shown}") from None
         return report
 
-    def listing(self) -> Listing:
+    def endpoint_entry(self) -> EndpointEntry:
         """The whole line as one engine of a CENSUS."""
         if self.message != "ENGINE":
             raise self.error("expected an ENGINE line of the CENSUS")
@@ -141,7 +141,7 @@
         state = self.one_of(EndpointState, "availability", EndpointState.READY)
         weight = self.real("nominal", 1.0)
         engine = self.required_integer("engine")
-        return Listing(
+        return EndpointEntry(
             engine=engine, kind=kind, cell=cell, zone=zone, started=started, state=state, weight=weight
         )
 
--- a/hillchute/benchlink/host.py
+++ b/hillchute/benchlink/host.py
@@ -18,7 +18,7 @@
 from hillchute.decision.interface import (
     MILLISECOND,
     AttemptEnded,
-    Listing,
+    EndpointEntry,
     ListMode,
     NewQuery,
     Scheduler,
@@ -52,7 +52,7 @@
         self.now: Time = 0
         self._routers: dict[int, SimulatedRouter] = {}
         self._current: int | None = None  # number of the router that messages are addressed to
-        self._censuses: dict[int, list[Listing]] = {}  # by buffer number
+        self._censuses: dict[int, list[EndpointEntry]] = {}  # by buffer number
         self._handlers: dict[str, Callable[[Fields], None]] = {
             "UP": self._on_up,
             "EXIT": self._on_exit,
@@ -151,24 +151,24 @@
     def _read_census(self, fields: Fields, numbered: NumberedLines) -> None:
         """Reads a list of engines, one per line, to which a later MEMBERSHIP refers by buffer number."""
         buffer = fields.required_integer("buffer")
-        listings = []
+        entries = []
         for _ in range(fields.required_integer("records")):
             line_number, line = next(numbered, (fields.line_number, ""))
-            listings.append(Fields(line, line_number).listing())
-        self._censuses[buffer] = listings
+            entries.append(Fields(line, line_number).endpoint_entry())
+        self._censuses[buffer] = entries
 
     def _on_membership(self, fields: Fields) -> None:
         mode = fields.one_of(ListMode, "mode")
         fields.optional_integer("index")
         buffer = fields.optional_integer("buffer")
         if mode == ListMode.ERROR:
-            listings = []
+            entries = []
         elif buffer is not None and buffer in self._censuses:
-            listings = self._censuses[buffer]
+            entries = self._censuses[buffer]
         else:
             raise fields.error(f"no CENSUS {buffer} before it")
         router = self._router(fields)
-        router.scheduler.on_endpoint_list(self.now, mode, listings)
+        router.scheduler.on_endpoint_list(self.now, mode, entries)
         ready = [engine for engine, state in router.scheduler.engines.items() if state.ready]
         router.scheduler.on_subset(self.now, router.subset.select(ready))
 
--- a/hillchute/coordination/jitter.py
+++ b/hillchute/coordination/jitter.py
@@ -36,9 +36,9 @@
     return int(position(router, topic) * window)
 
 
-def randomized(wait: Time, chance: float) -> Time:
-    """A wait with jitter: from 0.5 to 1.5 times its length, for a random `chance` from 0 to 1."""
-    return int(wait * (0.5 + chance))
+def randomized(wait: Time, random_fraction: float) -> Time:
+    """A wait with jitter: from 0.5 to 1.5 times its length, for a `random_fraction` from 0 to 1."""
+    return int(wait * (0.5 + random_fraction))
 
 
 def max_by_number(routers: int, fraction: float) -> int:
--- a/hillchute/decision/dashboards.py
+++ b/hillchute/decision/dashboards.py
@@ -37,7 +37,7 @@
             if not self.placement.has_eligible_engine(now, query):
                 continue
             engine = self.health_checks.choose(
-                now, query, lambda engine: self.load.has_room_for_dashboard(now, engine)
+                now, query, lambda engine: self.load.has_capacity_for_dashboard(now, engine)
             )
             if engine is not None:
                 self.queues.dashboards.remove(query)
--- a/hillchute/decision/engine_state.py
+++ b/hillchute/decision/engine_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from hillchute.decision.interface import EndpointState, EngineId, FleetShares, Listing, ListMode, Time
+from hillchute.decision.interface import EndpointEntry, EndpointState, EngineId, FleetShares, ListMode, Time
 from hillchute.settings import Settings
 
 NEVER: Time = -(10**9)  # earlier than any time of the caller's clock
@@ -59,18 +59,18 @@
         warmed = (1 - self.warm_up_initial_share) * (now - self.started) / self.warm_up_duration
         return self.cores * (self.warm_up_initial_share + warmed)
 
-    def update(self, listing: Listing, settings: Settings) -> None:
+    def update(self, entry: EndpointEntry, settings: Settings) -> None:
         """Applies an entry of the endpoint list to this engine."""
-        self.kind = listing.kind
-        self.cell = listing.cell
-        self.zone = listing.zone
-        kind = settings.engine_kind(listing.kind)
+        self.kind = entry.kind
+        self.cell = entry.cell
+        self.zone = entry.zone
+        kind = settings.engine_kind(entry.kind)
         self.cores = kind.cores
         self.memory_mb = kind.memory_mb
         self.warm_up_initial_share = settings.warm_up.initial_share
         self.warm_up_duration = settings.warm_up.duration
-        self.ready = listing.state == EndpointState.READY
-        self.gone = listing.state == EndpointState.GONE
+        self.ready = entry.state == EndpointState.READY
+        self.gone = entry.state == EndpointState.GONE
 
     def attempt_started(self, now: Time, threads: int, memory_mb: float) -> None:
         """Counts an attempt of this router that starts, with its threads and memory."""
@@ -151,15 +151,15 @@
         self.routers = max(1, settings.routers)
         self.shares = FleetShares()
 
-    def update(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> list[EngineId]:
+    def update(self, now: Time, mode: ListMode, entries: Iterable[EndpointEntry]) -> list[EngineId]:
         """Applies the endpoint list or a change of it and returns the engines that were removed."""
         changed: dict[EngineId, EngineState] = {}
-        for listing in listings:
-            engine = self.engines.setdefault(listing.engine, EngineState(listing.engine))
-            changed[listing.engine] = engine
-            engine.update(listing, self.settings)
-            if listing.started > engine.started:
-                engine.started = listing.started
+        for entry in entries:
+            engine = self.engines.setdefault(entry.engine, EngineState(entry.engine))
+            changed[entry.engine] = engine
+            engine.update(entry, self.settings)
+            if entry.started > engine.started:
+                engine.started = entry.started
                 engine.failures = 0
                 engine.ejected_until = now
                 engine.reported_threads = None
--- a/hillchute/decision/health_checks.py
+++ b/hillchute/decision/health_checks.py
@@ -23,7 +23,7 @@
 # Share of the weight of all queries that periodic checks may cost; they help no particular query.
 PERIODIC_CHECK_COST_SHARE = 0.01
 
-HasRoom = Callable[[EngineState], bool]
+HasCapacity = Callable[[EngineState], bool]
 
 
 class HealthChecks:
@@ -96,7 +96,7 @@
         self,
         now: Time,
         query: QueryState,
-        has_room: HasRoom,
+        has_capacity: HasCapacity,
         affine: EngineState | None = None,
     ) -> EngineState | None:
         """Returns the engine for a query; None while an engine is checked for it, or if all are full.
@@ -108,13 +108,13 @@
         checked = None if query.checked_engine is None else self.pool.engines.get(query.checked_engine)
         query.checked_engine = None
         if checked is not None and checked.reported_at >= query.checked_at:
-            is_usable = self.load.is_lightly_loaded(now, checked) and has_room(checked)
+            is_usable = self.load.is_lightly_loaded(now, checked) and has_capacity(checked)
             if is_usable and checked in self.placement.eligible_engines(now, query):
                 return checked
             query.overloaded_checks += 1
         elif checked is not None:
             unresponsive = checked
-        engines = self.candidates(now, query, has_room, affine, unresponsive)
+        engines = self.candidates(now, query, has_capacity, affine, unresponsive)
         if not self.enabled:
             return self.placement.pick(now, query, engines, affine)
         engine = self.placement.pick(now, query, self._filter_by_load(now, query, engines), affine)
@@ -148,7 +148,7 @@
         self,
         now: Time,
         query: QueryState,
-        has_room: HasRoom,
+        has_capacity: HasCapacity,
         affine: EngineState | None,
         unresponsive: EngineState | None,
     ) -> list[EngineState]:
@@ -164,12 +164,12 @@
             for engine in first
             if engine is not unresponsive
             and self.placement.is_preferred(now, engine, query)
-            and has_room(engine)
+            and has_capacity(engine)
         ]
         preferred = [engine for engine in preferred if self._may_be_lightly_loaded(now, engine)]
         if preferred:
             return preferred
-        engines = [engine for engine in self.placement.eligible_engines(now, query) if has_room(engine)]
+        engines = [engine for engine in self.placement.eligible_engines(now, query) if has_capacity(engine)]
         engines = [engine for engine in engines if engine is not unresponsive] or engines
         return [
             engine for engine in engines if engine in first and self._may_be_lightly_loaded(now, engine)
--- a/hillchute/decision/interface.py
+++ b/hillchute/decision/interface.py
@@ -55,14 +55,14 @@
 
 
 # Results that prove that the engine did not run the query.
-NEVER_RAN = (
+NOT_RUN_RESULTS = (
     AttemptResult.OVERLOADED,
     AttemptResult.CONNECTION_REFUSED,
     AttemptResult.UNREACHABLE,
     AttemptResult.NOT_SENT,
 )
 # Results after which the engine may still run the query.
-MAY_STILL_RUN = (
+POSSIBLY_RUNNING_RESULTS = (
     AttemptResult.TIMED_OUT,
     AttemptResult.CONNECTION_LOST,
     AttemptResult.CANCELLED,
@@ -71,7 +71,7 @@
 # ---- inputs ---------------------------------------------------------------------------------------
 
 
-class Listing(NamedTuple):
+class EndpointEntry(NamedTuple):
     """An entry of the endpoint list: one engine."""
 
     engine: EngineId
@@ -218,7 +218,7 @@
     def engines(self) -> "Mapping[EngineId, EngineState]":
         """All known engines, by id; callers must not change them."""
 
-    def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
+    def on_endpoint_list(self, now: Time, mode: ListMode, entries: Iterable[EndpointEntry]) -> None:
         """Handles the endpoint list or a change of it."""
 
     def on_subset(
--- a/hillchute/decision/load_estimation.py
+++ b/hillchute/decision/load_estimation.py
@@ -155,7 +155,7 @@
         """Returns whether one more query would not slow down the engine's other queries."""
         return self.total_threads(now, engine) <= LIGHT_LOAD * engine.usable_cores(now)
 
-    def has_room_for_dashboard(self, now: Time, engine: EngineState) -> bool:
+    def has_capacity_for_dashboard(self, now: Time, engine: EngineState) -> bool:
         """Returns whether a dashboard would finish in time on the engine.
 
         Guards against an overload that clients' retries keep up. Harmful where reports lag behind a load that
--- a/hillchute/decision/scheduler.py
+++ b/hillchute/decision/scheduler.py
@@ -15,15 +15,15 @@
 from hillchute.decision.engine_state import EnginePool, EngineState
 from hillchute.decision.health_checks import HealthChecks
 from hillchute.decision.interface import (
-    MAY_STILL_RUN,
     MILLISECOND,
-    NEVER_RAN,
+    NOT_RUN_RESULTS,
+    POSSIBLY_RUNNING_RESULTS,
     AttemptEnded,
     AttemptResult,
     Decision,
+    EndpointEntry,
     EngineId,
     FleetShares,
-    Listing,
     ListMode,
     NewQuery,
     QueryId,
@@ -45,6 +45,7 @@
 from hillchute.settings import Settings
 
 SWEEP_INTERVAL: Time = 25 * MILLISECOND  # while queries wait; far below any latency objective
+# Sent to the simulator with a timer, and sent back when the timer expires (SetTimer in benchlink/codec.py).
 TIMER_NAME = "look"
 
 
@@ -100,13 +101,13 @@
 
     # ---- inputs -----------------------------------------------------------------------------------
 
-    def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
+    def on_endpoint_list(self, now: Time, mode: ListMode, entries: Iterable[EndpointEntry]) -> None:
         """Applies the endpoint list or a change of it."""
         self.now = now
         if mode == ListMode.ERROR:
             self.watch_pending |= self.settings.watches_on_request
             return  # the previous list remains in force
-        for engine in self.pool.update(now, mode, listings):
+        for engine in self.pool.update(now, mode, entries):
             self.slow_start.permits.forget(engine)
 
     def on_subset(
@@ -170,9 +171,9 @@
             self.load.read_report(now, engine, ended.report)
         elif ended.result == AttemptResult.OVERLOADED:
             self.load.rejected_as_full(now, engine)
-        if ended.result not in NEVER_RAN and query.first_run is None:
+        if ended.result not in NOT_RUN_RESULTS and query.first_run is None:
             query.first_run = attempt
-        if ended.result in MAY_STILL_RUN:
+        if ended.result in POSSIBLY_RUNNING_RESULTS:
             self._pause_key(now, query)
         self._learn(now, engine, query, attempt, ended)
         if ended.final or query.stage is QueryStage.ANSWERED:
--- a/hillchute/discovery/event_bus.py
+++ b/hillchute/discovery/event_bus.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.interface import EndpointEntry, EndpointState
 from hillchute.errors import EventBusProtocolError
 
 FRAME_HEADER = struct.Struct(">IQB")  # length, offset of the event, kind
@@ -43,7 +43,7 @@
 class Endpoint(NamedTuple):
     """One engine: its entry for the scheduler, and the address at which it listens."""
 
-    listing: Listing
+    entry: EndpointEntry
     host: str
     port: int
 
@@ -103,7 +103,7 @@
     engine, host, port, state, zone, kind, cell, weight, started = record
     if state >= len(ENGINE_STATES):
         raise EventBusProtocolError(f"engine {engine_name(engine)} in unknown state {state}")
-    listing = Listing(
+    entry = EndpointEntry(
         engine=engine,
         kind=kind,
         cell=cell,
@@ -112,7 +112,7 @@
         state=ENGINE_STATES[state],
         weight=weight / WEIGHT_PER_UNIT,
     )
-    return Endpoint(listing, ".".join(str(octet) for octet in host), port)
+    return Endpoint(entry, ".".join(str(octet) for octet in host), port)
 
 
 def initial_watch_events(
@@ -138,7 +138,7 @@
     name = endpoint["name"]
     if not name.startswith(ENGINE_NAME_PREFIX) or endpoint["status"] not in ENGINE_STATES:
         raise ValueError(f"engine {name} in state {endpoint['status']}: invalid name or state")
-    listing = Listing(
+    entry = EndpointEntry(
         engine=int(name.removeprefix(ENGINE_NAME_PREFIX), 16),
         kind=_index_or_first(kinds, endpoint.get("type")),
         cell=int(endpoint.get("group") or 0),
@@ -147,7 +147,7 @@
         state=EndpointState(endpoint["status"]),
         weight=float(endpoint.get("weight", 1.0)),
     )
-    return Endpoint(listing, host, int(port))
+    return Endpoint(entry, host, int(port))
 
 
 def _index_or_first(names: Sequence[str], name: str | None) -> int:
--- a/hillchute/fronts/mysql/door.py
+++ b/hillchute/fronts/mysql/door.py
@@ -163,7 +163,7 @@
                 self.pause(error)
                 return False
             self.rounds.last_client_activity = self.clock()
-            self.start_session(sock, self.make_room(evictable))
+            self.start_session(sock, self.evict_session_if_full(evictable))
         return False
 
     def pause(self, error: OSError) -> None:
@@ -196,7 +196,7 @@
         self.update_state(client)
         self.read(client)
 
-    def make_room(self, evictable: Iterator[int]) -> bool:
+    def evict_session_if_full(self, evictable: Iterator[int]) -> bool:
         """Makes room for one more session by closing the next suitable one of `evictable`.
 
         Returns False if there is none. A session with unread input or with unsent bytes of an answer is kept:
--- a/hillchute/lab/many.py
+++ b/hillchute/lab/many.py
@@ -27,9 +27,9 @@
     SECOND,
     AttemptEnded,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
     HealthCheck,
-    Listing,
     ListMode,
     NewQuery,
     Reject,
@@ -215,8 +215,8 @@
         self.timer_numbers = count()
         self.query_count = self.counted_from = 0
         self.queries: dict[str, Query] = {}
-        self.asked, self.served = Counter(), Counter()  # by (router, group)
-        self.asked_by_customer, self.served_by_customer = Counter(), Counter()  # by (customer, group)
+        self.requested, self.served = Counter(), Counter()  # by (router, group)
+        self.requested_by_customer, self.served_by_customer = Counter(), Counter()  # by (customer, group)
         self.rejected = Counter()  # by (group, reason)
         self.isolated_zones: set[int] = set()  # zones that the network partition separates from the others
 
@@ -303,8 +303,8 @@
                 table_group, work = self.traffic_rng.randrange(40), int(cost * self.work_factor)
                 query = Query(f"q{self.query_count}", router, group, table_group, self.now, end, cost, work)
                 self.queries[query.id] = query
-                self.asked[router, group] += 1
-                self.asked_by_customer[query.customer, group] += 1
+                self.requested[router, group] += 1
+                self.requested_by_customer[query.customer, group] += 1
                 yield query
 
     def threads_of(self, group: int) -> int:
@@ -332,9 +332,9 @@
         """Exclude all queries until now from the counts, because the start-up phase is no steady state."""
         self.counted_from = self.now + 1
         for counts in (
-            self.asked,
+            self.requested,
             self.served,
-            self.asked_by_customer,
+            self.requested_by_customer,
             self.served_by_customer,
             self.rejected,
         ):
@@ -349,20 +349,20 @@
 
     def served_value_ratio(self) -> float:
         """Return the value of the queries served in time over that of all queries."""
-        return self.total_value(self.served) / self.total_value(self.asked)
+        return self.total_value(self.served) / self.total_value(self.requested)
 
     def jain(self) -> float:
         """Return Jain's fairness index, over the routers, of the fraction of the value that was served."""
-        return self.jain_index(self.asked, self.served)
+        return self.jain_index(self.requested, self.served)
 
     def jain_customers(self) -> float:
         """Return the same index over the customers."""
-        return self.jain_index(self.asked_by_customer, self.served_by_customer)
+        return self.jain_index(self.requested_by_customer, self.served_by_customer)
 
-    def jain_index(self, asked: Counter, served: Counter) -> float:
+    def jain_index(self, requested: Counter, served: Counter) -> float:
         shares = [
-            self.total_value(served, party) / self.total_value(asked, party)
-            for party in {party for party, _ in asked}
+            self.total_value(served, party) / self.total_value(requested, party)
+            for party in {party for party, _ in requested}
         ]
         return sum(shares) ** 2 / (len(shares) * sum(share**2 for share in shares) or 1)
 
@@ -451,7 +451,7 @@
 
     def announce_endpoints(self, n: int) -> None:
         router = self.routers[n]
-        router.on_endpoint_list(self.now, ListMode.COMPLETE, self.listings())
+        router.on_endpoint_list(self.now, ListMode.COMPLETE, self.endpoint_entries())
         if self.form == "subset":
             self.visible_engines[n] = self.subsets[n].select(
                 [e.id for e in self.engines.values() if not e.draining]
@@ -545,9 +545,9 @@
         for n in range(len(self.routers), routers):
             self.start_router(n)
 
-    def listings(self) -> list[Listing]:
+    def endpoint_entries(self) -> list[EndpointEntry]:
         return [
-            Listing(
+            EndpointEntry(
                 e.id,
                 0,
                 0,
--- a/hillchute/lab/plays.py
+++ b/hillchute/lab/plays.py
@@ -84,7 +84,7 @@
     seconds = run_play(fleet, play)
     baseline = DelayedOracle(seed, routers, engines, load, 1.0, slowdown, **overrides)
     run_play(baseline, play)
-    requested = {group: sum(n for (_, g), n in fleet.asked.items() if g == group) for group in NAMES}
+    requested = {group: sum(n for (_, g), n in fleet.requested.items() if g == group) for group in NAMES}
     served = {group: sum(n for (_, g), n in fleet.served.items() if g == group) for group in NAMES}
     overload_fractions = [engine.peak_overload_fraction() for engine in fleet.replacement_engines()]
     deferred = {f"{NAMES[g]}: {reason}": n for (g, reason), n in sorted(fleet.rejected.items())}
--- a/hillchute/router/claims.py
+++ b/hillchute/router/claims.py
@@ -6,7 +6,13 @@
 
 from typing import Protocol
 
-from hillchute.decision.interface import MAY_STILL_RUN, NEVER_RAN, AttemptResult, QueryId, Time
+from hillchute.decision.interface import (
+    NOT_RUN_RESULTS,
+    POSSIBLY_RUNNING_RESULTS,
+    AttemptResult,
+    QueryId,
+    Time,
+)
 from hillchute.fronts.events import FIRST_FORWARDED_SESSION
 from hillchute.router.effects import (
     CancelForward,
@@ -112,14 +118,14 @@
             self.context.emit(CancelForward(query.request.id, query.number))
         query.claim = ClaimState.NONE
         results = {attempt.result for attempt in query.attempts}
-        if results.issubset(NEVER_RAN):
+        if results.issubset(NOT_RUN_RESULTS):
             outcome = ClaimOutcome.NOT_RUN
         elif AttemptResult.SERVED in results:
             outcome = ClaimOutcome.SERVED
         else:
             outcome = ClaimOutcome.FAILED
         end = EndClaim(query.request.id, query.number, outcome, query.rows)
-        if outcome is ClaimOutcome.FAILED and not results.isdisjoint(MAY_STILL_RUN):
+        if outcome is ClaimOutcome.FAILED and not results.isdisjoint(POSSIBLY_RUNNING_RESULTS):
             # The next query of the key must not overtake an attempt that may still be running.
             self.context.call_at(self.context.now + self.order_pause + 1, self.context.emit, end)
         else:
--- a/hillchute/router/connection_pool.py
+++ b/hillchute/router/connection_pool.py
@@ -286,36 +286,39 @@
         if update.kind == event_bus.WatchEventKind.KEEPALIVE or update.offset <= self.list_offset:
             return
         self.list_offset = update.offset
-        listed = {entry.listing.engine: entry for entry in update.endpoints}
-        for entry in listed.values():
-            self._update_endpoint(entry)
+        listed = {listed_endpoint.entry.engine: listed_endpoint for listed_endpoint in update.endpoints}
+        for listed_endpoint in listed.values():
+            self._update_endpoint(listed_endpoint)
         if update.kind == event_bus.WatchEventKind.SNAPSHOT:
             for engine, endpoint in self.endpoints.items():
                 endpoint.ready = endpoint.ready and engine in listed
-        listings = [entry.listing for entry in update.endpoints]
-        self.scheduler.on_endpoint_list(self.context.now, ListMode(update.kind), listings)
+        entries = [listed_endpoint.entry for listed_endpoint in update.endpoints]
+        self.scheduler.on_endpoint_list(self.context.now, ListMode(update.kind), entries)
         ready = [engine for engine, state in self.scheduler.engines.items() if state.ready]
         self.scheduler.on_subset(self.context.now, self.subset.select(ready))
         self._forget_endpoints()
-        states = {event_bus.engine_name(engine): entry.listing.state for engine, entry in listed.items()}
+        states = {
+            event_bus.engine_name(engine): listed_endpoint.entry.state
+            for engine, listed_endpoint in listed.items()
+        }
         self.context.log("endpoint_list", offset=update.offset, mode=update.kind, engines=states)
 
-    def _update_endpoint(self, entry: event_bus.Endpoint) -> None:
-        listing = entry.listing
-        ready = listing.state == EndpointState.READY
-        endpoint = self.endpoints.get(listing.engine)
+    def _update_endpoint(self, listed_endpoint: event_bus.Endpoint) -> None:
+        entry = listed_endpoint.entry
+        ready = entry.state == EndpointState.READY
+        endpoint = self.endpoints.get(entry.engine)
         if endpoint is None:
-            self.endpoints[listing.engine] = Endpoint(
-                listing.engine, entry.host, entry.port, ready, listing.started
+            self.endpoints[entry.engine] = Endpoint(
+                entry.engine, listed_endpoint.host, listed_endpoint.port, ready, entry.started
             )
             return
         endpoint.ready = ready
         # Connections to the previous process of a restarted engine are useless.
-        restarted = listing.started > endpoint.started
-        if restarted or (endpoint.host, endpoint.port) != (entry.host, entry.port):
-            endpoint.host = entry.host
-            endpoint.port = entry.port
-            endpoint.started = listing.started
+        restarted = entry.started > endpoint.started
+        if restarted or (endpoint.host, endpoint.port) != (listed_endpoint.host, listed_endpoint.port):
+            endpoint.host = listed_endpoint.host
+            endpoint.port = listed_endpoint.port
+            endpoint.started = entry.started
             self._replace_connections(endpoint)
 
     def _replace_connections(self, endpoint: Endpoint) -> None:
--- a/hillchute/router/endpoint_updates.py
+++ b/hillchute/router/endpoint_updates.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.interface import EndpointEntry, EndpointState
 from hillchute.discovery import event_bus
 from hillchute.errors import UnknownEngineKindError
 from hillchute.log import Log
@@ -34,16 +34,16 @@
         self.handle(EndpointsChanged(update._replace(endpoints=endpoints)))
 
     def _translate(self, endpoint: event_bus.Endpoint) -> event_bus.Endpoint:
-        listing = endpoint.listing
-        started = self.start_times.to_router_clock(listing.engine, listing.started)
-        return endpoint._replace(listing=self._usable(listing._replace(started=started)))
+        entry = endpoint.entry
+        started = self.start_times.to_router_clock(entry.engine, entry.started)
+        return endpoint._replace(entry=self._usable(entry._replace(started=started)))
 
-    def _usable(self, listing: Listing) -> Listing:
+    def _usable(self, entry: EndpointEntry) -> EndpointEntry:
         """Marks an engine of a kind that the settings do not name as draining, so that it gets no queries."""
-        if listing.kind < self.machine_kinds:
-            return listing
-        name = event_bus.engine_name(listing.engine)
-        error = UnknownEngineKindError(f"kind {listing.kind}, settings.kinds has {self.machine_kinds}", name)
+        if entry.kind < self.machine_kinds:
+            return entry
+        name = event_bus.engine_name(entry.engine)
+        error = UnknownEngineKindError(f"kind {entry.kind}, settings.kinds has {self.machine_kinds}", name)
         self.log.write("endpoint_unusable", **error.log_fields)
-        gone = listing.state == EndpointState.GONE
-        return listing._replace(kind=0, state=EndpointState.GONE if gone else EndpointState.DRAINING)
+        gone = entry.state == EndpointState.GONE
+        return entry._replace(kind=0, state=EndpointState.GONE if gone else EndpointState.DRAINING)
--- a/hillchute/router/integrations/fleet_scheduler.py
+++ b/hillchute/router/integrations/fleet_scheduler.py
@@ -18,11 +18,11 @@
     AttemptEnded,
     AttemptResult,
     Decision,
+    EndpointEntry,
     EndpointState,
     EngineId,
     Fail,
     FleetShares,
-    Listing,
     ListMode,
     NewQuery,
     QueryId,
@@ -41,8 +41,8 @@
 class CapacityPool(Protocol):
     """The engines shared between partners, divided by their agreement."""
 
-    def on_endpoint_list(self, listings: Iterable[Listing]) -> None:
-        """Handles a change of the endpoint list; `listings` is the whole list."""
+    def on_endpoint_list(self, entries: Iterable[EndpointEntry]) -> None:
+        """Handles a change of the endpoint list; `entries` is the whole list."""
 
     def update_entitlement(self, quotas: QuotaLeases) -> None:
         """Sets this router's current entitlement to the pool."""
@@ -80,7 +80,7 @@
         self.schedule_digests = fleet.schedule_digests
         self.pool = pool
         self.list_offset = _offset_before_any_list
-        self.listings: dict[EngineId, Listing] = {}
+        self.endpoint_entries: dict[EngineId, EndpointEntry] = {}
         self.closed: frozenset[EngineId] = frozenset()  # engines closed by others' observations
         self.state_valid_until: Time = 0  # expiry of the last fleet state, on the view's clock
         self.recent_work = WorkWindow(0)  # with partners: the work that this router requests of the pool
@@ -97,13 +97,13 @@
 
     # ---- inputs that update the fleet view --------------------------------------------------------------
 
-    def on_endpoint_list(self, now: Time, mode: ListMode, listings: Iterable[Listing]) -> None:
+    def on_endpoint_list(self, now: Time, mode: ListMode, entries: Iterable[EndpointEntry]) -> None:
         """Handles the endpoint list or a change of it; the caller then calls `on_subset`."""
-        listings = list(listings)
-        self.scheduler.on_endpoint_list(now, mode, listings)
+        entries = list(entries)
+        self.scheduler.on_endpoint_list(now, mode, entries)
         if mode != ListMode.ERROR:
-            known = {} if mode == ListMode.COMPLETE else self.listings
-            self.listings = known | {entry.engine: entry for entry in listings}
+            known = {} if mode == ListMode.COMPLETE else self.endpoint_entries
+            self.endpoint_entries = known | {entry.engine: entry for entry in entries}
 
     def on_subset(
         self,
@@ -115,11 +115,13 @@
         """Handles a changed endpoint list. Subset, router count and shares are computed from the peers, so
         the arguments, which come from the settings, are ignored."""
         del engines, routers, shares
-        ready = {engine for engine, entry in self.listings.items() if entry.state == EndpointState.READY}
-        closed = self.listings.keys() - ready
+        ready = {
+            engine for engine, entry in self.endpoint_entries.items() if entry.state == EndpointState.READY
+        }
+        closed = self.endpoint_entries.keys() - ready
         self.fleet.on_endpoint_list(self.clock(), self.list_offset(), ready, closed)
         if self.pool is not None:
-            self.pool.on_endpoint_list(self.listings.values())
+            self.pool.on_endpoint_list(self.endpoint_entries.values())
         self.on_fleet_changed(now)
 
     def on_query(self, now: Time, query: NewQuery) -> None:
@@ -236,10 +238,16 @@
         newly_closed = [
             engine
             for engine in closed
-            if engine in self.listings and engine in engines and engines[engine].ready
+            if engine in self.endpoint_entries and engine in engines and engines[engine].ready
+        ]
+        changed = [
+            self.endpoint_entries[engine]._replace(state=EndpointState.DRAINING) for engine in newly_closed
+        ]
+        changed += [
+            self.endpoint_entries[engine]
+            for engine in self.closed - closed
+            if engine in self.endpoint_entries
         ]
-        changed = [self.listings[engine]._replace(state=EndpointState.DRAINING) for engine in newly_closed]
-        changed += [self.listings[engine] for engine in self.closed - closed if engine in self.listings]
         self.closed = closed
         if changed:
             self.scheduler.on_endpoint_list(now, ListMode.PARTIAL, changed)
--- a/hillchute/router/integrations/pool_quota.py
+++ b/hillchute/router/integrations/pool_quota.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from hillchute.coordination.quota_leases import LENDER_HOLD, Entitlement, QuotaLeases
-from hillchute.decision.interface import EndpointState, Listing, Time
+from hillchute.decision.interface import EndpointEntry, EndpointState, Time
 from hillchute.history.view_protocol import ViewProtocol
 from hillchute.history.views import MAX_CLOCK_DRIFT, VIEW_LEASE
 from hillchute.partners.capacity_pool import minimum_allocation, router_allocations
@@ -34,7 +34,7 @@
         """The names and cores in the deployment's settings."""
         return cls(zones=settings.zone_names, kinds=settings.kind_names, cores=settings.cores_by_kind)
 
-    def is_contributed_by(self, member: PartnerMember, engine: Listing) -> bool:
+    def is_contributed_by(self, member: PartnerMember, engine: EndpointEntry) -> bool:
         """Whether an engine is in one of a partner's zones and of one of its kinds."""
         return _is_among(member.zones, self.zones, engine.zone) and _is_among(
             member.kinds, self.kinds, engine.kind
@@ -68,16 +68,16 @@
         self.allocations: dict[str, int] = {}  # units of the pool, by router
         self.allocations_revision = 0  # of the slot ownership that the allocations are computed from
 
-    def on_endpoint_list(self, listings: Iterable[Listing]) -> None:
-        """Handles a change of the endpoint list; `listings` is the whole list."""
-        capacities = self.contributed_cores(listings)
+    def on_endpoint_list(self, entries: Iterable[EndpointEntry]) -> None:
+        """Handles a change of the endpoint list; `entries` is the whole list."""
+        capacities = self.contributed_cores(entries)
         self.negotiation.ownership.set_capacities(self.clock(), capacities)
 
-    def contributed_cores(self, listings: Iterable[Listing]) -> dict[str, int]:
+    def contributed_cores(self, entries: Iterable[EndpointEntry]) -> dict[str, int]:
         """Cores of the ready engines, by partner. An engine that matches several counts for the first."""
         members = list(self.members())
         cores = {member.name: 0 for member in members}
-        for engine in listings:
+        for engine in entries:
             owner = next((m for m in members if self.engine_names.is_contributed_by(m, engine)), None)
             if owner is None or engine.state != EndpointState.READY:
                 continue
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,8 +7,8 @@
 from hillchute.decision.interface import (
     SECOND,
     AttemptEnded,
+    EndpointEntry,
     EndpointState,
-    Listing,
     ListMode,
     NewQuery,
 )
@@ -65,8 +65,8 @@
 
     def list_engines(self, *engines, mode=ListMode.COMPLETE, state=EndpointState.READY, started=0):
         """Passes an endpoint list of these engines to the scheduler."""
-        listings = [Listing(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
-        self.scheduler.on_endpoint_list(self.scheduler.now, mode, listings)
+        entries = [EndpointEntry(e, 0, e // 2, e - 1, started, state, 1.0) for e in engines]
+        self.scheduler.on_endpoint_list(self.scheduler.now, mode, entries)
 
     def add_query(self, group, now=0, cost=1000, deadline=7 * SECOND, **fields):
         """Adds a query at time `now` and returns its state in the scheduler."""
--- a/tests/rounds_by_hand.py
+++ b/tests/rounds_by_hand.py
@@ -9,7 +9,7 @@
 import time
 from contextlib import suppress
 
-from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.interface import EndpointEntry, EndpointState
 from hillchute.discovery.event_bus import Endpoint, WatchEvent
 from hillchute.fronts.mysql import packets
 from hillchute.lab import deployment
@@ -242,10 +242,10 @@
 
     def list_engine(self, offset, state=EndpointState.READY, started=0, engine=1, port=None):
         """Delivers a partial endpoint list with one engine to the router, as the watch event at `offset`."""
-        listing = Listing(engine, 0, 0, 0, started, state, 1.0)
+        entry = EndpointEntry(engine, 0, 0, 0, started, state, 1.0)
         port = port or self.listener.getsockname()[1]
         self.service.endpoint_updates.on_watch_event(
-            WatchEvent(offset, "Partial", (Endpoint(listing, "127.0.0.1", port),))
+            WatchEvent(offset, "Partial", (Endpoint(entry, "127.0.0.1", port),))
         )
 
     def connect_client(self, data=LOGIN):
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -13,10 +13,10 @@
 from hillchute.decision.interface import (
     SECOND,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
     FleetShares,
     HealthCheck,
-    Listing,
     ListMode,
     Submit,
 )
@@ -212,16 +212,17 @@
 
 
 def test_subset_follows_the_endpoint_list_that_the_router_receives():
-    entries = [
-        event_bus.Endpoint(Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1) for n in range(80)
+    endpoints = [
+        event_bus.Endpoint(EndpointEntry(n, 0, 0, 0, 0, EndpointState.READY, 1.0), "10.0.0.1", 1)
+        for n in range(80)
     ]
     settings = Settings.from_catalog({"n_instances": 200, "me": 7})
     reducer = Reducer(QueryScheduler(1, settings, 0), settings, 100)
-    reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))), 0)
+    reducer.reduce(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(endpoints))), 0)
     assert reducer.scheduler.pool.subset == Subset(7, 200).select(range(80)) != frozenset()
     gone = min(reducer.scheduler.pool.subset)
-    listing = entries[gone].listing._replace(state=EndpointState.DRAINING)
-    change = event_bus.WatchEvent(2, "Partial", (entries[gone]._replace(listing=listing),))
+    entry = endpoints[gone].entry._replace(state=EndpointState.DRAINING)
+    change = event_bus.WatchEvent(2, "Partial", (endpoints[gone]._replace(entry=entry),))
     reducer.reduce(events.EndpointsChanged(change), 0)
     assert reducer.scheduler.pool.subset == Subset(7, 200).select(n for n in range(80) if n != gone)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 import pytest
 from rounds_by_hand import LOGIN, RecordingLog, RouterHarness, query
 
-from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.interface import EndpointEntry, EndpointState
 from hillchute.discovery import event_bus, watcher
 from hillchute.discovery.event_bus import FRAME_HEADER, Endpoint, WatchEvent
 from hillchute.discovery.watcher import EndpointWatcher
@@ -204,7 +204,7 @@
 
 def endpoint(rig, state, started=0, engine=1, kind=0):
     return Endpoint(
-        Listing(engine, kind, 0, 0, started, state, 1.0), "127.0.0.1", rig.listener.getsockname()[1]
+        EndpointEntry(engine, kind, 0, 0, started, state, 1.0), "127.0.0.1", rig.listener.getsockname()[1]
     )
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
 from rounds_by_hand import RouterHarness
 
 from hillchute import errors
-from hillchute.decision.interface import EndpointState, Listing
+from hillchute.decision.interface import EndpointEntry, EndpointState
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.discovery.event_bus import Endpoint, WatchEvent
@@ -209,10 +209,8 @@
 def unknown_kind(log: RecordingLog, tmp_path: Path) -> None:
     rig = RouterHarness()
     rig.service.endpoint_updates.log = log
-    listing = Listing(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
-    rig.service.endpoint_updates.on_watch_event(
-        WatchEvent(2, "Partial", (Endpoint(listing, "127.0.0.1", 1),))
-    )
+    entry = EndpointEntry(1, 9, 0, 0, 0, EndpointState.READY, 1.0)
+    rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Partial", (Endpoint(entry, "127.0.0.1", 1),)))
     rig.close()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,10 +9,10 @@
 from hillchute.decision.interface import (
     SECOND,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
     FleetShares,
     HealthCheck,
-    Listing,
     ListMode,
     NewQuery,
     Reason,
@@ -196,14 +196,14 @@
 def test_cost_of_a_query_grows_at_most_linearly_with_the_engines(group, change):
     def cost(engines):
         router = QueryScheduler(7, Settings.from_catalog(FLEET | {"domain.group_load": [False] * 4}), 0)
-        listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(engines)]
-        router.on_endpoint_list(0, ListMode.COMPLETE, listings)
+        entries = [EndpointEntry(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(engines)]
+        router.on_endpoint_list(0, ListMode.COMPLETE, entries)
 
         def query():
             if change:
                 changes = [
-                    Listing(engines, 0, 0, 0, 1, EndpointState.READY, 1.0),
-                    listings[0]._replace(state=EndpointState.GONE),
+                    EndpointEntry(engines, 0, 0, 0, 1, EndpointState.READY, 1.0),
+                    entries[0]._replace(state=EndpointState.GONE),
                 ]
                 router.on_endpoint_list(1, ListMode.PARTIAL, changes)
             for n in range(4):  # several queries of one group and table group
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -209,9 +209,9 @@
         catalog |= {"limits.open_cap": 10, "limits.connect_timeout": 500, "limits.streams_per_conn": 8}
         settings = Settings.from_catalog(catalog)
         self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
-        listing = events.event_bus.Listing(1, 0, 0, 0, 0, EndpointState.READY, 1.0)
-        entry = events.event_bus.Endpoint(listing, "127.0.0.1", 1)
-        self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (entry,))))
+        entry = events.event_bus.EndpointEntry(1, 0, 0, 0, 0, EndpointState.READY, 1.0)
+        endpoint = events.event_bus.Endpoint(entry, "127.0.0.1", 1)
+        self.do(events.EndpointsChanged(events.event_bus.WatchEvent(1, "Complete", (endpoint,))))
         request = statements.Request("a" * 16, "lookup", 5 * SECOND, b"SELECT 1", cost=100)
         (open_connection,) = self.do(events.QueryReceived(1, request, 0), kind=OpenConnection)
         self.connection, self.stream = open_connection.connection, StreamStandIn()
--- a/tests/test_full_core.py
+++ b/tests/test_full_core.py
@@ -291,17 +291,17 @@
         BufferedSocketStub(unsent=b"rows"), BufferedSocketStub(unread=True), BufferedSocketStub()
     )
     candidates = frontend.session_limiter.eviction_candidates()
-    assert frontend.make_room(iter(list(candidates)))
+    assert frontend.evict_session_if_full(iter(list(candidates)))
     assert sorted(frontend.clients) == [0, 1]
-    assert frontend.make_room(iter(()))  # there is a free place now
+    assert frontend.evict_session_if_full(iter(()))  # there is a free place now
 
 
 def test_unread_sessions_are_checked_once_per_burst_of_new_connections():
     frontend = make_full_frontend(*[BufferedSocketStub(unread=True) for _ in range(5)], BufferedSocketStub())
     candidates = iter(list(frontend.session_limiter.eviction_candidates()))
-    assert frontend.make_room(candidates)
+    assert frontend.evict_session_if_full(candidates)
     frontend.session_limiter.mark_in_step(9, 0)
-    assert not frontend.make_room(candidates) and next(candidates, None) is None
+    assert not frontend.evict_session_if_full(candidates) and next(candidates, None) is None
 
 
 def test_first_query_sent_with_the_login_is_timed_from_its_connection():
--- a/tests/test_partnering.py
+++ b/tests/test_partnering.py
@@ -9,7 +9,7 @@
 
 from hillchute.cli import commands
 from hillchute.coordination.quota_leases import LENDER_HOLD, QuotaLeases
-from hillchute.decision.interface import SECOND, EndpointState, Listing
+from hillchute.decision.interface import SECOND, EndpointEntry, EndpointState
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.fronts.events import FIRST_FORWARDED_SESSION
 from hillchute.lab import partners
@@ -43,7 +43,7 @@
 NAMES = {f"groups.{n}.name": name for n, name in enumerate(("lookup", "report", "load", "write"))}
 
 
-class Rig:
+class ReducerHarness:
     """A reducer with partners, whose claims are decided by the test."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
 
 
 def test_mutating_query_claims_its_table_group_and_a_read_only_one_makes_no_claim():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, effects = rig.submit("write")
     (claim,) = of_type(effects, ClaimQuery)
     assert claim.is_transient and not claim.ordered and (claim.customer, claim.token) == ("", query_id)
@@ -86,7 +86,7 @@
 
 
 def test_query_of_another_partners_slot_is_forwarded_and_answered_with_its_result():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit("load", "ab")
     (forwarded,) = of_type(rig.decide(query_id, "FORWARD", "b"), ForwardQuery)
     assert (forwarded.query, forwarded.owner, forwarded.request.idempotency_key) == (query_id, "b", "ab")
@@ -100,21 +100,21 @@
 
 @pytest.mark.parametrize(("verdict", "effect"), [("REJECT", RejectQuery), ("FAIL", FailQuery)])
 def test_forwarded_query_ends_once_with_the_outcome_at_its_owner(verdict, effect):
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit("write")
     rig.decide(query_id, "FORWARD", "b")
     assert len(of_type(rig.decide(query_id, verdict), effect)) == 1 and query_id not in rig.reducer.queries
 
 
 def test_forwarded_query_is_not_forwarded_again():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit("load", "ab", session=FIRST_FORWARDED_SESSION + 1)
     effects = rig.decide(query_id, "FORWARD", "c")
     assert not of_type(effects, ForwardQuery) and len(of_type(effects, RejectQuery)) == 1
 
 
 def test_forwarded_query_without_an_answer_in_time_has_failed():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit("load", "ab")
     rig.decide(query_id, "FORWARD", "b")
     effects = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
@@ -125,7 +125,7 @@
 
 
 def test_forwarded_query_is_cancelled_when_its_client_leaves():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit("load", "ab")
     rig.decide(query_id, "FORWARD", "b")
     effects = rig.reducer.reduce(events.ClientGone(rig.count), 10)
@@ -262,12 +262,12 @@
 
 def test_engine_counts_for_the_partner_with_its_zone_and_kind(tmp_path):
     extension, _, _ = partner_extension(tmp_path)
-    listings = [
-        Listing(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: belongs to a
-        Listing(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: belongs to b
-        Listing(3, 1, 0, 1, 0, EndpointState.READY, 1.0),  # matches both: belongs to the first
-        Listing(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # matches neither
-        Listing(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
+    entries = [
+        EndpointEntry(1, 0, 0, 1, 0, EndpointState.READY, 1.0),  # north: belongs to a
+        EndpointEntry(2, 1, 0, 0, 0, EndpointState.READY, 1.0),  # large: belongs to b
+        EndpointEntry(3, 1, 0, 1, 0, EndpointState.READY, 1.0),  # matches both: belongs to the first
+        EndpointEntry(4, 0, 0, 0, 0, EndpointState.READY, 1.0),  # matches neither
+        EndpointEntry(5, 0, 0, 1, 0, EndpointState.DRAINING, 1.0),
     ]
     catalog = {"dcs": ["south", "north"], "kinds": ["std", "large"], "domain.kind_cores": [8, 32]}
     pool = PoolQuota(
@@ -277,7 +277,7 @@
         negotiation=extension.negotiation,
         views=None,
     )
-    pool.on_endpoint_list(listings)
+    pool.on_endpoint_list(entries)
     assert extension.negotiation.ownership.capacities == {"a": 40, "b": 32}
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -18,8 +18,8 @@
 from hillchute.decision.interface import (
     SECOND,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
-    Listing,
     ListMode,
     NewQuery,
     Reason,
@@ -271,8 +271,8 @@
         scheduler=QueryScheduler(1, Settings.from_catalog(catalog), 0), fleet=fleet
     )
     fleet_scheduler.clock_of, fleet_scheduler.scheduled_digests = clock, scheduled
-    listings = [Listing(n, 0, 0, 0, 0, EndpointState.READY, 1.0) for n in (1, 2, 3)]
-    fleet_scheduler.on_endpoint_list(0, ListMode.COMPLETE, listings)
+    entries = [EndpointEntry(n, 0, 0, 0, 0, EndpointState.READY, 1.0) for n in (1, 2, 3)]
+    fleet_scheduler.on_endpoint_list(0, ListMode.COMPLETE, entries)
     fleet_scheduler.on_subset(0, frozenset({1, 2, 3}))
     return fleet_scheduler
 
@@ -311,11 +311,15 @@
         fleet_scheduler.fleet.signals.on_observations(NOW, witness, Observations(drains=(DrainNotice(3, 9),)))
     fleet_scheduler.on_fleet_changed(20)
     assert not fleet_scheduler.scheduler.engines[3].ready
-    fleet_scheduler.on_endpoint_list(25, ListMode.PARTIAL, [Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    fleet_scheduler.on_endpoint_list(
+        25, ListMode.PARTIAL, [EndpointEntry(3, 0, 0, 0, 0, EndpointState.READY, 1.0)]
+    )
     fleet_scheduler.on_subset(25, frozenset())  # an earlier state of the list does not open it
     assert not fleet_scheduler.scheduler.engines[3].ready
     fleet_scheduler.connect_endpoint_list(lambda: 8)
-    fleet_scheduler.on_endpoint_list(30, ListMode.PARTIAL, [Listing(2, 0, 0, 0, 0, EndpointState.READY, 1.0)])
+    fleet_scheduler.on_endpoint_list(
+        30, ListMode.PARTIAL, [EndpointEntry(2, 0, 0, 0, 0, EndpointState.READY, 1.0)]
+    )
     fleet_scheduler.on_subset(30, frozenset())
     assert not fleet_scheduler.scheduler.engines[3].ready
     # The list has reached the event and has no change of the engine.
--- a/tests/test_recorded_bytes.py
+++ b/tests/test_recorded_bytes.py
@@ -26,9 +26,9 @@
 from hillchute.decision.interface import (
     Cancel,
     Decision,
+    EndpointEntry,
     Fail,
     HealthCheck,
-    Listing,
     Reject,
     SetExecutionOptions,
     SetTimer,
@@ -899,12 +899,12 @@
     BUS_RECORD.format(state=state) for state in ("00", "01", "02")
 )
 BUS_ENDPOINT = event_bus.Endpoint(
-    listing=Listing(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", weight=2.5),
+    entry=EndpointEntry(engine=0x01020304, kind=6, cell=7, zone=5, started=1000, state="Ready", weight=2.5),
     host="10.1.2.3",
     port=8080,
 )
-BUS_GONE = BUS_ENDPOINT._replace(listing=BUS_ENDPOINT.listing._replace(state="Gone"))
-BUS_TERMINATING = BUS_ENDPOINT._replace(listing=BUS_ENDPOINT.listing._replace(state="Terminating"))
+BUS_GONE = BUS_ENDPOINT._replace(entry=BUS_ENDPOINT.entry._replace(state="Gone"))
+BUS_TERMINATING = BUS_ENDPOINT._replace(entry=BUS_ENDPOINT.entry._replace(state="Terminating"))
 BUS_FRAMES = {
     "nothing": (
         "00000009 0000000000000011 00",
@@ -944,12 +944,14 @@
         {"offset": 18, "topology": {"endpoints": [endpoint_without_optional_fields]}},
     ]
     first = event_bus.Endpoint(
-        listing=Listing(engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", weight=2.5),
+        entry=EndpointEntry(
+            engine=0x01020304, kind=1, cell=7, zone=2, started=1000, state="Ready", weight=2.5
+        ),
         host="10.1.2.3",
         port=8080,
     )
     second = event_bus.Endpoint(
-        listing=Listing(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", weight=1.0),
+        entry=EndpointEntry(engine=2, kind=0, cell=0, zone=0, started=0, state="Gone", weight=1.0),
         host="10.1.2.4",
         port=8081,
     )
--- a/tests/test_remembering.py
+++ b/tests/test_remembering.py
@@ -41,7 +41,7 @@
 # ---- the reducer's side ----
 
 
-class Rig:
+class ReducerHarness:
     """A reducer whose queries with an idempotency key wait for a claim decision by the test."""
 
     def __init__(self):
@@ -72,7 +72,7 @@
 
 
 def test_query_with_a_key_waits_for_its_claim_and_then_runs():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, effects = rig.submit()
     (claim,) = of_type(effects, ClaimQuery)
     assert (claim.query, claim.customer, claim.key, claim.token) == (query_id, "a", "cd", "ab")
@@ -86,7 +86,7 @@
     ("verdict", "effect"), [("REPLAY", SendResult), ("REJECT", RejectQuery), ("FAIL", FailQuery)]
 )
 def test_decision_other_than_run_is_answered(verdict, effect):
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit()
     effects = rig.decide(query_id, verdict, [[b"1"], [b"2"], [b"3"]])
     assert len(of_type(effects, effect)) == 1 and not of_type(effects, EndClaim)
@@ -96,7 +96,7 @@
 
 
 def test_query_without_a_decision_is_rejected_at_its_deadline_and_its_claim_ends():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit()
     effects = rig.reducer.reduce(events.AlarmDue(), 5 * SECOND)
     assert len(of_type(effects, RejectQuery)) == 1 and not of_type(effects, FailQuery)
@@ -104,7 +104,7 @@
 
 
 def test_claim_ends_when_the_client_leaves():
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit()
     effects = rig.reducer.reduce(events.ClientGone(rig.count), 10)
     assert [(c.query, c.outcome) for c in of_type(effects, EndClaim)] == [(query_id, "not_run")]
@@ -123,7 +123,7 @@
 def test_claim_ends_with_what_may_have_run(results, outcome):
     from hillchute.router.query_state import Attempt
 
-    rig = Rig()
+    rig = ReducerHarness()
     query_id, _ = rig.submit()
     rig.decide(query_id, "RUN")
     q = rig.reducer.queries[query_id]
@@ -141,7 +141,7 @@
 
 
 def test_no_claim_is_made_without_a_history():
-    rig = Rig()
+    rig = ReducerHarness()
     rig.reducer.claims_idempotent = False
     query_id, effects = rig.submit()
     assert not of_type(effects, ClaimQuery) and query_id in rig.scheduler.queries
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,7 +12,7 @@
 from rounds_by_hand import SignalReceiverStandIn
 
 from hillchute.benchlink.codec import Fields
-from hillchute.decision.interface import SECOND, AttemptResult, EndpointState, Listing, Reason
+from hillchute.decision.interface import SECOND, AttemptResult, EndpointEntry, EndpointState, Reason
 from hillchute.decision.scheduler import QueryScheduler
 from hillchute.discovery import event_bus
 from hillchute.engines import words
@@ -295,7 +295,7 @@
 }
 
 
-class Rig:
+class ReducerHarness:
     """A reducer with engines 1 to 6, and the encoded commands by connection."""
 
     def __init__(self, **changes):
@@ -303,9 +303,9 @@
         self.protocols = {}
         settings = Settings.from_catalog(catalog)
         self.reducer = Reducer(QueryScheduler(7, settings, 0), settings, 10)
-        listings = [Listing(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
-        entries = [event_bus.Endpoint(listing, "127.0.0.1", listing.engine) for listing in listings]
-        self.handle(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(entries))))
+        entries = [EndpointEntry(e, 0, 0, 0, 0, EndpointState.READY, 1.0) for e in range(1, 7)]
+        endpoints = [event_bus.Endpoint(entry, "127.0.0.1", entry.engine) for entry in entries]
+        self.handle(events.EndpointsChanged(event_bus.WatchEvent(1, "Complete", tuple(endpoints))))
 
     def handle(self, event, now=0, kind=None):
         """Reduces an event; returns its effects, or only those of the given type."""
@@ -344,7 +344,7 @@
 
 @pytest.fixture
 def rig():
-    return Rig()
+    return ReducerHarness()
 
 
 def test_all_pages_are_requested_at_once_and_put_in_order(rig):
@@ -395,8 +395,8 @@
 
 def test_engine_that_is_gone_is_removed_once_it_has_no_open_attempts(rig):
     def list_engine(offset, state):
-        entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
-        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (entry,))), 5)
+        endpoint = event_bus.Endpoint(EndpointEntry(engine, 0, 0, 0, 0, state, 1.0), "127.0.0.1", engine)
+        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (endpoint,))), 5)
 
     connection = rig.send_query()
     engine = rig.reducer.pool.connections[connection].engine
@@ -503,8 +503,10 @@
 def test_drain_while_a_connection_is_opened_prevents_the_send(rig):
     (opening,) = [e for e in rig.submit() if isinstance(e, OpenConnection)]
     engine = rig.reducer.pool.connections[opening.connection].engine
-    entry = event_bus.Endpoint(Listing(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine)
-    rig.handle(events.EndpointsChanged(event_bus.WatchEvent(2, "Partial", (entry,))), 5)
+    endpoint = event_bus.Endpoint(
+        EndpointEntry(engine, 0, 0, 0, 0, EndpointState.DRAINING, 1.0), "127.0.0.1", engine
+    )
+    rig.handle(events.EndpointsChanged(event_bus.WatchEvent(2, "Partial", (endpoint,))), 5)
     sends = rig.handle(events.Connected(opening.connection), 10, SendCommand)
     assert not [e for e in sends if isinstance(e.command, words.StartRun)]
     assert rig.reducer.queries["a" * 16].attempts[0].ended
@@ -536,7 +538,7 @@
     ],
 )
 def test_invalid_query_is_failed_with_the_name_of_its_field(fields, invalid_field):
-    rig = Rig(groups__2__queue_timeout=9 * SECOND - 1, domain__ram_of_kind_mb=[500, 1000])
+    rig = ReducerHarness(groups__2__queue_timeout=9 * SECOND - 1, domain__ram_of_kind_mb=[500, 1000])
     (answer,) = [e for e in rig.submit(**fields) if isinstance(e, FailQuery)]
     assert invalid_field in answer.reason
     assert not rig.reducer.queries
@@ -564,15 +566,15 @@
 
 
 def test_connections_to_engines_are_bounded():
-    rig = Rig()
+    rig = ReducerHarness()
     rig.reducer.pool.max_connections = 0
     assert not [e for e in rig.submit() if isinstance(e, OpenConnection)]
 
 
 def test_repeated_watch_event_does_not_restore_an_older_endpoint_list(rig):
     def is_ready_after(offset, state):
-        entry = event_bus.Endpoint(Listing(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
-        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (entry,))))
+        endpoint = event_bus.Endpoint(EndpointEntry(1, 0, 0, 0, 0, state, 1.0), "127.0.0.1", 1)
+        rig.handle(events.EndpointsChanged(event_bus.WatchEvent(offset, "Partial", (endpoint,))))
         return rig.reducer.pool.endpoints[1].ready
 
     assert not is_ready_after(3, "Terminating")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,8 +15,8 @@
     SECOND,
     AttemptEnded,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
-    Listing,
     ListMode,
     NewQuery,
     Submit,
@@ -36,13 +36,13 @@
 MAX_FULL_SCANS = 2  # a query that finds no engine in the subset may examine all engines once or twice
 
 
-def listing(engine, state=EndpointState.READY, started=0):
-    return Listing(engine, 0, engine // 4, engine % 3, started, state, 1.0)
+def endpoint_entry(engine, state=EndpointState.READY, started=0):
+    return EndpointEntry(engine, 0, engine // 4, engine % 3, started, state, 1.0)
 
 
 def scheduler_with_engines(engines, routers=200, **changed):
     router = QueryScheduler(1, Settings.from_catalog(CATALOG | {"n_instances": routers} | changed), 0)
-    router.on_endpoint_list(0, ListMode.COMPLETE, [listing(n) for n in range(engines)])
+    router.on_endpoint_list(0, ListMode.COMPLETE, [endpoint_entry(n) for n in range(engines)])
     router.on_subset(0, Subset(7, routers).select(range(engines)))
     return router
 
@@ -87,7 +87,7 @@
     monkeypatch.setattr(type(router.pool.order), "add", lambda self, e: added.append(e) or add(self, e))
     ready = set(range(3_200))
     for n in range(1_000):
-        gone, new = listing(n, EndpointState.GONE), listing(10_000 + n)
+        gone, new = endpoint_entry(n, EndpointState.GONE), endpoint_entry(10_000 + n)
         router.on_endpoint_list(n, ListMode.PARTIAL, [gone, new])
         ready = ready - {n} | {10_000 + n}
         router.on_subset(n, subset.select(ready))
@@ -103,8 +103,8 @@
         configuration.settings,
         configuration.max_engine_connections,
     )
-    entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-    reducer.reduce(events.EndpointsChanged(WatchEvent(1, "Complete", entries)), 1)
+    endpoints = tuple(Endpoint(endpoint_entry(n), "127.0.0.1", 1 + n) for n in range(engines))
+    reducer.reduce(events.EndpointsChanged(WatchEvent(1, "Complete", endpoints)), 1)
     opened, effects = 0, []
     for n in range(300):
         now = 10 + n * 500
@@ -138,8 +138,8 @@
     def peak_memory(engines):
         tracemalloc.start()
         rig = RouterHarness(table=deployment.make_configuration(routers=200))
-        entries = tuple(Endpoint(listing(n), "127.0.0.1", 1 + n) for n in range(engines))
-        rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Complete", entries))
+        endpoints = tuple(Endpoint(endpoint_entry(n), "127.0.0.1", 1 + n) for n in range(engines))
+        rig.service.endpoint_updates.on_watch_event(WatchEvent(2, "Complete", endpoints))
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         rig.close()
@@ -149,9 +149,9 @@
     assert peak_memory(3_200) <= 1.5 * peak_memory(200) + (8 + 4 * 3.2) * 1_000_000
 
 
-def candidates_among_all(router, q, has_room, affine, unresponsive):
+def candidates_among_all(router, q, has_capacity, affine, unresponsive):
     """Returns the same candidates by a rule that examines all engines."""
-    engines = [e for e in router.placement.eligible_engines(router.now, q) if has_room(e)]
+    engines = [e for e in router.placement.eligible_engines(router.now, q) if has_capacity(e)]
     engines = [e for e in engines if e is not unresponsive] or engines
     wanted = (
         {q.permit_engine}
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -8,7 +8,7 @@
 
 from hillchute.benchlink.codec import Fields, MalformedInputError, health_check_result, parse_setting
 from hillchute.benchlink.host import Host
-from hillchute.decision.interface import AttemptResult, EndpointState, Listing
+from hillchute.decision.interface import AttemptResult, EndpointEntry, EndpointState
 
 MS = 10**6  # nanoseconds
 SETTINGS = (
@@ -94,7 +94,9 @@
 
 
 def test_absent_fields_of_an_engine_have_defaults():
-    assert Fields("ENGINE - - - - - - 3", 1).listing() == Listing(3, 0, 0, 0, 0, EndpointState.READY, 1.0)
+    assert Fields("ENGINE - - - - - - 3", 1).endpoint_entry() == EndpointEntry(
+        3, 0, 0, 0, 0, EndpointState.READY, 1.0
+    )
 
 
 def test_clock_and_durations_are_rounded_up_and_deadlines_down():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,8 +10,8 @@
     SECOND,
     AttemptEnded,
     AttemptResult,
+    EndpointEntry,
     EndpointState,
-    Listing,
     ListMode,
     NewQuery,
     Submit,
@@ -105,10 +105,11 @@
     def start(self, number, now):
         catalog = CATALOG | {"n_instances": self.configured_routers, "me": number}
         router = QueryScheduler(self.rng.randrange(2**32), Settings.from_catalog(catalog), now)
-        listings = [
-            Listing(e, 0, 0, 0, self.start_time, EndpointState.READY, 1.0) for e in range(1, self.engines + 1)
+        entries = [
+            EndpointEntry(e, 0, 0, 0, self.start_time, EndpointState.READY, 1.0)
+            for e in range(1, self.engines + 1)
         ]
-        router.on_endpoint_list(now, ListMode.COMPLETE, listings)
+        router.on_endpoint_list(now, ListMode.COMPLETE, entries)
         return router
 
     def send_query(self, number, now):
